--- a/balancer/src/main/java/junctionhead/Main.java
+++ b/balancer/src/main/java/junctionhead/Main.java
@@ -17,7 +17,7 @@
 
 /** Starts a real balancer, the adapter on standard input and output, or a tool. */
 public final class Main {
-    private Main() { }
+    private Main() {}
 
     public static void main(String[] args) {
         if (args.length == 1 && args[0].equals("serve")) {
@@ -26,9 +26,10 @@
         if (args.length != 1 || !args[0].equals("wirehost")) {
             System.exit(Commands.run(args));
         }
-        try (BufferedReader in = new BufferedReader(new InputStreamReader(
-                 new FileInputStream(FileDescriptor.in), StandardCharsets.UTF_8), 1 << 16);
-             OutputStream out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16)) {
+        try (BufferedReader in = new BufferedReader(
+                        new InputStreamReader(new FileInputStream(FileDescriptor.in), StandardCharsets.UTF_8),
+                        1 << 16);
+                OutputStream out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16)) {
             new Adapter(Balance::new, in, out).run();
         } catch (WireException | IOException e) {
             System.err.println("junctionhead: " + e.getMessage());
--- a/balancer/src/main/java/junctionhead/admin/AdminListener.java
+++ b/balancer/src/main/java/junctionhead/admin/AdminListener.java
@@ -29,14 +29,15 @@
 public final class AdminListener {
     /** Callers held at a time; with the listener they fit into the descriptors kept free of clients. */
     public static final int CALLERS_MOST = 16;
-    private static final int LINE_MOST = 512;       // bytes
-    private static final long CALL_MS = 3_000;      // for the line to come
-    private static final long LEAVE_MS = 1_000;     // for the caller to read its answer
+
+    private static final int LINE_MOST = 512; // bytes
+    private static final long CALL_MS = 3_000; // for the line to come
+    private static final long LEAVE_MS = 1_000; // for the caller to read its answer
     private static final int BACKLOG = 256;
 
     private final EventLoop loop;
     private final Operations operations;
-    private final Set<Caller> callers = new LinkedHashSet<>();  // the oldest first
+    private final Set<Caller> callers = new LinkedHashSet<>(); // the oldest first
     private Channel listener;
 
     public AdminListener(EventLoop loop, Operations operations) {
@@ -47,15 +48,21 @@
     /** Listens; not for the loop's thread. Returns the address in use. */
     public InetSocketAddress listen(InetSocketAddress at) throws IOException {
         try {
-            listener = new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
-                .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        opened(channel);
-                    }
-                }).bind(at).sync().channel();
+            listener = new ServerBootstrap()
+                    .group(loop, loop)
+                    .channel(NioServerSocketChannel.class)
+                    .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                    .option(ChannelOption.SO_REUSEADDR, true)
+                    .childOption(ChannelOption.TCP_NODELAY, true)
+                    .childHandler(new ChannelInitializer<Channel>() {
+                        @Override
+                        protected void initChannel(Channel channel) {
+                            opened(channel);
+                        }
+                    })
+                    .bind(at)
+                    .sync()
+                    .channel();
             return (InetSocketAddress) listener.localAddress();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -77,8 +84,11 @@
         Caller caller = new Caller(channel);
         callers.add(caller);
         channel.closeFuture().addListener(closed -> callers.remove(caller));
-        channel.pipeline().addLast(new LineBasedFrameDecoder(LINE_MOST, true, true),
-            new StringDecoder(StandardCharsets.UTF_8), caller);
+        channel.pipeline()
+                .addLast(
+                        new LineBasedFrameDecoder(LINE_MOST, true, true),
+                        new StringDecoder(StandardCharsets.UTF_8),
+                        caller);
         loop.schedule(() -> caller.answer("NAK no whole line came"), CALL_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -113,8 +123,8 @@
             }
             answered = true;
             channel.writeAndFlush(Unpooled.copiedBuffer(line + "\n", StandardCharsets.UTF_8))
-                .addListener(ChannelFutureListener.CLOSE_ON_FAILURE)
-                .addListener(written -> ((DuplexChannel) channel).shutdownOutput());
+                    .addListener(ChannelFutureListener.CLOSE_ON_FAILURE)
+                    .addListener(written -> ((DuplexChannel) channel).shutdownOutput());
             loop.schedule(() -> channel.close(), LEAVE_MS, TimeUnit.MILLISECONDS);
         }
     }
--- a/balancer/src/main/java/junctionhead/admin/Call.java
+++ b/balancer/src/main/java/junctionhead/admin/Call.java
@@ -5,10 +5,12 @@
 
 /** Words the answer to one line of an operator: {@code ACK} or {@code NAK}, and what there is to say. */
 final class Call {
-    private Call() { }
+    private Call() {}
 
     static String answer(String line, Operations operations) {
-        List<String> words = Arrays.stream(line.strip().split("\\s+")).filter(w -> !w.isEmpty()).toList();
+        List<String> words = Arrays.stream(line.strip().split("\\s+"))
+                .filter(w -> !w.isEmpty())
+                .toList();
         if (words.isEmpty()) {
             return "NAK empty call; known: check, set-down ID, set-up ID";
         }
--- a/balancer/src/main/java/junctionhead/cli/Commands.java
+++ b/balancer/src/main/java/junctionhead/cli/Commands.java
@@ -25,17 +25,23 @@
 import picocli.CommandLine.Spec;
 
 /** All commands beside {@code serve} and {@code wirehost}, which start without any of this. */
-@Command(name = "junctionhead", mixinStandardHelpOptions = true, version = "junctionhead 0.1.0",
-    description = "A balancer, and the tools for its operator file.",
-    footer = {"", "serve and wirehost take no options: they go by $ROUTER_CONFIG and its companions.",
-        "Exit codes: 0 as asked, 1 a request that is refused or files that differ, 2 unusable input."},
-    subcommands = {Commands.Check.class, Commands.Explain.class, Commands.Diff.class, Commands.Routes.class})
+@Command(
+        name = "junctionhead",
+        mixinStandardHelpOptions = true,
+        version = "junctionhead 0.1.0",
+        description = "A balancer, and the tools for its operator file.",
+        footer = {
+            "",
+            "serve and wirehost take no options: they go by $ROUTER_CONFIG and its companions.",
+            "Exit codes: 0 as asked, 1 a request that is refused or files that differ, 2 unusable input."
+        },
+        subcommands = {Commands.Check.class, Commands.Explain.class, Commands.Diff.class, Commands.Routes.class})
 public final class Commands {
     private static final int UNUSABLE = 2;
     private static final int NAME_WIDTH = 16;
     private static final int MATCH_WIDTH = 48;
 
-    private Commands() { }
+    private Commands() {}
 
     /** Runs a command line; returns the code to exit with. */
     public static int run(String... arguments) {
@@ -47,20 +53,27 @@
             new CommandLine(new Commands()).usage(err);
             return UNUSABLE;
         }
-        return new CommandLine(new Commands()).setOut(out).setErr(err).setExecutionExceptionHandler((e, line, p) -> {
-            if (e instanceof Faults f) {
-                f.lines().forEach(line.getErr()::println);
-            } else {
-                line.getErr().println(e.getMessage());
-            }
-            return UNUSABLE;
-        }).execute(arguments);
+        return new CommandLine(new Commands())
+                .setOut(out)
+                .setErr(err)
+                .setExecutionExceptionHandler((e, line, p) -> {
+                    if (e instanceof Faults f) {
+                        f.lines().forEach(line.getErr()::println);
+                    } else {
+                        line.getErr().println(e.getMessage());
+                    }
+                    return UNUSABLE;
+                })
+                .execute(arguments);
     }
 
     private abstract static class OnFile implements Callable<Integer> {
-        @Option(names = "--config", paramLabel = "FILE",
-            description = "the balancer's own configuration: names of classes and tenants are held against it")
+        @Option(
+                names = "--config",
+                paramLabel = "FILE",
+                description = "the balancer's own configuration: names of classes and tenants are held against it")
         private Path config;
+
         @Spec
         private CommandSpec spec;
 
@@ -74,8 +87,10 @@
     }
 
     /** Lists what is wrong with a file. */
-    @Command(name = "check", description = "Lists all that is wrong with an operator file: FILE:LINE: what.",
-        mixinStandardHelpOptions = true)
+    @Command(
+            name = "check",
+            description = "Lists all that is wrong with an operator file: FILE:LINE: what.",
+            mixinStandardHelpOptions = true)
     static final class Check extends OnFile {
         @Parameters(paramLabel = "FILE")
         private Path file;
@@ -84,27 +99,39 @@
         public Integer call() throws IOException {
             Operator o = read(file);
             o.notes().forEach(out()::println);
-            out().println(file.getFileName() + ": sound; " + o.pools().size() + " pools, " + o.front().routes().size()
-                + " routes");
+            out().println(file.getFileName() + ": sound; " + o.pools().size() + " pools, "
+                    + o.front().routes().size() + " routes");
             return 0;
         }
     }
 
     /** Says what becomes of one request. */
-    @Command(name = "explain", description = "Says which route, pool and limits a request meets, and why not others.",
-        mixinStandardHelpOptions = true, footer = {"", "Example:", "  junctionhead explain deploy/operator.toml"
-            + " --request \"POST /api/k1\" --header \"X-Channel: counter\" --tenant t1"})
+    @Command(
+            name = "explain",
+            description = "Says which route, pool and limits a request meets, and why not others.",
+            mixinStandardHelpOptions = true,
+            footer = {
+                "",
+                "Example:",
+                "  junctionhead explain deploy/operator.toml"
+                        + " --request \"POST /api/k1\" --header \"X-Channel: counter\" --tenant t1"
+            })
     static final class Explain extends OnFile {
         @Parameters(paramLabel = "FILE")
         private Path file;
+
         @Option(names = "--request", required = true, paramLabel = "\"METHOD /PATH\"")
         private String request;
+
         @Option(names = "--header", paramLabel = "\"NAME: VALUE\"")
         private List<String> headers = List.of();
+
         @Option(names = "--tenant")
         private String tenant;
+
         @Option(names = "--class", paramLabel = "CLASS")
         private String kind;
+
         @Option(names = "--key", description = "what the request concerns; usual: the last part of its path")
         private String key;
 
@@ -121,12 +148,14 @@
                 if (colon <= 0) {
                     throw new IllegalArgumentException("--header: \"" + h + "\" isn't \"NAME: VALUE\"");
                 }
-                named.put(h.substring(0, colon).strip().toLowerCase(Locale.ROOT), h.substring(colon + 1).strip());
+                named.put(
+                        h.substring(0, colon).strip().toLowerCase(Locale.ROOT),
+                        h.substring(colon + 1).strip());
             }
             String[] path = PathTemplate.split(words[1]);
             if (path == null) {
                 out().println("refused  400: a path that can't be routed: it holds '.' or '..', or doesn't begin"
-                    + " with '/'");
+                        + " with '/'");
                 return 1;
             }
             String plain = words[1].split("[?#]", 2)[0];
@@ -151,19 +180,27 @@
         }
 
         private int taken(FrontPlan plan, Front front, Route route, String about) {
-            FrontPlan.RoutePlan r = plan.routes().stream().filter(p -> p.match() == route).findFirst().orElseThrow();
+            FrontPlan.RoutePlan r = plan.routes().stream()
+                    .filter(p -> p.match() == route)
+                    .findFirst()
+                    .orElseThrow();
             int way = front.way(route, about);
             out().println("route    " + route.name() + ": " + Words.of(route));
-            out().println("pool     " + (way < 0 ? "none: all weights are 0" : r.ways().get(way).pool()
-                + (r.ways().size() > 1 ? ", by the split " + Words.ways(r) + " for key '" + about + "'" : "")));
+            out().println("pool     "
+                    + (way < 0
+                            ? "none: all weights are 0"
+                            : r.ways().get(way).pool()
+                                    + (r.ways().size() > 1
+                                            ? ", by the split " + Words.ways(r) + " for key '" + about + "'"
+                                            : "")));
             if (way >= 0) {
                 String pool = r.ways().get(way).pool();
                 String spills = Words.spills(r);
                 if (!spills.isEmpty()) {
                     out().println("spills   to " + spills + ", as the health of " + pool + " falls");
                 }
-                plan.pools().stream().filter(p -> p.name().equals(pool)).forEach(p ->
-                    out().println("limit    of pool " + pool + ": " + Words.of(p.limit())));
+                plan.pools().stream().filter(p -> p.name().equals(pool)).forEach(p -> out().println(
+                                "limit    of pool " + pool + ": " + Words.of(p.limit())));
             }
             out().println("rate     of the route: " + Words.of(r.rate()));
             out().println("retries  " + Words.of(r.retries()));
@@ -172,11 +209,14 @@
     }
 
     /** Says what would change. */
-    @Command(name = "diff", description = "Says in words what will change in service; exit 1 where anything does.",
-        mixinStandardHelpOptions = true)
+    @Command(
+            name = "diff",
+            description = "Says in words what will change in service; exit 1 where anything does.",
+            mixinStandardHelpOptions = true)
     static final class Diff extends OnFile {
         @Parameters(index = "0", paramLabel = "OLD")
         private Path before;
+
         @Parameters(index = "1", paramLabel = "NEW")
         private Path next;
 
@@ -192,8 +232,10 @@
     }
 
     /** Prints the table of routes. */
-    @Command(name = "routes", description = "Prints the routes, the most specific first.",
-        mixinStandardHelpOptions = true)
+    @Command(
+            name = "routes",
+            description = "Prints the routes, the most specific first.",
+            mixinStandardHelpOptions = true)
     static final class Routes extends OnFile {
         @Parameters(paramLabel = "FILE")
         private Path file;
@@ -204,13 +246,24 @@
             String form = "%-" + NAME_WIDTH + "s %-" + MATCH_WIDTH + "s %s%n";
             out().printf(form, "route", "takes", "to");
             for (Route r : new Front(o.front()).table().routes()) {
-                FrontPlan.RoutePlan plan = o.front().routes().stream().filter(p -> p.match() == r).findFirst()
-                    .orElseThrow();
+                FrontPlan.RoutePlan plan = o.front().routes().stream()
+                        .filter(p -> p.match() == r)
+                        .findFirst()
+                        .orElseThrow();
                 String spills = Words.spills(plan);
-                out().printf(form, r.name(), Words.of(r), Words.ways(plan) + (spills.isEmpty() ? ""
-                    : "; spills to " + spills));
+                out().printf(
+                                form,
+                                r.name(),
+                                Words.of(r),
+                                Words.ways(plan) + (spills.isEmpty() ? "" : "; spills to " + spills));
             }
-            out().printf(form, "(others)", "", o.front().unmatched() == null ? "refused" : o.front().unmatched());
+            out().printf(
+                            form,
+                            "(others)",
+                            "",
+                            o.front().unmatched() == null
+                                    ? "refused"
+                                    : o.front().unmatched());
             return 0;
         }
     }
--- a/balancer/src/main/java/junctionhead/handover/InheritedListener.java
+++ b/balancer/src/main/java/junctionhead/handover/InheritedListener.java
@@ -9,7 +9,7 @@
 public final class InheritedListener {
     private static final String VARIABLE = "ROUTER_INHERITED_FD";
 
-    private InheritedListener() { }
+    private InheritedListener() {}
 
     /**
      * The socket that this process was started with; null where the environment names none. It is not to be
--- a/balancer/src/main/java/junctionhead/handover/PeerLink.java
+++ b/balancer/src/main/java/junctionhead/handover/PeerLink.java
@@ -34,7 +34,7 @@
 public final class PeerLink {
     private static final String NAME = "handover.sock";
     private static final int LINE_MOST = 8 << 20;
-    private static final long ANSWER_MS = 1_000;    // for the other's state: it may hang
+    private static final long ANSWER_MS = 1_000; // for the other's state: it may hang
 
     /** Whom it tells; on the loop's thread. */
     public interface Owner {
@@ -70,19 +70,23 @@
             return false;
         }
         try {
-            new Bootstrap().group(loop).channel(NioDomainSocketChannel.class)
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        joined(channel);
-                    }
-                }).connect(UnixDomainSocketAddress.of(folder.resolve(NAME))).sync();
+            new Bootstrap()
+                    .group(loop)
+                    .channel(NioDomainSocketChannel.class)
+                    .handler(new ChannelInitializer<Channel>() {
+                        @Override
+                        protected void initChannel(Channel channel) {
+                            joined(channel);
+                        }
+                    })
+                    .connect(UnixDomainSocketAddress.of(folder.resolve(NAME)))
+                    .sync();
             return true;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return false;
-        } catch (Exception e) {     // sync() rethrows what connect failed with, whatever its type
-            return false;           // nobody there: the file was left by a process that is gone
+        } catch (Exception e) { // sync() rethrows what connect failed with, whatever its type
+            return false; // nobody there: the file was left by a process that is gone
         }
     }
 
@@ -94,12 +98,15 @@
         }
         awaiting = then;
         tell(Map.of("want", "state"));
-        loop.schedule(() -> {
-            if (awaiting != null) {
-                log.accept("the process to replace doesn't answer: going on without what it knows");
-                answered(null);
-            }
-        }, ANSWER_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    if (awaiting != null) {
+                        log.accept("the process to replace doesn't answer: going on without what it knows");
+                        answered(null);
+                    }
+                },
+                ANSWER_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     /** Lets a successor find this process, in place of the one that it replaces. */
@@ -110,19 +117,25 @@
         Path own = folder.resolve("handover-" + ProcessHandle.current().pid() + ".sock");
         try {
             Files.deleteIfExists(own);
-            listener = new ServerBootstrap().group(loop, loop).channel(NioServerDomainSocketChannel.class)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        joined(channel);
-                    }
-                }).bind(UnixDomainSocketAddress.of(own)).addListener(bound -> {
-                    if (bound.isSuccess()) {
-                        named(own);
-                    } else {
-                        log.accept("no successor can take over from here: " + bound.cause().getMessage());
-                    }
-                }).channel();
+            listener = new ServerBootstrap()
+                    .group(loop, loop)
+                    .channel(NioServerDomainSocketChannel.class)
+                    .childHandler(new ChannelInitializer<Channel>() {
+                        @Override
+                        protected void initChannel(Channel channel) {
+                            joined(channel);
+                        }
+                    })
+                    .bind(UnixDomainSocketAddress.of(own))
+                    .addListener(bound -> {
+                        if (bound.isSuccess()) {
+                            named(own);
+                        } else {
+                            log.accept("no successor can take over from here: "
+                                    + bound.cause().getMessage());
+                        }
+                    })
+                    .channel();
         } catch (IOException | IllegalArgumentException e) {
             log.accept("no successor can take over from here: " + e.getMessage());
         }
@@ -157,8 +170,8 @@
     }
 
     private void joined(Channel channel) {
-        channel.pipeline().addLast(new LineBasedFrameDecoder(LINE_MOST),
-            new StringDecoder(StandardCharsets.UTF_8), new Peer());
+        channel.pipeline()
+                .addLast(new LineBasedFrameDecoder(LINE_MOST), new StringDecoder(StandardCharsets.UTF_8), new Peer());
     }
 
     private void answered(Map<String, Object> state) {
--- a/balancer/src/main/java/junctionhead/logs/Provider.java
+++ b/balancer/src/main/java/junctionhead/logs/Provider.java
@@ -32,7 +32,7 @@
     /** Makes SLF4J use this provider without a search through the class path; call before the first logger. */
     public static void install() {
         System.setProperty("slf4j.provider", Provider.class.getName());
-        System.setProperty("slf4j.internal.verbosity", "WARN");     // it would say on the log that it obeys
+        System.setProperty("slf4j.internal.verbosity", "WARN"); // it would say on the log that it obeys
     }
 
     /** A logger that writes there: information and what is worse. */
@@ -76,17 +76,27 @@
 
         @Override
         public void log(LoggingEvent e) {
-            String text = e.getArgumentArray() == null ? e.getMessage()
-                : MessageFormatter.arrayFormat(e.getMessage(), e.getArgumentArray()).getMessage();
-            sink.add(e.getLevel(), text, e.getKeyValuePairs() == null ? List.of() : List.copyOf(e.getKeyValuePairs()),
-                e.getThrowable());
+            String text = e.getArgumentArray() == null
+                    ? e.getMessage()
+                    : MessageFormatter.arrayFormat(e.getMessage(), e.getArgumentArray())
+                            .getMessage();
+            sink.add(
+                    e.getLevel(),
+                    text,
+                    e.getKeyValuePairs() == null ? List.of() : List.copyOf(e.getKeyValuePairs()),
+                    e.getThrowable());
         }
 
         @Override
-        protected void handleNormalizedLoggingCall(Level level, Marker marker, String pattern, Object[] arguments,
-                Throwable thrown) {
-            sink.add(level, arguments == null ? pattern : MessageFormatter.arrayFormat(pattern, arguments).getMessage(),
-                List.of(), thrown);
+        protected void handleNormalizedLoggingCall(
+                Level level, Marker marker, String pattern, Object[] arguments, Throwable thrown) {
+            sink.add(
+                    level,
+                    arguments == null
+                            ? pattern
+                            : MessageFormatter.arrayFormat(pattern, arguments).getMessage(),
+                    List.of(),
+                    thrown);
         }
 
         @Override
--- a/balancer/src/main/java/junctionhead/logs/Sink.java
+++ b/balancer/src/main/java/junctionhead/logs/Sink.java
@@ -23,7 +23,7 @@
 public final class Sink {
     private static final int QUEUE = 1024;
 
-    private record Line(long at, Level level, String text, List<KeyValuePair> fields, Throwable thrown) { }
+    private record Line(long at, Level level, String text, List<KeyValuePair> fields, Throwable thrown) {}
 
     private final OutputStream out;
     private final String prefix;
@@ -32,7 +32,7 @@
     private final AtomicLong dropped = new AtomicLong();
     private volatile int most = QUEUE;
     private volatile boolean json;
-    private long said;                                      // of what was dropped, the writer's
+    private long said; // of what was dropped, the writer's
     private Thread writer;
 
     /** Writes to {@code out}; each line of text begins with {@code prefix}. */
@@ -79,8 +79,12 @@
                 long lost = dropped.get() - said;
                 if (lost > 0 && queue.isEmpty()) {
                     said += lost;
-                    put(new Line(System.currentTimeMillis(), Level.WARN, "log lines dropped: " + lost,
-                        List.of(new KeyValuePair("dropped", lost)), null));
+                    put(new Line(
+                            System.currentTimeMillis(),
+                            Level.WARN,
+                            "log lines dropped: " + lost,
+                            List.of(new KeyValuePair("dropped", lost)),
+                            null));
                 }
             }
         } catch (InterruptedException e) {
@@ -91,10 +95,11 @@
     private void put(Line line) {
         try {
             out.write((json ? json(line) : prefix + line.text + (line.thrown == null ? "" : ": " + line.thrown))
-                .concat("\n").getBytes(StandardCharsets.UTF_8));
+                    .concat("\n")
+                    .getBytes(StandardCharsets.UTF_8));
             out.flush();
         } catch (IOException e) {
-            dropped.incrementAndGet();                      // whoever read it has gone
+            dropped.incrementAndGet(); // whoever read it has gone
         }
     }
 
--- a/balancer/src/main/java/junctionhead/net/AnswerReader.java
+++ b/balancer/src/main/java/junctionhead/net/AnswerReader.java
@@ -31,8 +31,8 @@
  */
 final class AnswerReader extends SimpleChannelInboundHandler<HttpObject> {
     private static final int HEAD_MOST = 8 * 1024;
-    private static final long PATIENCE_MS = 20;     // for the rest of an answer of unknown length
-    private static final int HINTS_MOST = 8;        // 1xx answers ahead of one
+    private static final long PATIENCE_MS = 20; // for the rest of an answer of unknown length
+    private static final int HINTS_MOST = 8; // 1xx answers ahead of one
 
     /** An upstream's answer: whole, or, where {@code rest} is not null, begun. */
     record Answer(int status, HttpHeaders headers, byte[] body, Flow rest) {
@@ -61,19 +61,19 @@
 
     private final Taker taker;
     private final Decoder decoder = new Decoder();
-    private boolean expecting;                      // a request has been sent whose answer hasn't been told
+    private boolean expecting; // a request has been sent whose answer hasn't been told
     private boolean spoilt;
-    private boolean broken;                         // the connection did not end in order
+    private boolean broken; // the connection did not end in order
     private HttpResponse head;
     private byte[] body;
     private int length;
     private int hints;
-    private boolean hint;                           // within a 1xx answer
-    private Answer whole;                           // told at the end of the read
-    private long declared;                          // -1: not known beforehand
-    private boolean untilClose;                     // the end of the connection ends the answer
-    private Flow flow;                              // of the answer that is being passed on
-    private boolean flown;                          // all of it has come
+    private boolean hint; // within a 1xx answer
+    private Answer whole; // told at the end of the read
+    private long declared; // -1: not known beforehand
+    private boolean untilClose; // the end of the connection ends the answer
+    private Flow flow; // of the answer that is being passed on
+    private boolean flown; // all of it has come
     private Future<?> patience;
 
     AnswerReader(Taker taker) {
@@ -96,7 +96,7 @@
             return;
         }
         if (whole != null || flown || !part.decoderResult().isSuccess()) {
-            spoil();                                // a second answer, or one that can't be read
+            spoil(); // a second answer, or one that can't be read
             return;
         }
         if (part instanceof HttpResponse answer) {
@@ -105,7 +105,7 @@
         if (!spoilt && part instanceof HttpContent content) {
             boolean last = part instanceof LastHttpContent;
             if (hint) {
-                hint = !last;                       // the answer itself is still to come
+                hint = !last; // the answer itself is still to come
             } else {
                 take(context, content.content(), last);
             }
@@ -124,23 +124,32 @@
             return;
         }
         boolean flows = head.status().code() == 200 && taker.streams();
-        if (flows && !last && (declared > RequestRules.BODY_MOST && more.isReadable()
-                || length + more.readableBytes() > RequestRules.BODY_MOST)) {
+        if (flows
+                && !last
+                && (declared > RequestRules.BODY_MOST && more.isReadable()
+                        || length + more.readableBytes() > RequestRules.BODY_MOST)) {
             begin(context, more);
         } else if (add(more) && last) {
             if (untilClose && broken) {
                 spoil();
                 return;
             }
-            whole = new Answer(head.status().code(), head.headers(),
-                body.length == length ? body : Arrays.copyOf(body, length), null);
+            whole = new Answer(
+                    head.status().code(),
+                    head.headers(),
+                    body.length == length ? body : Arrays.copyOf(body, length),
+                    null);
             calm();
         } else if (!spoilt && flows && declared < 0 && length > 0 && patience == null) {
-            patience = context.executor().schedule(() -> {
-                if (flow == null && whole == null && !spoilt) {
-                    begin(context, Unpooled.EMPTY_BUFFER);
-                }
-            }, PATIENCE_MS, TimeUnit.MILLISECONDS);
+            patience = context.executor()
+                    .schedule(
+                            () -> {
+                                if (flow == null && whole == null && !spoilt) {
+                                    begin(context, Unpooled.EMPTY_BUFFER);
+                                }
+                            },
+                            PATIENCE_MS,
+                            TimeUnit.MILLISECONDS);
         }
     }
 
@@ -224,8 +233,7 @@
             Answer told = whole;
             whole = null;
             expecting = false;
-            taker.answered(told, !spoilt && !decoder.leftOver() && HttpUtil.isKeepAlive(head)
-                && !untilClose);
+            taker.answered(told, !spoilt && !decoder.leftOver() && HttpUtil.isKeepAlive(head) && !untilClose);
         }
         context.fireChannelReadComplete();
     }
@@ -270,7 +278,7 @@
         @Override
         public void channelRead(ChannelHandlerContext context, Object part) throws Exception {
             if (spoilt || !expecting) {
-                ReferenceCountUtil.release(part);   // nobody asked
+                ReferenceCountUtil.release(part); // nobody asked
                 if (!spoilt) {
                     spoil();
                 }
--- a/balancer/src/main/java/junctionhead/net/Client.java
+++ b/balancer/src/main/java/junctionhead/net/Client.java
@@ -33,39 +33,39 @@
  */
 final class Client extends ChannelInboundHandlerAdapter implements RequestReader.Taker {
     // A client is owed an error or a close within 3 s: the look at all clients comes on top of these.
-    private static final long RECEIVE = TimeUnit.MILLISECONDS.toNanos(2_400);   // a whole request
-    private static final long SILENT = TimeUnit.MILLISECONDS.toNanos(2_200);    // before the first one
-    private static final long REST = TimeUnit.MILLISECONDS.toNanos(5_000);      // between two
-    private static final long LINGER = TimeUnit.MILLISECONDS.toNanos(1_000);    // after the last answer
-    private static final long UNREAD = TimeUnit.MILLISECONDS.toNanos(20_000);   // answers that don't move
-    private static final long PER_BYTE = TimeUnit.SECONDS.toNanos(1) / 32_000;  // more time for what has come
+    private static final long RECEIVE = TimeUnit.MILLISECONDS.toNanos(2_400); // a whole request
+    private static final long SILENT = TimeUnit.MILLISECONDS.toNanos(2_200); // before the first one
+    private static final long REST = TimeUnit.MILLISECONDS.toNanos(5_000); // between two
+    private static final long LINGER = TimeUnit.MILLISECONDS.toNanos(1_000); // after the last answer
+    private static final long UNREAD = TimeUnit.MILLISECONDS.toNanos(20_000); // answers that don't move
+    private static final long PER_BYTE = TimeUnit.SECONDS.toNanos(1) / 32_000; // more time for what has come
     private static final int LINGER_BYTES = 64 * 1024;
-    private static final int AHEAD_MOST = 16;       // requests that may be sent ahead
+    private static final int AHEAD_MOST = 16; // requests that may be sent ahead
 
     /** {@code sentAt}: the latest that its client can have sent the last byte that was read, by System.nanoTime. */
-    private record Taken(HttpRequest head, byte[] body, Flow rest, long sentAt) { }
+    private record Taken(HttpRequest head, byte[] body, Flow rest, long sentAt) {}
 
     private final ClientServer server;
     private final Channel channel;
     private final RequestReader requests;
     private final RequestDecoder decoder = new RequestDecoder();
     private final ArrayDeque<Taken> ahead = new ArrayDeque<>();
-    private RequestRules.Problem problem;           // the last answer to give, when its turn comes
-    private Flow answering;                         // what flows of the request that is being answered
-    private Runnable gone;                          // set while the module owes an answer here
-    private int charged;                            // bytes of the request that is being answered
-    private boolean serving;                        // a request is being answered, or about to be
-    private boolean called;                         // the first one ahead is about to be
-    private boolean receiving;                      // part of a request has come in
-    private boolean asked;                          // a whole request has come in at some time
-    private boolean ending;                         // the last answer has been written
-    private long since = System.nanoTime();         // the beginning of the receipt, the rest or the ending
+    private RequestRules.Problem problem; // the last answer to give, when its turn comes
+    private Flow answering; // what flows of the request that is being answered
+    private Runnable gone; // set while the module owes an answer here
+    private int charged; // bytes of the request that is being answered
+    private boolean serving; // a request is being answered, or about to be
+    private boolean called; // the first one ahead is about to be
+    private boolean receiving; // part of a request has come in
+    private boolean asked; // a whole request has come in at some time
+    private boolean ending; // the last answer has been written
+    private long since = System.nanoTime(); // the beginning of the receipt, the rest or the ending
     private long unreadSince = since;
     private long unreadBytes;
-    private long received;                          // bytes of the request that is coming in
+    private long received; // bytes of the request that is coming in
     private long readAt;
-    private Flow upload;                            // of a body that is being passed on
-    private Flow download;                          // of an answer that is being passed on
+    private Flow upload; // of a body that is being passed on
+    private Flow download; // of an answer that is being passed on
 
     Client(ClientServer server, Channel channel) {
         this.server = server;
@@ -85,8 +85,13 @@
 
     /** For how long nothing more has come of a request that is not whole, in ns. */
     long stuckFor(long now) {
-        return receiving && !serving && !ending && upload == null && channel.config().isAutoRead()
-            ? now - readAt : 0;
+        return receiving
+                        && !serving
+                        && !ending
+                        && upload == null
+                        && channel.config().isAutoRead()
+                ? now - readAt
+                : 0;
     }
 
     void close() {
@@ -116,7 +121,9 @@
             if (channel.config().isAutoRead()) {
                 close();
             }
-        } else if (upload == null && receiving && channel.config().isAutoRead()
+        } else if (upload == null
+                && receiving
+                && channel.config().isAutoRead()
                 && now - since > RECEIVE + received * PER_BYTE) {
             bad(HttpResponseStatus.REQUEST_TIMEOUT, "too slow");
         } else if (download != null && download.silentFor(now) > UNREAD) {
@@ -127,7 +134,7 @@
         long unread = channel.bytesBeforeWritable();
         if (unread == 0 || unread != unreadBytes) {
             unreadBytes = unread;
-            unreadSince = now;                      // some has left, if not all
+            unreadSince = now; // some has left, if not all
         } else if (now - unreadSince > UNREAD) {
             close();
         }
@@ -157,8 +164,8 @@
     @Override
     public void begun(HttpRequest head) {
         if (HttpUtil.is100ContinueExpected(head) && !serving) {
-            channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+            channel.writeAndFlush(new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
     }
 
@@ -338,8 +345,7 @@
     }
 
     /** Writes the answer to the request that is being served; one that can't be kept open ends it. */
-    void write(HttpResponseStatus status, ByteBuf body, String type, String header, String value,
-            boolean keep) {
+    void write(HttpResponseStatus status, ByteBuf body, String type, String header, String value, boolean keep) {
         settle();
         boolean stay = keep && !server.isStopping();
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
--- a/balancer/src/main/java/junctionhead/net/ClientServer.java
+++ b/balancer/src/main/java/junctionhead/net/ClientServer.java
@@ -32,13 +32,13 @@
 /** The side to the clients: takes connections, hands requests over, and words each one's final answer. */
 final class ClientServer {
     private static final int BACKLOG = 1024;
-    private static final long LOOK_MS = 200;        // between looks at what takes too long
+    private static final long LOOK_MS = 200; // between looks at what takes too long
     // After a stop: what comes later might still be unanswered when the process is killed.
     private static final long LATE = TimeUnit.MILLISECONDS.toNanos(650);
     private static final long FRESH = TimeUnit.MILLISECONDS.toNanos(100);
     private static final long STUCK = TimeUnit.MILLISECONDS.toNanos(700);
     private static final long LONG_REST = TimeUnit.SECONDS.toNanos(1);
-    static final long ROOM = 6 << 20;       // bytes of bodies of clients held together
+    static final long ROOM = 6 << 20; // bytes of bodies of clients held together
 
     private final EventLoop loop;
     private SettingsReader.Boot boot;
@@ -47,19 +47,24 @@
     private final BooleanSupplier shedIdleUpstream;
     private final LongSupplier unread;
     private final Room room = new Room(ROOM);
-    private final Set<Client> clients = new LinkedHashSet<>();  // the oldest first
+    private final Set<Client> clients = new LinkedHashSet<>(); // the oldest first
     private Channel listener;
-    private boolean shared;                         // the listener is the platform's: never closed here
+    private boolean shared; // the listener is the platform's: never closed here
     private boolean accepting;
     private boolean ready;
     private Supplier<String> note = () -> null;
     private long stoppedAt;
     private boolean stopping;
     private boolean makingRoom;
-    private Rehearsal rehearsal;                    // while it is on
-
-    ClientServer(EventLoop loop, SettingsReader.Boot boot, Desk desk, Descriptors descriptors,
-            BooleanSupplier shedIdleUpstream, LongSupplier unread) {
+    private Rehearsal rehearsal; // while it is on
+
+    ClientServer(
+            EventLoop loop,
+            SettingsReader.Boot boot,
+            Desk desk,
+            Descriptors descriptors,
+            BooleanSupplier shedIdleUpstream,
+            LongSupplier unread) {
         this.unread = unread;
         this.loop = loop;
         this.boot = boot;
@@ -74,28 +79,29 @@
      * @param inherited the socket to take connections from, or null to bind one
      * @param accept whether to take connections at once, not only from {@link #accept} on
      */
-    InetSocketAddress listen(InetSocketAddress at, ServerSocketChannel inherited, boolean accept)
-            throws IOException {
+    InetSocketAddress listen(InetSocketAddress at, ServerSocketChannel inherited, boolean accept) throws IOException {
         shared = inherited != null;
         accepting = accept;
         try {
-            ServerBootstrap server = server().channelFactory(() -> inherited == null
-                ? new NioServerSocketChannel() : new NioServerSocketChannel(inherited))
-                .childOption(ChannelOption.TCP_NODELAY, true)
-                // Known before it listens: on a slow machine a connection came in before bind had returned
-                // to the starting thread, found no listener, and was dropped unanswered.
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        listener = channel;
-                    }
-                })
-                .childOption(ChannelOption.RCVBUF_ALLOCATOR, Reads.allocator())
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Reads.WAITING)
-                .option(ChannelOption.AUTO_READ, accept);
-            ChannelFuture listening = inherited != null ? server.register()
-                : server.option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
-                    .bind(at);
+            ServerBootstrap server = server().channelFactory(() ->
+                            inherited == null ? new NioServerSocketChannel() : new NioServerSocketChannel(inherited))
+                    .childOption(ChannelOption.TCP_NODELAY, true)
+                    // Known before it listens: on a slow machine a connection came in before bind had returned
+                    // to the starting thread, found no listener, and was dropped unanswered.
+                    .handler(new ChannelInitializer<Channel>() {
+                        @Override
+                        protected void initChannel(Channel channel) {
+                            listener = channel;
+                        }
+                    })
+                    .childOption(ChannelOption.RCVBUF_ALLOCATOR, Reads.allocator())
+                    .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Reads.WAITING)
+                    .option(ChannelOption.AUTO_READ, accept);
+            ChannelFuture listening = inherited != null
+                    ? server.register()
+                    : server.option(ChannelOption.SO_BACKLOG, BACKLOG)
+                            .option(ChannelOption.SO_REUSEADDR, true)
+                            .bind(at);
             Channel bound = listening.sync().channel();
             loop.scheduleWithFixedDelay(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
             return (InetSocketAddress) bound.localAddress();
@@ -108,7 +114,10 @@
     /** Listens for a rehearsal's own connections; what it returns is closed when that is over. */
     Channel listenAside(UnixDomainSocketAddress at) throws IOException {
         try {
-            return server().channel(NioServerDomainSocketChannel.class).bind(at).sync().channel();
+            return server().channel(NioServerDomainSocketChannel.class)
+                    .bind(at)
+                    .sync()
+                    .channel();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
@@ -165,7 +174,7 @@
         stopping = true;
         stoppedAt = System.nanoTime();
         if (shared) {
-            accepting = false;                      // whoever comes now is the other process's
+            accepting = false; // whoever comes now is the other process's
             listener.config().setAutoRead(false);
         }
     }
@@ -230,7 +239,7 @@
     // that take them all and leave none for the upstreams: at last new connections wait in the backlog.
     private void makeRoom() {
         if (makingRoom) {
-            return;                                 // what it closes tells of its end here
+            return; // what it closes tells of its end here
         }
         makingRoom = true;
         boolean room = true;
@@ -292,16 +301,23 @@
         boolean rehearsing = rehearsal != null && rehearsal.knows(request.headers());
         if (rehearsing && path.equals(Rehearsal.HOP)) {
             boolean declined = rehearsal.declines();
-            client.write(declined ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK,
-                Unpooled.wrappedBuffer(new byte[256]), null, declined ? "Srv-Declined" : "Srv-Load",
-                declined ? "1" : "TEXT eps=0.1, latency_ms=14.5, inflight=2", keep);
+            client.write(
+                    declined ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK,
+                    Unpooled.wrappedBuffer(new byte[256]),
+                    null,
+                    declined ? "Srv-Declined" : "Srv-Load",
+                    declined ? "1" : "TEXT eps=0.1, latency_ms=14.5, inflight=2",
+                    keep);
         } else if (path.startsWith("/-/") && !(rehearsing && path.equals(Rehearsal.PATH))) {
             boolean asked = path.equals("/-/ready") && request.method().equals(HttpMethod.GET);
-            HttpResponseStatus status = !asked ? HttpResponseStatus.NOT_FOUND
-                : ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
+            HttpResponseStatus status = !asked
+                    ? HttpResponseStatus.NOT_FOUND
+                    : ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
             String more = note.get();
-            client.plain(status, !asked ? "not found" : !ready ? "not ready" : more == null ? "ready"
-                : "ready; " + more, keep);
+            client.plain(
+                    status,
+                    !asked ? "not found" : !ready ? "not ready" : more == null ? "ready" : "ready; " + more,
+                    keep);
         } else {
             if (stopping && System.nanoTime() - stoppedAt > LATE) {
                 client.refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "stopping: trying again is harmless");
@@ -323,8 +339,7 @@
                 return;
             }
             Answer answer = new Answer(client, keep, request.protocolVersion().equals(HttpVersion.HTTP_1_1));
-            Runnable leave =
-                to.take(path.equals(Rehearsal.PATH) ? order.to(Rehearsal.HOP) : order, answer);
+            Runnable leave = to.take(path.equals(Rehearsal.PATH) ? order.to(Rehearsal.HOP) : order, answer);
             if (!answer.given) {
                 client.owed(leave);
             }
@@ -335,7 +350,7 @@
     private static final class Answer implements Dispatcher.Reply {
         private final Client client;
         private final boolean keep;
-        private final boolean chunks;               // its client understands them
+        private final boolean chunks; // its client understands them
         private boolean given;
 
         Answer(Client client, boolean keep, boolean chunks) {
@@ -351,17 +366,20 @@
                 client.stream(answer, keep, chunks);
                 return;
             }
-            client.write(HttpResponseStatus.OK, Unpooled.wrappedBuffer(answer.body()), answer.type(), null,
-                null, keep);
+            client.write(HttpResponseStatus.OK, Unpooled.wrappedBuffer(answer.body()), answer.type(), null, null, keep);
         }
 
         @Override
         public void refuse(long retryAfter) {
             given = true;
             String seconds = retryAfter <= 0 ? null : String.format(Locale.ROOT, "%.3f", retryAfter / 1e6);
-            client.write(HttpResponseStatus.SERVICE_UNAVAILABLE,
-                Unpooled.copiedBuffer("refused: trying again is harmless\n", StandardCharsets.UTF_8),
-                "text/plain", "Retry-After", seconds, keep);
+            client.write(
+                    HttpResponseStatus.SERVICE_UNAVAILABLE,
+                    Unpooled.copiedBuffer("refused: trying again is harmless\n", StandardCharsets.UTF_8),
+                    "text/plain",
+                    "Retry-After",
+                    seconds,
+                    keep);
         }
 
         @Override
--- a/balancer/src/main/java/junctionhead/net/Config.java
+++ b/balancer/src/main/java/junctionhead/net/Config.java
@@ -27,18 +27,26 @@
 import junctionhead.settings.SettingsReader;
 
 /** What a balancer is told at its start, by its environment and its configuration file. */
-record Config(String name, InetSocketAddress listen, InetSocketAddress admin, InetSocketAddress discovery,
-        long seed, int sockets, int upstreams, Targets known, SettingsReader.Boot boot, Map<String, String> values) {
+record Config(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress admin,
+        InetSocketAddress discovery,
+        long seed,
+        int sockets,
+        int upstreams,
+        Targets known,
+        SettingsReader.Boot boot,
+        Map<String, String> values) {
     private static final Path LIMITS = Path.of("/proc/self/limits");
     private static final Pattern ENTRY = Pattern.compile("^(Classes|Realms)\\.\\d+\\.");
-    private static final Pattern OPTIONAL =
-        Pattern.compile("^(Specifics\\.|Prices\\.Fleet$|Stats\\.Fields$)");
+    private static final Pattern OPTIONAL = Pattern.compile("^(Specifics\\.|Prices\\.Fleet$|Stats\\.Fields$)");
     private static final Set<String> MAY_LACK = Set.of("AimStretch");
     private static final String KNOWN = "known";
     private static final Targets NOBODY = new Targets(0, true, List.of());
     private static final JsonFactory FILE =
-        JsonFactory.builder().disable(StreamReadFeature.AUTO_CLOSE_SOURCE).build();
-    private static final int SOCKETS = 1024;        // assumed where neither file nor system tells
+            JsonFactory.builder().disable(StreamReadFeature.AUTO_CLOSE_SOURCE).build();
+    private static final int SOCKETS = 1024; // assumed where neither file nor system tells
 
     /** What is wrong with the configuration, in one line. */
     static final class Bad extends RuntimeException {
@@ -71,8 +79,8 @@
             return of(environment, json, holding -> known(channel, once, holding));
         } catch (IOException | UncheckedIOException | IllegalArgumentException e) {
             throw new Bad("can't read the configuration " + file + ": "
-                + String.valueOf(e.getMessage()).lines().findFirst().orElse("") + " ("
-                + e.getClass().getSimpleName() + ")");
+                    + String.valueOf(e.getMessage()).lines().findFirst().orElse("") + " ("
+                    + e.getClass().getSimpleName() + ")");
         }
     }
 
@@ -85,8 +93,8 @@
         if (once == null) {
             channel.position(0);
         }
-        try (JsonParser parser = once == null ? FILE.createParser(Channels.newInputStream(channel))
-                : FILE.createParser(once)) {
+        try (JsonParser parser =
+                once == null ? FILE.createParser(Channels.newInputStream(channel)) : FILE.createParser(once)) {
             JsonToken first = parser.nextToken();
             if (first != null && first != JsonToken.START_OBJECT) {
                 throw new IllegalArgumentException("not an object");
@@ -108,7 +116,10 @@
                 return;
             }
             try {
-                known[0] = ListReader.one(parser, held.boot, new Holding(held.most, held.boot.settings().rank()));
+                known[0] = ListReader.one(
+                        parser,
+                        held.boot,
+                        new Holding(held.most, held.boot.settings().rank()));
             } catch (IllegalArgumentException e) {
                 throw new Bad("known: " + e.getMessage());
             }
@@ -124,7 +135,7 @@
     }
 
     /** By what settings the list is read, and how many upstreams may be held of it. */
-    private record Held(SettingsReader.Boot boot, int most) { }
+    private record Held(SettingsReader.Boot boot, int most) {}
 
     /** The list of upstreams as it was known. */
     private interface Known {
@@ -141,16 +152,14 @@
                 }
             });
         } catch (IOException e) {
-            throw new UncheckedIOException(e);      // it is in memory
+            throw new UncheckedIOException(e); // it is in memory
         }
     }
 
-    private static Config of(Map<String, String> environment, Map<String, Object> json, Known list)
-            throws IOException {
+    private static Config of(Map<String, String> environment, Map<String, Object> json, Known list) throws IOException {
         String name = told(environment, "ROUTER_NAME", json, "name");
         InetSocketAddress listen = address("listen", told(environment, "ROUTER_LISTEN", json, "listen"));
-        InetSocketAddress discovery =
-            address("discovery", told(environment, "ROUTER_DISCOVERY", json, "discovery"));
+        InetSocketAddress discovery = address("discovery", told(environment, "ROUTER_DISCOVERY", json, "discovery"));
         String operators = toldIfAny(environment, "ROUTER_ADMIN_ADDR", json, "admin_addr");
         InetSocketAddress admin = operators == null ? null : address("admin_addr", operators);
         Object settings = json.get("settings");
@@ -160,15 +169,24 @@
         Map<String, String> values = new HashMap<>();
         SettingsReader.flatten("", settings, values);
         SettingsReader.Boot boot =
-            SettingsReader.read(values, (path, what) -> new Bad("settings: " + path + ": " + what));
+                SettingsReader.read(values, (path, what) -> new Bad("settings: " + path + ": " + what));
         Object limits = json.get("limits");
         int upstreams = upstreams(limits instanceof Map ? ((Map<?, ?>) limits).get("upstreams") : null);
         Targets known = list.by(new Held(boot, upstreams));
         Object sockets = limits instanceof Map ? ((Map<?, ?>) limits).get("sockets") : null;
         int told = sockets instanceof Number ? ((Number) sockets).intValue() : Integer.MAX_VALUE;
         int most = Math.min(told, descriptors());
-        return new Config(name, listen, admin, discovery, seed(json.get("seed")),
-            most == Integer.MAX_VALUE ? SOCKETS : most, upstreams, known, boot, Map.copyOf(values));
+        return new Config(
+                name,
+                listen,
+                admin,
+                discovery,
+                seed(json.get("seed")),
+                most == Integer.MAX_VALUE ? SOCKETS : most,
+                upstreams,
+                known,
+                boot,
+                Map.copyOf(values));
     }
 
     /**
@@ -201,8 +219,10 @@
         Set<String> fields = new TreeSet<>();
         for (int i = 0; i < count(list, values); i++) {
             String at = list + "." + i + ".";
-            Set<String> own = values.keySet().stream().filter(k -> k.startsWith(at))
-                .map(k -> k.substring(at.length())).collect(Collectors.toSet());
+            Set<String> own = values.keySet().stream()
+                    .filter(k -> k.startsWith(at))
+                    .map(k -> k.substring(at.length()))
+                    .collect(Collectors.toSet());
             own.removeAll(MAY_LACK);
             if (i == 0) {
                 fields.addAll(own);
@@ -213,8 +233,8 @@
         return fields;
     }
 
-    private static String told(Map<String, String> environment, String variable, Map<String, Object> json,
-            String field) {
+    private static String told(
+            Map<String, String> environment, String variable, Map<String, Object> json, String field) {
         String value = toldIfAny(environment, variable, json, field);
         if (value == null) {
             throw new Bad(variable + " is not set, and the configuration has no " + field);
@@ -222,8 +242,8 @@
         return value;
     }
 
-    private static String toldIfAny(Map<String, String> environment, String variable,
-            Map<String, Object> json, String field) {
+    private static String toldIfAny(
+            Map<String, String> environment, String variable, Map<String, Object> json, String field) {
         String value = environment.get(variable);
         Object other = json.get(field);
         if (value != null && !value.isBlank()) {
@@ -271,11 +291,12 @@
         try {
             for (String line : Files.readAllLines(LIMITS)) {
                 if (line.toLowerCase(Locale.ROOT).startsWith("max open files")) {
-                    return (int) Math.min(Integer.MAX_VALUE, Long.parseLong(line.trim().split("\\s+")[3]));
+                    return (int) Math.min(
+                            Integer.MAX_VALUE, Long.parseLong(line.trim().split("\\s+")[3]));
                 }
             }
         } catch (IOException | NumberFormatException e) {
-            return Integer.MAX_VALUE;       // unlimited, or not this kind of system
+            return Integer.MAX_VALUE; // unlimited, or not this kind of system
         }
         return Integer.MAX_VALUE;
     }
--- a/balancer/src/main/java/junctionhead/net/Dispatcher.java
+++ b/balancer/src/main/java/junctionhead/net/Dispatcher.java
@@ -56,7 +56,7 @@
         final Order order;
         final Reply reply;
         long deadline;
-        long wholeAt;                               // when the last byte of it came
+        long wholeAt; // when the last byte of it came
         final int attemptsMost;
         final List<Attempt> attempts = new ArrayList<>(2);
         int out;
@@ -94,7 +94,7 @@
     private final long unixAtStart = System.currentTimeMillis() * 1000;
     private final long nanosAtStart = System.nanoTime();
     private final Map<String, Exchange> table = new HashMap<>();
-    private final Set<String> ids = new HashSet<>();    // clients' own names of what is in the table
+    private final Set<String> ids = new HashSet<>(); // clients' own names of what is in the table
     private final ArrayDeque<LongConsumer> waiting = new ArrayDeque<>();
     private Upstreams upstreams;
     private DiscoveryClient discovery;
@@ -146,8 +146,10 @@
                     // The guard answers what this leaves unanswered; one event must not end the balancer.
                     faults++;
                     StackTraceElement[] trace = e.getStackTrace();
-                    log.warn("fault " + faults + ": " + e + (trace.length == 0 ? "" : " at " + trace[0]), "faults",
-                        faults);
+                    log.warn(
+                            "fault " + faults + ": " + e + (trace.length == 0 ? "" : " at " + trace[0]),
+                            "faults",
+                            faults);
                 }
             }
         } finally {
@@ -158,8 +160,12 @@
     @Override
     public Runnable take(Order order, Reply reply) {
         String id = Long.toString(++taken, Character.MAX_RADIX);
-        Exchange x = new Exchange(id, order, reply, now() + order.timeLeft(),
-            boot.settings().limits().maxAttempts());
+        Exchange x = new Exchange(
+                id,
+                order,
+                reply,
+                now() + order.timeLeft(),
+                boot.settings().limits().maxAttempts());
         table.put(id, x);
         ids.add(order.id());
         owed++;
@@ -168,8 +174,16 @@
         } else {
             order.rest().whenWhole(() -> guard(x));
         }
-        hand(now -> policy.request(now, id, order.requestClass(), order.tenant(), order.key(),
-            Math.max(0, x.deadline - now), order.work(), order.resubmission(), this));
+        hand(now -> policy.request(
+                now,
+                id,
+                order.requestClass(),
+                order.tenant(),
+                order.key(),
+                Math.max(0, x.deadline - now),
+                order.work(),
+                order.resubmission(),
+                this));
         return () -> gone(x);
     }
 
@@ -178,8 +192,8 @@
         if (!x.closed) {
             x.wholeAt = now();
             x.deadline = x.wholeAt + x.order.timeLeft();
-            x.guard = loop.schedule(() -> lastResort(x), Math.max(0, x.order.timeLeft() - GUARD),
-                TimeUnit.MICROSECONDS);
+            x.guard =
+                    loop.schedule(() -> lastResort(x), Math.max(0, x.order.timeLeft() - GUARD), TimeUnit.MICROSECONDS);
         }
     }
 
@@ -280,8 +294,11 @@
     void reconfigure(SettingsReader.Boot next) {
         SettingsReader.Boot before = boot;
         boot = next;
-        hand(now -> policy.reconfigure(now, next.settings(), former(next.classes(), before.classes()),
-            former(next.tenants(), before.tenants())));
+        hand(now -> policy.reconfigure(
+                now,
+                next.settings(),
+                former(next.classes(), before.classes()),
+                former(next.tenants(), before.tenants())));
     }
 
     private static int[] former(List<String> names, List<String> before) {
@@ -314,9 +331,20 @@
         fewer = Math.min(parts, balancers);
         hand(now -> policy.share(ownPart * fewer));
         String what = holding.summary();
-        log.warn(what == null ? "holds the whole list of upstreams again" : what + (parts > balancers
-            ? ": " + balancers + " balancers can't hold all parts, some upstreams get nothing" : ""),
-            "parts", parts, "listed", holding.named(), "most", holding.most());
+        log.warn(
+                what == null
+                        ? "holds the whole list of upstreams again"
+                        : what
+                                + (parts > balancers
+                                        ? ": " + balancers
+                                                + " balancers can't hold all parts, some upstreams get nothing"
+                                        : ""),
+                "parts",
+                parts,
+                "listed",
+                holding.named(),
+                "most",
+                holding.most());
     }
 
     /** The module is told nothing more, and so asks for nothing. */
@@ -334,8 +362,8 @@
     }
 
     String summary() {
-        return taken + " requests taken, " + owed + " unanswered, " + guarded + " last-resort answers, "
-            + faults + " faults";
+        return taken + " requests taken, " + owed + " unanswered, " + guarded + " last-resort answers, " + faults
+                + " faults";
     }
 
     // ---------------------------------------------------------------- the module's actions
@@ -354,17 +382,18 @@
         boolean coming = rest != null && !rest.whole();
         long left = (coming ? x.order.timeLeft() : x.deadline - now) - GUARD - LAST_WORD;
         long wait = timeout == 0 ? left : Math.min(timeout, left);
-        boolean allowed = !x.closed && wait > 0 && a.number < x.attemptsMost
-            && (rest == null || !rest.taken())      // what has been passed on can't be sent again
-            && x.reply.maySend(a.number);
+        boolean allowed = !x.closed
+                && wait > 0
+                && a.number < x.attemptsMost
+                && (rest == null || !rest.taken()) // what has been passed on can't be sent again
+                && x.reply.maySend(a.number);
         if (allowed) {
             if (coming) {
                 rest.whenWhole(() -> limit(a, wait));
             } else {
                 limit(a, wait);
             }
-            a.call = upstreams.send(server, x.order, wait,
-                (outcome, answer, load) -> ended(a, outcome, answer, load));
+            a.call = upstreams.send(server, x.order, wait, (outcome, answer, load) -> ended(a, outcome, answer, load));
         } else {
             ended(a, Policy.Outcome.NOT_SENT, null, null);
         }
@@ -408,8 +437,10 @@
     public void probe(String server) {
         long sent = now();
         boolean reports = boot.settings().reports() != Policy.Reports.NONE;
-        upstreams.probe(server, reports, (outcome, answer, load) ->
-            hand(now -> policy.probed(now, server, outcome, now - sent, load, this)));
+        upstreams.probe(
+                server,
+                reports,
+                (outcome, answer, load) -> hand(now -> policy.probed(now, server, outcome, now - sent, load, this)));
     }
 
     @Override
--- a/balancer/src/main/java/junctionhead/net/DryRun.java
+++ b/balancer/src/main/java/junctionhead/net/DryRun.java
@@ -12,7 +12,8 @@
  * that a start loads. Guards against slow restarts: half of the time until it listened went into those.
  */
 public final class DryRun {
-    private static final String CONFIG = """
+    private static final String CONFIG =
+            """
         {"name": "dry", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "1", "settings": {
           "Balancers": 1, "Quantum": 5000, "MembershipMode": "ask",
           "Classes": [
@@ -26,14 +27,14 @@
             "state": "in_service"}]}}
         """;
 
-    private DryRun() { }
+    private DryRun() {}
 
     public static void main(String[] args) throws IOException, InterruptedException {
         ReloadSignal hangup = ReloadSignal.take();
         if (hangup != null) {
-            hangup.onEach(() -> { });
+            hangup.onEach(() -> {});
         }
-        Path file = Files.createTempFile("dry-run", ".json");       // read as a start reads it
+        Path file = Files.createTempFile("dry-run", ".json"); // read as a start reads it
         Config config;
         try {
             Files.writeString(file, CONFIG);
@@ -41,7 +42,7 @@
         } finally {
             Files.delete(file);
         }
-        Node node = new Node(config, Balance::new, true, line -> { });
+        Node node = new Node(config, Balance::new, true, line -> {});
         node.start();
         boolean ready = node.awaitReady(TimeUnit.SECONDS.toMillis(30));
         node.stop();
--- a/balancer/src/main/java/junctionhead/net/Flow.java
+++ b/balancer/src/main/java/junctionhead/net/Flow.java
@@ -27,18 +27,18 @@
         boolean hasRoom();
     }
 
-    private static final int HELD_MOST = 1 << 20;   // bytes that may wait for a taker
+    private static final int HELD_MOST = 1 << 20; // bytes that may wait for a taker
 
     private final Channel source;
     private final long length;
     private final Room room;
-    private int held;                               // bytes that wait and are counted against the room
+    private int held; // bytes that wait and are counted against the room
     private final ArrayDeque<ByteBuf> waiting = new ArrayDeque<>();
     private final List<Runnable> whenWhole = new ArrayList<>(1);
     private Sink sink;
     private boolean taken;
     private boolean whole;
-    private boolean over;                           // nobody wants it any more, or nothing more comes
+    private boolean over; // nobody wants it any more, or nothing more comes
     private boolean paused;
     private long pausedAt;
     private long pausedFor;
@@ -192,7 +192,7 @@
         if (!over) {
             pausedAt = paused ? pausedAt : System.nanoTime();
             paused = true;
-            source.config().setAutoRead(false);     // each time: others may have set it
+            source.config().setAutoRead(false); // each time: others may have set it
         }
     }
 
--- a/balancer/src/main/java/junctionhead/net/Gateway.java
+++ b/balancer/src/main/java/junctionhead/net/Gateway.java
@@ -29,11 +29,11 @@
  * that refuses. It decides nothing. All of it runs on the event loop's thread; it is there only with an operator file.
  */
 final class Gateway implements Desk {
-    private static final long LOOK_MS = 100;                // between looks at how many upstreams each pool has
-    private static final Runnable NOTHING = () -> { };
+    private static final long LOOK_MS = 100; // between looks at how many upstreams each pool has
+    private static final Runnable NOTHING = () -> {};
 
     /** The pool that the platform lists, which is there in any case. */
-    record Site(Dispatcher dispatcher, Membership membership) { }
+    record Site(Dispatcher dispatcher, Membership membership) {}
 
     private final EventLoop loop;
     private final Site site;
@@ -130,9 +130,13 @@
 
     private void rank() {
         List<Policy.RequestClass> classes = boot.settings().classes();
-        double least = classes.stream().mapToDouble(Policy.RequestClass::worth).min().orElse(0);
-        double most = classes.stream().mapToDouble(Policy.RequestClass::worth).max().orElse(0);
-        ranks = classes.stream().mapToDouble(c -> most > least ? (c.worth() - least) / (most - least) : 1).toArray();
+        double least =
+                classes.stream().mapToDouble(Policy.RequestClass::worth).min().orElse(0);
+        double most =
+                classes.stream().mapToDouble(Policy.RequestClass::worth).max().orElse(0);
+        ranks = classes.stream()
+                .mapToDouble(c -> most > least ? (c.worth() - least) / (most - least) : 1)
+                .toArray();
     }
 
     private void drain(Pool pool) {
@@ -140,8 +144,13 @@
         draining.add(pool);
         pool.drain(() -> {
             draining.remove(pool);
-            log.event("pool " + pool.name() + " has drained and is closed: " + pool.dispatcher().summary(), "pool",
-                pool.name(), "drained", true);
+            log.event(
+                    "pool " + pool.name() + " has drained and is closed: "
+                            + pool.dispatcher().summary(),
+                    "pool",
+                    pool.name(),
+                    "drained",
+                    true);
         });
     }
 
@@ -215,10 +224,14 @@
             }
         }
         String tenant = order.headers().get(RequestRules.TENANT);
-        Route.Request request = new Route.Request(order.method().name(), PathTemplate.split(order.uri()), asked, tenant,
-            boot.classes().get(order.requestClass()));
-        return new Front.Arrival(request, order.key(), ranks[order.requestClass()], order.resubmission(),
-            random.nextDouble());
+        Route.Request request = new Route.Request(
+                order.method().name(),
+                PathTemplate.split(order.uri()),
+                asked,
+                tenant,
+                boot.classes().get(order.requestClass()));
+        return new Front.Arrival(
+                request, order.key(), ranks[order.requestClass()], order.resubmission(), random.nextDouble());
     }
 
     // One line for each power of two: a storm is not to fill the log.
@@ -356,8 +369,10 @@
 
     /** What it came to, for the log. */
     String summary() {
-        return pools.values().stream().map(p -> "; pool " + p.name() + ": " + p.dispatcher().summary())
-            .collect(Collectors.joining()) + "; refused by the front: "
-            + refusals.values().stream().mapToLong(n -> n).sum() + ", files taken over: " + (swaps + 1);
+        return pools.values().stream()
+                        .map(p -> "; pool " + p.name() + ": " + p.dispatcher().summary())
+                        .collect(Collectors.joining())
+                + "; refused by the front: "
+                + refusals.values().stream().mapToLong(n -> n).sum() + ", files taken over: " + (swaps + 1);
     }
 }
--- a/balancer/src/main/java/junctionhead/net/Inheritance.java
+++ b/balancer/src/main/java/junctionhead/net/Inheritance.java
@@ -22,8 +22,13 @@
         ((Map<?, ?>) state.get("back")).forEach((id, at) -> back.put((String) id, ((Number) at).longValue()));
         Targets list = Targets.of(state.get("list"), boot);
         Map<String, double[]> learnt = new LinkedHashMap<>();
-        ((Map<?, ?>) state.get("learnt")).forEach((name, figures) -> learnt.put((String) name,
-            ((List<?>) figures).stream().mapToDouble(f -> ((Number) f).doubleValue()).toArray()));
+        ((Map<?, ?>) state.get("learnt"))
+                .forEach((name, figures) -> learnt.put(
+                        (String) name,
+                        ((List<?>) figures)
+                                .stream()
+                                        .mapToDouble(f -> ((Number) f).doubleValue())
+                                        .toArray()));
         if (!boot.classes().equals(state.get("classes"))) {
             learnt.keySet().removeIf(name -> !name.startsWith("server "));
         }
--- a/balancer/src/main/java/junctionhead/net/Node.java
+++ b/balancer/src/main/java/junctionhead/net/Node.java
@@ -39,19 +39,19 @@
 
 /** One real balancer: its start, its readiness and its orderly stop. */
 public final class Node {
-    private static final long LINGER_MS = 600;      // after SIGTERM: clients go on coming for a while
-    private static final long PARTIAL_MS = 2_600;   // after that: requests that never come whole
-    private static final long COUNT_MS = 100;       // between what two processes tell each other
-    private static final int OWN_FILES = 24;        // that the other holds besides its connections
+    private static final long LINGER_MS = 600; // after SIGTERM: clients go on coming for a while
+    private static final long PARTIAL_MS = 2_600; // after that: requests that never come whole
+    private static final long COUNT_MS = 100; // between what two processes tell each other
+    private static final int OWN_FILES = 24; // that the other holds besides its connections
     private static final double HALF = 0.5;
-    private static final long LIST_MS = 10_000;     // that nothing is sent by an old list, where lists are pushed
-    private static final long SAY_MS = 2_000;       // for the line that says why it can't start
-    private static final long FLUSH_MS = 20;        // for the last answers to leave
+    private static final long LIST_MS = 10_000; // that nothing is sent by an old list, where lists are pushed
+    private static final long SAY_MS = 2_000; // for the line that says why it can't start
+    private static final long FLUSH_MS = 20; // for the last answers to leave
 
     private final Log log;
     private final Polls polls = new Polls(System::nanoTime);
     private final NioEventLoopGroup group =
-        new NioEventLoopGroup(1, (Executor) null, SelectorProvider.provider(), polls);
+            new NioEventLoopGroup(1, (Executor) null, SelectorProvider.provider(), polls);
     private final EventLoop loop = group.next();
     private final Dispatcher dispatcher;
     private final Upstreams upstreams;
@@ -68,9 +68,9 @@
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final CountDownLatch readied = new CountDownLatch(1);
     private final BiFunction<Policy.Settings, Long, Policy> module;
-    private Gateway gateway;                        // only where there is an operator file; the loop's
+    private Gateway gateway; // only where there is an operator file; the loop's
     private boolean hasList;
-    private boolean patient = true;                 // a stop waits for clients
+    private boolean patient = true; // a stop waits for clients
     private boolean rehearsed;
 
     /**
@@ -79,16 +79,19 @@
      * @param listener the clients' socket, where the platform holds it
      * @param folder where a process finds the one that it replaces
      */
-    record Platform(ServerSocketChannel listener, Path folder) { }
+    record Platform(ServerSocketChannel listener, Path folder) {}
 
     /** A node that is ready without a rehearsal, where {@code rehearse} is false. */
-    Node(Config config, BiFunction<Policy.Settings, Long, Policy> module, boolean rehearse,
-            Log log) {
+    Node(Config config, BiFunction<Policy.Settings, Long, Policy> module, boolean rehearse, Log log) {
         this(config, new Platform(null, null), module, rehearse, log);
     }
 
-    Node(Config config, Platform platform, BiFunction<Policy.Settings, Long, Policy> module,
-            boolean rehearse, Log log) {
+    Node(
+            Config config,
+            Platform platform,
+            BiFunction<Policy.Settings, Long, Policy> module,
+            boolean rehearse,
+            Log log) {
         this.platform = platform;
         this.rehearsed = !rehearse;
         this.config = config;
@@ -97,11 +100,18 @@
         Policy policy = module.apply(config.boot().settings(), config.seed());
         dispatcher = new Dispatcher(loop, config.boot(), policy, log);
         upstreams = new Upstreams(loop, config.boot(), descriptors, dispatcher::now);
-        Holding holding = new Holding(config.upstreams(), config.boot().settings().rank());
-        discovery = new DiscoveryClient(loop, config.discovery(), config.boot(), holding, config.known().rev(),
-            dispatcher::now, this::listed, log::accept);
-        clients = new ClientServer(loop, config.boot(), dispatcher, descriptors, upstreams::shedIdle,
-            polls::unread);
+        Holding holding =
+                new Holding(config.upstreams(), config.boot().settings().rank());
+        discovery = new DiscoveryClient(
+                loop,
+                config.discovery(),
+                config.boot(),
+                holding,
+                config.known().rev(),
+                dispatcher::now,
+                this::listed,
+                log::accept);
+        clients = new ClientServer(loop, config.boot(), dispatcher, descriptors, upstreams::shedIdle, polls::unread);
         upstreams.shedBy(clients::shed);
         dispatcher.attach(upstreams, discovery);
         membership = new Membership(holding, new TakenOut(), dispatcher::now, dispatcher::listed);
@@ -120,9 +130,17 @@
         @Override
         public Map<String, Object> state() {
             TakenOut out = membership.takenOut();
-            Map<String, Object> site = Map.of("out", List.copyOf(out.out()), "back", out.back(),
-                "list", membership.told().toJson(config.boot()), "classes", config.boot().classes(),
-                "learnt", dispatcher.learnt());
+            Map<String, Object> site = Map.of(
+                    "out",
+                    List.copyOf(out.out()),
+                    "back",
+                    out.back(),
+                    "list",
+                    membership.told().toJson(config.boot()),
+                    "classes",
+                    config.boot().classes(),
+                    "learnt",
+                    dispatcher.learnt());
             if (gateway == null) {
                 return site;
             }
@@ -147,8 +165,8 @@
         @Override
         public void accompanied(boolean by) {
             if (by && counting == null) {
-                counting = loop.scheduleWithFixedDelay(() ->
-                    link.tell(Map.of("open", descriptors.open())), 0, COUNT_MS, TimeUnit.MILLISECONDS);
+                counting = loop.scheduleWithFixedDelay(
+                        () -> link.tell(Map.of("open", descriptors.open())), 0, COUNT_MS, TimeUnit.MILLISECONDS);
             } else if (!by && counting != null) {
                 counting.cancel(false);
                 counting = null;
@@ -168,8 +186,9 @@
                     gateway.inherit(pools);
                 }
                 hasList |= site.list().list().stream().anyMatch(t -> t.server().state() == Policy.State.UP);
-                log.accept("took over from the process before: " + site.list().list().size() + " upstreams, "
-                    + site.out().size() + " out");
+                log.accept("took over from the process before: "
+                        + site.list().list().size() + " upstreams, "
+                        + site.out().size() + " out");
             } catch (ClassCastException | NullPointerException | IllegalArgumentException e) {
                 log.accept("what the process before knows can't be read: " + e);
             }
@@ -180,8 +199,9 @@
     private final class OnCall implements Operations {
         @Override
         public String unreadiness() {
-            return clients.isStopping() ? "stopping" : !rehearsed ? "not ready: starting"
-                : readied.getCount() > 0 ? "no list of upstreams yet" : null;
+            return clients.isStopping()
+                    ? "stopping"
+                    : !rehearsed ? "not ready: starting" : readied.getCount() > 0 ? "no list of upstreams yet" : null;
         }
 
         @Override
@@ -203,8 +223,14 @@
             if (known) {
                 link.tell(Map.of("down", id));
             }
-            log.event("set-down " + id + (known ? "" : ": no such upstream"), "call", "set-down", "upstream", id,
-                "known", known);
+            log.event(
+                    "set-down " + id + (known ? "" : ": no such upstream"),
+                    "call",
+                    "set-down",
+                    "upstream",
+                    id,
+                    "known",
+                    known);
             return known;
         }
 
@@ -214,15 +240,21 @@
             if (known) {
                 link.tell(Map.of("up", id));
             }
-            log.event("set-up " + id + (known ? "" : ": no such upstream"), "call", "set-up", "upstream", id,
-                "known", known);
+            log.event(
+                    "set-up " + id + (known ? "" : ": no such upstream"),
+                    "call",
+                    "set-up",
+                    "upstream",
+                    id,
+                    "known",
+                    known);
             return known;
         }
     }
 
     /** Runs a balancer until it is told to stop; returns only if it can't start. */
     public static int serve(Map<String, String> environment) {
-        ReloadSignal reloadSignal = ReloadSignal.take();          // first of all: until then it ends the process
+        ReloadSignal reloadSignal = ReloadSignal.take(); // first of all: until then it ends the process
         Provider.install();
         Log log = Log.to(LoggerFactory.getLogger("junctionhead"));
         int code = serve(environment, reloadSignal, log);
@@ -235,8 +267,8 @@
         InetSocketAddress at;
         try {
             String folder = environment.get("TMPDIR");
-            Platform platform = new Platform(InheritedListener.find(environment),
-                folder == null || folder.isBlank() ? null : Path.of(folder));
+            Platform platform = new Platform(
+                    InheritedListener.find(environment), folder == null || folder.isBlank() ? null : Path.of(folder));
             node = new Node(Config.read(environment), platform, Balance::new, true, log);
         } catch (Config.Bad | IOException e) {
             log.accept(e.getMessage());
@@ -257,7 +289,7 @@
         }
         try {
             at = node.start();
-        } catch (Exception e) {     // sync() rethrows what bind failed with, whatever its type
+        } catch (Exception e) { // sync() rethrows what bind failed with, whatever its type
             log.accept("can't listen on " + node.config.listen() + ": " + e.getMessage());
             return 1;
         }
@@ -292,8 +324,10 @@
         boolean successor = link.seek();
         boolean aside = platform.listener() != null && !rehearsed;
         InetSocketAddress at = clients.listen(config.listen(), platform.listener(), !successor);
-        UnixDomainSocketAddress via = aside && platform.folder() != null ? UnixDomainSocketAddress.of(
-            platform.folder().resolve("rehearsal-" + ProcessHandle.current().pid() + ".sock")) : null;
+        UnixDomainSocketAddress via = aside && platform.folder() != null
+                ? UnixDomainSocketAddress.of(platform.folder()
+                        .resolve("rehearsal-" + ProcessHandle.current().pid() + ".sock"))
+                : null;
         if (via != null) {
             Files.deleteIfExists(via.getPath());
         }
@@ -328,16 +362,22 @@
         }
         membership.listed(Policy.ListKind.PERSISTED, new Targets(config.known().rev(), true, List.of()));
         membership.hold(config.known());
-        loop.schedule(() -> {
-            if (!hasList && membership.anyUp()) {
-                log.accept("discovery is silent: ready, and nothing is sent by the old list yet");
-                hasList = true;
-                readyIfSo();
-            }
-        }, discovery.startWithin(), TimeUnit.MICROSECONDS);
-        loop.schedule(() -> {
-            membership.release();
-        }, LIST_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    if (!hasList && membership.anyUp()) {
+                        log.accept("discovery is silent: ready, and nothing is sent by the old list yet");
+                        hasList = true;
+                        readyIfSo();
+                    }
+                },
+                discovery.startWithin(),
+                TimeUnit.MICROSECONDS);
+        loop.schedule(
+                () -> {
+                    membership.release();
+                },
+                LIST_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     private void share(double part) {
@@ -390,9 +430,13 @@
         }
         SettingsReader.Boot before = config.boot();
         config = fresh;
-        log.accept("configuration taken over: discovery at " + fresh.discovery().getAddress().getHostAddress()
-            + ":" + fresh.discovery().getPort() + (fresh.boot().equals(before) ? ""
-                : "; new settings, classes " + String.join(", ", fresh.boot().classes())));
+        log.accept("configuration taken over: discovery at "
+                + fresh.discovery().getAddress().getHostAddress()
+                + ":" + fresh.discovery().getPort()
+                + (fresh.boot().equals(before)
+                        ? ""
+                        : "; new settings, classes "
+                                + String.join(", ", fresh.boot().classes())));
         loop.execute(() -> {
             if (!fresh.boot().equals(before)) {
                 membership.renumber(before, fresh.boot());
@@ -428,18 +472,29 @@
             Provider.sink().configure(next.log().json(), next.log().queue());
         }
         loop.submit(() -> {
-            if (gateway == null) {
-                Pool.Ground ground = new Pool.Ground(loop, module, config.seed(), config.upstreams(), descriptors,
-                    clients::shed, log);
-                gateway = new Gateway(new Gateway.Site(dispatcher, membership), ground, config.boot(),
-                    descriptors.forUpstreams(), ClientServer.ROOM);
-                clients.to(gateway);
-            }
-            gateway.operate(next);
-            log.event("operator file taken over: " + next.pools().size() + " pools, " + next.front().routes().size()
-                + " routes", "operator_file", "taken", "pools", next.pools().size(), "routes",
-                next.front().routes().size());
-        }).syncUninterruptibly();
+                    if (gateway == null) {
+                        Pool.Ground ground = new Pool.Ground(
+                                loop, module, config.seed(), config.upstreams(), descriptors, clients::shed, log);
+                        gateway = new Gateway(
+                                new Gateway.Site(dispatcher, membership),
+                                ground,
+                                config.boot(),
+                                descriptors.forUpstreams(),
+                                ClientServer.ROOM);
+                        clients.to(gateway);
+                    }
+                    gateway.operate(next);
+                    log.event(
+                            "operator file taken over: " + next.pools().size() + " pools, "
+                                    + next.front().routes().size() + " routes",
+                            "operator_file",
+                            "taken",
+                            "pools",
+                            next.pools().size(),
+                            "routes",
+                            next.front().routes().size());
+                })
+                .syncUninterruptibly();
         return true;
     }
 
@@ -472,14 +527,20 @@
         loop.execute(() -> {
             clients.stopping();
         });
-        loop.schedule(() -> {
-            clients.close();
-            admin.close();
-            loop.schedule(() -> {
-                patient = false;
-            }, PARTIAL_MS, TimeUnit.MILLISECONDS);
-            endWhenEmpty();
-        }, LINGER_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    clients.close();
+                    admin.close();
+                    loop.schedule(
+                            () -> {
+                                patient = false;
+                            },
+                            PARTIAL_MS,
+                            TimeUnit.MILLISECONDS);
+                    endWhenEmpty();
+                },
+                LINGER_MS,
+                TimeUnit.MILLISECONDS);
         await();
         log.accept("stopped: " + dispatcher.summary() + (gateway == null ? "" : gateway.summary()));
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
@@ -505,14 +566,17 @@
 
     // Looks once more: a request may have become whole since, or an answer may still wait for its client.
     private void left() {
-        loop.schedule(() -> {
-            if (clients.owe() && patient) {
-                endWhenEmpty();
-                return;
-            }
-            link.close();
-            stopped.countDown();
-        }, FLUSH_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    if (clients.owe() && patient) {
+                        endWhenEmpty();
+                        return;
+                    }
+                    link.close();
+                    stopped.countDown();
+                },
+                FLUSH_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     private void await() {
--- a/balancer/src/main/java/junctionhead/net/OperatorFile.java
+++ b/balancer/src/main/java/junctionhead/net/OperatorFile.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 import junctionhead.operator.Operator;
 import junctionhead.operator.OperatorReader;
-import junctionhead.toml.Faults;
 import junctionhead.settings.SettingsReader;
+import junctionhead.toml.Faults;
 
 /** Reads the operator file against the platform's configuration. Loaded only where there is such a file. */
 public final class OperatorFile {
-    private OperatorFile() { }
+    private OperatorFile() {}
 
     static Operator read(Path file, SettingsReader.Boot boot) {
         try {
@@ -23,8 +23,11 @@
     }
 
     private static Operator.Site site(SettingsReader.Boot boot) {
-        return new Operator.Site(boot.classes(), boot.tenants().isEmpty() ? null : boot.tenants(),
-            boot.settings().balancers(), boot.settings().limits().retryAfterMax());
+        return new Operator.Site(
+                boot.classes(),
+                boot.tenants().isEmpty() ? null : boot.tenants(),
+                boot.settings().balancers(),
+                boot.settings().limits().retryAfterMax());
     }
 
     /**
@@ -34,8 +37,16 @@
      */
     public static Operator.Site site(Path config) {
         try {
-            return site(Config.read(Map.of("ROUTER_CONFIG", config.toString(), "ROUTER_NAME", "check",
-                "ROUTER_LISTEN", "127.0.0.1:0", "ROUTER_DISCOVERY", "127.0.0.1:0")).boot());
+            return site(Config.read(Map.of(
+                            "ROUTER_CONFIG",
+                            config.toString(),
+                            "ROUTER_NAME",
+                            "check",
+                            "ROUTER_LISTEN",
+                            "127.0.0.1:0",
+                            "ROUTER_DISCOVERY",
+                            "127.0.0.1:0"))
+                    .boot());
         } catch (Config.Bad e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
--- a/balancer/src/main/java/junctionhead/net/Order.java
+++ b/balancer/src/main/java/junctionhead/net/Order.java
@@ -8,8 +8,19 @@
  * µs; {@code rest} is what flows behind {@code body}, or null; {@code id} is the client's; {@code work} is -1
  * where the client gives no guess.
  */
-record Order(String id, HttpMethod method, String uri, HttpHeaders headers, byte[] body, Flow rest,
-        int requestClass, int tenant, String key, long timeLeft, long work, boolean resubmission) {
+record Order(
+        String id,
+        HttpMethod method,
+        String uri,
+        HttpHeaders headers,
+        byte[] body,
+        Flow rest,
+        int requestClass,
+        int tenant,
+        String key,
+        long timeLeft,
+        long work,
+        boolean resubmission) {
     /** The same with less time. */
     Order within(long other) {
         return new Order(id, method, uri, headers, body, rest, requestClass, tenant, key, other, work, resubmission);
@@ -17,7 +28,7 @@
 
     /** The same for another path. */
     Order to(String other) {
-        return new Order(id, method, other, headers, body, rest, requestClass, tenant, key, timeLeft, work,
-            resubmission);
+        return new Order(
+                id, method, other, headers, body, rest, requestClass, tenant, key, timeLeft, work, resubmission);
     }
 }
--- a/balancer/src/main/java/junctionhead/net/Polls.java
+++ b/balancer/src/main/java/junctionhead/net/Polls.java
@@ -12,10 +12,10 @@
  */
 final class Polls implements SelectStrategyFactory, SelectStrategy {
     private final LongSupplier nanos;
-    private long before;                            // when it was last known that nothing had come, a round ago
-    private long polled;                            // the same for this round
-    private boolean waited;                         // this round began with nothing to read
-    private boolean read;                           // something has been read in this round
+    private long before; // when it was last known that nothing had come, a round ago
+    private long polled; // the same for this round
+    private boolean waited; // this round began with nothing to read
+    private boolean read; // something has been read in this round
 
     Polls(LongSupplier nanos) {
         this.nanos = nanos;
@@ -42,7 +42,7 @@
     long unread() {
         long now = nanos.getAsLong();
         if (waited && !read) {
-            read = true;                            // it has come just now, and has ended the wait
+            read = true; // it has come just now, and has ended the wait
             polled = now;
         }
         return (now - (waited ? polled : before)) / 1000;
--- a/balancer/src/main/java/junctionhead/net/Pool.java
+++ b/balancer/src/main/java/junctionhead/net/Pool.java
@@ -15,15 +15,21 @@
 import junctionhead.drain.TakenOut;
 import junctionhead.logs.Log;
 import junctionhead.operator.PoolSpec;
-import junctionhead.policy.Policy.ListKind;
 import junctionhead.policy.Policy;
+import junctionhead.policy.Policy.ListKind;
 import junctionhead.settings.SettingsReader;
 
 /** One pool beside the platform's: a module of its own with its list, its connections and its budgets. */
 final class Pool {
     /** What all pools of a process share. */
-    record Ground(EventLoop loop, BiFunction<Policy.Settings, Long, Policy> module, long seed, int upstreams,
-            Budget connections, BooleanSupplier shedClients, Log log) { }
+    record Ground(
+            EventLoop loop,
+            BiFunction<Policy.Settings, Long, Policy> module,
+            long seed,
+            int upstreams,
+            Budget connections,
+            BooleanSupplier shedClients,
+            Log log) {}
 
     private final Ground ground;
     private final Dispatcher dispatcher;
@@ -47,9 +53,17 @@
         Holding holding = new Holding(ground.upstreams, boot.settings().rank());
         membership = new Membership(holding, new TakenOut(), dispatcher::now, dispatcher::listed);
         holding.onChange(dispatcher::holdsPart);
-        discovery = spec.discovery() == null ? null
-            : new DiscoveryClient(ground.loop, spec.discovery(), boot, holding, 0, dispatcher::now,
-                membership::listed, log::accept);
+        discovery = spec.discovery() == null
+                ? null
+                : new DiscoveryClient(
+                        ground.loop,
+                        spec.discovery(),
+                        boot,
+                        holding,
+                        0,
+                        dispatcher::now,
+                        membership::listed,
+                        log::accept);
         if (discovery != null) {
             new PartialListRetry(ground.loop, membership, discovery, seed);
         }
@@ -70,8 +84,10 @@
         List<Targets.Target> list = new ArrayList<>();
         for (InetSocketAddress a : spec.upstreams()) {
             String id = spec.name() + "/" + a.getAddress().getHostAddress() + ":" + a.getPort();
-            list.add(new Targets.Target(new Policy.Server(id, Policy.State.UP, 0, 1, -1, -1, boot.settings().zone()),
-                a));
+            list.add(new Targets.Target(
+                    new Policy.Server(
+                            id, Policy.State.UP, 0, 1, -1, -1, boot.settings().zone()),
+                    a));
         }
         return new Targets(0, true, list);
     }
@@ -81,15 +97,37 @@
         Policy.Settings s = site.settings();
         Policy.Limits l = s.limits();
         PoolSpec.Overrides o = spec.settings();
-        Policy.Limits limits = new Policy.Limits(o.maxAttempts() == null ? l.maxAttempts() : o.maxAttempts(),
-            l.mayDuplicate(), l.mayCancel(), o.probes() == null ? l.mayProbe() : o.probes(),
-            o.connectTimeout() == null ? l.connectTimeout() : o.connectTimeout(), l.retryAfterMax());
-        Policy.Settings own = new Policy.Settings(s.balancers(), s.rank(), s.zone(), s.classes(), s.tenants(),
-            s.overShareWorth(), s.goal(), s.prices(), s.worthByWork(),
-            spec.discovery() == null ? Policy.Discovery.PUSH : s.discovery(), s.reports(), s.warmKeys(), limits,
-            s.bounds(), s.tick());
-        return new SettingsReader.Boot(own, site.loadFields(), site.classes(), site.tenants(), site.zones(),
-            site.kinds(), o.idleClose() == null ? site.idleClose() : o.idleClose());
+        Policy.Limits limits = new Policy.Limits(
+                o.maxAttempts() == null ? l.maxAttempts() : o.maxAttempts(),
+                l.mayDuplicate(),
+                l.mayCancel(),
+                o.probes() == null ? l.mayProbe() : o.probes(),
+                o.connectTimeout() == null ? l.connectTimeout() : o.connectTimeout(),
+                l.retryAfterMax());
+        Policy.Settings own = new Policy.Settings(
+                s.balancers(),
+                s.rank(),
+                s.zone(),
+                s.classes(),
+                s.tenants(),
+                s.overShareWorth(),
+                s.goal(),
+                s.prices(),
+                s.worthByWork(),
+                spec.discovery() == null ? Policy.Discovery.PUSH : s.discovery(),
+                s.reports(),
+                s.warmKeys(),
+                limits,
+                s.bounds(),
+                s.tick());
+        return new SettingsReader.Boot(
+                own,
+                site.loadFields(),
+                site.classes(),
+                site.tenants(),
+                site.zones(),
+                site.kinds(),
+                o.idleClose() == null ? site.idleClose() : o.idleClose());
     }
 
     /** Whether it can go on under that spec: a pool whose list came from elsewhere in another way can't. */
@@ -134,8 +172,17 @@
     /** What a process that goes on in this one's place has to know. */
     Map<String, Object> state() {
         TakenOut out = membership.takenOut();
-        return Map.of("out", List.copyOf(out.out()), "back", out.back(), "list", membership.told().toJson(boot),
-            "classes", boot.classes(), "learnt", dispatcher.learnt());
+        return Map.of(
+                "out",
+                List.copyOf(out.out()),
+                "back",
+                out.back(),
+                "list",
+                membership.told().toJson(boot),
+                "classes",
+                boot.classes(),
+                "learnt",
+                dispatcher.learnt());
     }
 
     /** Goes on from what another process of this balancer knows of the pool of that name. */
--- a/balancer/src/main/java/junctionhead/net/Reads.java
+++ b/balancer/src/main/java/junctionhead/net/Reads.java
@@ -10,14 +10,15 @@
     private static final int MOST = 16 << 10;
     private static final int IN_A_ROW = 4;
 
-    private Reads() { }
+    private Reads() {}
 
     /**
      * Guards against one connection that keeps the loop, and memory, to itself. Each look reads until nothing is left
      * or the end has come: a request and the end of its connection behind it are then read together.
      */
     static RecvByteBufAllocator allocator() {
-        return new AdaptiveRecvByteBufAllocator(512, 2_048, MOST).respectMaybeMoreData(false)
-            .maxMessagesPerRead(IN_A_ROW);
+        return new AdaptiveRecvByteBufAllocator(512, 2_048, MOST)
+                .respectMaybeMoreData(false)
+                .maxMessagesPerRead(IN_A_ROW);
     }
 }
--- a/balancer/src/main/java/junctionhead/net/Rehearsal.java
+++ b/balancer/src/main/java/junctionhead/net/Rehearsal.java
@@ -24,8 +24,9 @@
 final class Rehearsal {
     /** The path of its requests, and the one on which they come back to this node as an upstream. */
     static final String PATH = "/-/rehearsal";
+
     static final String HOP = "/-/rehearsed";
-    private static final String TOKEN = "Rehearsal";    // a header with what no stranger knows
+    private static final String TOKEN = "Rehearsal"; // a header with what no stranger knows
 
     // The more balancers there are, the fewer requests each has to be ready for at once; and the more of them
     // start together after a release, on cores that they share.
@@ -33,10 +34,10 @@
     private static final int REQUESTS_MOST = 300;
     private static final int REQUESTS_LEAST = 100;
     private static final int AT_ONCE = 8;
-    private static final int DECLINED = 3;          // every third is turned away in the last part
+    private static final int DECLINED = 3; // every third is turned away in the last part
     private static final int SERVERS = 8;
-    private static final long MOST_MS = 4_000;      // where the machine is busy
-    private static final long WAIT = 1_000_000;     // µs for one request
+    private static final long MOST_MS = 4_000; // where the machine is busy
+    private static final long WAIT = 1_000_000; // µs for one request
 
     private final EventLoop loop;
     private final SettingsReader.Boot boot;
@@ -58,11 +59,12 @@
         this.loop = loop;
         this.boot = config.boot();
         this.then = then;
-        this.requests = Math.max(REQUESTS_LEAST,
-            Math.min(REQUESTS_MOST, REQUESTS_OF_ALL / boot.settings().balancers()));
+        this.requests = Math.max(
+                REQUESTS_LEAST,
+                Math.min(REQUESTS_MOST, REQUESTS_OF_ALL / boot.settings().balancers()));
         this.token = Long.toHexString(new SplittableRandom(config.seed() ^ System.nanoTime()).nextLong());
         Policy policy = new Balance(boot.settings(), config.seed());
-        dispatcher = new Dispatcher(loop, boot, policy, line -> { });
+        dispatcher = new Dispatcher(loop, boot, policy, line -> {});
         Descriptors descriptors = new Descriptors(config.sockets());
         back = new Upstreams(loop, boot, descriptors, dispatcher::now, via);
         front = new Upstreams(loop, boot, descriptors, dispatcher::now, via);
@@ -81,8 +83,14 @@
     void start(InetSocketAddress self) {
         List<Targets.Target> targets = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
-            Policy.Server server = new Policy.Server("rehearsal-" + i, Policy.State.UP, 0, 1, 0, i % 2,
-                boot.settings().zone());
+            Policy.Server server = new Policy.Server(
+                    "rehearsal-" + i,
+                    Policy.State.UP,
+                    0,
+                    1,
+                    0,
+                    i % 2,
+                    boot.settings().zone());
             targets.add(new Targets.Target(server, self));
         }
         Targets all = new Targets(0, true, targets);
@@ -106,15 +114,18 @@
         }
         int number = begun++ % boot.classes().size();
         Policy.Effect effect = boot.settings().classes().get(number).effect();
-        HttpHeaders headers = new DefaultHttpHeaders().set(TOKEN, token).set("Req-Id", "rehearsal-" + begun)
-            .set("Req-Kind", boot.classes().get(number)).set("Req-Cost", Integer.toString(begun));
+        HttpHeaders headers = new DefaultHttpHeaders()
+                .set(TOKEN, token)
+                .set("Req-Id", "rehearsal-" + begun)
+                .set("Req-Kind", boot.classes().get(number))
+                .set("Req-Cost", Integer.toString(begun));
         if (effect == Policy.Effect.KEYED) {
             headers.set("Idempotency-Key", "rehearsal-" + begun);
         }
         HttpMethod method = effect == Policy.Effect.SAFE ? HttpMethod.GET : HttpMethod.POST;
         byte[] body = new byte[effect == Policy.Effect.SAFE ? 0 : 200];
-        Order order = new Order("rehearsal-" + begun, method, PATH, headers, body, null, number, 0, null,
-            WAIT, -1, false);
+        Order order =
+                new Order("rehearsal-" + begun, method, PATH, headers, body, null, number, 0, null, WAIT, -1, false);
         front.send("rehearsal-0", order, WAIT, (outcome, answer, load) -> {
             ended++;
             if (ended >= requests) {
--- a/balancer/src/main/java/junctionhead/net/ReloadSignal.java
+++ b/balancer/src/main/java/junctionhead/net/ReloadSignal.java
@@ -13,11 +13,11 @@
  * deploy file undoes it before the JVM starts.
  */
 final class ReloadSignal {
-    private Runnable action;                        // null until the process can go by another configuration
+    private Runnable action; // null until the process can go by another configuration
     private boolean missed;
     private String lack;
 
-    private ReloadSignal() { }
+    private ReloadSignal() {}
 
     /** Takes each SIGHUP from here on. */
     static ReloadSignal take() {
@@ -36,10 +36,10 @@
             Class<?> type = Class.forName("sun.misc.SignalHandler");
             Object proxy = Proxy.newProxyInstance(type.getClassLoader(), new Class<?>[] {type}, handler);
             Object former = signal.getMethod("handle", signal, type)
-                .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), proxy);
+                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), proxy);
             if (type.getField("SIG_IGN").get(null).equals(former)) {
                 reloadSignal.lack = "SIGHUP is ignored here, as under nohup: a new configuration needs a restart; "
-                    + "begun with 'env --default-signal=HUP', as by the run line, the process takes it";
+                        + "begun with 'env --default-signal=HUP', as by the run line, the process takes it";
             }
         } catch (ReflectiveOperationException e) {
             reloadSignal.lack = "no SIGHUP here: a new configuration needs a restart";
--- a/balancer/src/main/java/junctionhead/net/RequestReader.java
+++ b/balancer/src/main/java/junctionhead/net/RequestReader.java
@@ -39,7 +39,7 @@
     private HttpRequest head;
     private byte[] body;
     private int length;
-    private Flow flow;                              // of a body that is being passed on
+    private Flow flow; // of a body that is being passed on
     private long flowed;
     private boolean over;
 
--- a/balancer/src/main/java/junctionhead/net/RequestRules.java
+++ b/balancer/src/main/java/junctionhead/net/RequestRules.java
@@ -19,29 +19,41 @@
 /** What a request must be like to be taken, and what goes on of it. */
 final class RequestRules {
     static final int BODY_MOST = 64 * 1024;
-    static final long FLOW_MOST = 34L << 20;                // of a body that is passed on as it comes
+    static final long FLOW_MOST = 34L << 20; // of a body that is passed on as it comes
     static final String DEADLINE = "Req-Deadline-Ms";
     static final String TENANT = "Req-Owner";
-    private static final int NAME_MOST = 256;               // characters of an id or a key
-    private static final long DEADLINE_MOST = 600_000;      // ms: it is held for so long at most
-    private static final long COST_MOST = 600_000_000;      // µs: a guess beyond it says nothing
+    private static final int NAME_MOST = 256; // characters of an id or a key
+    private static final long DEADLINE_MOST = 600_000; // ms: it is held for so long at most
+    private static final long COST_MOST = 600_000_000; // µs: a guess beyond it says nothing
     private static final List<String> SINGLE =
-        List.of("Req-Id", "Req-Kind", "Req-Owner", DEADLINE, "Req-Cost", "Req-Retry", "Idempotency-Key");
-    private static final Set<String> HOP_BY_HOP = Set.of("connection", "keep-alive", "proxy-connection",
-        "proxy-authenticate", "proxy-authorization", "te", "trailer", "transfer-encoding", "upgrade",
-        "expect", "content-length", DEADLINE.toLowerCase(Locale.ROOT));
+            List.of("Req-Id", "Req-Kind", "Req-Owner", DEADLINE, "Req-Cost", "Req-Retry", "Idempotency-Key");
+    private static final Set<String> HOP_BY_HOP = Set.of(
+            "connection",
+            "keep-alive",
+            "proxy-connection",
+            "proxy-authenticate",
+            "proxy-authorization",
+            "te",
+            "trailer",
+            "transfer-encoding",
+            "upgrade",
+            "expect",
+            "content-length",
+            DEADLINE.toLowerCase(Locale.ROOT));
 
     /** Why a request is not taken. */
-    record Problem(HttpResponseStatus status, String text) { }
+    record Problem(HttpResponseStatus status, String text) {}
 
-    private RequestRules() { }
+    private RequestRules() {}
 
     /** What is wrong with how a request says where it ends; null if nothing is. */
     static Problem framing(HttpRequest request) {
         List<String> codings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         boolean chunked = codings.size() == 1 && codings.get(0).strip().equalsIgnoreCase("chunked");
-        if (!codings.isEmpty() && (!chunked || !request.protocolVersion().equals(HttpVersion.HTTP_1_1)
-                || request.headers().contains(HttpHeaderNames.CONTENT_LENGTH))) {
+        if (!codings.isEmpty()
+                && (!chunked
+                        || !request.protocolVersion().equals(HttpVersion.HTTP_1_1)
+                        || request.headers().contains(HttpHeaderNames.CONTENT_LENGTH))) {
             return bad("a Transfer-Encoding that isn't chunked alone");
         }
         long length;
@@ -61,7 +73,8 @@
         }
         String expected = request.headers().get(HttpHeaderNames.EXPECT);
         return expected != null && !expected.equalsIgnoreCase("100-continue")
-            ? new Problem(HttpResponseStatus.EXPECTATION_FAILED, "unknown expectation") : null;
+                ? new Problem(HttpResponseStatus.EXPECTATION_FAILED, "unknown expectation")
+                : null;
     }
 
     private static Problem bad(String text) {
@@ -87,7 +100,8 @@
         Policy.Effect effect = boot.settings().classes().get(number).effect();
         HttpMethod method = effect == Policy.Effect.SAFE ? HttpMethod.GET : HttpMethod.POST;
         String repeat = headers.get("Idempotency-Key");
-        if (!request.method().equals(method) || (repeat != null) != (effect == Policy.Effect.KEYED)
+        if (!request.method().equals(method)
+                || (repeat != null) != (effect == Policy.Effect.KEYED)
                 || repeat != null && !named(repeat)) {
             throw new IllegalArgumentException("method or Idempotency-Key contradicts the Req-Kind");
         }
@@ -103,9 +117,19 @@
         String key = path.substring(path.lastIndexOf('/') + 1);
         int tenant = Math.max(0, boot.tenants().indexOf(headers.get(TENANT, "")));
         long cost = number(headers.get("Req-Cost"), -1);
-        return new Order(id, request.method(), uri, endToEnd(headers), body, rest, number, tenant,
-            key.isEmpty() ? null : key, left * 1000, cost > COST_MOST ? -1 : cost,
-            "1".equals(headers.get("Req-Retry")));
+        return new Order(
+                id,
+                request.method(),
+                uri,
+                endToEnd(headers),
+                body,
+                rest,
+                number,
+                tenant,
+                key.isEmpty() ? null : key,
+                left * 1000,
+                cost > COST_MOST ? -1 : cost,
+                "1".equals(headers.get("Req-Retry")));
     }
 
     // A server has to take a target that names the host as well; an upstream gets the path and the query.
@@ -118,22 +142,25 @@
     }
 
     private static boolean named(String text) {
-        return !text.isEmpty() && text.length() <= NAME_MOST
-            && text.chars().allMatch(c -> c > ' ' && c < 127);
+        return !text.isEmpty() && text.length() <= NAME_MOST && text.chars().allMatch(c -> c > ' ' && c < 127);
     }
 
     private static long number(String text, long otherwise) {
         String digits = text == null ? "" : text.strip();
-        boolean plain = !digits.isEmpty() && digits.length() <= 12
-            && digits.chars().allMatch(c -> c >= '0' && c <= '9');
+        boolean plain =
+                !digits.isEmpty() && digits.length() <= 12 && digits.chars().allMatch(c -> c >= '0' && c <= '9');
         return plain ? Long.parseLong(digits) : otherwise;
     }
 
     private static HttpHeaders endToEnd(HttpHeaders headers) {
         HttpHeaders kept = new DefaultHttpHeaders();
         List<String> connection = headers.getAll(HttpHeaderNames.CONNECTION);
-        Set<String> named = connection.isEmpty() ? Set.of() : Set.copyOf(connection.stream()
-            .flatMap(v -> Stream.of(v.toLowerCase(Locale.ROOT).split("\\s*,\\s*"))).distinct().toList());
+        Set<String> named = connection.isEmpty()
+                ? Set.of()
+                : Set.copyOf(connection.stream()
+                        .flatMap(v -> Stream.of(v.toLowerCase(Locale.ROOT).split("\\s*,\\s*")))
+                        .distinct()
+                        .toList());
         for (Map.Entry<String, String> header : headers) {
             String name = header.getKey().toLowerCase(Locale.ROOT);
             if (!HOP_BY_HOP.contains(name) && !named.contains(name)) {
--- a/balancer/src/main/java/junctionhead/net/Upstreams.java
+++ b/balancer/src/main/java/junctionhead/net/Upstreams.java
@@ -37,18 +37,18 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
 import junctionhead.discovery.Targets;
-import junctionhead.policy.Policy.Outcome;
 import junctionhead.policy.Policy;
+import junctionhead.policy.Policy.Outcome;
 import junctionhead.settings.SettingsReader;
 import junctionhead.wire.LoadReport;
 
 /** The connections to the upstreams, one request at a time on each, and what becomes of each request. */
 final class Upstreams {
-    private static final double IDLE_SHARE = 0.5;   // of the time after which upstreams close an idle one
+    private static final double IDLE_SHARE = 0.5; // of the time after which upstreams close an idle one
     private static final long DRAIN_MARGIN = 50_000; // µs before the grace is over: the clock is not shared
-    private static final long FORGET = 60_000_000;  // µs after its grace that a stopped upstream is kept
-    private static final int CONNECT_MS = 1_000;    // where the settings give no limit
-    private static final long SETTLE = 10_000;      // µs after an answer in which a second one may still come
+    private static final long FORGET = 60_000_000; // µs after its grace that a stopped upstream is kept
+    private static final int CONNECT_MS = 1_000; // where the settings give no limit
+    private static final long SETTLE = 10_000; // µs after an answer in which a second one may still come
 
     /** How a request to an upstream ended; {@code answer} is null where none came. */
     interface Listener {
@@ -58,8 +58,8 @@
     private static final class Upstream {
         final String id;
         InetSocketAddress endpoint;
-        long stopAt = Long.MAX_VALUE;               // when the grace of its drain is over
-        final ArrayDeque<Connection> idle = new ArrayDeque<>();     // the most recently used last
+        long stopAt = Long.MAX_VALUE; // when the grace of its drain is over
+        final ArrayDeque<Connection> idle = new ArrayDeque<>(); // the most recently used last
 
         Upstream(String id) {
             this.id = id;
@@ -82,7 +82,11 @@
     }
 
     /** {@code via} is where all upstreams are reached, in place of their own addresses; may be null. */
-    Upstreams(EventLoop loop, SettingsReader.Boot boot, Budget descriptors, LongSupplier clock,
+    Upstreams(
+            EventLoop loop,
+            SettingsReader.Boot boot,
+            Budget descriptors,
+            LongSupplier clock,
             UnixDomainSocketAddress via) {
         this.via = via;
         this.loop = loop;
@@ -90,10 +94,12 @@
         this.descriptors = descriptors;
         this.clock = clock;
         this.idleMost = idleMost();
-        this.bootstrap = (via != null ? new Bootstrap().channel(NioDomainSocketChannel.class)
-            : new Bootstrap().channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true))
-            .option(ChannelOption.RCVBUF_ALLOCATOR, Reads.allocator())
-            .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Reads.WAITING).group(loop);
+        this.bootstrap = (via != null
+                        ? new Bootstrap().channel(NioDomainSocketChannel.class)
+                        : new Bootstrap().channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true))
+                .option(ChannelOption.RCVBUF_ALLOCATOR, Reads.allocator())
+                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Reads.WAITING)
+                .group(loop);
         long every = Math.max(10_000, Math.min(1_000_000, idleMost / 10));
         sweep = loop.scheduleWithFixedDelay(this::closeOld, every, every, TimeUnit.MICROSECONDS);
     }
@@ -121,7 +127,7 @@
     // ---------------------------------------------------------------- the list
 
     void listed(Targets targets, long at) {
-        long now = Math.min(at, targets.toldAt());      // from when on the grace of a drain counts
+        long now = Math.min(at, targets.toldAt()); // from when on the grace of a drain counts
         Set<String> named = new HashSet<>();
         for (Targets.Target t : targets.list()) {
             named.add(t.server().id());
@@ -156,13 +162,27 @@
 
     /** Asks an upstream how it is; gives up after the time that a connection may take. */
     void probe(String server, boolean report, Listener listener) {
-        Order order = new Order("", HttpMethod.GET, report ? "/-/load" : "/-/healthy",
-            EmptyHttpHeaders.INSTANCE, new byte[0], null, -1, 0, null, 0, -1, false);
+        Order order = new Order(
+                "",
+                HttpMethod.GET,
+                report ? "/-/load" : "/-/healthy",
+                EmptyHttpHeaders.INSTANCE,
+                new byte[0],
+                null,
+                -1,
+                0,
+                null,
+                0,
+                -1,
+                false);
         Call call = new Call(order, 0, listener);
-        call.timer = loop.schedule(() -> {
-            boolean asked = call.giveUp();
-            listener.ended(asked ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED, null, null);
-        }, connectMillis(), TimeUnit.MILLISECONDS);
+        call.timer = loop.schedule(
+                () -> {
+                    boolean asked = call.giveUp();
+                    listener.ended(asked ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED, null, null);
+                },
+                connectMillis(),
+                TimeUnit.MILLISECONDS);
         start(server, call);
     }
 
@@ -187,7 +207,7 @@
     // one that soon will.
     private static Connection idle(Upstream u) {
         Connection soonest = null;
-        for (Iterator<Connection> i = u.idle.descendingIterator(); i.hasNext();) {
+        for (Iterator<Connection> i = u.idle.descendingIterator(); i.hasNext(); ) {
             Connection c = i.next();
             if (!c.usable()) {
                 i.remove();
@@ -214,15 +234,21 @@
         connection.call = call;
         call.connection = connection;
         descriptors.opened();
-        ChannelFuture connected = bootstrap.clone()
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis())
-            .handler(new ChannelInitializer<Channel>() {
-            @Override
-            protected void initChannel(Channel channel) {
-                channel.pipeline().addLast(new HttpRequestEncoder(), connection.reader.decoder(),
-                    connection.reader, connection.gate());
-            }
-        }).connect(via != null ? via : u.endpoint);
+        ChannelFuture connected = bootstrap
+                .clone()
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis())
+                .handler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline()
+                                .addLast(
+                                        new HttpRequestEncoder(),
+                                        connection.reader.decoder(),
+                                        connection.reader,
+                                        connection.gate());
+                    }
+                })
+                .connect(via != null ? via : u.endpoint);
         connection.channel = connected.channel();
         if (!connection.channel.isRegistered()) {
             // The system has no descriptor left, whatever is counted here. It has no loop to tell of its end.
@@ -298,7 +324,7 @@
     /** A request on its way to an upstream. */
     static final class Call {
         private final Order order;
-        private final long waitMillis;              // from when it was made; 0: not told to the upstream
+        private final long waitMillis; // from when it was made; 0: not told to the upstream
         private final long madeAt = System.nanoTime();
         private final Listener listener;
         private Connection connection;
@@ -348,15 +374,14 @@
         }
 
         private FullHttpRequest message(InetSocketAddress to) {
-            FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, order.method(),
-                order.uri(), Unpooled.wrappedBuffer(order.body()));
+            FullHttpRequest message = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1, order.method(), order.uri(), Unpooled.wrappedBuffer(order.body()));
             message.headers().add(order.headers());
             if (!message.headers().contains(HttpHeaderNames.HOST)) {
-                message.headers().set(HttpHeaderNames.HOST,
-                    to.getAddress().getHostAddress() + ":" + to.getPort());
+                message.headers().set(HttpHeaderNames.HOST, to.getAddress().getHostAddress() + ":" + to.getPort());
             }
             if (waitMillis > 0) {
-                long waited = (System.nanoTime() - madeAt) / 1_000_000;      // for its connection
+                long waited = (System.nanoTime() - madeAt) / 1_000_000; // for its connection
                 message.headers().set(RequestRules.DEADLINE, Long.toString(Math.max(1, waitMillis - waited)));
             }
             if (order.rest() != null) {
@@ -379,12 +404,12 @@
         private final AnswerReader reader = new AnswerReader(this);
         private Channel channel;
         private Call call;
-        private boolean begun;                      // some of the request may have been written
-        private boolean written;                    // all of it has been
-        private boolean active;                     // it has come up
+        private boolean begun; // some of the request may have been written
+        private boolean written; // all of it has been
+        private boolean active; // it has come up
         private long idleSince;
-        private Flow upload;                        // of the last request that was sent here, if it flowed
-        private Flow download;                      // of the answer that is being passed on
+        private Flow upload; // of the last request that was sent here, if it flowed
+        private Flow download; // of the answer that is being passed on
 
         Connection(Upstream upstream) {
             this.upstream = upstream;
@@ -406,14 +431,14 @@
         void settle(Call next) {
             call = next;
             next.connection = this;
-            loop.schedule(() -> loop.schedule(this::begin, 1, TimeUnit.MILLISECONDS), unsettled(),
-                TimeUnit.MICROSECONDS);
+            loop.schedule(
+                    () -> loop.schedule(this::begin, 1, TimeUnit.MILLISECONDS), unsettled(), TimeUnit.MICROSECONDS);
         }
 
         /** Sends the request that has waited for this connection, if it is still to be sent. */
         void begin() {
             if (call == null) {
-                rest();                     // it was given up meanwhile: the handshake is paid for
+                rest(); // it was given up meanwhile: the handshake is paid for
             } else if (clock.getAsLong() >= upstream.stopAt) {
                 // Rule 3: the list changed while it waited.
                 finish(Outcome.NOT_SENT, null, null);
@@ -449,8 +474,8 @@
 
         // The body follows as its client sends it. Once given up, what still comes of it is dropped.
         private void stream(Call sent, FullHttpRequest message) {
-            DefaultHttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, message.method(),
-                message.uri(), message.headers());
+            DefaultHttpRequest head =
+                    new DefaultHttpRequest(HttpVersion.HTTP_1_1, message.method(), message.uri(), message.headers());
             channel.write(head);
             upload = sent.order.rest();
             upload.to(new Flow.Sink() {
@@ -467,7 +492,7 @@
                 public void whole() {
                     if (call == sent) {
                         channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
-                            .addListener(done -> left(sent, done.isSuccess()));
+                                .addListener(done -> left(sent, done.isSuccess()));
                     }
                 }
 
@@ -545,7 +570,7 @@
             }
             String report = answer.headers().get("Srv-Load");
             if (report == null && answered.waitMillis == 0) {
-                report = new String(answer.body(), StandardCharsets.UTF_8);     // of a probe
+                report = new String(answer.body(), StandardCharsets.UTF_8); // of a probe
             }
             answered.end(classify(answer), answer, LoadReport.parse(report));
         }
@@ -562,11 +587,13 @@
             download = answer.rest();
             if (!written || answered == null) {
                 download.discard();
-                close();                            // before the request was whole: no answer to it
+                close(); // before the request was whole: no answer to it
             }
             if (answered != null) {
-                answered.end(written ? Outcome.OK : Outcome.RESET, written ? answer : null,
-                    LoadReport.parse(answer.headers().get("Srv-Load")));
+                answered.end(
+                        written ? Outcome.OK : Outcome.RESET,
+                        written ? answer : null,
+                        LoadReport.parse(answer.headers().get("Srv-Load")));
             }
         }
 
@@ -582,7 +609,7 @@
 
         @Override
         public void spoilt() {
-            close();                                // what became of the request is told in closed()
+            close(); // what became of the request is told in closed()
         }
 
         // The line between what never ran and what may have is the request's last byte.
@@ -603,7 +630,7 @@
                 upload.discard();
             }
             if (call != null && active && !begun) {
-                Call waiting = call;        // nothing of it has been here
+                Call waiting = call; // nothing of it has been here
                 call = null;
                 dial(upstream, waiting);
                 return;
--- a/balancer/src/main/java/junctionhead/operator/Operator.java
+++ b/balancer/src/main/java/junctionhead/operator/Operator.java
@@ -16,7 +16,7 @@
     }
 
     /** How logs are written; {@code queue}: lines that may wait before some are dropped. */
-    public record LogPlan(boolean json, int queue) { }
+    public record LogPlan(boolean json, int queue) {}
 
     /** What the platform's own configuration says, as far as the file must fit it. */
     public record Site(List<String> classes, List<String> tenants, int instances, long retryAfterMost) {
--- a/balancer/src/main/java/junctionhead/operator/OperatorReader.java
+++ b/balancer/src/main/java/junctionhead/operator/OperatorReader.java
@@ -16,17 +16,17 @@
 import junctionhead.limits.TokenTree.Rate;
 import junctionhead.routes.PathTemplate;
 import junctionhead.routes.Route;
+import junctionhead.settings.Endpoints;
 import junctionhead.toml.Faults;
 import junctionhead.toml.Section;
 import junctionhead.toml.Section.Measure;
 import junctionhead.toml.Source;
 import junctionhead.toml.Units;
-import junctionhead.settings.Endpoints;
 
 /** Reads operator files, strictly: all faults are listed, and a file with any binds nothing. */
 public final class OperatorReader {
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9_.-]{0,63}");
-    private static final Pattern TOKEN = Pattern.compile("[!#$%&'*+.^_`|~0-9A-Za-z-]+");   // RFC 9110, section 5.6.2
+    private static final Pattern TOKEN = Pattern.compile("[!#$%&'*+.^_`|~0-9A-Za-z-]+"); // RFC 9110, section 5.6.2
     private static final double MOST_RATE = 1e9;
     private static final double ADVICE_LEAST = 100_000;
     private static final double ADVICE_MOST = 1_500_000;
@@ -54,7 +54,7 @@
         try {
             return new OperatorReader(site).read(source);
         } catch (IllegalArgumentException e) {
-            source.check();                                 // its faults explain it better than what they led to
+            source.check(); // its faults explain it better than what they led to
             throw e;
         }
     }
@@ -97,8 +97,12 @@
         Operator.LogPlan log = log(root);
         root.done();
         source.check();
-        return new Operator(new FrontPlan(pools, routes, unmatched, quotas, instances, reserve, advice), specs,
-            told ? instances : null, log, notes);
+        return new Operator(
+                new FrontPlan(pools, routes, unmatched, quotas, instances, reserve, advice),
+                specs,
+                told ? instances : null,
+                log,
+                notes);
     }
 
     // ---- pools
@@ -117,8 +121,9 @@
             }
         }
         if (own && (s.has("discovery") || s.has("upstreams"))) {
-            s.fault(s.has("discovery") ? "discovery" : "upstreams",
-                "pool 'site' has the platform's own list: give another pool a name of its own");
+            s.fault(
+                    s.has("discovery") ? "discovery" : "upstreams",
+                    "pool 'site' has the platform's own list: give another pool a name of its own");
         } else if (s.has("discovery") && s.has("upstreams")) {
             s.fault("upstreams", "pool '" + name + "' has both 'discovery' and 'upstreams': one is wanted");
         } else if (!own && !s.has("discovery") && !s.has("upstreams")) {
@@ -135,14 +140,15 @@
                 s.fault("settings", "pool 'site' has the platform's own settings");
             }
             settings = new PoolSpec.Overrides(
-                o.has("max_attempts") ? (int) o.number("max_attempts", Measure.COUNT) : null,
-                whole(positive(o, "connect_timeout")), whole(positive(o, "idle_close")),
-                o.has("probes") ? o.flag("probes", false) : null);
+                    o.has("max_attempts") ? (int) o.number("max_attempts", Measure.COUNT) : null,
+                    whole(positive(o, "connect_timeout")),
+                    whole(positive(o, "idle_close")),
+                    o.has("probes") ? o.flag("probes", false) : null);
             o.done();
         }
         s.done();
-        specs.add(new PoolSpec(name, discovery, upstreams, connections, memory == null ? 0 : memory.longValue(),
-            settings));
+        specs.add(new PoolSpec(
+                name, discovery, upstreams, connections, memory == null ? 0 : memory.longValue(), settings));
         plans.add(new FrontPlan.PoolPlan(name, limit, full));
     }
 
@@ -162,7 +168,7 @@
     private static ConcurrencyLimit.Plan limit(Section s) {
         ConcurrencyLimit.Kind kind = s.word("kind", ConcurrencyLimit.Kind.class, null);
         if (!kind.name().equalsIgnoreCase(s.text("kind", ""))) {
-            return null;                                    // at fault: what else is wanted goes by the kind
+            return null; // at fault: what else is wanted goes by the kind
         }
         ConcurrencyLimit.Plan plan = null;
         if (kind == ConcurrencyLimit.Kind.FIXED) {
@@ -175,8 +181,7 @@
             if (least > most) {
                 s.fault("least", "'least' is " + least + ", over 'most', which is " + most);
             } else if (start < least || start > most) {
-                s.fault("start", "'start' is " + start + ", not between 'least' and 'most', " + least + " and "
-                    + most);
+                s.fault("start", "'start' is " + start + ", not between 'least' and 'most', " + least + " and " + most);
             } else {
                 plan = new ConcurrencyLimit.Plan(kind, start, least, most);
             }
@@ -236,15 +241,20 @@
         Route match = new Route(name, template, methods, headers, tenants, classes, before.size());
         for (FrontPlan.RoutePlan other : before) {
             Route o = other.match();
-            if (!o.name().equals(name) && o.path().equals(template)
-                    && o.methods().equals(match.methods()) && o.headers().equals(match.headers())
-                    && o.tenants().equals(match.tenants()) && o.classes().equals(match.classes())) {
-                s.fault("name", "route '" + name + "' never takes a request: route '" + o.name() + "' ("
-                    + routePlaces.get(o.name()) + ") asks for the same");
+            if (!o.name().equals(name)
+                    && o.path().equals(template)
+                    && o.methods().equals(match.methods())
+                    && o.headers().equals(match.headers())
+                    && o.tenants().equals(match.tenants())
+                    && o.classes().equals(match.classes())) {
+                s.fault(
+                        "name",
+                        "route '" + name + "' never takes a request: route '" + o.name() + "' ("
+                                + routePlaces.get(o.name()) + ") asks for the same");
             }
         }
-        return new FrontPlan.RoutePlan(match, ways, spare, back, retries, rate,
-            deadline == null ? 0 : Math.round(deadline));
+        return new FrontPlan.RoutePlan(
+                match, ways, spare, back, retries, rate, deadline == null ? 0 : Math.round(deadline));
     }
 
     private static Map<String, String> headers(Section s) {
@@ -318,8 +328,10 @@
                 s.fault("spill", "traffic can't spill from pool '" + pool + "' into itself");
             }
             sum += weight;
-            ways.add(new FrontPlan.Way(pool, weight,
-                spills.stream().filter(p -> !p.pool().equals(named)).toList()));
+            ways.add(new FrontPlan.Way(
+                    pool,
+                    weight,
+                    spills.stream().filter(p -> !p.pool().equals(named)).toList()));
         }
         if (!ways.isEmpty() && sum == 0) {
             notes.add(s.place("to") + ": note: route '" + name + "' refuses all: its weights are 0");
@@ -335,8 +347,7 @@
         Double window = s.has("window") ? positive(s, "window") : Double.valueOf(WINDOW);
         boolean count = s.flag("count_clients", false);
         s.done();
-        return least == null || window == null ? null
-            : new FrontPlan.Retries(share, least, Math.round(window), count);
+        return least == null || window == null ? null : new FrontPlan.Retries(share, least, Math.round(window), count);
     }
 
     // ---- rates
@@ -350,18 +361,19 @@
         double burst = s.number("burst", Measure.COUNT, Math.ceil(usual));
         Double ceiling = s.has("ceiling") ? s.figure("ceiling", Units.RATE) : rate;
         if (rate != null && ceiling != null && ceiling < rate) {
-            s.fault("ceiling", "'ceiling' is under 'rate', " + Units.RATE.write(ceiling) + " and "
-                + Units.RATE.write(rate));
+            s.fault(
+                    "ceiling",
+                    "'ceiling' is under 'rate', " + Units.RATE.write(ceiling) + " and " + Units.RATE.write(rate));
         }
         if (rate != null && rate > MOST_RATE) {
             s.fault("rate", "'rate' is over " + Units.RATE.write(MOST_RATE));
         }
         s.done();
-        return rate == null || ceiling == null || ceiling < rate || burst < 1 ? new Rate(1, 1, 1)
-            : new Rate(rate, burst, ceiling);
+        return rate == null || ceiling == null || ceiling < rate || burst < 1
+                ? new Rate(1, 1, 1)
+                : new Rate(rate, burst, ceiling);
     }
 
-
     private FrontPlan.Quotas quotas(Section root) {
         if (!root.has("quota")) {
             return FrontPlan.Quotas.none();
@@ -393,7 +405,7 @@
         Rate whole = rate(q);
         if (sum > whole.perSecond() * (1 + 1e-9)) {
             notes.add(q.place("") + ": note: the tenants' rates add up to " + Units.RATE.write(sum)
-                + ", over the site's " + Units.RATE.write(whole.perSecond()) + ": all of them at once get more");
+                    + ", over the site's " + Units.RATE.write(whole.perSecond()) + ": all of them at once get more");
         }
         return new FrontPlan.Quotas(whole, tenants, others);
     }
@@ -401,23 +413,26 @@
     // ---- the rest
 
     private FrontPlan.Advice advice(Section front) {
-        Double least = front.has("retry_after_least") ? front.figure("retry_after_least", Units.TIME)
-            : Double.valueOf(ADVICE_LEAST);
+        Double least = front.has("retry_after_least")
+                ? front.figure("retry_after_least", Units.TIME)
+                : Double.valueOf(ADVICE_LEAST);
         double usual = site.retryAfterMost() > 0 ? site.retryAfterMost() : ADVICE_MOST;
-        Double most = front.has("retry_after_most") ? front.figure("retry_after_most", Units.TIME)
-            : Double.valueOf(usual);
+        Double most =
+                front.has("retry_after_most") ? front.figure("retry_after_most", Units.TIME) : Double.valueOf(usual);
         if (least == null || most == null) {
             return new FrontPlan.Advice(0, 0);
         }
         if (least > most) {
-            front.fault(front.has("retry_after_least") ? "retry_after_least" : "retry_after_most",
-                "'retry_after_least' is over 'retry_after_most', " + Units.TIME.write(least) + " and "
-                + Units.TIME.write(most));
+            front.fault(
+                    front.has("retry_after_least") ? "retry_after_least" : "retry_after_most",
+                    "'retry_after_least' is over 'retry_after_most', " + Units.TIME.write(least) + " and "
+                            + Units.TIME.write(most));
             return new FrontPlan.Advice(0, 0);
         }
         if (site.retryAfterMost() > 0 && most > site.retryAfterMost()) {
-            front.fault("retry_after_most", "'retry_after_most' is over what the settings allow, "
-                + Units.TIME.write(site.retryAfterMost()));
+            front.fault(
+                    "retry_after_most",
+                    "'retry_after_most' is over what the settings allow, " + Units.TIME.write(site.retryAfterMost()));
         }
         return new FrontPlan.Advice(Math.round(least), Math.round(most));
     }
@@ -426,8 +441,10 @@
         Section s = root.table("log");
         String format = s.text("format", "text");
         if (!Set.of("text", "json").contains(format)) {
-            s.fault("format", "'format' is \"" + format + "\"; there are json, text"
-                + Section.meant(format, List.of("json", "text")));
+            s.fault(
+                    "format",
+                    "'format' is \"" + format + "\"; there are json, text"
+                            + Section.meant(format, List.of("json", "text")));
         }
         int queue = (int) s.number("queue", Measure.COUNT, QUEUE);
         s.done();
--- a/balancer/src/main/java/junctionhead/operator/PoolSpec.java
+++ b/balancer/src/main/java/junctionhead/operator/PoolSpec.java
@@ -10,8 +10,13 @@
  * @param connections to its upstreams at the most; 0: its part of what there is
  * @param memory bytes of bodies held for it at the most; 0: its part of what there is
  */
-public record PoolSpec(String name, InetSocketAddress discovery, List<InetSocketAddress> upstreams, int connections,
-        long memory, Overrides settings) {
+public record PoolSpec(
+        String name,
+        InetSocketAddress discovery,
+        List<InetSocketAddress> upstreams,
+        int connections,
+        long memory,
+        Overrides settings) {
     /** The pool that the platform's own discovery lists: it is there whether or not the file names it. */
     public static final String SITE = "site";
 
--- a/balancer/src/main/java/junctionhead/operator/Words.java
+++ b/balancer/src/main/java/junctionhead/operator/Words.java
@@ -20,15 +20,20 @@
 public final class Words {
     private static final String NO_ROUTE = "requests that no route takes";
 
-    private Words() { }
+    private Words() {}
 
     /** What a request must be like to take that route. */
     public static String of(Route r) {
         StringBuilder out = new StringBuilder();
-        out.append(r.methods().isEmpty() ? "any method"
-            : r.methods().stream().sorted().collect(Collectors.joining("|"))).append(' ').append(r.path());
-        r.headers().entrySet().stream().sorted(Map.Entry.comparingByKey())
-            .forEach(h -> out.append(", ").append(h.getKey()).append(": ").append(h.getValue()));
+        out.append(
+                        r.methods().isEmpty()
+                                ? "any method"
+                                : r.methods().stream().sorted().collect(Collectors.joining("|")))
+                .append(' ')
+                .append(r.path());
+        r.headers().entrySet().stream()
+                .sorted(Map.Entry.comparingByKey())
+                .forEach(h -> out.append(", ").append(h.getKey()).append(": ").append(h.getValue()));
         if (!r.tenants().isEmpty()) {
             out.append(", tenant ").append(r.tenants().stream().sorted().collect(Collectors.joining("|")));
         }
@@ -40,14 +45,20 @@
 
     /** Where a route's requests go, with each pool's part. */
     public static String ways(RoutePlan r) {
-        return parts(r).entrySet().stream().map(e -> parts(r).size() == 1 && e.getValue() > 0 ? e.getKey()
-            : e.getKey() + " " + percent(e.getValue())).collect(Collectors.joining(", "));
+        return parts(r).entrySet().stream()
+                .map(e -> parts(r).size() == 1 && e.getValue() > 0
+                        ? e.getKey()
+                        : e.getKey() + " " + percent(e.getValue()))
+                .collect(Collectors.joining(", "));
     }
 
     /** Where traffic spills over to; empty where nowhere. */
     public static String spills(RoutePlan r) {
-        return r.ways().stream().flatMap(w -> w.spills().stream()).distinct()
-            .map(s -> s.pool() + " up to " + percent(s.most())).collect(Collectors.joining(", "));
+        return r.ways().stream()
+                .flatMap(w -> w.spills().stream())
+                .distinct()
+                .map(s -> s.pool() + " up to " + percent(s.most()))
+                .collect(Collectors.joining(", "));
     }
 
     private static Map<String, Double> parts(RoutePlan r) {
@@ -64,28 +75,39 @@
 
     /** A rate with its burst and ceiling. */
     public static String of(Rate r) {
-        return r == null ? "none" : Units.RATE.write(r.perSecond()) + ", " + Math.round(r.burst()) + " at once"
-            + (r.ceiling() > r.perSecond() ? ", borrowing up to " + Units.RATE.write(r.ceiling()) : "");
+        return r == null
+                ? "none"
+                : Units.RATE.write(r.perSecond()) + ", " + Math.round(r.burst()) + " at once"
+                        + (r.ceiling() > r.perSecond() ? ", borrowing up to " + Units.RATE.write(r.ceiling()) : "");
     }
 
     /** A concurrency limit. */
     public static String of(ConcurrencyLimit.Plan l) {
-        return l == null ? "none" : l.kind() == ConcurrencyLimit.Kind.FIXED ? l.start() + " at once"
-            : l.kind().name().toLowerCase(Locale.ROOT) + " from " + l.start() + ", " + l.least() + " to " + l.most();
+        return l == null
+                ? "none"
+                : l.kind() == ConcurrencyLimit.Kind.FIXED
+                        ? l.start() + " at once"
+                        : l.kind().name().toLowerCase(Locale.ROOT) + " from " + l.start() + ", " + l.least() + " to "
+                                + l.most();
     }
 
     /** A retry budget. */
     public static String of(FrontPlan.Retries r) {
-        return r == null ? "none" : percent(r.share()) + " of first tries and " + Units.RATE.write(r.leastPerSecond())
-            + (r.countClients() ? ", clients' own among them" : "");
+        return r == null
+                ? "none"
+                : percent(r.share()) + " of first tries and " + Units.RATE.write(r.leastPerSecond())
+                        + (r.countClients() ? ", clients' own among them" : "");
     }
 
     private static String source(PoolSpec p) {
-        return p.name().equals(PoolSpec.SITE) ? "the platform's list"
-            : p.discovery() != null ? "discovery at " + p.discovery().getAddress().getHostAddress() + ":"
-                + p.discovery().getPort()
-            : p.upstreams().stream().map(a -> a.getAddress().getHostAddress() + ":" + a.getPort())
-                .collect(Collectors.joining(", ", "upstreams ", ""));
+        return p.name().equals(PoolSpec.SITE)
+                ? "the platform's list"
+                : p.discovery() != null
+                        ? "discovery at " + p.discovery().getAddress().getHostAddress() + ":"
+                                + p.discovery().getPort()
+                        : p.upstreams().stream()
+                                .map(a -> a.getAddress().getHostAddress() + ":" + a.getPort())
+                                .collect(Collectors.joining(", ", "upstreams ", ""));
     }
 
     // ---- what changes
@@ -95,21 +117,38 @@
         List<String> out = new ArrayList<>();
         pools(before, next, out);
         routes(before.front(), next.front(), out);
-        changed(out, NO_ROUTE, before.front().unmatched() == null ? "refused" : "go to " + before.front().unmatched(),
-            next.front().unmatched() == null ? "refused" : "go to " + next.front().unmatched());
+        changed(
+                out,
+                NO_ROUTE,
+                before.front().unmatched() == null
+                        ? "refused"
+                        : "go to " + before.front().unmatched(),
+                next.front().unmatched() == null
+                        ? "refused"
+                        : "go to " + next.front().unmatched());
         quotas(before.front().quotas(), next.front().quotas(), out);
-        changed(out, "number of instances", String.valueOf(before.front().instances()),
-            String.valueOf(next.front().instances()));
-        changed(out, "part of limits kept for what is worth most", percent(before.front().reserve()),
-            percent(next.front().reserve()));
+        changed(
+                out,
+                "number of instances",
+                String.valueOf(before.front().instances()),
+                String.valueOf(next.front().instances()));
+        changed(
+                out,
+                "part of limits kept for what is worth most",
+                percent(before.front().reserve()),
+                percent(next.front().reserve()));
         changed(out, "advice to refused clients", advice(before.front()), advice(next.front()));
-        changed(out, "log", before.log().toString().replace("LogPlan", ""), next.log().toString().replace("LogPlan",
-            ""));
+        changed(
+                out,
+                "log",
+                before.log().toString().replace("LogPlan", ""),
+                next.log().toString().replace("LogPlan", ""));
         return out;
     }
 
     private static String advice(FrontPlan f) {
-        return Units.TIME.write(f.retryAfter().least()) + " to " + Units.TIME.write(f.retryAfter().most());
+        return Units.TIME.write(f.retryAfter().least()) + " to "
+                + Units.TIME.write(f.retryAfter().most());
     }
 
     private static void changed(List<String> out, String what, String before, String next) {
@@ -136,7 +175,11 @@
             changed(out, name + ": full strength", strength(old), strength(p));
             changed(out, name + ": connections", given(former.connections()), given(spec.connections()));
             changed(out, name + ": memory", given(former.memory()), given(spec.memory()));
-            changed(out, name + ": settings", former.settings().toString(), spec.settings().toString());
+            changed(
+                    out,
+                    name + ": settings",
+                    former.settings().toString(),
+                    spec.settings().toString());
         }
         was.keySet().forEach(gone -> out.add("pool " + gone + ": dropped; it drains first"));
     }
@@ -162,18 +205,22 @@
             changed(out, name + " takes", of(old.match()), of(r.match()));
             if (!parts(old).equals(parts(r))) {
                 out.add(name + ": " + ways(old) + " -> " + ways(r) + "; " + percent(moving(old, r))
-                    + " of its keys move");
+                        + " of its keys move");
             }
             changed(out, name + " spills to", empty(spills(old)), empty(spills(r)));
             changed(out, name + ": retries", of(old.retries()), of(r.retries()));
             changed(out, name + ": rate", of(old.rate()), of(r.rate()));
-            changed(out, name + ": deadline", old.deadline() == 0 ? "the client's" : Units.TIME.write(old.deadline()),
-                r.deadline() == 0 ? "the client's" : Units.TIME.write(r.deadline()));
+            changed(
+                    out,
+                    name + ": deadline",
+                    old.deadline() == 0 ? "the client's" : Units.TIME.write(old.deadline()),
+                    r.deadline() == 0 ? "the client's" : Units.TIME.write(r.deadline()));
             changed(out, name + ": spare", percent(old.spare()), percent(r.spare()));
             changed(out, name + ": return", percent(old.returnPerSecond()) + "/s", percent(r.returnPerSecond()) + "/s");
         }
-        was.values().forEach(r -> out.add("route " + r.match().name() + ": dropped, " + of(r.match())
-            + " goes to the next that fits"));
+        was.values()
+                .forEach(r -> out.add(
+                        "route " + r.match().name() + ": dropped, " + of(r.match()) + " goes to the next that fits"));
     }
 
     private static String empty(String text) {
@@ -201,11 +248,15 @@
             FrontPlan.TenantQuota b = next.tenants().get(t);
             String others = "as all others";
             changed(out, "quota of tenant " + t, a == null ? others : of(a.rate()), b == null ? others : of(b.rate()));
-            TreeSet<String> routes = new TreeSet<>(a == null ? List.of() : a.routes().keySet());
+            TreeSet<String> routes =
+                    new TreeSet<>(a == null ? List.of() : a.routes().keySet());
             routes.addAll(b == null ? List.of() : b.routes().keySet());
             for (String r : routes) {
-                changed(out, "quota of tenant " + t + " on route " + r, of(a == null ? null : a.routes().get(r)),
-                    of(b == null ? null : b.routes().get(r)));
+                changed(
+                        out,
+                        "quota of tenant " + t + " on route " + r,
+                        of(a == null ? null : a.routes().get(r)),
+                        of(b == null ? null : b.routes().get(r)));
             }
         }
     }
--- a/balancer/src/main/java/junctionhead/wire/Adapter.java
+++ b/balancer/src/main/java/junctionhead/wire/Adapter.java
@@ -22,7 +22,7 @@
         Policy make(Policy.Settings settings, long seed);
     }
 
-    private record Instance(String name, Policy policy, SettingsReader.Boot boot) { }
+    private record Instance(String name, Policy policy, SettingsReader.Boot boot) {}
 
     private final Factory factory;
     private final BufferedReader in;
@@ -120,13 +120,14 @@
         switch (f.name()) {
             case "SYNC" -> {
                 f.expect("How", "SeqNo", "Buffer");
-                Policy.ListKind kind = switch (f.text(1, "How")) {
-                    case "Persisted" -> Policy.ListKind.PERSISTED;
-                    case "Complete" -> Policy.ListKind.COMPLETE;
-                    case "Partial" -> Policy.ListKind.PARTIAL;
-                    case "Error" -> Policy.ListKind.FAILED;
-                    default -> throw f.bad("How", "unknown word: '" + f.raw(1, "How") + "'");
-                };
+                Policy.ListKind kind =
+                        switch (f.text(1, "How")) {
+                            case "Persisted" -> Policy.ListKind.PERSISTED;
+                            case "Complete" -> Policy.ListKind.COMPLETE;
+                            case "Partial" -> Policy.ListKind.PARTIAL;
+                            case "Error" -> Policy.ListKind.FAILED;
+                            default -> throw f.bad("How", "unknown word: '" + f.raw(1, "How") + "'");
+                        };
                 f.number(2, "SeqNo", 0);
                 List<Policy.Server> list = List.of();
                 if (kind != Policy.ListKind.FAILED) {
@@ -141,11 +142,21 @@
                 f.expect("Req", "Priority", "Account", "NameKey", "Ttl", "Hint", "Options");
                 Policy.Settings settings = instance.boot.settings();
                 long options = f.number(7, "Options", 0);
-                policy.request(now, f.text(1, "Req"), f.index(2, "Priority", settings.classes().size()),
-                    f.absent(3, "Account") ? 0
-                        : f.index(3, "Account", Math.max(1, settings.tenants().size())),
-                    f.absent(4, "NameKey") ? null : f.text(4, "NameKey"), f.number(5, "Ttl"),
-                    (options & 1) == 0 ? -1 : f.number(6, "Hint", -1), (options & 2) != 0, reply);
+                policy.request(
+                        now,
+                        f.text(1, "Req"),
+                        f.index(2, "Priority", settings.classes().size()),
+                        f.absent(3, "Account")
+                                ? 0
+                                : f.index(
+                                        3,
+                                        "Account",
+                                        Math.max(1, settings.tenants().size())),
+                        f.absent(4, "NameKey") ? null : f.text(4, "NameKey"),
+                        f.number(5, "Ttl"),
+                        (options & 1) == 0 ? -1 : f.number(6, "Hint", -1),
+                        (options & 2) != 0,
+                        reply);
             }
             case "DUE" -> {
                 f.expect("Nonce");
@@ -156,8 +167,15 @@
             case "RESPONSE" -> {
                 f.expect("Req", "SendNo", "Upstream", "Rc", "Lag", "Closed", "Usage");
                 f.text(3, "Upstream");
-                policy.outcome(now, f.text(1, "Req"), f.index(2, "SendNo", Integer.MAX_VALUE), outcome(f, 4),
-                    f.number(5, "Lag"), f.flag(6, "Closed"), load(f, 7, instance), reply);
+                policy.outcome(
+                        now,
+                        f.text(1, "Req"),
+                        f.index(2, "SendNo", Integer.MAX_VALUE),
+                        outcome(f, 4),
+                        f.number(5, "Lag"),
+                        f.flag(6, "Closed"),
+                        load(f, 7, instance),
+                        reply);
             }
             case "ACK_FIRST" -> {
                 f.expect("Req", "SendNo", "Upstream", "Lag");
@@ -166,8 +184,8 @@
             case "WITHDRAWN" -> policy.clientGone(now, f.expect("Req").text(1, "Req"), reply);
             case "PROBE_RESULT" -> {
                 f.expect("Upstream", "Lag", "Rc", "Usage");
-                policy.probed(now, f.text(1, "Upstream"), outcome(f, 3), f.number(2, "Lag"),
-                    load(f, 4, instance), reply);
+                policy.probed(
+                        now, f.text(1, "Upstream"), outcome(f, 3), f.number(2, "Lag"), load(f, 4, instance), reply);
             }
             case "MAIL" -> {
                 f.expect("Src", "Data");
@@ -184,19 +202,25 @@
         for (int i = 0; i < size; i++) {
             Frame f = next();
             if (f == null || !f.name().equals("ITEM")) {
-                throw new WireException("line " + line + ": LIST: field Entries: " + size
-                    + " ITEM lines announced, " + i + " found");
+                throw new WireException(
+                        "line " + line + ": LIST: field Entries: " + size + " ITEM lines announced, " + i + " found");
             }
             f.expect("StartTime", "Upstream", "StageState", "Heft", "Group", "GenerationHw", "Locality");
-            Policy.State state = switch (f.text(3, "StageState")) {
-                case "U" -> Policy.State.UP;
-                case "L" -> Policy.State.DRAINING;
-                case "D" -> Policy.State.GONE;
-                default -> throw f.bad("StageState", "unknown word: '" + f.raw(3, "StageState") + "'");
-            };
-            list.add(new Policy.Server(f.text(2, "Upstream"), state, f.number(1, "StartTime", 0),
-                f.absent(4, "Heft") ? 1 : f.decimal(4, "Heft"), f.index(5, "Group"),
-                f.index(6, "GenerationHw"), f.index(7, "Locality")));
+            Policy.State state =
+                    switch (f.text(3, "StageState")) {
+                        case "U" -> Policy.State.UP;
+                        case "L" -> Policy.State.DRAINING;
+                        case "D" -> Policy.State.GONE;
+                        default -> throw f.bad("StageState", "unknown word: '" + f.raw(3, "StageState") + "'");
+                    };
+            list.add(new Policy.Server(
+                    f.text(2, "Upstream"),
+                    state,
+                    f.number(1, "StartTime", 0),
+                    f.absent(4, "Heft") ? 1 : f.decimal(4, "Heft"),
+                    f.index(5, "Group"),
+                    f.index(6, "GenerationHw"),
+                    f.index(7, "Locality")));
         }
         buffers.set(number, List.copyOf(list));
     }
--- a/balancer/src/main/java/junctionhead/wire/Frame.java
+++ b/balancer/src/main/java/junctionhead/wire/Frame.java
@@ -30,8 +30,9 @@
             throw bad(fields[size()], "is missing");
         }
         if (size() > fields.length) {
-            throw bad(fields.length == 0 ? "1" : fields[fields.length - 1],
-                "is followed by " + (size() - fields.length) + " more value(s) than the message has");
+            throw bad(
+                    fields.length == 0 ? "1" : fields[fields.length - 1],
+                    "is followed by " + (size() - fields.length) + " more value(s) than the message has");
         }
         return this;
     }
--- a/balancer/src/main/java/junctionhead/wire/LoadReport.java
+++ b/balancer/src/main/java/junctionhead/wire/LoadReport.java
@@ -7,13 +7,12 @@
 /** The values of a server's load report, under the names of the wire and of the protocol on sockets. */
 public final class LoadReport {
     private static final List<String> WIRE =
-        List.of("outstanding", "backlog", "utilization", "recent_ms", "throughput", "errors_per_s");
-    private static final List<String> SOCKET =
-        List.of("inflight", "queue", "util", "latency_ms", "qps", "eps");
+            List.of("outstanding", "backlog", "utilization", "recent_ms", "throughput", "errors_per_s");
+    private static final List<String> SOCKET = List.of("inflight", "queue", "util", "latency_ms", "qps", "eps");
 
     private static final double VALUE_MOST = 1e9;
 
-    private LoadReport() { }
+    private LoadReport() {}
 
     static double[] unknown() {
         double[] values = new double[WIRE.size()];
@@ -55,7 +54,7 @@
                         any = true;
                     }
                 } catch (NumberFormatException e) {
-                    continue;       // one odd value does not spoil the others
+                    continue; // one odd value does not spoil the others
                 }
             }
         }
--- a/balancer/src/main/java/junctionhead/wire/WireSettings.java
+++ b/balancer/src/main/java/junctionhead/wire/WireSettings.java
@@ -6,7 +6,7 @@
 
 /** Turns the path=value pairs of an ENLIST line into what an instance is started with. */
 final class WireSettings {
-    private WireSettings() { }
+    private WireSettings() {}
 
     static SettingsReader.Boot read(Frame frame, int firstPair) {
         Map<String, String> values = new HashMap<>();
--- a/balancer/src/test/java/junctionhead/MainTest.java
+++ b/balancer/src/test/java/junctionhead/MainTest.java
@@ -24,7 +24,8 @@
 
 /** The program as it is started: arguments, exit codes and what goes to which stream. */
 class MainTest {
-    private static final String JAVA = Path.of(System.getProperty("java.home"), "bin", "java").toString();
+    private static final String JAVA =
+            Path.of(System.getProperty("java.home"), "bin", "java").toString();
 
     private static final List<Process> STARTED = new ArrayList<>();
 
@@ -35,22 +36,27 @@
         STARTED.clear();
     }
 
-    private record Run(int exit, String out, String err) { }
+    private record Run(int exit, String out, String err) {}
 
     private static Run run(String input, String... arguments) throws IOException, InterruptedException {
         List<String> command = new ArrayList<>(List.of(
-            Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-            System.getProperty("java.class.path"),
-            "junctionhead.Main"));
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-cp",
+                System.getProperty("java.class.path"),
+                "junctionhead.Main"));
         command.addAll(List.of(arguments));
         Path in = Files.createTempFile("junctionhead", ".in");
         Path out = Files.createTempFile("junctionhead", ".out");
         Path err = Files.createTempFile("junctionhead", ".err");
         Files.writeString(in, input);
-        int exit = new ProcessBuilder(command).redirectInput(in.toFile()).redirectOutput(out.toFile())
-            .redirectError(err.toFile()).start().waitFor();
-        Run run = new Run(exit, Files.readString(out, StandardCharsets.UTF_8),
-            Files.readString(err, StandardCharsets.UTF_8));
+        int exit = new ProcessBuilder(command)
+                .redirectInput(in.toFile())
+                .redirectOutput(out.toFile())
+                .redirectError(err.toFile())
+                .start()
+                .waitFor();
+        Run run = new Run(
+                exit, Files.readString(out, StandardCharsets.UTF_8), Files.readString(err, StandardCharsets.UTF_8));
         for (Path file : List.of(in, out, err)) {
             Files.delete(file);
         }
@@ -71,12 +77,13 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "TICK 1 NOISE | line 2: NOISE: field Balancer: no AT line names the instance",
-        "TICK 1 | line 2: GO: field GO: the input ends within a batch",
-    })
-    void malformedInputIsOneMessageAndExitOne(String words, String complaint)
-            throws IOException, InterruptedException {
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "TICK 1 NOISE | line 2: NOISE: field Balancer: no AT line names the instance",
+                "TICK 1 | line 2: GO: field GO: the input ends within a batch",
+            })
+    void malformedInputIsOneMessageAndExitOne(String words, String complaint) throws IOException, InterruptedException {
         String input = words.strip().replace(" NOISE", "\nNOISE").replace("TICK 1", "TICK\t1") + "\n";
         Run run = run(input, "wirehost");
         assertEquals(1, run.exit());
@@ -85,10 +92,12 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "/nowhere/config.json | can't read the configuration /nowhere/config.json: ",
-        "'' | ROUTER_CONFIG is not set",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "/nowhere/config.json | can't read the configuration /nowhere/config.json: ",
+                "'' | ROUTER_CONFIG is not set",
+            })
     void aBalancerWithoutConfigurationEndsWithOneLine(String file, String complaint)
             throws IOException, InterruptedException {
         Process process = serve(file);
@@ -118,7 +127,7 @@
         try (BufferedReader err = process.errorReader(StandardCharsets.UTF_8)) {
             String line = err.readLine();
             assertTrue(line.startsWith("junctionhead: listening on 127.0.0.1:"), line);
-            process.destroy();                          // SIGTERM
+            process.destroy(); // SIGTERM
             assertEquals(0, process.waitFor());
         }
         Files.delete(config);
@@ -133,8 +142,8 @@
             err.readLine();
             Files.writeString(config, Files.readString(config).replace("127.0.0.1:9\"", "127.0.0.1:7\""));
             hangup(process);
-            assertEquals("junctionhead: configuration taken over: discovery at 127.0.0.1:7",
-                nextWith("configuration", err));
+            assertEquals(
+                    "junctionhead: configuration taken over: discovery at 127.0.0.1:7", nextWith("configuration", err));
             Files.writeString(config, "{");
             hangup(process);
             String line = nextWith("configuration", err);
@@ -154,16 +163,16 @@
         assertEquals(0, new ProcessBuilder("mkfifo", file.toString()).start().waitFor());
         Process process = serve(file.toString());
         try (BufferedReader err = process.errorReader(StandardCharsets.UTF_8)) {
-            try (Writer config = Files.newBufferedWriter(file)) {       // waits until it is being read
+            try (Writer config = Files.newBufferedWriter(file)) { // waits until it is being read
                 hangup(process);
                 config.write(text);
             }
-            awaitClosed(process, file);                 // else what comes next would be read as the same file's
+            awaitClosed(process, file); // else what comes next would be read as the same file's
             // Waits until it is read once more; without a reader it would wait for good, so the process must live.
             process.onExit().thenRun(() -> drainTo(file));
             Files.writeString(file, text.replace("127.0.0.1:9\"", "127.0.0.1:7\""));
-            assertEquals("junctionhead: configuration taken over: discovery at 127.0.0.1:7",
-                nextWith("configuration", err));
+            assertEquals(
+                    "junctionhead: configuration taken over: discovery at 127.0.0.1:7", nextWith("configuration", err));
             process.destroy();
             assertEquals(0, process.waitFor());
         }
@@ -174,15 +183,23 @@
     @Test
     void whereSighupIsIgnoredTheProcessSaysSoAtItsStart() throws IOException, InterruptedException {
         Path config = config("127.0.0.1:0");
-        Process process = start(config.toString(), "sh", "-c", "trap '' HUP; exec \"$0\" \"$@\"",
-            JAVA, "-cp", System.getProperty("java.class.path"), "junctionhead.Main", "serve");
+        Process process = start(
+                config.toString(),
+                "sh",
+                "-c",
+                "trap '' HUP; exec \"$0\" \"$@\"",
+                JAVA,
+                "-cp",
+                System.getProperty("java.class.path"),
+                "junctionhead.Main",
+                "serve");
         try (BufferedReader err = process.errorReader(StandardCharsets.UTF_8)) {
             String line = err.readLine();
             assertTrue(line.startsWith("junctionhead: SIGHUP is ignored here, as under nohup: "), line);
             assertTrue(err.readLine().startsWith("junctionhead: listening on "));
             Files.writeString(config, Files.readString(config).replace("127.0.0.1:9\"", "127.0.0.1:7\""));
             hangup(process);
-            signal("TERM", process);                    // Process.destroy would close the stream as well
+            signal("TERM", process); // Process.destroy would close the stream as well
             assertEquals(null, nextWith("configuration", err));
             assertEquals(0, process.waitFor());
         }
@@ -193,9 +210,13 @@
     @Test
     void theRunLineTakesSighupAlsoUnderNohup() throws IOException, InterruptedException {
         String run = Files.readAllLines(Path.of("..", "deploy", "balancer.toml")).stream()
-            .filter(l -> l.startsWith("run = \"")).findFirst().orElseThrow().split("\"")[1];
-        String here = run.replaceFirst("-XX:SharedArchiveFile=\\S+", "").replaceFirst(" java ", " '" + JAVA + "' ")
-            .replaceFirst("-jar \\S+", "-cp '" + System.getProperty("java.class.path") + "' junctionhead.Main");
+                .filter(l -> l.startsWith("run = \""))
+                .findFirst()
+                .orElseThrow()
+                .split("\"")[1];
+        String here = run.replaceFirst("-XX:SharedArchiveFile=\\S+", "")
+                .replaceFirst(" java ", " '" + JAVA + "' ")
+                .replaceFirst("-jar \\S+", "-cp '" + System.getProperty("java.class.path") + "' junctionhead.Main");
         Path config = config("127.0.0.1:0");
         Process process = start(config.toString(), "sh", "-c", "trap '' HUP; " + here);
         try (BufferedReader err = process.errorReader(StandardCharsets.UTF_8)) {
@@ -203,8 +224,8 @@
             assertTrue(line.startsWith("junctionhead: listening on "), line);
             Files.writeString(config, Files.readString(config).replace("127.0.0.1:9\"", "127.0.0.1:7\""));
             hangup(process);
-            assertEquals("junctionhead: configuration taken over: discovery at 127.0.0.1:7",
-                nextWith("configuration", err));
+            assertEquals(
+                    "junctionhead: configuration taken over: discovery at 127.0.0.1:7", nextWith("configuration", err));
             process.destroy();
             assertEquals(0, process.waitFor());
         }
@@ -217,10 +238,11 @@
             open = false;
             try (DirectoryStream<Path> all = Files.newDirectoryStream(Path.of("/proc/" + process.pid() + "/fd"))) {
                 for (Path fd : all) {
-                    open |= Files.isSymbolicLink(fd) && Files.readSymbolicLink(fd).equals(file);
+                    open |= Files.isSymbolicLink(fd)
+                            && Files.readSymbolicLink(fd).equals(file);
                 }
             } catch (NoSuchFileException e) {
-                open = true;                            // one was closed while they were looked at
+                open = true; // one was closed while they were looked at
             }
         }
     }
@@ -238,7 +260,11 @@
     }
 
     private static void signal(String name, Process process) throws IOException, InterruptedException {
-        assertEquals(0, new ProcessBuilder("sh", "-c", "kill -" + name + " " + process.pid()).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("sh", "-c", "kill -" + name + " " + process.pid())
+                        .start()
+                        .waitFor());
     }
 
     private static String nextWith(String word, BufferedReader lines) throws IOException {
@@ -251,14 +277,17 @@
 
     private static Path config(String listen) throws IOException {
         Path config = Files.createTempFile("junctionhead", ".json");
-        return Files.writeString(config, """
+        return Files.writeString(
+                config,
+                """
             {"listen": "%s", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964", "settings": {
               "Balancers": 1, "Quantum": 5000, "MembershipMode": "ask",
               "Classes": [{"Name": "a", "Idempotency": "safe", "GoalTime": 600000, "GiveUp": 1200000}],
               "Limits": {"TryLimit": 3, "MayDuplicate": true, "Cancel": true, "Probes": true},
               "Rules": {"AnswerSlack": 20000, "DrainGrace": 1000000, "AskWithin": 10000000, "ColdFrom": 0.2,
                 "RampTime": 20000000, "OverloadFactor": 2.5, "Fall": 1500000}}}
-            """.formatted(listen));
+            """
+                        .formatted(listen));
     }
 
     /** With the heap of the run line: it once ended by memory from 50,000 upstreams on. */
@@ -271,13 +300,23 @@
             out.write(", \"known\": {\"rev\": 41, \"all\": true, \"targets\": [");
             for (int i = 0; i < 200_000; i++) {
                 out.write((i == 0 ? "" : ",") + "{\"uid\":\"s-" + Integer.toHexString(0x5000_0000 + i * 7_919)
-                    + "\",\"endpoint\":\"127.0." + i % 250 + ".1:5000\",\"az\":\"a\",\"model\":\"m2\",\"pod_group\":"
-                    + i / 4 + ",\"state\":\"in_service\",\"capacity_hint\":1.0,\"boot_ms\":0}");
+                        + "\",\"endpoint\":\"127.0." + i % 250
+                        + ".1:5000\",\"az\":\"a\",\"model\":\"m2\",\"pod_group\":"
+                        + i / 4 + ",\"state\":\"in_service\",\"capacity_hint\":1.0,\"boot_ms\":0}");
             }
             out.write("]}}");
         }
-        Process process = start(file.toString(), JAVA, "-XX:+UseSerialGC", "-Xms40m", "-Xmx40m",
-            "-XX:+ExitOnOutOfMemoryError", "-cp", System.getProperty("java.class.path"), "junctionhead.Main", "serve");
+        Process process = start(
+                file.toString(),
+                JAVA,
+                "-XX:+UseSerialGC",
+                "-Xms40m",
+                "-Xmx40m",
+                "-XX:+ExitOnOutOfMemoryError",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "junctionhead.Main",
+                "serve");
         try (BufferedReader err = process.errorReader(StandardCharsets.UTF_8)) {
             String line = nextWith("holds", err);
             assertTrue(String.valueOf(line).startsWith("junctionhead: holds one part in 32 of a list"), line);
@@ -306,16 +345,30 @@
     @Test
     void aBalancerWithoutAnOperatorFileLoadsNothingOfIt() throws IOException, InterruptedException {
         Path loaded = Files.createTempFile("junctionhead", ".loaded");
-        int exit = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-            "-Xlog:class+load:file=" + loaded, "-cp", System.getProperty("java.class.path"), "junctionhead.net.DryRun")
-            .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD).start().waitFor();
+        int exit = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-Xlog:class+load:file=" + loaded,
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "junctionhead.net.DryRun")
+                .redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                .start()
+                .waitFor();
         assertEquals(0, exit);
         String all = Files.readString(loaded);
         Files.delete(loaded);
         assertTrue(all.contains("junctionhead.net.Node"));
-        for (String part : List.of("junctionhead.operator", "junctionhead.front", "junctionhead.routes",
-                "junctionhead.limits", "junctionhead.toml", "junctionhead.cli", "junctionhead.net.Gateway",
-                "com.fasterxml.jackson.databind", "picocli")) {
+        for (String part : List.of(
+                "junctionhead.operator",
+                "junctionhead.front",
+                "junctionhead.routes",
+                "junctionhead.limits",
+                "junctionhead.toml",
+                "junctionhead.cli",
+                "junctionhead.net.Gateway",
+                "com.fasterxml.jackson.databind",
+                "picocli")) {
             assertTrue(!all.contains(" " + part + "."), part);
         }
         assertTrue(!all.contains("junctionhead.net.Gateway") && !all.contains("junctionhead.net.Pool "));
--- a/balancer/src/test/java/junctionhead/cli/CommandsTest.java
+++ b/balancer/src/test/java/junctionhead/cli/CommandsTest.java
@@ -13,7 +13,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class CommandsTest {
-    private static final String FILE = """
+    private static final String FILE =
+            """
         [front]
         unmatched = "refuse"
         [[pool]]
@@ -42,6 +43,7 @@
 
     @TempDir
     private Path folder;
+
     private String out;
     private String err;
 
@@ -62,24 +64,45 @@
     void checkNamesEachFaultAndExitsWithTwo() throws IOException {
         assertEquals(0, run("check", file("a.toml", FILE)));
         assertEquals("a.toml: sound; 3 pools, 2 routes", out.strip());
-        assertEquals(2, run("check", file("b.toml", FILE.replace("to = \"old\"", "to = \"odl\"")
-            .replace("8 }", "-8 }"))));
-        assertEquals(List.of("b.toml:6: 'most' is -8: a number of 0 or more is wanted",
-            "b.toml:14: no pool 'odl'; did you mean 'old'?"), err.lines().toList());
+        assertEquals(
+                2,
+                run(
+                        "check",
+                        file(
+                                "b.toml",
+                                FILE.replace("to = \"old\"", "to = \"odl\"").replace("8 }", "-8 }"))));
+        assertEquals(
+                List.of(
+                        "b.toml:6: 'most' is -8: a number of 0 or more is wanted",
+                        "b.toml:14: no pool 'odl'; did you mean 'old'?"),
+                err.lines().toList());
         assertEquals(2, run("check", folder.resolve("none.toml").toString()));
         assertEquals(2, run("chekc"));
         assertEquals(2, run());
-        assertEquals(2, run("check", file("c.toml", FILE), "--config", folder.resolve("none.json").toString()));
+        assertEquals(
+                2,
+                run(
+                        "check",
+                        file("c.toml", FILE),
+                        "--config",
+                        folder.resolve("none.json").toString()));
     }
 
     @Test
     void explainNamesTheRouteThePoolTheLimitsAndWhyNotTheOthers() throws IOException {
         String file = file("a.toml", FILE);
         assertEquals(0, run("explain", file, "--request", "POST /api/k1", "--tenant", "t1"));
-        assertEquals(List.of("route    book: POST /api/{seat}", "pool     old",
-            "spills   to new up to 100%, as the health of old falls", "limit    of pool old: 8 at once",
-            "rate     of the route: none", "retries  none", "quota    that of tenant 't1'",
-            "not      counter: header x-channel is missing, not 'counter'"), out.lines().toList());
+        assertEquals(
+                List.of(
+                        "route    book: POST /api/{seat}",
+                        "pool     old",
+                        "spills   to new up to 100%, as the health of old falls",
+                        "limit    of pool old: 8 at once",
+                        "rate     of the route: none",
+                        "retries  none",
+                        "quota    that of tenant 't1'",
+                        "not      counter: header x-channel is missing, not 'counter'"),
+                out.lines().toList());
         assertEquals(0, run("explain", file, "--request", "POST /api/k1", "--header", "x-channel: counter"));
         assertTrue(out.contains("pool     new"), out);
         assertTrue(out.contains("not      book: would take it, but is less specific"), out);
--- a/balancer/src/test/java/junctionhead/logs/LogsTest.java
+++ b/balancer/src/test/java/junctionhead/logs/LogsTest.java
@@ -44,26 +44,28 @@
     @Test
     void aReaderThatStopsReadingCostsLinesAndNoTime() throws InterruptedException {
         CountDownLatch reads = new CountDownLatch(1);
-        Sink sink = new Sink(new OutputStream() {
-            @Override
-            public void write(int b) {
-                written.write(b);
-            }
+        Sink sink = new Sink(
+                new OutputStream() {
+                    @Override
+                    public void write(int b) {
+                        written.write(b);
+                    }
 
-            @Override
-            public void write(byte[] b, int off, int len) {
-                try {
-                    reads.await();
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-                written.write(b, off, len);
-            }
-        }, "");
+                    @Override
+                    public void write(byte[] b, int off, int len) {
+                        try {
+                            reads.await();
+                        } catch (InterruptedException e) {
+                            Thread.currentThread().interrupt();
+                        }
+                        written.write(b, off, len);
+                    }
+                },
+                "");
         sink.configure(false, 10);
         Log log = Log.to(Provider.logger("x", sink));
         for (int i = 0; i < 1000; i++) {
-            log.accept("line " + i);                        // would never return if it waited
+            log.accept("line " + i); // would never return if it waited
         }
         assertEquals(990, sink.dropped());
         reads.countDown();
--- a/balancer/src/test/java/junctionhead/net/AnswerReaderTest.java
+++ b/balancer/src/test/java/junctionhead/net/AnswerReaderTest.java
@@ -13,21 +13,22 @@
 class AnswerReaderTest extends NodeFixture {
     /** The request has run, perhaps; the client gets a failure, and the connection is of no further use. */
     @ParameterizedTest
-    @ValueSource(strings = {
-        "\u0001\u0002 noise\r\n\r\n",
-        "ICY 200 OK\r\nContent-Length: 2\r\n\r\nok",
-        "HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nok",
-        "HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok",
-        "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nok",
-        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok",
-        "HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nok",
-        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nok",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n",
-        "HTTP/1.1 200 OK\r\n\r\nno length",
-        "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nand so on",
-        "HTTP/1.1 101 Switching Protocols\r\n\r\n",
-    })
+    @ValueSource(
+            strings = {
+                "\u0001\u0002 noise\r\n\r\n",
+                "ICY 200 OK\r\nContent-Length: 2\r\n\r\nok",
+                "HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nok",
+                "HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok",
+                "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nok",
+                "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok",
+                "HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nok",
+                "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nok",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n",
+                "HTTP/1.1 200 OK\r\n\r\nno length",
+                "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nand so on",
+                "HTTP/1.1 101 Switching Protocols\r\n\r\n",
+            })
     void aSpoiltAnswerIsAFailedAttemptThatMayHaveRun(String answer) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
@@ -59,8 +60,7 @@
 
     /** The copy came in one read with the answer, and the next request was served with it. */
     @ParameterizedTest
-    @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst", "HTTP/1.1 20",
-        "\u0007noise"})
+    @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst", "HTTP/1.1 20", "\u0007noise"})
     void whatComesBehindAnAnswerIsNobodysAnswer(String behind) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
@@ -92,10 +92,11 @@
         start();
         try (Client client = new Client(at)) {
             client.send(SAFE);
-            upstream.next().raw("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
-                + "HTTP/1.1 102 Processing\r\n\r\n"
-                + "HTTP/1.1 200 OK\r\nSrv-Load: TEXT inflight=NaN, eps=-1, queue=Infinity\r\n"
-                + "Content-Length: 2\r\n\r\nok");
+            upstream.next()
+                    .raw("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
+                            + "HTTP/1.1 102 Processing\r\n\r\n"
+                            + "HTTP/1.1 200 OK\r\nSrv-Load: TEXT inflight=NaN, eps=-1, queue=Infinity\r\n"
+                            + "Content-Length: 2\r\n\r\nok");
             assertEquals("OK closed", module.next());
             assertEquals(200, client.status());
             client.send(SAFE);
--- a/balancer/src/test/java/junctionhead/net/AnswersTest.java
+++ b/balancer/src/test/java/junctionhead/net/AnswersTest.java
@@ -38,13 +38,19 @@
             assertEquals(200, client.status());
             assertEquals("abc", new String(client.body, StandardCharsets.UTF_8));
         }
-        assertEquals(1, upstream.connections());    // kept and used again
+        assertEquals(1, upstream.connections()); // kept and used again
     }
 
     @ParameterizedTest
-    @CsvSource({"200,'',OK closed,200", "500,'',ERROR,502", "503,'',ERROR,502",
-        "503,Srv-Declined: 1,FULL,502", "504,Srv-Declined: 1,FULL,502", "500,Srv-Declined: 1,ERROR,502",
-        "429,'',ERROR,502"})
+    @CsvSource({
+        "200,'',OK closed,200",
+        "500,'',ERROR,502",
+        "503,'',ERROR,502",
+        "503,Srv-Declined: 1,FULL,502",
+        "504,Srv-Declined: 1,FULL,502",
+        "500,Srv-Declined: 1,ERROR,502",
+        "429,'',ERROR,502"
+    })
     void onlyADeclinedAnswerProvesThatNothingRan(int status, String header, String told, int passed)
             throws IOException, InterruptedException {
         start();
