--- a/balancer/src/test/java/junctionhead/net/ClientsTest.java
+++ b/balancer/src/test/java/junctionhead/net/ClientsTest.java
@@ -19,21 +19,22 @@
 /** What clients may do to a balancer, in error or ill will. */
 class ClientsTest extends NodeFixture {
     @ParameterizedTest
-    @ValueSource(strings = {
-        "GET /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: read\r\n\r\n",
-        "GET /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: read\r\nReq-Deadline-Ms: soon\r\n\r\n",
-        "GET /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: other\r\nReq-Deadline-Ms: 900\r\n\r\n",
-        "GET /api/k HTTP/1.1\r\nReq-Kind: read\r\nReq-Deadline-Ms: 900\r\n\r\n",
-        "GET /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: book\r\nReq-Deadline-Ms: 900\r\n\r\n",
-        "POST /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: pay\r\nReq-Deadline-Ms: 900\r\n"
-            + "Content-Length: 0\r\n\r\n",
-        "POST /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: book\r\nIdempotency-Key: a\r\n"
-            + "Req-Deadline-Ms: 900\r\nContent-Length: 0\r\n\r\n",
-        "POST /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: book\r\nReq-Deadline-Ms: 900\r\n"
-            + "Content-Length: 60000000\r\n\r\n",
-        "NONSENSE\r\n\r\n",
-        "GET /-/else HTTP/1.1\r\n\r\n",
-    })
+    @ValueSource(
+            strings = {
+                "GET /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: read\r\n\r\n",
+                "GET /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: read\r\nReq-Deadline-Ms: soon\r\n\r\n",
+                "GET /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: other\r\nReq-Deadline-Ms: 900\r\n\r\n",
+                "GET /api/k HTTP/1.1\r\nReq-Kind: read\r\nReq-Deadline-Ms: 900\r\n\r\n",
+                "GET /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: book\r\nReq-Deadline-Ms: 900\r\n\r\n",
+                "POST /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: pay\r\nReq-Deadline-Ms: 900\r\n"
+                        + "Content-Length: 0\r\n\r\n",
+                "POST /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: book\r\nIdempotency-Key: a\r\n"
+                        + "Req-Deadline-Ms: 900\r\nContent-Length: 0\r\n\r\n",
+                "POST /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: book\r\nReq-Deadline-Ms: 900\r\n"
+                        + "Content-Length: 60000000\r\n\r\n",
+                "NONSENSE\r\n\r\n",
+                "GET /-/else HTTP/1.1\r\n\r\n",
+            })
     void badInputIsAPlainErrorThatReachesNobody(String request) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
@@ -46,7 +47,7 @@
 
     @Test
     void descriptorsAreKeptFreeByClosingIdleConnectionsFirst() throws IOException, InterruptedException {
-        start(Map.of(), 4);                         // a reserve of two, two for use
+        start(Map.of(), 4); // a reserve of two, two for use
         try (Client client = new Client(at)) {
             client.send(SAFE);
             FakeUpstream.Got got = upstream.next();
@@ -54,7 +55,9 @@
             assertEquals(200, client.status());
             try (Client second = new Client(at)) {
                 assertTrue(closesSoon(got));
-                assertEquals(200, second.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
+                assertEquals(
+                        200,
+                        second.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
             }
         }
     }
@@ -62,16 +65,18 @@
     /** Clients alone are too many here: no connection to an upstream is closed for them. */
     @Test
     void aCrowdOfClientsClosesNoConnectionToAnUpstream() throws IOException, InterruptedException {
-        start(Map.of(), 24);                        // twelve for use, seven of them for clients
+        start(Map.of(), 24); // twelve for use, seven of them for clients
         List<Client> crowd = new ArrayList<>();
         try (Client client = new Client(at)) {
             client.send(SAFE);
             upstream.next().answer(200, "", "ok");
             assertEquals(200, client.status());
-            for (int i = 0; i < 20; i++) {          // each asks once and stays
+            for (int i = 0; i < 20; i++) { // each asks once and stays
                 Client one = new Client(at);
                 crowd.add(one);
-                assertEquals(200, one.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
+                assertEquals(
+                        200,
+                        one.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
             }
             try (Client late = new Client(at)) {
                 late.send(SAFE.replace("r1", "r2"));
@@ -88,30 +93,30 @@
 
     /** Each could be read in two ways, or hides another request; upstreams see none of them. */
     @ParameterizedTest
-    @ValueSource(strings = {
-        "Content-Length: 44\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-        "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n",
-        "Content-Length: 4\r\nContent-Length: 9\r\n\r\nabcd",
-        "Content-Length: 4\r\nContent-Length: 4\r\n\r\nabcd",
-        "Content-Length: 4, 4\r\n\r\nabcd",
-        "Content-Length: -4\r\n\r\nabcd",
-        "Content-Length: ten\r\n\r\nabcd",
-        "Transfer-Encoding: gzip\r\n\r\nabcd",
-        "Transfer-Encoding: chunked, gzip\r\n\r\n0\r\n\r\n",
-        "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
-        "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-        "Transfer-Encoding: chunked\r\n\r\nzz\r\nabcd\r\n0\r\n\r\n",
-        "Expect: miracles\r\nContent-Length: 0\r\n\r\n",
-        "a line with no colon\r\nContent-Length: 0\r\n\r\n",
-        "Req-Id: second\r\nContent-Length: 0\r\n\r\n",
-        "Req-Deadline-Ms: 5\r\nContent-Length: 0\r\n\r\n",
-    })
-    void whatMayBeReadInTwoWaysIsRefusedAndEndsItsConnection(String rest)
-            throws IOException, InterruptedException {
+    @ValueSource(
+            strings = {
+                "Content-Length: 44\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+                "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n",
+                "Content-Length: 4\r\nContent-Length: 9\r\n\r\nabcd",
+                "Content-Length: 4\r\nContent-Length: 4\r\n\r\nabcd",
+                "Content-Length: 4, 4\r\n\r\nabcd",
+                "Content-Length: -4\r\n\r\nabcd",
+                "Content-Length: ten\r\n\r\nabcd",
+                "Transfer-Encoding: gzip\r\n\r\nabcd",
+                "Transfer-Encoding: chunked, gzip\r\n\r\n0\r\n\r\n",
+                "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
+                "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+                "Transfer-Encoding: chunked\r\n\r\nzz\r\nabcd\r\n0\r\n\r\n",
+                "Expect: miracles\r\nContent-Length: 0\r\n\r\n",
+                "a line with no colon\r\nContent-Length: 0\r\n\r\n",
+                "Req-Id: second\r\nContent-Length: 0\r\n\r\n",
+                "Req-Deadline-Ms: 5\r\nContent-Length: 0\r\n\r\n",
+            })
+    void whatMayBeReadInTwoWaysIsRefusedAndEndsItsConnection(String rest) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send("POST /api/k HTTP/1.1\r\nHost: x\r\nReq-Id: r\r\nReq-Kind: book\r\n"
-                + "Req-Deadline-Ms: 900\r\n" + rest + post("book", "Req-Deadline-Ms: 900\r\n", ""));
+                    + "Req-Deadline-Ms: 900\r\n" + rest + post("book", "Req-Deadline-Ms: 900\r\n", ""));
             int status = client.status();
             assertTrue(status >= 400 && status < 500 && status != 429, "status " + status);
             assertNull(client.answer(), "one answer, and the end");
@@ -121,13 +126,14 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "Req-Id: r\r\nReq-Deadline-Ms: 999999999999\r\n",
-        "Req-Id: r\r\nReq-Deadline-Ms: 0\r\n",
-        "Req-Id: r\r\nReq-Deadline-Ms: -5\r\n",
-        "Req-Id: r s\r\nReq-Deadline-Ms: 900\r\n",
-        "Req-Id: r\r\nReq-Deadline-Ms: 900\r\nContent-Length: 3\r\n",
-    })
+    @ValueSource(
+            strings = {
+                "Req-Id: r\r\nReq-Deadline-Ms: 999999999999\r\n",
+                "Req-Id: r\r\nReq-Deadline-Ms: 0\r\n",
+                "Req-Id: r\r\nReq-Deadline-Ms: -5\r\n",
+                "Req-Id: r s\r\nReq-Deadline-Ms: 900\r\n",
+                "Req-Id: r\r\nReq-Deadline-Ms: 900\r\nContent-Length: 3\r\n",
+            })
     void figuresBeyondReasonAreRefused(String headers) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
@@ -144,7 +150,7 @@
         start();
         try (Client client = new Client(at)) {
             client.send("POST /api/k HTTP/1.1\r\nHost: x\r\nReq-Id: r\r\nReq-Kind: book\r\n"
-                + "Req-Deadline-Ms: 900\r\nContent-Length: 60000000\r\n\r\n");
+                    + "Req-Deadline-Ms: 900\r\nContent-Length: 60000000\r\n\r\n");
             assertEquals(413, client.status());
             byte[] some = new byte[1 << 16];
             assertThrows(IOException.class, () -> {
@@ -169,7 +175,8 @@
     @Test
     void aSecondUseOfAnOpenIdIsRefused() throws IOException, InterruptedException {
         start();
-        try (Client client = new Client(at); Client thief = new Client(at)) {
+        try (Client client = new Client(at);
+                Client thief = new Client(at)) {
             client.send(SAFE);
             FakeUpstream.Got got = upstream.next();
             assertEquals(409, thief.send(SAFE).status());
@@ -177,7 +184,7 @@
             got.answer(200, "", "mine");
             assertEquals(200, client.status());
             assertEquals("mine", new String(client.body, StandardCharsets.UTF_8));
-            client.send(SAFE);                      // free again
+            client.send(SAFE); // free again
             upstream.next().answer(200, "", "ok");
             assertEquals(200, client.status());
         }
@@ -185,8 +192,7 @@
 
     /** Nothing, half a head, half a body, and a byte now and then: all end, and soon enough. */
     @ParameterizedTest
-    @ValueSource(strings = {"", "GET /api/k HT",
-        "POST /api/k HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nabc"})
+    @ValueSource(strings = {"", "GET /api/k HT", "POST /api/k HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nabc"})
     void whoDoesNotFinishIsAnsweredOrDropped(String part) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
@@ -283,11 +289,13 @@
         start(Map.of(), 40);
         List<Client> silent = new ArrayList<>();
         try (Client usual = new Client(at)) {
-            assertEquals(200, usual.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
+            assertEquals(
+                    200, usual.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
             for (int i = 0; i < 200; i++) {
                 silent.add(new Client(at));
             }
-            assertEquals(200, usual.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
+            assertEquals(
+                    200, usual.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
             try (Client late = new Client(at)) {
                 late.send(SAFE);
                 upstream.next().answer(200, "", "ok");
--- a/balancer/src/test/java/junctionhead/net/DiscoveryTest.java
+++ b/balancer/src/test/java/junctionhead/net/DiscoveryTest.java
@@ -24,13 +24,14 @@
         watch.raw(chunk(first.substring(0, 30)));
         watch.raw(chunk(first.substring(30)));
         assertEquals("COMPLETE [s1=UP]", module.next());
-        watch.raw(chunk("\n"));                     // nothing has changed
+        watch.raw(chunk("\n")); // nothing has changed
         watch.raw(chunk(list(44, false, "terminating")));
         assertEquals("PARTIAL [s1=DRAINING]", module.next());
         watch.raw(chunk("{not json\n"));
         assertEquals("FAILED []", module.next());
         onLoop(() -> module.actions.watch(true));
-        assertEquals("GET /api/targets?watch=1&from=44 HTTP/1.1", discovery.next().line());
+        assertEquals(
+                "GET /api/targets?watch=1&from=44 HTTP/1.1", discovery.next().line());
         onLoop(() -> module.actions.fetchList());
         FakeUpstream.Got fetch = discovery.next();
         assertEquals("GET /api/targets HTTP/1.1", fetch.line());
@@ -77,7 +78,7 @@
             try {
                 watch.raw(chunk("\n"));
             } catch (IOException e) {
-                told = module.next();               // the balancer has closed it
+                told = module.next(); // the balancer has closed it
             }
             told = told != null ? told : module.told.poll(100, TimeUnit.MILLISECONDS);
         }
@@ -96,8 +97,11 @@
         FakeUpstream.Got watch = discovery.next();
         watch.raw(OPEN + chunk("\n"));
         assertEquals("PARTIAL []", module.next());
-        node.loop().schedule(() -> module.told.add("two failed calls of 2 s later"), 6_000 + 1_000 - 2_500,
-            TimeUnit.MILLISECONDS);
+        node.loop()
+                .schedule(
+                        () -> module.told.add("two failed calls of 2 s later"),
+                        6_000 + 1_000 - 2_500,
+                        TimeUnit.MILLISECONDS);
         assertEquals("FAILED []", module.next());
         assertEquals("two failed calls of 2 s later", module.next());
     }
@@ -110,8 +114,9 @@
         FakeUpstream.Got watch = discovery.next();
         assertEquals("GET /api/targets?watch=1&from=41 HTTP/1.1", watch.line());
         try (Client client = new Client(at)) {
-            assertEquals(503, client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
-            client.send(SAFE);                      // the module of this test sends it all the same
+            assertEquals(
+                    503, client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
+            client.send(SAFE); // the module of this test sends it all the same
             assertEquals("NOT_SENT", module.next());
             assertEquals(502, client.status());
             watch.raw(OPEN + chunk(list(42, false, "terminating")));
@@ -119,14 +124,17 @@
             client.send(SAFE);
             assertEquals("NOT_SENT", module.next());
             assertEquals(502, client.status());
-            assertEquals(503, client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
+            assertEquals(
+                    503, client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
             watch.raw(chunk(list(43, false, "in_service")));
             assertEquals("PARTIAL [s1=UP]", module.next());
-            assertEquals(200, client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
+            assertEquals(
+                    200, client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
         }
         assertEquals(0, upstream.connections());
         watch.reset();
-        assertEquals("GET /api/targets?watch=1&from=43 HTTP/1.1", discovery.next().line());
+        assertEquals(
+                "GET /api/targets?watch=1&from=43 HTTP/1.1", discovery.next().line());
     }
 
     /** The agent has nothing newer than what was known: an empty line says so, and is enough. */
@@ -137,7 +145,8 @@
         discovery.next().raw(OPEN + chunk("\n"));
         assertEquals("COMPLETE [s1=UP]", module.next());
         try (Client client = new Client(at)) {
-            assertEquals(200, client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
+            assertEquals(
+                    200, client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
         }
     }
 
@@ -154,18 +163,22 @@
             discovery.close();
         }
         start(Map.of(), 1024, "push");
-        node.loop().schedule(() -> module.told.add(String.valueOf(node.operations().unreadiness())),
-            3_500, TimeUnit.MILLISECONDS);
-        assertEquals("null", module.next());        // and no list before it
+        node.loop()
+                .schedule(
+                        () -> module.told.add(String.valueOf(node.operations().unreadiness())),
+                        3_500,
+                        TimeUnit.MILLISECONDS);
+        assertEquals("null", module.next()); // and no list before it
         try (Client client = new Client(at)) {
-            assertEquals(200, client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
-            client.send(SAFE);                      // the module of this test sends it all the same
+            assertEquals(
+                    200, client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
+            client.send(SAFE); // the module of this test sends it all the same
             assertEquals("NOT_SENT", module.next());
             assertEquals(502, client.status());
         }
         if (!refused) {
             String told = null;
-            while (told == null) {                  // a call that hangs is given up for another
+            while (told == null) { // a call that hangs is given up for another
                 try {
                     discovery.next().raw(OPEN + chunk(list(42, false, "terminating")));
                     told = module.told.poll(1, TimeUnit.SECONDS);
@@ -183,13 +196,13 @@
     @Timeout(60)
     void aWatchThatBeganWithAListIsNotOpenedAnewBeforeTheNextLineIsDue() throws IOException, InterruptedException {
         Map<String, Object> settings = settings();
-        settings.put("MembershipMode", "push");     // and the grace of the site: a call must be answered in half of it
-        node = new Node(config(1024, settings, 0), (s, seed) -> module, rehearse, line -> { });
+        settings.put("MembershipMode", "push"); // and the grace of the site: a call must be answered in half of it
+        node = new Node(config(1024, settings, 0), (s, seed) -> module, rehearse, line -> {});
         node.start();
         FakeUpstream.Got watch = discovery.next();
         long before = System.nanoTime();
         watch.raw(OPEN + chunk(list(42, true, "in_service")));
-        String line = discovery.next().line();      // nothing more is said: it is broken in the end
+        String line = discovery.next().line(); // nothing more is said: it is broken in the end
         long silent = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - before);
         assertEquals("GET /api/targets?watch=1&from=42 HTTP/1.1", line);
         assertTrue(silent >= 2_900, "opened anew after " + silent + " ms, while a line comes every 2 s");
@@ -197,15 +210,14 @@
 
     /** A new configuration names another discovery: watched at once, and the old one's end is no failure. */
     @Test
-    void aNewConfigurationMovesTheWatchAndKeepsTheListAndTheRequests()
-            throws IOException, InterruptedException {
+    void aNewConfigurationMovesTheWatchAndKeepsTheListAndTheRequests() throws IOException, InterruptedException {
         start();
         onLoop(() -> module.actions.watch(true));
         FakeUpstream.Got old = discovery.next();
-        old.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-            + chunk(list(42, true, "in_service")));
+        old.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list(42, true, "in_service")));
         assertEquals("COMPLETE [s1=UP]", module.next());
-        try (FakeUpstream second = new FakeUpstream(); FakeUpstream third = new FakeUpstream();
+        try (FakeUpstream second = new FakeUpstream();
+                FakeUpstream third = new FakeUpstream();
                 Client client = new Client(at)) {
             client.send(SAFE);
             FakeUpstream.Got held = upstream.next();
@@ -213,24 +225,23 @@
                 throw new Config.Bad("no good");
             });
             node.reload(() -> config(second.address()));
-            node.reload(() -> config(second.address()));        // said twice, moved once
+            node.reload(() -> config(second.address())); // said twice, moved once
             assertTrue(old.closedByPeer());
             FakeUpstream.Got watch = second.next();
             assertEquals("GET /api/targets?watch=1&from=0 HTTP/1.1", watch.line());
             held.answer(200, "", "ok");
-            assertEquals("OK closed", module.next());           // and no FAILED before it
+            assertEquals("OK closed", module.next()); // and no FAILED before it
             assertEquals(200, client.status());
-            client.send(SAFE);                                  // by the old list, meanwhile
+            client.send(SAFE); // by the old list, meanwhile
             upstream.next().answer(200, "", "ok");
             assertEquals(200, client.status());
             assertEquals("OK closed", module.next());
-            watch.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                + chunk(list(7, true, "terminating")));
+            watch.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list(7, true, "terminating")));
             assertEquals("COMPLETE [s1=DRAINING]", module.next());
             node.reload(() -> config(third.address()));
             assertTrue(watch.closedByPeer());
             third.next().socket().close();
-            assertEquals("FAILED []", module.next());           // the new one's end is one
+            assertEquals("FAILED []", module.next()); // the new one's end is one
             assertTrue(second.isEmpty());
         }
         synchronized (log) {
--- a/balancer/src/test/java/junctionhead/net/FakeUpstream.java
+++ b/balancer/src/test/java/junctionhead/net/FakeUpstream.java
@@ -47,8 +47,8 @@
 
         void answer(int status, String headers, byte[] body) throws IOException {
             ByteArrayOutputStream out = new ByteArrayOutputStream();
-            out.write(("HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length
-                + "\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
+            out.write(("HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length + "\r\n\r\n")
+                    .getBytes(StandardCharsets.ISO_8859_1));
             out.write(body);
             raw(out.toByteArray());
         }
@@ -101,7 +101,7 @@
             try {
                 work.run();
             } catch (IOException e) {
-                Thread.currentThread().interrupt();     // the socket has ended, and so does its reader
+                Thread.currentThread().interrupt(); // the socket has ended, and so does its reader
             }
         });
         thread.setDaemon(true);
@@ -121,7 +121,7 @@
             byte[] body = in.readNBytes(length == null ? 0 : Integer.parseInt(length));
             requests.add(new Got(head, body, socket, number));
             if (head.contains("watch=1")) {
-                return;                                 // the test reads the rest, if anything
+                return; // the test reads the rest, if anything
             }
         }
     }
--- a/balancer/src/test/java/junctionhead/net/GatewayTest.java
+++ b/balancer/src/test/java/junctionhead/net/GatewayTest.java
@@ -58,7 +58,7 @@
 
     private String pool(String name, FakeUpstream at1, String more) {
         return "[[pool]]\nname = \"" + name + "\"\nupstreams = [" + (at1 == null ? "" : "\"" + at1.address() + "\"")
-            + "]\nsettings = { probes = false }\n" + more;
+                + "]\nsettings = { probes = false }\n" + more;
     }
 
     private static String route(String name, String path, String more) {
@@ -67,7 +67,7 @@
 
     private static String get(String path, String id, String more) {
         return "GET " + path + " HTTP/1.1\r\nHost: h\r\nReq-Id: " + id + "\r\nReq-Kind: read\r\n"
-            + "Req-Deadline-Ms: 20000\r\n" + more + "\r\n";
+                + "Req-Deadline-Ms: 20000\r\n" + more + "\r\n";
     }
 
     private static void answer(FakeUpstream at1, String body) {
@@ -93,11 +93,14 @@
     @Test
     void requestsGoWhereTheFileSaysOrAreTurnedAwayAtOnce() throws IOException {
         assertTrue(operate("[front]\nunmatched = \"refuse\"\n" + pool("one", first, "") + pool("two", second, "")
-            + pool("empty", null, "")
-            + route("deep", "/api/{key}", "to = \"one\"\n") + route("all", "/api/**", "to = \"two\"\n")
-            + route("counter", "/api/**", "headers = { X-Channel = \"counter\" }\nto = \"one\"\n")
-            + route("nobody", "/empty/{key}", "to = \"empty\"\n")
-            + route("nothing", "/zero", "to = [{ pool = \"one\", weight = 0 }, { pool = \"two\", weight = 0 }]\n")));
+                + pool("empty", null, "")
+                + route("deep", "/api/{key}", "to = \"one\"\n") + route("all", "/api/**", "to = \"two\"\n")
+                + route("counter", "/api/**", "headers = { X-Channel = \"counter\" }\nto = \"one\"\n")
+                + route("nobody", "/empty/{key}", "to = \"empty\"\n")
+                + route(
+                        "nothing",
+                        "/zero",
+                        "to = [{ pool = \"one\", weight = 0 }, { pool = \"two\", weight = 0 }]\n")));
         assertEquals("200", ask(get("/api/k1", "r1", ""), first));
         assertEquals("200", ask(get("/api/a%2Fb", "r2", ""), first), "an encoded slash is none");
         assertEquals("200", ask(get("/api/a/b?c=/d", "r3", ""), second));
@@ -112,8 +115,9 @@
 
     @Test
     void whatMayHaveRunInTheFirstPoolNeverRunsInTheSecond() throws IOException, InterruptedException {
-        assertTrue(operate(pool("one", first, "") + pool("two", second, "")
-            + route("book", "/api/{key}", "to = \"one\"\nspill = [\"two\"]\n")));
+        assertTrue(operate(pool("one", first, "")
+                + pool("two", second, "")
+                + route("book", "/api/{key}", "to = \"one\"\nspill = [\"two\"]\n")));
         try (Client client = new Client(at)) {
             client.send(post("book", "Req-Deadline-Ms: 20000\r\n", "seat 7"));
             FakeUpstream.Got got = first.next();
@@ -127,8 +131,9 @@
     @Test
     void aPoolThatHangsIsFullSoonAndCostsTheOthersNothing() throws IOException, InterruptedException {
         assertTrue(operate(pool("one", first, "limit = { kind = \"fixed\", most = 2 }\nconnections = 2\n")
-            + pool("two", second, "") + route("a", "/a/{key}", "to = \"one\"\n")
-            + route("b", "/b/{key}", "to = \"two\"\n")));
+                + pool("two", second, "")
+                + route("a", "/a/{key}", "to = \"one\"\n")
+                + route("b", "/b/{key}", "to = \"two\"\n")));
         List<Client> hanging = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             hanging.add(new Client(at).send(get("/a/k" + i, "hang" + i, "")));
@@ -147,7 +152,10 @@
             c.close();
         }
         // The limit is free again once its clients have left.
-        await(() -> node.loop().submit(() -> node.gateway().front().view().get(0).open()).get() == 0);
+        await(() -> node.loop()
+                        .submit(() -> node.gateway().front().view().get(0).open())
+                        .get()
+                == 0);
         assertEquals("200", ask(get("/a/k", "again", ""), first));
     }
 
@@ -163,8 +171,11 @@
 
     @Test
     void clientsMarkedRetriesDrawOnTheBudget() throws IOException {
-        assertTrue(operate(pool("one", first, "") + route("a", "/api/{key}",
-            "to = \"one\"\nretries = { share = 0, least = \"1/h\", count_clients = true }\n")));
+        assertTrue(operate(pool("one", first, "")
+                + route(
+                        "a",
+                        "/api/{key}",
+                        "to = \"one\"\nretries = { share = 0, least = \"1/h\", count_clients = true }\n")));
         assertEquals("503", ask(get("/api/k", "r1", "Req-Retry: 1\r\n"), null));
         assertEquals("200", ask(get("/api/k", "r2", ""), first));
     }
@@ -175,8 +186,8 @@
         assertFalse(operate(pool("one", second, "") + route("a", "/api/{key}", "to = \"oen\"\n")));
         assertEquals("200", ask(get("/api/k", "r1", ""), first));
         synchronized (log) {
-            assertTrue(log.contains("operator file: operator.toml:8: no pool 'oen'; did you mean 'one'?"),
-                log::toString);
+            assertTrue(
+                    log.contains("operator file: operator.toml:8: no pool 'oen'; did you mean 'one'?"), log::toString);
         }
     }
 
@@ -188,9 +199,11 @@
         serveAll(second, over);
         String[] files = {
             pool("one", first, "") + route("a", "/api/{key}", "to = \"one\"\n"),
-            pool("other", first, "") + pool("two", second, "limit = { kind = \"gradient\", start = 50 }\n")
-                + route("a", "/api/{key}", "to = [\"other\", \"two\"]\ndeadline = \"19s\"\n"),
-            pool("two", first, "") + route("b", "/api/**", "to = \"two\"\nspill = [\"site\"]\n")};
+            pool("other", first, "")
+                    + pool("two", second, "limit = { kind = \"gradient\", start = 50 }\n")
+                    + route("a", "/api/{key}", "to = [\"other\", \"two\"]\ndeadline = \"19s\"\n"),
+            pool("two", first, "") + route("b", "/api/**", "to = \"two\"\nspill = [\"site\"]\n")
+        };
         assertTrue(operate(files[0]));
         AtomicInteger answers = new AtomicInteger();
         List<Future<Integer>> clients = new ArrayList<>();
@@ -248,7 +261,9 @@
     void operatorsTakeUpstreamsOfAnyPoolOut() throws Exception {
         assertTrue(operate(pool("one", first, "") + route("a", "/api/{key}", "to = \"one\"\n")));
         String id = "one/" + first.address();
-        assertEquals(Map.of(true, id), Map.of(node.loop().submit(() -> node.operations().setDown(id)).get(), id));
+        assertEquals(
+                Map.of(true, id),
+                Map.of(node.loop().submit(() -> node.operations().setDown(id)).get(), id));
         assertEquals("503", ask(get("/api/k", "r1", "").replace("20000", "1500"), null));
         assertTrue(node.loop().submit(() -> node.operations().setUp(id)).get());
         assertEquals("200", ask(get("/api/k", "r2", ""), first));
--- a/balancer/src/test/java/junctionhead/net/HandoverTest.java
+++ b/balancer/src/test/java/junctionhead/net/HandoverTest.java
@@ -27,6 +27,7 @@
     // Not @TempDir's usual place alone: a Unix socket's path is short.
     @TempDir
     Path folder;
+
     private ServerSocketChannel shared;
     private Node successor;
     private final Scripted next = new Scripted();
@@ -46,8 +47,8 @@
     }
 
     private Node process(Scripted with) throws IOException, InterruptedException {
-        Node process = new Node(config(1024, settings(), 0), new Node.Platform(shared, folder),
-            (s, seed) -> with, false, line -> { });
+        Node process = new Node(
+                config(1024, settings(), 0), new Node.Platform(shared, folder), (s, seed) -> with, false, line -> {});
         at = process.start();
         assertEquals("PERSISTED [s1=UP]", with.next());
         assertTrue(process.awaitReady(20_000));
@@ -56,7 +57,7 @@
 
     private void awaitOffer() throws InterruptedException {
         Path socket = folder.resolve("handover.sock");
-        while (!Files.exists(socket) || Files.isRegularFile(socket)) {     // a process offers just after it is ready
+        while (!Files.exists(socket) || Files.isRegularFile(socket)) { // a process offers just after it is ready
             TimeUnit.MILLISECONDS.sleep(5);
         }
     }
@@ -83,10 +84,11 @@
     }
 
     private Node withPools() throws IOException, InterruptedException {
-        Node process = new Node(config(1024, settings(), 0), new Node.Platform(shared, folder), Balance::new, false,
-            line -> { });
-        Path file = Files.writeString(folder.resolve("operator.toml"), "[[pool]]\nname = \"one\"\nupstreams = [\""
-            + upstream.address() + "\", \"127.0.0.1:9\"]\n");
+        Node process = new Node(
+                config(1024, settings(), 0), new Node.Platform(shared, folder), Balance::new, false, line -> {});
+        Path file = Files.writeString(
+                folder.resolve("operator.toml"),
+                "[[pool]]\nname = \"one\"\nupstreams = [\"" + upstream.address() + "\", \"127.0.0.1:9\"]\n");
         assertTrue(process.operate(file, false));
         at = process.start();
         assertTrue(process.awaitReady(20_000));
@@ -100,7 +102,7 @@
         String id = "one/" + upstream.address();
         assertTrue(node.loop().submit(() -> node.operations().setDown(id)).get(20, TimeUnit.SECONDS));
         successor = withPools();
-        while (upOf(successor) > 1) {                       // ready at once here, as there is no rehearsal
+        while (upOf(successor) > 1) { // ready at once here, as there is no rehearsal
             TimeUnit.MILLISECONDS.sleep(5);
         }
         assertTrue(node.loop().submit(() -> node.operations().setUp(id)).get(20, TimeUnit.SECONDS));
@@ -112,11 +114,16 @@
     }
 
     private static int upOf(Node process) throws Exception {
-        return process.loop().submit(() -> {
-            process.gateway().look();
-            return process.gateway().front().view().stream().filter(p -> p.name().equals("one")).findFirst()
-                .orElseThrow().upstreams();
-        }).get(20, TimeUnit.SECONDS);
+        return process.loop()
+                .submit(() -> {
+                    process.gateway().look();
+                    return process.gateway().front().view().stream()
+                            .filter(p -> p.name().equals("one"))
+                            .findFirst()
+                            .orElseThrow()
+                            .upstreams();
+                })
+                .get(20, TimeUnit.SECONDS);
     }
 
     @Test
@@ -133,7 +140,9 @@
         }
         for (int i = 0; i < 5; i++) {
             try (Client client = new Client(at)) {
-                assertEquals(200, client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
+                assertEquals(
+                        200,
+                        client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
             }
         }
         got.answer(200, "", "late but whole");
@@ -148,7 +157,7 @@
         Files.writeString(folder.resolve("handover.sock"), "left behind");
         node = process(module);
         awaitOffer();
-        successor = process(next);                  // the name has been taken over
+        successor = process(next); // the name has been taken over
         assertEquals("OWN [s1=UP]", next.next());
     }
 
@@ -158,7 +167,9 @@
             hung.bind(UnixDomainSocketAddress.of(folder.resolve("handover.sock")));
             node = process(module);
             try (Client client = new Client(at)) {
-                assertEquals(200, client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
+                assertEquals(
+                        200,
+                        client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
             }
         }
     }
--- a/balancer/src/test/java/junctionhead/net/LargeBodiesTest.java
+++ b/balancer/src/test/java/junctionhead/net/LargeBodiesTest.java
@@ -31,7 +31,7 @@
 
     private static String postHead(String framing) {
         return "POST /api/k1 HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\nReq-Kind: book\r\n"
-            + "Req-Deadline-Ms: 20000\r\n" + framing + "\r\n\r\n";
+                + "Req-Deadline-Ms: 20000\r\n" + framing + "\r\n\r\n";
     }
 
     @Test
@@ -106,7 +106,7 @@
     @Test
     void whoSendsALargeBodyAndLeavesBeforeItHasAnUpstreamIsNoticed() throws Exception {
         start();
-        module.server = null;                       // none is free
+        module.server = null; // none is free
         byte[] big = noise(500_000);
         for (int i = 1; i <= 20; i++) {
             try (Client client = new Client(at)) {
@@ -118,7 +118,7 @@
             String left = String.valueOf(i);
             onLoop(() -> module.actions.send(left, "s1", 0));
         }
-        node.loop().submit(() -> { }).awaitUninterruptibly(20_000);
+        node.loop().submit(() -> {}).awaitUninterruptibly(20_000);
         assertEquals(0, upstream.connections());
     }
 
@@ -217,8 +217,9 @@
                             client.send("0\r\n\r\n");
                         }
                         assertArrayEquals(big, body.get(20, TimeUnit.SECONDS));
-                        taken.getOutputStream().write("HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\nok"
-                            .getBytes(StandardCharsets.ISO_8859_1));
+                        taken.getOutputStream()
+                                .write("HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\nok"
+                                        .getBytes(StandardCharsets.ISO_8859_1));
                         assertEquals(200, client.status());
                         assertEquals("OK closed", module.next());
                     }
@@ -227,8 +228,7 @@
         }
     }
 
-    private static void write(OutputStream out, byte[] from, int begin, int end, boolean chunked)
-            throws IOException {
+    private static void write(OutputStream out, byte[] from, int begin, int end, boolean chunked) throws IOException {
         int step = 50_021;
         for (int i = begin; i < end; i += step) {
             int bytes = Math.min(step, end - i);
@@ -255,7 +255,7 @@
             String second = module.next();
             assertTrue(second.equals("NOT_SENT"), second);
             assertEquals(502, client.status());
-            client.send(SAFE);                      // what follows on the connection is read as before
+            client.send(SAFE); // what follows on the connection is read as before
             upstream.next().answer(200, "", "ok");
             assertEquals(200, client.status());
             assertNull(got.header("Transfer-Encoding"));
--- a/balancer/src/test/java/junctionhead/net/LifeCycleTest.java
+++ b/balancer/src/test/java/junctionhead/net/LifeCycleTest.java
@@ -25,21 +25,21 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        node = new Node(config(1024, settings(), port), (s, seed) -> module, false, line -> { });
+        node = new Node(config(1024, settings(), port), (s, seed) -> module, false, line -> {});
         Thread.currentThread().interrupt();
         assertThrows(IOException.class, node::start);
         assertTrue(Thread.interrupted());
-        node.loop().submit(() -> { }).get(20, TimeUnit.SECONDS);    // the listener is registered, which queues its bind
-        node.loop().submit(() -> { }).get(20, TimeUnit.SECONDS);    // and the bind has been carried out
+        node.loop().submit(() -> {}).get(20, TimeUnit.SECONDS); // the listener is registered, which queues its bind
+        node.loop().submit(() -> {}).get(20, TimeUnit.SECONDS); // and the bind has been carried out
         InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
         try (Client client = new Client(to)) {
-            assertEquals(503, client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
+            assertEquals(
+                    503, client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
         }
     }
 
     @Test
-    void aRehearsalComesBeforeReadinessAndReachesNeitherModuleNorUpstream()
-            throws IOException, InterruptedException {
+    void aRehearsalComesBeforeReadinessAndReachesNeitherModuleNorUpstream() throws IOException, InterruptedException {
         rehearse = true;
         start();
         try (Client client = new Client(at)) {
@@ -48,8 +48,12 @@
                 status = client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status();
             }
             assertEquals(200, status);
-            assertEquals(404, client.send("GET /-/rehearsed HTTP/1.1\r\nHost: x\r\n\r\n").status());
-            assertEquals(404, client.send(SAFE.replace("/api/k1?x=%20y", "/-/rehearsal")).status());
+            assertEquals(
+                    404,
+                    client.send("GET /-/rehearsed HTTP/1.1\r\nHost: x\r\n\r\n").status());
+            assertEquals(
+                    404,
+                    client.send(SAFE.replace("/api/k1?x=%20y", "/-/rehearsal")).status());
             assertTrue(module.requests.isEmpty());
             assertEquals(0, upstream.connections());
             client.send(SAFE);
@@ -59,8 +63,7 @@
     }
 
     @Test
-    void anOrderlyStopAnswersWhatIsHeldAndGoesOnTakingConnectionsForAWhile()
-            throws IOException, InterruptedException {
+    void anOrderlyStopAnswersWhatIsHeldAndGoesOnTakingConnectionsForAWhile() throws IOException, InterruptedException {
         start();
         Client idle = new Client(at);
         assertEquals(200, idle.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
@@ -75,7 +78,7 @@
             }
         }
         assertEquals(503, ready);
-        assertNull(idle.answer());                  // dropped at rest
+        assertNull(idle.answer()); // dropped at rest
         got.answer(200, "", "late but whole");
         String head = held.answer();
         assertTrue(head.startsWith("HTTP/1.1 200"), head);
@@ -105,13 +108,15 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "{} | ROUTER_LISTEN is not set, and the configuration has no listen",
-        "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"localhost:1\"} | discovery: not an address: 'localhost'",
-        "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\"} | the configuration has no settings",
-        "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"settings\":{\"Quantum\":1}} "
-            + "| settings: ",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "{} | ROUTER_LISTEN is not set, and the configuration has no listen",
+                "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"localhost:1\"} | discovery: not an address: 'localhost'",
+                "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\"} | the configuration has no settings",
+                "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"settings\":{\"Quantum\":1}} "
+                        + "| settings: ",
+            })
     void badConfigurationIsNamed(String json, String complaint) throws IOException {
         try {
             Config.of(Map.of("ROUTER_NAME", "n1"), com.fasterxml.jackson.jr.ob.JSON.std.mapFrom(json));
--- a/balancer/src/test/java/junctionhead/net/LongListTest.java
+++ b/balancer/src/test/java/junctionhead/net/LongListTest.java
@@ -27,8 +27,11 @@
     private static final String OPEN = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     private String longList(int rev, boolean all, String state) {
-        return "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[" + IntStream.range(0, 100)
-            .mapToObj(i -> target(state).replace("\"s1\"", "\"s" + i + "\"")).collect(Collectors.joining(",")) + "]}\n";
+        return "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":["
+                + IntStream.range(0, 100)
+                        .mapToObj(i -> target(state).replace("\"s1\"", "\"s" + i + "\""))
+                        .collect(Collectors.joining(","))
+                + "]}\n";
     }
 
     private static int entries(String event) {
@@ -39,9 +42,21 @@
         Map<String, Object> settings = settings();
         settings.put("Balancers", 16);
         settings.put("Rank", 5);
-        Map<String, Object> json = new LinkedHashMap<>(Map.of("name", "n1", "listen", "127.0.0.1:0",
-            "admin_addr", "127.0.0.1:0", "discovery", discovery.address(), "seed", "8c1f30d27a5be964",
-            "limits", Map.of("sockets", 1024, "upstreams", MOST), "settings", settings));
+        Map<String, Object> json = new LinkedHashMap<>(Map.of(
+                "name",
+                "n1",
+                "listen",
+                "127.0.0.1:0",
+                "admin_addr",
+                "127.0.0.1:0",
+                "discovery",
+                discovery.address(),
+                "seed",
+                "8c1f30d27a5be964",
+                "limits",
+                Map.of("sockets", 1024, "upstreams", MOST),
+                "settings",
+                settings));
         if (known != null) {
             json.put("known", JSON.std.mapFrom(known));
         }
@@ -58,7 +73,7 @@
 
     private String persisted() throws InterruptedException {
         String event = module.next();
-        while (!event.startsWith("PERSISTED")) {        // the share of a cold budget comes before it
+        while (!event.startsWith("PERSISTED")) { // the share of a cold budget comes before it
             event = module.next();
         }
         return event;
@@ -68,8 +83,8 @@
         try (Socket socket = new Socket(operators.getAddress(), operators.getPort())) {
             socket.setSoTimeout(20_000);
             socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
-            return new BufferedReader(
-                new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8)).readLine();
+            return new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8))
+                    .readLine();
         }
     }
 
@@ -88,11 +103,19 @@
             assertEquals("ready" + note, new String(client.body, StandardCharsets.UTF_8).strip());
         }
         synchronized (log) {
-            assertEquals(1, log.stream().filter(l -> l.startsWith("holds one part in 16")).count(), log.toString());
+            assertEquals(
+                    1,
+                    log.stream()
+                            .filter(l -> l.startsWith("holds one part in 16"))
+                            .count(),
+                    log.toString());
         }
         // Whether somebody has it can't be known here; if it is held one day, it is out.
-        String other = IntStream.range(0, 100).mapToObj(i -> "s" + i).filter(s -> !event.contains(s + "=")).findFirst()
-            .orElseThrow();
+        String other = IntStream.range(0, 100)
+                .mapToObj(i -> "s" + i)
+                .filter(s -> !event.contains(s + "="))
+                .findFirst()
+                .orElseThrow();
         assertTrue(call(operators, "set-down " + other).startsWith("ACK "));
     }
 
@@ -129,7 +152,8 @@
             event = module.next();
         }
         assertTrue(entries(event) > 0, event);
-        for (String entry : first.substring(first.indexOf('[') + 1, first.length() - 1).split(", ")) {
+        for (String entry :
+                first.substring(first.indexOf('[') + 1, first.length() - 1).split(", ")) {
             assertTrue(!event.contains(entry + ",") && !event.contains(entry + "]"), entry + " again in " + event);
         }
     }
@@ -138,13 +162,27 @@
     @ValueSource(strings = {"0", "-1", "2.5", "\"many\""})
     void anUnusableBoundIsNamed(String bound) throws IOException {
         Path file = Files.createTempFile("long-list", ".json");
-        Files.writeString(file, JSON.std.asString(Map.of("name", "n1", "listen", "127.0.0.1:0", "discovery",
-            discovery.address(), "seed", "1", "settings", settings(), "limits", Map.of("sockets", 100)))
-            .replace("\"sockets\":100", "\"sockets\":100,\"upstreams\":" + bound));
-        Config.Bad bad = assertThrows(Config.Bad.class,
-            () -> Config.read(Map.of("ROUTER_CONFIG", file.toString())));
+        Files.writeString(
+                file,
+                JSON.std
+                        .asString(Map.of(
+                                "name",
+                                "n1",
+                                "listen",
+                                "127.0.0.1:0",
+                                "discovery",
+                                discovery.address(),
+                                "seed",
+                                "1",
+                                "settings",
+                                settings(),
+                                "limits",
+                                Map.of("sockets", 100)))
+                        .replace("\"sockets\":100", "\"sockets\":100,\"upstreams\":" + bound));
+        Config.Bad bad = assertThrows(Config.Bad.class, () -> Config.read(Map.of("ROUTER_CONFIG", file.toString())));
         Files.delete(file);
-        assertEquals("limits: upstreams: a whole number of 1 or more is wanted: " + bound.replace("\"", ""),
-            bad.getMessage());
+        assertEquals(
+                "limits: upstreams: a whole number of 1 or more is wanted: " + bound.replace("\"", ""),
+                bad.getMessage());
     }
 }
--- a/balancer/src/test/java/junctionhead/net/NodeFixture.java
+++ b/balancer/src/test/java/junctionhead/net/NodeFixture.java
@@ -34,7 +34,7 @@
         volatile boolean broken;
         volatile boolean again;
         volatile boolean cancels = true;
-        volatile Runnable onOutcome = () -> { };
+        volatile Runnable onOutcome = () -> {};
         volatile String server = "s1";
         volatile Policy.Actions actions;
 
@@ -42,12 +42,21 @@
         public void servers(long now, ListKind kind, List<Server> servers, Actions out) {
             actions = out;
             servers.forEach(s -> startedAt.put(s.id(), s.startedAt()));
-            told.add(kind + " " + servers.stream().map(s -> s.id() + "=" + s.state()).toList());
+            told.add(kind + " "
+                    + servers.stream().map(s -> s.id() + "=" + s.state()).toList());
         }
 
         @Override
-        public void request(long now, String request, int requestClass, int tenant, String key, long timeLeft,
-                long work, boolean resubmission, Actions out) {
+        public void request(
+                long now,
+                String request,
+                int requestClass,
+                int tenant,
+                String key,
+                long timeLeft,
+                long work,
+                boolean resubmission,
+                Actions out) {
             requests.add(requestClass + " " + key + " " + work + " " + resubmission);
             if (broken) {
                 throw new IllegalStateException("broken");
@@ -58,8 +67,15 @@
         }
 
         @Override
-        public void outcome(long now, String request, int attempt, Outcome outcome, long latency,
-                boolean closed, Load load, Actions out) {
+        public void outcome(
+                long now,
+                String request,
+                int attempt,
+                Outcome outcome,
+                long latency,
+                boolean closed,
+                Load load,
+                Actions out) {
             told.add(outcome + (load == null ? "" : " " + load.inFlight()) + (closed ? " closed" : ""));
             onOutcome.run();
             if (!closed && again && outcome == Outcome.FULL) {
@@ -70,7 +86,7 @@
         }
 
         @Override
-        public void streamStarted(long now, String request, int attempt, Actions out) { }
+        public void streamStarted(long now, String request, int attempt, Actions out) {}
 
         @Override
         public void clientGone(long now, String request, Actions out) {
@@ -108,7 +124,7 @@
         }
 
         @Override
-        public void wake(long now, Actions out) { }
+        public void wake(long now, Actions out) {}
 
         String next() throws InterruptedException {
             String event = told.poll(20, TimeUnit.SECONDS);
@@ -158,7 +174,7 @@
     }
 
     static final String SAFE = "GET /api/k1?x=%20y HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\n"
-        + "Req-Kind: read\r\nReq-Deadline-Ms: 20000\r\nReq-Cost: 700\r\nReq-Retry: 1\r\n\r\n";
+            + "Req-Kind: read\r\nReq-Deadline-Ms: 20000\r\nReq-Cost: 700\r\nReq-Retry: 1\r\n\r\n";
 
     final Scripted module = new Scripted();
     final List<String> log = new ArrayList<>();
@@ -185,21 +201,58 @@
     }
 
     static Map<String, Object> kind(String name, String effect) {
-        return Map.of("Name", name, "Idempotency", effect, "DedupScope", "cell", "GoalTime", 600_000,
-            "GiveUp", 30_000_000, "KeyTtl", 1_000_000);
+        return Map.of(
+                "Name",
+                name,
+                "Idempotency",
+                effect,
+                "DedupScope",
+                "cell",
+                "GoalTime",
+                600_000,
+                "GiveUp",
+                30_000_000,
+                "KeyTtl",
+                1_000_000);
     }
 
     static Map<String, Object> rules(long grace) {
-        return Map.of("AnswerSlack", 8_000, "DrainGrace", grace, "AskWithin", 10_000_000,
-            "ColdFrom", 0.3, "RampTime", 8_400_000, "OverloadFactor", 3.0, "Fall", 1_000_000);
+        return Map.of(
+                "AnswerSlack",
+                8_000,
+                "DrainGrace",
+                grace,
+                "AskWithin",
+                10_000_000,
+                "ColdFrom",
+                0.3,
+                "RampTime",
+                8_400_000,
+                "OverloadFactor",
+                3.0,
+                "Fall",
+                1_000_000);
     }
 
     static Map<String, Object> settings() {
         Map<String, Object> settings = new HashMap<>();
         settings.put("Balancers", 1);
         settings.put("Classes", List.of(kind("read", "safe"), kind("pay", "keyed"), kind("book", "unsafe")));
-        settings.put("Limits", new HashMap<>(Map.of("TryLimit", 3, "MayDuplicate", true, "Cancel", true,
-            "Probes", true, "DialTimeout", 500_000, "IdleClose", 30_000_000)));
+        settings.put(
+                "Limits",
+                new HashMap<>(Map.of(
+                        "TryLimit",
+                        3,
+                        "MayDuplicate",
+                        true,
+                        "Cancel",
+                        true,
+                        "Probes",
+                        true,
+                        "DialTimeout",
+                        500_000,
+                        "IdleClose",
+                        30_000_000)));
         settings.put("MembershipMode", "ask");
         settings.put("Rules", rules(1_000_000));
         settings.put("Quantum", 2_000);
@@ -211,9 +264,9 @@
 
     String target(String state) {
         return "{\"uid\":\"s1\",\"endpoint\":\"" + (endpoint == null ? upstream.address() : endpoint)
-            + "\",\"az\":\"podrum\","
-            + "\"model\":\"slabi\",\"pod_group\":3,\"state\":\"" + state
-            + "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
+                + "\",\"az\":\"podrum\","
+                + "\"model\":\"slabi\",\"pod_group\":3,\"state\":\"" + state
+                + "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
     }
 
     String list(int rev, boolean all, String state) {
@@ -225,11 +278,25 @@
     }
 
     Config config(int sockets, Map<String, Object> settings, int port, String discovery) throws IOException {
-        return Config.of(Map.of(), Map.of("name", "n1", "listen", "127.0.0.1:" + port,
-            "admin_addr", "127.0.0.1:0", "discovery", discovery,
-            "seed", "8c1f30d27a5be964", "limits", Map.of("sockets", sockets),
-            "settings", settings, "known", com.fasterxml.jackson.jr.ob.JSON.std
-                .mapFrom(list(41, true, "in_service"))));
+        return Config.of(
+                Map.of(),
+                Map.of(
+                        "name",
+                        "n1",
+                        "listen",
+                        "127.0.0.1:" + port,
+                        "admin_addr",
+                        "127.0.0.1:0",
+                        "discovery",
+                        discovery,
+                        "seed",
+                        "8c1f30d27a5be964",
+                        "limits",
+                        Map.of("sockets", sockets),
+                        "settings",
+                        settings,
+                        "known",
+                        com.fasterxml.jackson.jr.ob.JSON.std.mapFrom(list(41, true, "in_service"))));
     }
 
     void start() throws IOException, InterruptedException {
@@ -243,7 +310,7 @@
     void start(Map<String, Object> limits, int sockets, String membership) throws IOException, InterruptedException {
         Map<String, Object> settings = settings();
         settings.put("MembershipMode", membership);
-        if (membership.equals("push")) {            // with a long grace a call may go unanswered for seconds
+        if (membership.equals("push")) { // with a long grace a call may go unanswered for seconds
             settings.put("Rules", rules(8_000_000));
         }
         @SuppressWarnings("unchecked")
@@ -259,8 +326,8 @@
     }
 
     static String post(String kind, String extra, String body) {
-        return "POST /api/k1 HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\nReq-Kind: " + kind + "\r\n"
-            + extra + "Content-Length: " + body.length() + "\r\n\r\n" + body;
+        return "POST /api/k1 HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\nReq-Kind: " + kind + "\r\n" + extra
+                + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
     // The upstream's own reader takes the end of the stream; the socket tells of it by refusing what is sent.
--- a/balancer/src/test/java/junctionhead/net/OperatorsTest.java
+++ b/balancer/src/test/java/junctionhead/net/OperatorsTest.java
@@ -35,20 +35,30 @@
         try (Socket socket = new Socket(operators.getAddress(), operators.getPort())) {
             socket.setSoTimeout(20_000);
             socket.getOutputStream().write(line.getBytes(StandardCharsets.UTF_8));
-            BufferedReader in = new BufferedReader(
-                new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
+            BufferedReader in =
+                    new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
             String answer = in.readLine();
-            assertNull(in.readLine());              // one line, and the end of the connection
+            assertNull(in.readLine()); // one line, and the end of the connection
             return answer;
         }
     }
 
     @ParameterizedTest
-    @CsvSource({"check,ACK", "check now,NAK", "set-down s1,ACK", "set-down s2,NAK", "set-down,NAK",
-        "set-down s1 s1,NAK", "set-up s1,ACK", "set-up s2,NAK", "set-up,NAK", "CHECK,NAK", "reload,NAK",
-        "'',NAK"})
-    void eachCallGetsOneLineThatBeginsWithYesOrNo(String line, String answer)
-            throws IOException, InterruptedException {
+    @CsvSource({
+        "check,ACK",
+        "check now,NAK",
+        "set-down s1,ACK",
+        "set-down s2,NAK",
+        "set-down,NAK",
+        "set-down s1 s1,NAK",
+        "set-up s1,ACK",
+        "set-up s2,NAK",
+        "set-up,NAK",
+        "CHECK,NAK",
+        "reload,NAK",
+        "'',NAK"
+    })
+    void eachCallGetsOneLineThatBeginsWithYesOrNo(String line, String answer) throws IOException, InterruptedException {
         startWithOperators();
         assertTrue(call(line + "\r\n").startsWith(answer + " "), line);
     }
@@ -61,13 +71,14 @@
     }
 
     @Test
-    void anUpstreamThatIsOutStaysOutWhateverDiscoveryListsAndComesBackCold()
-            throws IOException, InterruptedException {
+    void anUpstreamThatIsOutStaysOutWhateverDiscoveryListsAndComesBackCold() throws IOException, InterruptedException {
         startWithOperators();
         call("set-down s1\n");
         assertEquals("OWN [s1=DRAINING]", module.next());
-        call("set-down s1\n");                      // once more: nothing changes
-        Targets again = Targets.of(JSON.std.anyFrom(list(42, true, "in_service")), config(1024, settings(), 0).boot());
+        call("set-down s1\n"); // once more: nothing changes
+        Targets again = Targets.of(
+                JSON.std.anyFrom(list(42, true, "in_service")),
+                config(1024, settings(), 0).boot());
         onLoop(() -> node.listed(ListKind.COMPLETE, again));
         assertEquals("COMPLETE [s1=DRAINING]", module.next());
         long before = System.currentTimeMillis() * 1000;
@@ -78,7 +89,7 @@
         long back = module.startedAt.get("s1");
         onLoop(() -> node.listed(ListKind.COMPLETE, again));
         assertEquals("COMPLETE [s1=UP]", module.next());
-        assertEquals(back, module.startedAt.get("s1"));     // the same start: it is not cold a second time
+        assertEquals(back, module.startedAt.get("s1")); // the same start: it is not cold a second time
         call("set-up s1\n");
         assertTrue(module.told.isEmpty());
     }
@@ -87,12 +98,13 @@
     void anUpstreamThatIsOutStaysKnownWhileDiscoveryHasLostIt() throws IOException, InterruptedException {
         startWithOperators();
         call("set-down s1\n");
-        Targets gone = Targets.of(JSON.std.anyFrom("{\"rev\":42,\"all\":true,\"targets\":[]}"),
-            config(1024, settings(), 0).boot());
+        Targets gone = Targets.of(
+                JSON.std.anyFrom("{\"rev\":42,\"all\":true,\"targets\":[]}"),
+                config(1024, settings(), 0).boot());
         onLoop(() -> node.listed(ListKind.COMPLETE, gone));
         assertTrue(call("set-down s1\n").startsWith("ACK "));
         assertTrue(call("set-up s1\n").startsWith("ACK "));
-        assertTrue(call("set-up s1\n").startsWith("NAK "));     // nobody has it any more
+        assertTrue(call("set-up s1\n").startsWith("NAK ")); // nobody has it any more
     }
 
     @Test
@@ -128,12 +140,25 @@
 
     @Test
     void theAddressComesFromTheEnvironmentOrTheFileAndABadOneIsNamed() throws IOException {
-        Map<String, Object> json = new HashMap<>(Map.of("name", "n1", "listen", "127.0.0.1:0", "discovery",
-            "127.0.0.1:1", "seed", "1", "settings", settings()));
+        Map<String, Object> json = new HashMap<>(Map.of(
+                "name",
+                "n1",
+                "listen",
+                "127.0.0.1:0",
+                "discovery",
+                "127.0.0.1:1",
+                "seed",
+                "1",
+                "settings",
+                settings()));
         assertNull(Config.of(Map.of(), json).admin());
         json.put("admin_addr", "127.0.0.1:9600");
         assertEquals(9600, Config.of(Map.of(), json).admin().getPort());
-        assertEquals(9601, Config.of(Map.of("ROUTER_ADMIN_ADDR", "127.0.0.1:9601"), json).admin().getPort());
+        assertEquals(
+                9601,
+                Config.of(Map.of("ROUTER_ADMIN_ADDR", "127.0.0.1:9601"), json)
+                        .admin()
+                        .getPort());
         json.put("admin_addr", "somewhere");
         Config.Bad bad = assertThrows(Config.Bad.class, () -> Config.of(Map.of(), json));
         assertTrue(bad.getMessage().startsWith("admin_addr: "), bad.getMessage());
--- a/balancer/src/test/java/junctionhead/net/PollsTest.java
+++ b/balancer/src/test/java/junctionhead/net/PollsTest.java
@@ -23,7 +23,7 @@
         assertEquals(SelectStrategy.SELECT, round(0, false));
         msAt(500);
         assertEquals(0, polls.unread());
-        msAt(503);                                  // the next of the same round waited for the first to be seen to
+        msAt(503); // the next of the same round waited for the first to be seen to
         assertEquals(3_000, polls.unread());
     }
 
@@ -31,7 +31,7 @@
     @Test
     void whatCameDuringALongRoundMayBeAsOldAsTheRound() throws Exception {
         msAt(10);
-        round(0, true);                             // tasks alone, which take long
+        round(0, true); // tasks alone, which take long
         msAt(310);
         assertEquals(1, round(1, true));
         assertEquals(300_000, polls.unread());
--- a/balancer/src/test/java/junctionhead/net/ReloadTest.java
+++ b/balancer/src/test/java/junctionhead/net/ReloadTest.java
@@ -26,7 +26,7 @@
                 throw new IllegalStateException(e);
             }
         });
-        node.loop().submit(() -> { }).awaitUninterruptibly(20_000);
+        node.loop().submit(() -> {}).awaitUninterruptibly(20_000);
     }
 
     private static String get(String kind) {
@@ -36,7 +36,8 @@
     @Test
     void aNewClassIsServedADroppedOneIsNotAndOpenRequestsKeepTheirs() throws Exception {
         start();
-        try (Client open = new Client(at); Client other = new Client(at)) {
+        try (Client open = new Client(at);
+                Client other = new Client(at)) {
             open.send(SAFE);
             FakeUpstream.Got got = upstream.next();
             assertEquals("0 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
@@ -59,8 +60,21 @@
         try (Client client = new Client(at)) {
             client.send(SAFE);
             FakeUpstream.Got first = upstream.next();
-            reload(with(Map.of("Limits", Map.of("TryLimit", 1, "MayDuplicate", true, "Cancel", true,
-                "Probes", true, "DialTimeout", 500_000, "IdleClose", 30_000_000))));
+            reload(with(Map.of(
+                    "Limits",
+                    Map.of(
+                            "TryLimit",
+                            1,
+                            "MayDuplicate",
+                            true,
+                            "Cancel",
+                            true,
+                            "Probes",
+                            true,
+                            "DialTimeout",
+                            500_000,
+                            "IdleClose",
+                            30_000_000))));
             first.answer(503, "Srv-Declined: 1\r\n", "");
             upstream.next().answer(200, "", "second attempt");
             assertEquals(200, client.status());
@@ -70,8 +84,8 @@
     @Test
     void aFileThatCantBeUsedChangesNothing() throws Exception {
         start();
-        Map<String, Object> noTries = new HashMap<>(Map.of("TryLimit", 0, "MayDuplicate", true,
-            "Cancel", true, "Probes", true));
+        Map<String, Object> noTries =
+                new HashMap<>(Map.of("TryLimit", 0, "MayDuplicate", true, "Cancel", true, "Probes", true));
         Map<String, Object> noDeadline = new HashMap<>(kind("read", "safe"));
         noDeadline.put("GiveUp", -5);
         Map<String, Object> noName = new HashMap<>(kind("look", "safe"));
@@ -80,9 +94,13 @@
         noAim.remove("GoalTime");
         Map<String, Object> noZones = settings();
         noZones.remove("Areas");
-        for (Map<String, Object> broken : List.of(with(Map.of("Limits", noTries)),
-                with(Map.of("Classes", List.of(noDeadline))), with(Map.of("Classes", List.of(noName))),
-                with(Map.of("Classes", List.of(noAim))), with(Map.of("Classes", List.of())), noZones)) {
+        for (Map<String, Object> broken : List.of(
+                with(Map.of("Limits", noTries)),
+                with(Map.of("Classes", List.of(noDeadline))),
+                with(Map.of("Classes", List.of(noName))),
+                with(Map.of("Classes", List.of(noAim))),
+                with(Map.of("Classes", List.of())),
+                noZones)) {
             int lines = log.size();
             reload(broken);
             assertEquals(lines + 1, log.size());
--- a/balancer/src/test/java/junctionhead/net/ShortOfDescriptorsTest.java
+++ b/balancer/src/test/java/junctionhead/net/ShortOfDescriptorsTest.java
@@ -47,7 +47,9 @@
     }
 
     private void start(int descriptors, String membership) throws IOException {
-        Files.writeString(config, """
+        Files.writeString(
+                config,
+                """
             {"name": "n1", "listen": "127.0.0.1:0", "discovery": "%s", "seed": "8c1f30d27a5be964",
              "known": {"rev": 41, "all": true, "targets": [%s]}, "settings": {
               "Balancers": 1, "Quantum": 5000, "MembershipMode": "%s",
@@ -55,10 +57,17 @@
               "Limits": {"TryLimit": 3, "MayDuplicate": true, "Cancel": true, "Probes": true},
               "Rules": {"AnswerSlack": 20000, "DrainGrace": 1000000, "AskWithin": 10000000, "ColdFrom": 0.2,
                 "RampTime": 20000000, "OverloadFactor": 2.5, "Fall": 1500000}}}
-            """.formatted(discovery.address(), target(), membership));
-        ProcessBuilder builder = new ProcessBuilder("sh", "-c", "ulimit -n " + descriptors + "; exec \"$0\" \"$@\"",
-            Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-            System.getProperty("java.class.path"), "junctionhead.Main", "serve");
+            """
+                        .formatted(discovery.address(), target(), membership));
+        ProcessBuilder builder = new ProcessBuilder(
+                "sh",
+                "-c",
+                "ulimit -n " + descriptors + "; exec \"$0\" \"$@\"",
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-cp",
+                System.getProperty("java.class.path"),
+                "junctionhead.Main",
+                "serve");
         builder.environment().keySet().removeIf(name -> name.startsWith("ROUTER_"));
         builder.environment().put("ROUTER_CONFIG", config.toString());
         process = builder.start();
@@ -69,7 +78,7 @@
 
     private String target() {
         return "{\"uid\": \"s1\", \"endpoint\": \"" + upstream.address()
-            + "\", \"state\": \"in_service\", \"boot_ms\": 0}";
+                + "\", \"state\": \"in_service\", \"boot_ms\": 0}";
     }
 
     private String nextWith(String word) throws IOException {
@@ -110,11 +119,11 @@
                 if (i < 30) {
                     one.send(ASK).status();
                 } else {
-                    one.send(ASK);                  // some are let in later, or never
+                    one.send(ASK); // some are let in later, or never
                 }
             }
             for (int i = 0; i < 3; i++) {
-                watch.reset();                      // by discovery that is down: each call ends like that
+                watch.reset(); // by discovery that is down: each call ends like that
                 watch = discovery.next();
             }
             watch.raw(OPEN + NodeFixture.chunk("\n"));
@@ -141,7 +150,7 @@
     void callsThatFindNoDescriptorAreMadeAgainOnceThereIsOne(String membership)
             throws IOException, InterruptedException {
         start(256, membership);
-        discovery.next().socket().close();          // all that a failure needs has been loaded
+        discovery.next().socket().close(); // all that a failure needs has been loaded
         FakeUpstream.Got watch = discovery.next();
         watch.raw(OPEN + NodeFixture.chunk("\n"));
         try (NodeFixture.Client client = new NodeFixture.Client(at)) {
@@ -151,7 +160,7 @@
             assertEquals(200, client.status());
             run("prlimit", "--pid", String.valueOf(process.pid()), "--nofile=1:256");
             watch.socket().close();
-            for (int i = 0; i < 200; i++) {         // more tries than the balancer may have descriptors
+            for (int i = 0; i < 200; i++) { // more tries than the balancer may have descriptors
                 client.send(NodeFixture.SAFE);
                 int status = client.status();
                 assertTrue(status == 503 || status == 502, "status " + status);
--- a/balancer/src/test/java/junctionhead/net/TimeLeftTest.java
+++ b/balancer/src/test/java/junctionhead/net/TimeLeftTest.java
@@ -10,7 +10,7 @@
 class TimeLeftTest extends NodeFixture {
     private static final long BUSY_NS = 400_000_000;
     private static final int BUSY_MS = 400;
-    private static final int TIME_MS = 20_000;      // as the request says
+    private static final int TIME_MS = 20_000; // as the request says
 
     // What the loop does when it is busy: nothing is read and nothing noticed meanwhile.
     private static void busy() {
@@ -53,7 +53,7 @@
             module.requests.take();
             onLoop(() -> {
                 module.actions.send("1", "s1", 0);
-                busy();                             // the connection is up meanwhile, and nobody looks
+                busy(); // the connection is up meanwhile, and nobody looks
             });
             int told = told();
             assertTrue(told <= TIME_MS - BUSY_MS, "told " + told);
--- a/balancer/src/test/java/junctionhead/net/UpstreamsTest.java
+++ b/balancer/src/test/java/junctionhead/net/UpstreamsTest.java
@@ -37,7 +37,6 @@
         }
     }
 
-
     @Test
     @Timeout(60)
     void nothingIsSentToAnUpstreamThatHasGone() throws IOException, InterruptedException {
@@ -66,8 +65,7 @@
     /** Its connections come up only once the test accepts: its queue of waiting connections is full. */
     @Test
     @Timeout(60)
-    void anAttemptThatStillWaitsForItsConnectionIsNotSentAfterTheGrace()
-            throws IOException, InterruptedException {
+    void anAttemptThatStillWaitsForItsConnectionIsNotSentAfterTheGrace() throws IOException, InterruptedException {
         List<Socket> fillers = new ArrayList<>();
         List<Client> clients = new ArrayList<>();
         try (ServerSocket slow = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -82,7 +80,7 @@
             discovery.next().answer(200, "", "{\"rev\":50,\"all\":true,\"targets\":[]}");
             assertEquals("COMPLETE []", module.next());
             String told = null;
-            while (told == null) {                  // until new attempts show that the grace is over
+            while (told == null) { // until new attempts show that the grace is over
                 clients.add(new Client(at).send(SAFE.replace("r1", "r" + clients.size())));
                 told = module.told.poll(100, TimeUnit.MILLISECONDS);
             }
@@ -133,7 +131,7 @@
             endpoint = "127.0.0.1:" + slow.getLocalPort();
             start(Map.of("DialTimeout", 30_000_000), 1024);
             try (Client client = new Client(at)) {
-                client.send(SAFE.replace("20000", "500000"));    // its time is not what ends it
+                client.send(SAFE.replace("20000", "500000")); // its time is not what ends it
                 assertEquals("0 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
             }
             assertEquals("gone", module.next());
@@ -151,15 +149,16 @@
         start();
         CountDownLatch answered = new CountDownLatch(1);
         CountDownLatch held = new CountDownLatch(1);
-        try (Client client = new Client(at); Client next = new Client(at)) {
+        try (Client client = new Client(at);
+                Client next = new Client(at)) {
             client.send(SAFE);
             FakeUpstream.Got got = upstream.next();
-            module.server = null;                   // the next one is held, and sent once the first is served
+            module.server = null; // the next one is held, and sent once the first is served
             next.send(SAFE.replace("r1", "r2"));
             assertEquals("0 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
             assertEquals("0 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
             module.onOutcome = () -> {
-                module.onOutcome = () -> { };
+                module.onOutcome = () -> {};
                 module.actions.send("2", "s1", 0);
                 answered.countDown();
                 try {
--- a/balancer/src/test/java/junctionhead/operator/OperatorReaderTest.java
+++ b/balancer/src/test/java/junctionhead/operator/OperatorReaderTest.java
@@ -14,10 +14,11 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class OperatorReaderTest {
-    static final Operator.Site SITE = new Operator.Site(List.of("read", "book"),
-        List.of("shyamal-travels", "teesta-line"), 3, 1_500_000);
+    static final Operator.Site SITE =
+            new Operator.Site(List.of("read", "book"), List.of("shyamal-travels", "teesta-line"), 3, 1_500_000);
 
-    static final String SOUND = """
+    static final String SOUND =
+            """
         [front]
         unmatched = "refuse"
         reserve = 0.1
@@ -74,7 +75,9 @@
             OperatorReader.read(file, SITE);
             return List.of();
         } catch (Faults e) {
-            return e.lines().stream().map(l -> l.replace(folder.toString() + "/", "")).toList();
+            return e.lines().stream()
+                    .map(l -> l.replace(folder.toString() + "/", ""))
+                    .toList();
         }
     }
 
@@ -94,12 +97,18 @@
             seen++;
             int end = part.indexOf('\n');
             String[] halves = part.substring(end + 1).split("(?m)^---\\R", 2);
-            List<String> expected = halves.length < 2 ? List.of()
-                : halves[1].lines().filter(l -> !l.isBlank()).toList();
+            List<String> expected = halves.length < 2
+                    ? List.of()
+                    : halves[1].lines().filter(l -> !l.isBlank()).toList();
             List<String> got = faults(halves[0]);
             if (!got.equals(expected) || got.isEmpty()) {
-                wrong.append("=== ").append(part, 0, end).append('\n').append(halves[0]).append("---\n")
-                    .append(String.join("\n", got)).append("\n");
+                wrong.append("=== ")
+                        .append(part, 0, end)
+                        .append('\n')
+                        .append(halves[0])
+                        .append("---\n")
+                        .append(String.join("\n", got))
+                        .append("\n");
             }
         }
         assertEquals("", wrong.toString());
@@ -109,23 +118,36 @@
     @Test
     void aSoundFileIsReadInFull() throws IOException {
         Operator o = OperatorReader.read(Files.writeString(folder.resolve("operator.toml"), SOUND), SITE);
-        assertEquals(List.of("agents", "new", "site"), o.pools().stream().map(PoolSpec::name).toList());
-        assertEquals(new PoolSpec.Overrides(2, 80_000L, 20_000_000L, false), o.pool("agents").settings());
+        assertEquals(
+                List.of("agents", "new", "site"),
+                o.pools().stream().map(PoolSpec::name).toList());
+        assertEquals(
+                new PoolSpec.Overrides(2, 80_000L, 20_000_000L, false),
+                o.pool("agents").settings());
         assertEquals(512 * 1024, o.pool("agents").memory());
         assertEquals(8, o.front().pools().get(1).fullStrength());
         assertEquals(3, o.front().instances(), "as the platform says");
         assertEquals(1_500_000, o.front().retryAfter().most(), "and the settings' bound");
         assertEquals(1, o.front().quotas().others().perSecond(), 1e-9);
         assertEquals(800_000, o.front().routes().get(0).deadline());
-        assertEquals(0.5, o.front().routes().get(0).ways().get(1).spills().get(0).most());
+        assertEquals(
+                0.5, o.front().routes().get(0).ways().get(1).spills().get(0).most());
         assertTrue(o.log().json());
         assertEquals(List.of(), o.notes());
-        Operator loose = OperatorReader.read(Files.writeString(folder.resolve("operator.toml"),
-            SOUND.replace("weight = 90", "weight = 0").replace("weight = 10", "weight = 0")
-                .replace("\"900/s\"", "\"50/s\"")), SITE);
-        assertEquals(List.of("operator.toml:24: note: route 'bookings' refuses all: its weights are 0",
-            "operator.toml:35: note: the tenants' rates add up to 101/s, over the site's 50/s: all of them at once"
-                + " get more"), loose.notes());
+        Operator loose = OperatorReader.read(
+                Files.writeString(
+                        folder.resolve("operator.toml"),
+                        SOUND.replace("weight = 90", "weight = 0")
+                                .replace("weight = 10", "weight = 0")
+                                .replace("\"900/s\"", "\"50/s\"")),
+                SITE);
+        assertEquals(
+                List.of(
+                        "operator.toml:24: note: route 'bookings' refuses all: its weights are 0",
+                        "operator.toml:35: note: the tenants' rates add up to 101/s, over the site's"
+                                + " 50/s: all of them at once"
+                                + " get more"),
+                loose.notes());
     }
 
     @Test
@@ -134,21 +156,28 @@
         Operator before = OperatorReader.read(Files.writeString(file, SOUND), SITE);
         assertEquals(List.of(), Words.changes(before, before));
         List<String> expected = new ArrayList<>(List.of(
-            "pool agents: limit: gradient from 16, 4 to 200 -> 30 at once",
-            "pool fresh: new, upstreams 127.0.0.1:9009, limit none",
-            "pool new: dropped; it drains first",
-            "route bookings: agents 90%, new 10% -> agents 60%, fresh 40%; 40% of its keys move",
-            "route bookings: deadline: 800ms -> 1s",
-            "requests that no route takes: refused -> go to site",
-            "quota of tenant teesta-line: 100/s, 100 at once -> 120/s, 120 at once"));
-        Operator next = OperatorReader.read(Files.writeString(file, SOUND
-            .replace("unmatched = \"refuse\"", "unmatched = \"site\"")
-            .replace("{ kind = \"gradient\", start = 16, least = 4, most = 200 }", "{ kind = \"fixed\", most = 30 }")
-            .replace("name = \"new\"\ndiscovery = \"127.0.0.1:7001\"\nfull_strength = 8",
-                "name = \"fresh\"\nupstreams = [\"127.0.0.1:9009\"]")
-            .replace("weight = 90", "weight = 60").replace("{ pool = \"new\", weight = 10 }",
-                "{ pool = \"fresh\", weight = 40 }")
-            .replace("\"800ms\"", "\"1s\"").replace("\"100/s\"", "\"120/s\"")), SITE);
+                "pool agents: limit: gradient from 16, 4 to 200 -> 30 at once",
+                "pool fresh: new, upstreams 127.0.0.1:9009, limit none",
+                "pool new: dropped; it drains first",
+                "route bookings: agents 90%, new 10% -> agents 60%, fresh 40%; 40% of its keys move",
+                "route bookings: deadline: 800ms -> 1s",
+                "requests that no route takes: refused -> go to site",
+                "quota of tenant teesta-line: 100/s, 100 at once -> 120/s, 120 at once"));
+        Operator next = OperatorReader.read(
+                Files.writeString(
+                        file,
+                        SOUND.replace("unmatched = \"refuse\"", "unmatched = \"site\"")
+                                .replace(
+                                        "{ kind = \"gradient\", start = 16, least = 4, most = 200 }",
+                                        "{ kind = \"fixed\", most = 30 }")
+                                .replace(
+                                        "name = \"new\"\ndiscovery = \"127.0.0.1:7001\"\nfull_strength = 8",
+                                        "name = \"fresh\"\nupstreams = [\"127.0.0.1:9009\"]")
+                                .replace("weight = 90", "weight = 60")
+                                .replace("{ pool = \"new\", weight = 10 }", "{ pool = \"fresh\", weight = 40 }")
+                                .replace("\"800ms\"", "\"1s\"")
+                                .replace("\"100/s\"", "\"120/s\"")),
+                SITE);
         assertEquals(expected, Words.changes(before, next));
     }
 }
--- a/bench/src/main/java/junctionhead/bench/FrontBench.java
+++ b/bench/src/main/java/junctionhead/bench/FrontBench.java
@@ -36,6 +36,7 @@
     /** Routes in the table. */
     @Param({"10", "100", "1000", "10000"})
     private int routes;
+
     private Front front;
     private String[] uris;
     private Route.Request[] requests;
@@ -50,16 +51,27 @@
             String path = "/service" + i % 97 + "/part" + i + (i % 3 == 0 ? "/{key}" : "/seats");
             Map<String, String> headers = i % 10 == 9 ? Map.of("x-channel", "counter") : Map.of();
             Route match = new Route("r" + i, PathTemplate.of(path), Set.of("GET"), headers, Set.of(), Set.of(), i);
-            all.add(new FrontPlan.RoutePlan(match, List.of(new FrontPlan.Way("a", 9, List.of()),
-                new FrontPlan.Way("b", 1, List.of(new FrontPlan.Spill("a", 1)))), 1.2, 0.05,
-                new FrontPlan.Retries(0.2, 1, 10_000_000, true), null, 0));
+            all.add(new FrontPlan.RoutePlan(
+                    match,
+                    List.of(
+                            new FrontPlan.Way("a", 9, List.of()),
+                            new FrontPlan.Way("b", 1, List.of(new FrontPlan.Spill("a", 1)))),
+                    1.2,
+                    0.05,
+                    new FrontPlan.Retries(0.2, 1, 10_000_000, true),
+                    null,
+                    0));
         }
         ConcurrencyLimit.Plan limit = new ConcurrencyLimit.Plan(ConcurrencyLimit.Kind.GRADIENT, 100, 10, 1000);
         TokenTree.Rate much = new TokenTree.Rate(1e9, 1e6, 1e9);
-        front = new Front(new FrontPlan(List.of(new FrontPlan.PoolPlan("a", limit, 10),
-            new FrontPlan.PoolPlan("b", limit, 10)), all, "a",
-            new FrontPlan.Quotas(much, Map.of("t1", new FrontPlan.TenantQuota(much, Map.of())), much), 3, 0.1,
-            new FrontPlan.Advice(100_000, 1_500_000)));
+        front = new Front(new FrontPlan(
+                List.of(new FrontPlan.PoolPlan("a", limit, 10), new FrontPlan.PoolPlan("b", limit, 10)),
+                all,
+                "a",
+                new FrontPlan.Quotas(much, Map.of("t1", new FrontPlan.TenantQuota(much, Map.of())), much),
+                3,
+                0.1,
+                new FrontPlan.Advice(100_000, 1_500_000)));
         front.listed(0, "a", 10);
         front.listed(0, "b", 10);
         uris = new String[PATHS];
--- a/core/src/main/java/junctionhead/front/Front.java
+++ b/core/src/main/java/junctionhead/front/Front.java
@@ -28,16 +28,35 @@
  */
 public final class Front {
     /** What becomes of a request. */
-    public enum Answer { TAKEN, REFUSED, NOT_FOUND, BAD_PATH }
+    public enum Answer {
+        TAKEN,
+        REFUSED,
+        NOT_FOUND,
+        BAD_PATH
+    }
 
     /**
      * How a request that was taken ended: served, failed or refused after an attempt, refused by its pool's module
      * before any attempt, or left by its client.
      */
-    public enum End { SERVED, FAILED, UNSENT, GONE }
+    public enum End {
+        SERVED,
+        FAILED,
+        UNSENT,
+        GONE
+    }
 
     /** Why a request was refused; counted by the caller, named in logs. */
-    public enum Reason { NONE, CLIENT_RETRIES, ROUTE_RATE, QUOTA, NO_POOL, POOL_LIMIT, NO_ROUTE, BAD_PATH }
+    public enum Reason {
+        NONE,
+        CLIENT_RETRIES,
+        ROUTE_RATE,
+        QUOTA,
+        NO_POOL,
+        POOL_LIMIT,
+        NO_ROUTE,
+        BAD_PATH
+    }
 
     /**
      * A request, as far as a front cares.
@@ -47,10 +66,10 @@
      * @param again its client says that it has tried before
      * @param u from the caller's random stream, from 0 to under 1
      */
-    public record Arrival(Route.Request request, String key, double rank, boolean again, double u) { }
+    public record Arrival(Route.Request request, String key, double rank, boolean again, double u) {}
 
     /** The word on a request; {@code ticket} only where it was taken, {@code retryAfter} in µs, 0 for no advice. */
-    public record Verdict(Answer answer, Reason reason, Ticket ticket, long retryAfter) { }
+    public record Verdict(Answer answer, Reason reason, Ticket ticket, long retryAfter) {}
 
     /** What a taken request holds until it ends. */
     public static final class Ticket {
@@ -143,8 +162,8 @@
         }
     }
 
-    private static final long SHARES_EVERY = 50_000;        // µs between looks at the pools' health
-    private static final String SITE = "";                  // no tenant or route has an empty name
+    private static final long SHARES_EVERY = 50_000; // µs between looks at the pools' health
+    private static final String SITE = ""; // no tenant or route has an empty name
     private static final String OTHERS = "/";
 
     private final FrontPlan plan;
@@ -170,12 +189,16 @@
 
     private RouteState route(FrontPlan.RoutePlan r) {
         FrontPlan.Retries retries = r.retries();
-        RouteState state = new RouteState(r,
-            new Split(r.ways().stream().map(FrontPlan.Way::pool).toArray(String[]::new),
-                r.ways().stream().mapToDouble(FrontPlan.Way::weight).toArray()),
-            retries == null ? null
-                : new RetryBudget(retries.share(), retries.leastPerSecond() / plan.instances(), retries.window()),
-            r.rate() == null ? null : new TokenTree(SITE, own(r.rate())));
+        RouteState state = new RouteState(
+                r,
+                new Split(
+                        r.ways().stream().map(FrontPlan.Way::pool).toArray(String[]::new),
+                        r.ways().stream().mapToDouble(FrontPlan.Way::weight).toArray()),
+                retries == null
+                        ? null
+                        : new RetryBudget(
+                                retries.share(), retries.leastPerSecond() / plan.instances(), retries.window()),
+                r.rate() == null ? null : new TokenTree(SITE, own(r.rate())));
         for (FrontPlan.Way w : r.ways()) {
             double[] most = new double[1 + w.spills().size()];
             most[0] = 1;
@@ -329,8 +352,11 @@
     private Verdict refused(Reason reason, long wait, double u) {
         FrontPlan.Advice bounds = plan.retryAfter();
         long most = bounds.most();
-        long advice = most == 0 ? 0 : Math.max(bounds.least(), Math.min(most, wait > most ? most : (long) (wait
-            + u * Math.max(bounds.least(), wait))));
+        long advice = most == 0
+                ? 0
+                : Math.max(
+                        bounds.least(),
+                        Math.min(most, wait > most ? most : (long) (wait + u * Math.max(bounds.least(), wait))));
         return new Verdict(Answer.REFUSED, reason, null, advice);
     }
 
@@ -339,8 +365,10 @@
         if (quotas == null) {
             return null;
         }
-        if (tenant == null || tenant.equals(OTHERS) || tenant.isEmpty() || !plan.quotas().tenants()
-                .containsKey(tenant)) {
+        if (tenant == null
+                || tenant.equals(OTHERS)
+                || tenant.isEmpty()
+                || !plan.quotas().tenants().containsKey(tenant)) {
             return quotas.has(OTHERS) ? OTHERS : SITE;
         }
         String within = route == null ? null : tenant + "/" + route.name();
@@ -374,7 +402,7 @@
                 return way.pools.get(i);
             }
         }
-        return null;                                        // what no pool can take
+        return null; // what no pool can take
     }
 
     /** Whether a taken request may be tried once more by its pool; counts it where so. */
@@ -390,7 +418,7 @@
         t.over = true;
         t.pool.open--;
         if (end == End.GONE) {
-            return;                                         // says nothing of the pool
+            return; // says nothing of the pool
         }
         boolean served = end == End.SERVED;
         t.pool.health.ended(now, served);
@@ -404,12 +432,13 @@
     // ---- what operators see
 
     /** A pool as it stands. */
-    public record PoolView(String name, int open, int limit, int upstreams) { }
+    public record PoolView(String name, int open, int limit, int upstreams) {}
 
     /** All pools as they stand; {@code limit} -1 where there is none. */
     public List<PoolView> view() {
-        return pools.values().stream().map(p -> new PoolView(p.plan.name(), p.open,
-            p.limit == null ? -1 : p.limit.limit(), p.health.up())).toList();
+        return pools.values().stream()
+                .map(p -> new PoolView(p.plan.name(), p.open, p.limit == null ? -1 : p.limit.limit(), p.health.up()))
+                .toList();
     }
 
     /** The shares of a route's first, second ... pool by its n-th way, as last reckoned; for tests and operators. */
@@ -426,8 +455,15 @@
     /** The name of the limit that a tenant's request counts at, in words; null where there is none. */
     public String limitOf(String tenant, Route route) {
         String node = node(tenant, route);
-        return node == null ? null : node.equals(SITE) ? "the site's" : node.equals(OTHERS) ? "that of all others"
-            : node.contains("/") ? "that of tenant '" + tenant + "' on this route" : "that of tenant '" + tenant + "'";
+        return node == null
+                ? null
+                : node.equals(SITE)
+                        ? "the site's"
+                        : node.equals(OTHERS)
+                                ? "that of all others"
+                                : node.contains("/")
+                                        ? "that of tenant '" + tenant + "' on this route"
+                                        : "that of tenant '" + tenant + "'";
     }
 
     /** The way that a key takes by the split alone; -1 where all weights are 0. */
--- a/core/src/main/java/junctionhead/front/FrontPlan.java
+++ b/core/src/main/java/junctionhead/front/FrontPlan.java
@@ -16,8 +16,14 @@
  * @param reserve share of a limit that is kept for the requests worth most, from 0 to under 1
  * @param retryAfter bounds of the advice that goes with a refusal
  */
-public record FrontPlan(List<PoolPlan> pools, List<RoutePlan> routes, String unmatched, Quotas quotas, int instances,
-        double reserve, Advice retryAfter) {
+public record FrontPlan(
+        List<PoolPlan> pools,
+        List<RoutePlan> routes,
+        String unmatched,
+        Quotas quotas,
+        int instances,
+        double reserve,
+        Advice retryAfter) {
 
     /** Bounds of {@code Retry-After}, in µs; {@code most} 0: no advice is given. */
     public record Advice(long least, long most) {
@@ -29,10 +35,10 @@
     }
 
     /** A pool; {@code limit} null: none. {@code fullStrength}: upstreams as a rule, or 0 to learn it. */
-    public record PoolPlan(String name, ConcurrencyLimit.Plan limit, int fullStrength) { }
+    public record PoolPlan(String name, ConcurrencyLimit.Plan limit, int fullStrength) {}
 
     /** Where traffic of a route spills over to, and the share of the route's traffic that may at the most. */
-    public record Spill(String pool, double most) { }
+    public record Spill(String pool, double most) {}
 
     /** One part of a split: a pool, its weight, and where its traffic goes as its health falls. */
     public record Way(String pool, double weight, List<Spill> spills) {
@@ -42,7 +48,7 @@
     }
 
     /** Retry budget of a route: as {@link junctionhead.limits.RetryBudget} has it. */
-    public record Retries(double share, double leastPerSecond, long window, boolean countClients) { }
+    public record Retries(double share, double leastPerSecond, long window, boolean countClients) {}
 
     /**
      * A route and what it does.
@@ -53,8 +59,14 @@
      * @param rate the route's own limit for the whole site; null: none
      * @param deadline the longest that a request of this route may take, in µs; 0: as its client says
      */
-    public record RoutePlan(Route match, List<Way> ways, double spare, double returnPerSecond, Retries retries,
-            Rate rate, long deadline) {
+    public record RoutePlan(
+            Route match,
+            List<Way> ways,
+            double spare,
+            double returnPerSecond,
+            Retries retries,
+            Rate rate,
+            long deadline) {
         public RoutePlan {
             ways = List.copyOf(ways);
         }
--- a/core/src/main/java/junctionhead/limits/AimdLimit.java
+++ b/core/src/main/java/junctionhead/limits/AimdLimit.java
@@ -10,7 +10,7 @@
 
     private final Plan plan;
     private double limit;
-    private double round;                                   // µs that a request takes, about
+    private double round; // µs that a request takes, about
     private long decreasedAt = Long.MIN_VALUE;
 
     AimdLimit(Plan plan) {
@@ -33,7 +33,7 @@
             return;
         }
         round += SMOOTH * (latency - round);
-        if (2.0 * open >= limit) {                          // one that isn't used has shown nothing
+        if (2.0 * open >= limit) { // one that isn't used has shown nothing
             limit = Math.min(plan.most(), limit + 1 / limit);
         }
     }
--- a/core/src/main/java/junctionhead/limits/BaseLatency.java
+++ b/core/src/main/java/junctionhead/limits/BaseLatency.java
@@ -9,8 +9,9 @@
 final class BaseLatency {
     /** What a probe leaves of the limit. */
     static final double PROBE = 0.5;
-    private static final long WINDOW = 250_000;             // µs at the least
-    private static final int SAMPLES = 25;                  // and so many
+
+    private static final long WINDOW = 250_000; // µs at the least
+    private static final int SAMPLES = 25; // and so many
     private static final double LOWERED = 0.7;
     private static final double AS_BEFORE = 0.85;
     private static final long FIRST_PROBE = 2_000_000;
@@ -22,10 +23,10 @@
     private boolean dropped;
     private long since = Long.MIN_VALUE;
     private long probeAt = Long.MIN_VALUE;
-    private boolean settling;                               // what was taken before the probe is still ending
+    private boolean settling; // what was taken before the probe is still ending
     private boolean probing;
-    private double high;                                    // the limit before it was lowered
-    private double highMean;                                // and the latency then
+    private double high; // the limit before it was lowered
+    private double highMean; // and the latency then
     private double base;
     private double mean;
 
--- a/core/src/main/java/junctionhead/limits/ConcurrencyLimit.java
+++ b/core/src/main/java/junctionhead/limits/ConcurrencyLimit.java
@@ -18,7 +18,12 @@
     void ended(long now, long latency, boolean dropped, int open);
 
     /** How a limit learns. */
-    enum Kind { FIXED, AIMD, VEGAS, GRADIENT }
+    enum Kind {
+        FIXED,
+        AIMD,
+        VEGAS,
+        GRADIENT
+    }
 
     /**
      * A limit as it is asked for. All are at least 1, except that a fixed one may be 0.
@@ -31,8 +36,8 @@
         public Plan {
             boolean ordered = least >= 1 && start >= least && most >= start;
             if (kind == Kind.FIXED ? start < 0 : !ordered) {
-                throw new IllegalArgumentException("impossible limit: from " + least + " to " + most + ", at first "
-                    + start);
+                throw new IllegalArgumentException(
+                        "impossible limit: from " + least + " to " + most + ", at first " + start);
             }
         }
 
--- a/core/src/main/java/junctionhead/limits/GradientLimit.java
+++ b/core/src/main/java/junctionhead/limits/GradientLimit.java
@@ -6,7 +6,7 @@
  * as fast as a small one.
  */
 final class GradientLimit implements ConcurrencyLimit {
-    private static final double BUFFER = 1.25;              // latency above the base that is no queue yet
+    private static final double BUFFER = 1.25; // latency above the base that is no queue yet
     private static final double LEAST = 0.5;
     private static final double SMOOTH = 0.5;
 
--- a/core/src/main/java/junctionhead/limits/RetryBudget.java
+++ b/core/src/main/java/junctionhead/limits/RetryBudget.java
@@ -21,8 +21,8 @@
      */
     public RetryBudget(double share, double leastPerSecond, long window) {
         if (!(share >= 0) || !(leastPerSecond >= 0) || window <= 0) {
-            throw new IllegalArgumentException("impossible budget: share " + share + ", " + leastPerSecond
-                + " per second, window " + window);
+            throw new IllegalArgumentException(
+                    "impossible budget: share " + share + ", " + leastPerSecond + " per second, window " + window);
         }
         this.share = share;
         this.leastPerSecond = leastPerSecond;
--- a/core/src/main/java/junctionhead/limits/TokenTree.java
+++ b/core/src/main/java/junctionhead/limits/TokenTree.java
@@ -15,8 +15,8 @@
     public record Rate(double perSecond, double burst, double ceiling) {
         public Rate {
             if (!(perSecond >= 0) || !(burst >= 1) || !(ceiling >= perSecond)) {
-                throw new IllegalArgumentException("impossible rate: " + perSecond + " per second, burst " + burst
-                    + ", ceiling " + ceiling);
+                throw new IllegalArgumentException(
+                        "impossible rate: " + perSecond + " per second, burst " + burst + ", ceiling " + ceiling);
             }
         }
     }
@@ -24,8 +24,8 @@
     private static final class Node {
         private final Node parent;
         private final Rate rate;
-        private double own;                                 // tokens of its own rate; under 0 above: no lending
-        private double ceiling;                             // tokens of its ceiling
+        private double own; // tokens of its own rate; under 0 above: no lending
+        private double ceiling; // tokens of its ceiling
         private long at = Long.MIN_VALUE;
 
         Node(Node parent, Rate rate) {
@@ -60,8 +60,8 @@
     public void add(String parent, String name, Rate rate) {
         Node above = nodes.get(parent);
         if (above == null || nodes.containsKey(name)) {
-            throw new IllegalArgumentException(above == null ? "no limit '" + parent + "'"
-                : "two limits are called '" + name + "'");
+            throw new IllegalArgumentException(
+                    above == null ? "no limit '" + parent + "'" : "two limits are called '" + name + "'");
         }
         nodes.put(name, new Node(above, rate));
     }
@@ -109,7 +109,7 @@
         leaf.own = Math.max(0, leaf.own - 1);
         leaf.ceiling -= 1;
         for (Node n = leaf.parent; n != null; n = n.parent) {
-            n.own = Math.max(-n.rate.burst, n.own - 1);     // a debt of one burst at most: it is soon forgotten
+            n.own = Math.max(-n.rate.burst, n.own - 1); // a debt of one burst at most: it is soon forgotten
             n.ceiling = Math.max(0, n.ceiling - 1);
         }
         return true;
@@ -129,8 +129,9 @@
         Node leaf = node(name);
         leaf.refresh(now);
         double lacks = 1 - leaf.own;
-        return lacks <= 0 ? 0 : leaf.rate.perSecond <= 0 ? Long.MAX_VALUE
-            : (long) Math.ceil(lacks / leaf.rate.perSecond * 1e6);
+        return lacks <= 0
+                ? 0
+                : leaf.rate.perSecond <= 0 ? Long.MAX_VALUE : (long) Math.ceil(lacks / leaf.rate.perSecond * 1e6);
     }
 
     /**
--- a/core/src/main/java/junctionhead/policy/Admission.java
+++ b/core/src/main/java/junctionhead/policy/Admission.java
@@ -21,29 +21,29 @@
  * <p>Source: B. Beyer et al., Site Reliability Engineering, chapter 21 (client-side throttling).
  */
 final class Admission {
-    private static final double WINDOW = 1e6;           // µs, time constant of all counts
-    private static final double WINDOW_MOST = 8e6;      // the same where traffic is thin
-    private static final double WINDOW_ARRIVALS = 8;    // that a window holds at least, if it may be as long
-    private static final double TARGET_LOWEST = 0.40;   // latency / aim that a request of no value may cause
-    private static final double TARGET_HIGHEST = 0.60;  // and one of the highest tier
-    private static final double MULTIPLE_LEAST = 0.5;   // a queue is drained with half of the capacity at most
+    private static final double WINDOW = 1e6; // µs, time constant of all counts
+    private static final double WINDOW_MOST = 8e6; // the same where traffic is thin
+    private static final double WINDOW_ARRIVALS = 8; // that a window holds at least, if it may be as long
+    private static final double TARGET_LOWEST = 0.40; // latency / aim that a request of no value may cause
+    private static final double TARGET_HIGHEST = 0.60; // and one of the highest tier
+    private static final double MULTIPLE_LEAST = 0.5; // a queue is drained with half of the capacity at most
     private static final double MULTIPLE_MOST = 2;
-    private static final double SCORE_MOST = 1.2;       // of one attempt: beyond the aim all are equally late
-    private static final double SCORE_UNKNOWN = 0.25;   // latency / aim where nothing has been heard
-    private static final double UNKNOWN_WEIGHT = 1;     // attempts that this guess counts for
-    private static final double SPARE = 1;              // requests admitted besides, so that one proves nothing
-    private static final double LEVEL_ROOM = 0.05;      // of the highest tier: it is never refused whole
+    private static final double SCORE_MOST = 1.2; // of one attempt: beyond the aim all are equally late
+    private static final double SCORE_UNKNOWN = 0.25; // latency / aim where nothing has been heard
+    private static final double UNKNOWN_WEIGHT = 1; // attempts that this guess counts for
+    private static final double SPARE = 1; // requests admitted besides, so that one proves nothing
+    private static final double LEVEL_ROOM = 0.05; // of the highest tier: it is never refused whole
     // Tiers of little value.
-    private static final double CHEAP = 0.3;            // of the highest value
-    private static final double CHEAP_RETURN = 1;       // times value: share of arrivals, per second and unit of score
-    private static final double CHEAP_SHARE = 0.1;      // of arrivals that a tier is taken for at least
+    private static final double CHEAP = 0.3; // of the highest value
+    private static final double CHEAP_RETURN = 1; // times value: share of arrivals, per second and unit of score
+    private static final double CHEAP_SHARE = 0.1; // of arrivals that a tier is taken for at least
 
     private final SplittableRandom random;
-    private double[] arrivals;                          // faded, by tier
-    private double completed;                           // faded requests
-    private double scored;                              // faded attempts with a score
-    private double scores;                              // faded sum of latency / aim
-    private double[] values;                            // of the tiers, as parts of the highest
+    private double[] arrivals; // faded, by tier
+    private double completed; // faded requests
+    private double scored; // faded attempts with a score
+    private double scores; // faded sum of latency / aim
+    private double[] values; // of the tiers, as parts of the highest
     private int cheapTiers;
     private double cheapLevel;
     private double level;
@@ -65,7 +65,8 @@
         double highest = tierValues[tierValues.length - 1];
         values = Arrays.stream(tierValues).map(value -> value / highest).toArray();
         double cheap = Math.min(ordinary, CHEAP * highest);
-        cheapTiers = (int) Arrays.stream(tierValues).filter(value -> value < cheap).count();
+        cheapTiers =
+                (int) Arrays.stream(tierValues).filter(value -> value < cheap).count();
     }
 
     /** Tiers that are refused: the whole part in full, and of the next one the fraction. */
--- a/core/src/main/java/junctionhead/policy/AskSchedule.java
+++ b/core/src/main/java/junctionhead/policy/AskSchedule.java
@@ -7,7 +7,7 @@
     // After a call that failed, by half as much more or less: a change counts as told 6 s after discovery can be
     // reached again. Two pauses fit in, and between them a call that fails by waiting for 2 s.
     private static final long PAUSE_MOST = 1_300_000;
-    private static final long PAUSE_FIRST = 250_000;    // after a watch that worked; doubles each time
+    private static final long PAUSE_FIRST = 250_000; // after a watch that worked; doubles each time
     private static final int DOUBLINGS = 4;
 
     private final SplittableRandom random;
--- a/core/src/main/java/junctionhead/policy/Balance.java
+++ b/core/src/main/java/junctionhead/policy/Balance.java
@@ -28,94 +28,94 @@
     // Mechanism. D, A: the paper's defaults. Counts fade so that a slowed server loses its rank in seconds.
     private static final int D = 4;
     private static final int A = 2;
-    private static final double FADE = 10e6;            // µs, time constant of all decaying counts
-    private static final double QUICK = 2e6;            // µs, the same for the rate of answers
-    private static final double STALE = 2;              // usual latencies, time constant of trust in a report
-    private static final double SLOW_SMOOTH = 0.25;     // weight of one answer in a server's slowness
-    private static final double CROSSING = 10;          // part that a far queue seems longer, per price
-    private static final double REPORT_MOST = 1e6;      // requests in hand that a report may name
-    private static final double SLOW_MOST = 4;          // one answer counts no more than this
+    private static final double FADE = 10e6; // µs, time constant of all decaying counts
+    private static final double QUICK = 2e6; // µs, the same for the rate of answers
+    private static final double STALE = 2; // usual latencies, time constant of trust in a report
+    private static final double SLOW_SMOOTH = 0.25; // weight of one answer in a server's slowness
+    private static final double CROSSING = 10; // part that a far queue seems longer, per price
+    private static final double REPORT_MOST = 1e6; // requests in hand that a report may name
+    private static final double SLOW_MOST = 4; // one answer counts no more than this
     // The subset of a balancer, or of a key: as few as sampling needs, more where traffic keeps them in view.
     private static final int SUBSET = 6;
-    private static final double SUBSET_VISITS = 1.5;    // s between a balancer's requests to one server
-    private static final double PENDING = 0.5;          // of its aim that a request may wait and say nothing
-    private static final int KEYED_FLEET = 2_048;       // servers that a balancer can keep connections to
-    private static final double DEAR_VISITS = 0.5;      // the same where new connections have a price
-    private static final int KEY_SUBSET = 3;            // a key's servers are all sampled
-    private static final int REACH = 4;                 // times as many where only the own zone's count
-    private static final double KEY_SPREAD = 4;         // a hot key adds a quarter to its servers' load at most
-    private static final int POINTS = 8;                // on the ring, for a server of mean weight
+    private static final double SUBSET_VISITS = 1.5; // s between a balancer's requests to one server
+    private static final double PENDING = 0.5; // of its aim that a request may wait and say nothing
+    private static final int KEYED_FLEET = 2_048; // servers that a balancer can keep connections to
+    private static final double DEAR_VISITS = 0.5; // the same where new connections have a price
+    private static final int KEY_SUBSET = 3; // a key's servers are all sampled
+    private static final int REACH = 4; // times as many where only the own zone's count
+    private static final double KEY_SPREAD = 4; // a hot key adds a quarter to its servers' load at most
+    private static final int POINTS = 8; // on the ring, for a server of mean weight
     // Health. Two failures within some ten recent attempts are far beyond any sane base rate.
-    private static final double FAIL_COUNT = 1.6;       // faded failures before a server can be ejected
-    private static final double FAIL_SHARE = 0.15;      // and their share of its recent attempts
-    private static final long EJECT_FIRST = 1_000_000;  // µs, first ejection; doubles each time
-    private static final int EJECT_DOUBLINGS = 4;       // up to 16 s
-    private static final long UNTRIED = 1_500_000;      // µs that one which has just started waits at most
-    private static final int TRIALS_OK = 3;             // successes in a row, one at a time, that end a trial
+    private static final double FAIL_COUNT = 1.6; // faded failures before a server can be ejected
+    private static final double FAIL_SHARE = 0.15; // and their share of its recent attempts
+    private static final long EJECT_FIRST = 1_000_000; // µs, first ejection; doubles each time
+    private static final int EJECT_DOUBLINGS = 4; // up to 16 s
+    private static final long UNTRIED = 1_500_000; // µs that one which has just started waits at most
+    private static final int TRIALS_OK = 3; // successes in a row, one at a time, that end a trial
     private static final double SILENCE = 3; // silent for this multiple of the usual latency: stalled
     // What clients are told that are turned away.
-    private static final double COME_LEAST = 2e4;       // µs that a client is asked to stay away
-    private static final double COME_LEVEL = 1e5;       // and more for each tier that is turned away
+    private static final double COME_LEAST = 2e4; // µs that a client is asked to stay away
+    private static final double COME_LEVEL = 1e5; // and more for each tier that is turned away
     private static final double COME_SPREAD = 0.25;
-    private static final double SMOOTH = 0.03;          // weight of one answer in a class's usual latency
+    private static final double SMOOTH = 0.03; // weight of one answer in a class's usual latency
     // Work sent to a cold server, as a share of what a warm one of like weight takes at the same coldness.
     private static final double COLD_MARGIN = 1.6;
     // Further attempts after failures that may have run, per first attempt.
     private static final double RETRY_SHARE = 0.2;
     private static final double BUDGET_MOST = 10;
-    private static final double HEDGE_FULL = 0.02;      // hedges rest while a larger part is turned away
-    private static final double HEDGE_LEAST = 4;        // what hedges leave of that budget to retries
-    private static final double HINTED = 0.7;           // part of the latency that goes with hinted work
-    private static final double LATE_WORTH = 0.5;       // a late answer that earns less is given up
-    private static final double FEW = 5;                // first tries that say little of a tenant's rate
-    private static final double SHARE_BURST = 4;        // requests of a small tenant that chance bunches
-    private static final double TENANT_BURST = 1e6;     // µs of its rate that a tenant may bring at once
-    private static final long TICK_MOST = 20_000;       // µs between sweeps while anything is open
-    private static final long REFRESH = 100_000;        // µs between looks at all servers
-    private static final double GAIN_MOST = 1e60;       // counts are brought back to scale above it
+    private static final double HEDGE_FULL = 0.02; // hedges rest while a larger part is turned away
+    private static final double HEDGE_LEAST = 4; // what hedges leave of that budget to retries
+    private static final double HINTED = 0.7; // part of the latency that goes with hinted work
+    private static final double LATE_WORTH = 0.5; // a late answer that earns less is given up
+    private static final double FEW = 5; // first tries that say little of a tenant's rate
+    private static final double SHARE_BURST = 4; // requests of a small tenant that chance bunches
+    private static final double TENANT_BURST = 1e6; // µs of its rate that a tenant may bring at once
+    private static final long TICK_MOST = 20_000; // µs between sweeps while anything is open
+    private static final long REFRESH = 100_000; // µs between looks at all servers
+    private static final double GAIN_MOST = 1e60; // counts are brought back to scale above it
 
     private static final Comparator<Node> BY_ACCOMPLISHMENT =
-        Comparator.<Node>comparingDouble(n -> -n.count).thenComparingInt(n -> n.order);
+            Comparator.<Node>comparingDouble(n -> -n.count).thenComparingInt(n -> n.order);
 
     private Settings settings;
     private final SplittableRandom random;
-    private final SplittableRandom advice;              // apart, so that no choice hangs on a refusal
+    private final SplittableRandom advice; // apart, so that no choice hangs on a refusal
     private long tick;
     private long shortestAim;
-    private boolean anySafe;                      // whether any class may simply be repeated
+    private boolean anySafe; // whether any class may simply be repeated
     private final Map<String, Node> nodes = new LinkedHashMap<>();
-    private List<Node> listed = new ArrayList<>();      // up, in the seeded order
-    private boolean allLookBad;                         // or most of them: the fault is elsewhere
-    private final HashRing ring = new HashRing();       // of listed servers, with more points by weight
-    private Node[] homeRing = {};                       // each server once, from this balancer's point on
-    private long home;                            // where this balancer's subset starts
+    private List<Node> listed = new ArrayList<>(); // up, in the seeded order
+    private boolean allLookBad; // or most of them: the fault is elsewhere
+    private final HashRing ring = new HashRing(); // of listed servers, with more points by weight
+    private Node[] homeRing = {}; // each server once, from this balancer's point on
+    private long home; // where this balancer's subset starts
     private int walk;
-    private double fastShare = 0.5;                     // the paper's p
+    private double fastShare = 0.5; // the paper's p
     private final Map<String, Request> open = new LinkedHashMap<>();
     private final Map<Long, Double> keyCounts = new HashMap<>(); // faded requests of each key
     private final Map<Long, Turn> turns = new LinkedHashMap<>();
     // in share, over share
     private final List<List<Request>> held = List.of(new ArrayList<>(), new ArrayList<>());
-    private double[] usual;                       // µs, moving mean latency of each class
-    private double[] meanWork;                    // moving mean of each class's hints
-    private double[] brought;                     // faded first tries of each tenant
+    private double[] usual; // µs, moving mean latency of each class
+    private double[] meanWork; // moving mean of each class's hints
+    private double[] brought; // faded first tries of each tenant
     private double[] shareTokens; // requests each tenant may still bring within its share
     private long[] shareAt;
-    private long[] firstTry;                      // µs, most time of a first try
-    private double meanWeight = 1;                      // of listed servers
-    private double ownMean;                             // moving mean of own attempts in flight
-    private double shortestUsual;                       // µs, the least of the classes' usual latencies
+    private long[] firstTry; // µs, most time of a first try
+    private double meanWeight = 1; // of listed servers
+    private double ownMean; // moving mean of own attempts in flight
+    private double shortestUsual; // µs, the least of the classes' usual latencies
     private int inFlight;
-    private double[] tiers;                       // the distinct worths of requests, ascending
-    private double hedgeLevel;                    // above it requests within their share are refused
+    private double[] tiers; // the distinct worths of requests, ascending
+    private double hedgeLevel; // above it requests within their share are refused
     private final Admission admission;
-    private double turnedAway;                          // faded attempts that no server took
+    private double turnedAway; // faded attempts that no server took
     private double arrivals;
     private double retryBudget = BUDGET_MOST;
     private long fadedAt;
-    private double scale = 1;                           // of servers' counts: it grows, they don't fade
-    private double ownShare = 1;                        // of the balancer's budget for cold servers
-    private double warmRate;                            // answers per second and weight of warm servers
+    private double scale = 1; // of servers' counts: it grows, they don't fade
+    private double ownShare = 1; // of the balancer's budget for cold servers
+    private double warmRate; // answers per second and weight of warm servers
     private long refreshAt;
     private long wakeAt = Long.MAX_VALUE;
     private final AskSchedule asking;
@@ -141,17 +141,24 @@
 
     private void configure(Settings next) {
         settings = next;
-        shortestAim = settings.classes().stream().mapToLong(RequestClass::aim).min().getAsLong();
+        shortestAim =
+                settings.classes().stream().mapToLong(RequestClass::aim).min().getAsLong();
         anySafe = settings.classes().stream().anyMatch(c -> c.effect() == Effect.SAFE);
         home = (long) ((settings.rank() + 0.5) / settings.balancers() * 0x1p64 - 0x1p63);
-        tiers = settings.classes().stream().flatMapToDouble(c ->
-            DoubleStream.of(value(c, false), value(c, true))).distinct().sorted().toArray();
+        tiers = settings.classes().stream()
+                .flatMapToDouble(c -> DoubleStream.of(value(c, false), value(c, true)))
+                .distinct()
+                .sorted()
+                .toArray();
         hedgeLevel = Arrays.binarySearch(tiers, leastInShare()) + 0.05;
         tick = Math.max(settings.tick(), Math.min(TICK_MOST, shortestAim / 16));
     }
 
     private double leastInShare() {
-        return settings.classes().stream().mapToDouble(c -> value(c, false)).min().getAsDouble();
+        return settings.classes().stream()
+                .mapToDouble(c -> value(c, false))
+                .min()
+                .getAsDouble();
     }
 
     private double[] freshUsual() {
@@ -260,7 +267,8 @@
             nodes[j] = nodes[i];
             nodes[i] = drawn;
             double length = queue(drawn, now);
-            if (shortest == null || length < least
+            if (shortest == null
+                    || length < least
                     || length == least && BY_ACCOMPLISHMENT.compare(drawn, shortest) < 0) {
                 shortest = drawn;
                 least = length;
@@ -277,7 +285,9 @@
         while (!n.penalties.isEmpty() && n.penalties.peekFirst() <= now) {
             n.penalties.pollFirst();
         }
-        double far = n.server.zone() == settings.zone() ? 0 : CROSSING * settings.prices().crossZone();
+        double far = n.server.zone() == settings.zone()
+                ? 0
+                : CROSSING * settings.prices().crossZone();
         double queue = (n.inFlight + n.penalties.size() + others(n, now)) * meanWeight / n.server.weight();
         return queue + far * (1 + queue);
     }
@@ -304,8 +314,10 @@
         double rate = arrivals / FADE * 1e6;
         boolean keyed = settings.warmKeys() && r.key != 0 && listed.size() <= KEYED_FLEET;
         double visits = settings.prices().handshake() > 0 ? DEAR_VISITS : SUBSET_VISITS;
-        int wanted = (int) (keyed ? Math.max(KEY_SUBSET, KEY_SPREAD * heat(r.key) * listed.size())
-            : Math.max(SUBSET, rate * visits));
+        int wanted = (int)
+                (keyed
+                        ? Math.max(KEY_SUBSET, KEY_SPREAD * heat(r.key) * listed.size())
+                        : Math.max(SUBSET, rate * visits));
         Node[] order = homeRing;
         int from = 0;
         if (keyed) {
@@ -314,14 +326,17 @@
         }
         walk++;
         Attempt first = firstThatMayHaveRun(r);
-        boolean near = !keyed && settings.prices().crossZone() > settings.prices().handshake();
+        boolean near =
+                !keyed && settings.prices().crossZone() > settings.prices().handshake();
         for (int i = 0, warm = 0, met = 0; i < order.length && warm < wanted && met < REACH * wanted; i++) {
             Node n = order[(from + i) % order.length];
             if (n.walk == walk) {
                 continue;
             }
             n.walk = walk;
-            if (permitted(r.kind, n.server) && mayRunOn(r, first, n, now, tick) && hasColdBudget(n, now)
+            if (permitted(r.kind, n.server)
+                    && mayRunOn(r, first, n, now, tick)
+                    && hasColdBudget(n, now)
                     && (allLookBad || healthy(n, r, now))) {
                 (wasTried(r, n) ? tried : fresh).add(n);
                 int counts = warmth(n, now) >= 1 ? 1 : 0;
@@ -350,8 +365,7 @@
     // Guards against a server that fails fast or has fallen silent: it would win every queue comparison.
     // One on trial gets one attempt at a time, and none that could not be repeated where others can be.
     private boolean healthy(Node n, Request r, long now) {
-        return !looksBad(n, now)
-            && (n.trial == 0 || n.inFlight == 0 && (r.kind.effect() == Effect.SAFE || !anySafe));
+        return !looksBad(n, now) && (n.trial == 0 || n.inFlight == 0 && (r.kind.effect() == Effect.SAFE || !anySafe));
     }
 
     private boolean looksBad(Node n, long now) {
@@ -382,13 +396,12 @@
     // Rule 6: a class may be bound to zones and kinds of machine, at every attempt.
     private static boolean permitted(RequestClass kind, Server s) {
         return (kind.zones().isEmpty() || kind.zones().contains(s.zone()))
-            && (kind.machineKinds().isEmpty() || kind.machineKinds().contains(s.kind()));
+                && (kind.machineKinds().isEmpty() || kind.machineKinds().contains(s.kind()));
     }
 
     // Rule 5: whether all earlier requests of the key are over, and what they left may no longer run.
     private static boolean hasTurn(Request r, long now) {
-        return r.turn == null
-            || r.turn.line.peekFirst() == r && (now >= r.turn.restUntil || !r.attempts.isEmpty());
+        return r.turn == null || r.turn.line.peekFirst() == r && (now >= r.turn.restUntil || !r.attempts.isEmpty());
     }
 
     // Rule 2: a request that may have run goes again only where its class allows.
@@ -481,8 +494,16 @@
     // ---------------------------------------------------------------- requests
 
     @Override
-    public void request(long now, String id, int requestClass, int tenant, String key, long timeLeft,
-            long work, boolean resubmission, Actions out) {
+    public void request(
+            long now,
+            String id,
+            int requestClass,
+            int tenant,
+            String key,
+            long timeLeft,
+            long work,
+            boolean resubmission,
+            Actions out) {
         RequestClass kind = settings.classes().get(requestClass);
         if (settings.warmKeys() && key != null && !resubmission) {
             keyCounts.merge(Hashing.hash(key), scale, Double::sum);
@@ -490,9 +511,16 @@
         arrivals += resubmission ? 0 : 1;
         brought[tenant] += resubmission ? 0 : 1;
         long aim = kind.aim() + (work > 0 ? (long) (kind.aimStretch() * work) : 0);
-        Request r = new Request(id, requestClass, kind, key == null ? 0 : Hashing.hash(key), now, timeLeft,
-            now + aim - spent(requestClass, timeLeft, resubmission), overShare(tenant, now),
-            settings.limits().maxAttempts());
+        Request r = new Request(
+                id,
+                requestClass,
+                kind,
+                key == null ? 0 : Hashing.hash(key),
+                now,
+                timeLeft,
+                now + aim - spent(requestClass, timeLeft, resubmission),
+                overShare(tenant, now),
+                settings.limits().maxAttempts());
         open.put(id, r);
         if (work > 0) {
             double mean = meanWork[requestClass];
@@ -502,9 +530,15 @@
         wakeBy(now, tick, out);
         retryBudget = Math.min(BUDGET_MOST, retryBudget + RETRY_SHARE);
         if (!admission.admits(tierOf(r))) {
-            if (now >= remarkAt) {      // the text is not made up for each of many refusals
-                remark(now, String.format(Locale.ROOT, "overload: refusing, level %.2f, score %.2f",
-                    admission.level(), admission.score()), out);
+            if (now >= remarkAt) { // the text is not made up for each of many refusals
+                remark(
+                        now,
+                        String.format(
+                                Locale.ROOT,
+                                "overload: refusing, level %.2f, score %.2f",
+                                admission.level(),
+                                admission.score()),
+                        out);
             }
             end(r, out);
             return;
@@ -585,7 +619,7 @@
             List<Request> queue = held.get(r.last ? 1 : 0);
             int i = queue.size();
             while (i > 0 && latestStart(queue.get(i - 1)) > latestStart(r)) {
-                i--;                    // the most urgent first: short aims ran out in the queue
+                i--; // the most urgent first: short aims ran out in the queue
             }
             queue.add(i, r);
         }
@@ -615,8 +649,7 @@
             return null;
         }
         for (Node n : listed) {
-            if (n.tryBy <= now && permitted(r.kind, n.server) && hasColdBudget(n, now)
-                    && healthy(n, r, now)) {
+            if (n.tryBy <= now && permitted(r.kind, n.server) && hasColdBudget(n, now) && healthy(n, r, now)) {
                 return n;
             }
         }
@@ -641,8 +674,10 @@
     // cut: its work would go on where running work does, and be done twice. Cut at half of its time it cost a
     // tenth of the worth of every day on which anything was slow.
     private static long timeout(Request r, long now) {
-        boolean cut = !r.kind.streamed() && r.kind.effect() != Effect.SAFE
-            && r.kind.lateShare() < LATE_WORTH && r.aimAt > now;
+        boolean cut = !r.kind.streamed()
+                && r.kind.effect() != Effect.SAFE
+                && r.kind.lateShare() < LATE_WORTH
+                && r.aimAt > now;
         return cut ? r.aimAt - now : 0;
     }
 
@@ -655,9 +690,11 @@
                 if (r.closed || place(r, now, out)) {
                     r.held = false;
                     i.remove();
-                } else if (r.attempts.isEmpty() && r.turn == null && r.kind.zones().isEmpty()
+                } else if (r.attempts.isEmpty()
+                        && r.turn == null
+                        && r.kind.zones().isEmpty()
                         && r.kind.machineKinds().isEmpty()) {
-                    return;         // any server would do for this one: none is free
+                    return; // any server would do for this one: none is free
                 }
             }
         }
@@ -673,8 +710,9 @@
 
     private void end(Request r, Actions out) {
         r.closed = true;
-        boolean harmless = firstThatMayHaveRun(r) == null || r.kind.effect() == Effect.SAFE
-            || r.kind.effect() == Effect.KEYED && r.kind.scope() == Scope.ALL;
+        boolean harmless = firstThatMayHaveRun(r) == null
+                || r.kind.effect() == Effect.SAFE
+                || r.kind.effect() == Effect.KEYED && r.kind.scope() == Scope.ALL;
         if (harmless) {
             out.refuse(r.id, comeBackAfter());
         } else {
@@ -701,8 +739,8 @@
     }
 
     @Override
-    public void outcome(long now, String id, int attempt, Outcome outcome, long latency, boolean closed,
-            Load load, Actions out) {
+    public void outcome(
+            long now, String id, int attempt, Outcome outcome, long latency, boolean closed, Load load, Actions out) {
         Request r = open.get(id);
         if (r == null || attempt >= r.attempts.size() || !r.attempts.get(attempt).out) {
             return;
@@ -716,7 +754,8 @@
         a.node.inFlight--;
         inFlight--;
         if (r.turn != null && a.mayHaveRun && outcome != Outcome.OK && outcome != Outcome.ERROR) {
-            r.turn.restUntil = Math.max(r.turn.restUntil, now + settings.bounds().orderPause());
+            r.turn.restUntil =
+                    Math.max(r.turn.restUntil, now + settings.bounds().orderPause());
         }
         report(a.node, load, now);
         learn(a, outcome, latency, now, out);
@@ -741,8 +780,10 @@
     // After a failed attempt: another one, if the class, the deadline and the retry budget allow it.
     private void again(Request r, Outcome outcome, long now, Actions out) {
         boolean allowed = outcome.neverRan() || r.kind.effect() != Effect.UNSAFE && retryBudget >= 1;
-        if (!allowed || outcome == Outcome.NOT_SENT || r.attempts.size() >= r.attemptsMost
-            || now >= (r.kind.effect() == Effect.SAFE ? r.deadline : r.aimAt) - tick) {
+        if (!allowed
+                || outcome == Outcome.NOT_SENT
+                || r.attempts.size() >= r.attemptsMost
+                || now >= (r.kind.effect() == Effect.SAFE ? r.deadline : r.aimAt) - tick) {
             finish(r, out);
             return;
         }
@@ -759,8 +800,13 @@
     // It draws on the budget of the retries and rests while requests are turned away, so that it can't feed
     // an overload; it might hurt where all servers slow down at once, by the budget's share at most.
     private void hedge(Request r, long now, Actions out) {
-        if (r.out != 1 || r.closed || r.streaming || r.kind.effect() != Effect.SAFE || now >= r.aimAt
-            || r.attempts.size() >= r.attemptsMost || retryBudget < HEDGE_LEAST) {
+        if (r.out != 1
+                || r.closed
+                || r.streaming
+                || r.kind.effect() != Effect.SAFE
+                || now >= r.aimAt
+                || r.attempts.size() >= r.attemptsMost
+                || retryBudget < HEDGE_LEAST) {
             return;
         }
         double expected = usual[r.number] * r.size;
@@ -834,13 +880,13 @@
                 admission.completed();
                 admission.latency(latency / (double) kind.aim());
             }
-            case CANCELLED -> {         // the copy came first, or the client left
-                if (latency > 2 * usually) {    // its server may well be at it still
+            case CANCELLED -> { // the copy came first, or the client left
+                if (latency > 2 * usually) { // its server may well be at it still
                     failed(n, 0, (long) (2 * usual[number]), now, out);
                     slowed(n, Math.max(slowness(n, now), latency / usually), now);
                 }
             }
-            case NOT_SENT -> { }
+            case NOT_SENT -> {}
             case FULL -> {
                 // A hung server fills up and then only turns away: without answers that is no mere overload.
                 failed(n, now - n.lastOk > QUICK ? 0.5 : 0, (long) usual[number], now, out);
@@ -848,7 +894,7 @@
                 n.fullUntil = now + (long) (usual[number] * (0.5 + random.nextDouble()));
                 admission.overloaded();
             }
-            // A time-out may be the fault of the load: it takes more of them.
+                // A time-out may be the fault of the load: it takes more of them.
             case TIMEOUT -> {
                 slowed(n, latency / usually, now);
                 admission.overloaded();
@@ -880,7 +926,7 @@
     }
 
     @Override
-    public void probed(long now, String server, Outcome outcome, long latency, Load load, Actions out) { }
+    public void probed(long now, String server, Outcome outcome, long latency, Load load, Actions out) {}
 
     private void remark(long now, String line, Actions out) {
         if (now >= remarkAt) {
@@ -894,7 +940,7 @@
     @Override
     public void wake(long now, Actions out) {
         if (now < wakeAt) {
-            return;                     // asked for before an earlier one was
+            return; // asked for before an earlier one was
         }
         wakeAt = Long.MAX_VALUE;
         double keep = Math.exp(-(now - fadedAt) / FADE);
@@ -1034,7 +1080,7 @@
             asking.answered();
         }
         if (!complete && servers.isEmpty()) {
-            return;                     // news of servers that are not held here, or of none
+            return; // news of servers that are not held here, or of none
         }
         if (complete) {
             for (Node n : nodes.values()) {
@@ -1075,7 +1121,8 @@
     // Puts the servers on the ring at points that follow from their ids: a change of the list moves few, and
     // only those are touched. Made anew at each step of a deploy, the ring cost more than all requests.
     private void arrange() {
-        meanWeight = listed.stream().mapToDouble(n -> n.server.weight()).average().orElse(1);
+        meanWeight =
+                listed.stream().mapToDouble(n -> n.server.weight()).average().orElse(1);
         for (Node n : nodes.values()) {
             double share = POINTS * n.server.weight() / meanWeight;
             int many = (int) Math.max(1, Math.min(8 * POINTS, Math.round(share)));
--- a/core/src/main/java/junctionhead/policy/BalanceState.java
+++ b/core/src/main/java/junctionhead/policy/BalanceState.java
@@ -8,33 +8,33 @@
 
 /** What a balancer writes down of servers, requests and attempts: plain data, for Balance only. */
 final class BalanceState {
-    private BalanceState() { }
+    private BalanceState() {}
 
     /** A server, as this balancer sees it. */
     static final class Node {
         private static final int LEARNT_FIGURES = 11;
         Server server;
         final long hash;
-        final int order;                                // seeded shuffle: breaks ties of equal counts
-        double count;                                   // accomplishment: faded dispatches
-        int points;                                     // that it has on the ring
-        int walk;                                       // the last walk over the ring that met it
+        final int order; // seeded shuffle: breaks ties of equal counts
+        double count; // accomplishment: faded dispatches
+        int points; // that it has on the ring
+        int walk; // the last walk over the ring that met it
         int inFlight;
-        double reported;                                // requests in hand, by its last report
-        long reportedAt;                                // 0 = none yet
-        double slowness = 1;                            // moving mean of latency / usual latency
+        double reported; // requests in hand, by its last report
+        long reportedAt; // 0 = none yet
+        double slowness = 1; // moving mean of latency / usual latency
         long slownessAt;
         final ArrayDeque<Attempt> sent = new ArrayDeque<>(); // oldest first; ended ones are dropped lazily
         final ArrayDeque<Long> penalties = new ArrayDeque<>(); // until when failed attempts keep their slots
-        double oks;                                     // faded
-        double fails;                                   // faded
+        double oks; // faded
+        double fails; // faded
         long lastOk;
-        long tryBy = Long.MAX_VALUE;                    // it is sent something by then, whatever its rank
+        long tryBy = Long.MAX_VALUE; // it is sent something by then, whatever its rank
         long ejectedUntil;
         int ejections;
-        long fullUntil;                                 // turned an attempt away: rests for a moment
-        int trial;                                      // successes still wanted, 0 = not on trial
-        double tokens;                                  // cold budget, in attempts
+        long fullUntil; // turned an attempt away: rests for a moment
+        int trial; // successes still wanted, 0 = not on trial
+        double tokens; // cold budget, in attempts
         long tokensAt;
 
         Node(Server server, int order) {
@@ -45,9 +45,19 @@
 
         /** What {@link #resume} of another process goes on from; {@code scale} is that of the faded counts. */
         double[] learnt(long now, double scale, double slownessNow) {
-            return new double[] {server.startedAt(), count / scale, oks / scale, fails / scale, slownessNow,
-                Math.max(0, ejectedUntil - now), ejections, trial, tokens, now - lastOk,
-                tryBy < Long.MAX_VALUE ? 1 : 0};
+            return new double[] {
+                server.startedAt(),
+                count / scale,
+                oks / scale,
+                fails / scale,
+                slownessNow,
+                Math.max(0, ejectedUntil - now),
+                ejections,
+                trial,
+                tokens,
+                now - lastOk,
+                tryBy < Long.MAX_VALUE ? 1 : 0
+            };
         }
 
         /** Takes over what has been learnt elsewhere about the same start of this server; else nothing. */
@@ -73,11 +83,11 @@
     /** One send of a request to a server. */
     static final class Attempt {
         final Node node;
-        final Server server;                            // as listed at the send: its zone and cell
+        final Server server; // as listed at the send: its zone and cell
         final Request request;
         final long at;
         boolean out = true;
-        boolean mayHaveRun = true;                      // until its outcome proves otherwise
+        boolean mayHaveRun = true; // until its outcome proves otherwise
 
         Attempt(Node node, Request request, long at) {
             this.node = node;
@@ -90,31 +100,39 @@
     /** Requests with one key of classes that are served in order: only the first of the line is sent. */
     static final class Turn {
         final ArrayDeque<Request> line = new ArrayDeque<>();
-        long restUntil;                                 // attempts of the last one may still run until then
+        long restUntil; // attempts of the last one may still run until then
     }
 
     /** A request that is owed an answer, or has attempts out. */
     static final class Request {
         final String id;
-        int number;                                     // moves when the settings change
+        int number; // moves when the settings change
         final RequestClass kind;
         final long key;
         final long arrived;
         final long deadline;
         final long aimAt;
-        double size = 1;                                // usual latencies that its hint promises
-        final boolean last;                             // over its tenant's share, or late already
+        double size = 1; // usual latencies that its hint promises
+        final boolean last; // over its tenant's share, or late already
         final int attemptsMost;
         final List<Attempt> attempts = new ArrayList<>(2);
         int out;
         boolean closed;
         boolean held;
         boolean streaming;
-        boolean overloaded;                             // its last attempt ended for want of capacity
-        Turn turn;                                      // null where no order is asked for
+        boolean overloaded; // its last attempt ended for want of capacity
+        Turn turn; // null where no order is asked for
 
-        Request(String id, int number, RequestClass kind, long key, long arrived, long timeLeft, long aimAt,
-                boolean overShare, int attemptsMost) {
+        Request(
+                String id,
+                int number,
+                RequestClass kind,
+                long key,
+                long arrived,
+                long timeLeft,
+                long aimAt,
+                boolean overShare,
+                int attemptsMost) {
             this.attemptsMost = attemptsMost;
             this.id = id;
             this.number = number;
--- a/core/src/main/java/junctionhead/policy/HashRing.java
+++ b/core/src/main/java/junctionhead/policy/HashRing.java
@@ -12,7 +12,7 @@
  */
 final class HashRing {
     private final TreeMap<Long, Node> points = new TreeMap<>();
-    private Node[] servers;                             // the same in arrays, made when asked for
+    private Node[] servers; // the same in arrays, made when asked for
     private long[] positions;
 
     /** Gives a server so many points; 0 takes it off the ring. */
--- a/core/src/main/java/junctionhead/policy/Hashing.java
+++ b/core/src/main/java/junctionhead/policy/Hashing.java
@@ -2,7 +2,7 @@
 
 /** Hash functions that give the same values on every machine and in every run. */
 final class Hashing {
-    private Hashing() { }
+    private Hashing() {}
 
     /** FNV-1a, then mixed. */
     static long hash(String text) {
--- a/core/src/main/java/junctionhead/policy/Policy.java
+++ b/core/src/main/java/junctionhead/policy/Policy.java
@@ -17,30 +17,61 @@
  */
 public interface Policy {
     /** What a class of requests allows once an attempt may have run. */
-    enum Effect { SAFE, KEYED, UNSAFE }
+    enum Effect {
+        SAFE,
+        KEYED,
+        UNSAFE
+    }
 
     /** The servers that drop a repeat of a keyed request. */
-    enum Scope { ALL, ZONE, CELL }
+    enum Scope {
+        ALL,
+        ZONE,
+        CELL
+    }
 
     /** How the list of servers is learnt: changes come unasked, or only after watch or fetch. */
-    enum Discovery { PUSH, ASK }
+    enum Discovery {
+        PUSH,
+        ASK
+    }
 
     /** When servers report their load. */
-    enum Reports { ANSWERS, PROBE, NONE }
+    enum Reports {
+        ANSWERS,
+        PROBE,
+        NONE
+    }
 
     /**
      * What a list holds: the one kept over a restart, the complete one, changes only or, failed, nothing.
      * {@code OWN}: changes that this balancer's operators made, which say nothing of discovery.
      */
-    enum ListKind { PERSISTED, COMPLETE, PARTIAL, FAILED, OWN }
+    enum ListKind {
+        PERSISTED,
+        COMPLETE,
+        PARTIAL,
+        FAILED,
+        OWN
+    }
 
     /** A listed server runs, finishes its work without taking more, or has gone. */
-    enum State { UP, DRAINING, GONE }
+    enum State {
+        UP,
+        DRAINING,
+        GONE
+    }
 
     /** How an attempt ended. */
     enum Outcome {
-        OK(false), ERROR(false), FULL(true), TIMEOUT(false), CONNECT_FAILED(true), RESET(false),
-        CANCELLED(false), NOT_SENT(true);
+        OK(false),
+        ERROR(false),
+        FULL(true),
+        TIMEOUT(false),
+        CONNECT_FAILED(true),
+        RESET(false),
+        CANCELLED(false),
+        NOT_SENT(true);
 
         private final boolean neverRan;
 
@@ -76,9 +107,19 @@
      * {@code inOrder}: requests with one key run one at a time, in the order taken. {@code zones} and
      * {@code machineKinds} are the only ones whose servers may be sent to; empty: all.
      */
-    record RequestClass(Effect effect, Scope scope, long keyMemory, long aim, long deadline,
-            double aimStretch, double worth, double lateShare, boolean streamed, boolean inOrder,
-            Set<Integer> zones, Set<Integer> machineKinds) {
+    record RequestClass(
+            Effect effect,
+            Scope scope,
+            long keyMemory,
+            long aim,
+            long deadline,
+            double aimStretch,
+            double worth,
+            double lateShare,
+            boolean streamed,
+            boolean inOrder,
+            Set<Integer> zones,
+            Set<Integer> machineKinds) {
         public RequestClass {
             zones = Set.copyOf(zones);
             machineKinds = Set.copyOf(machineKinds);
@@ -89,10 +130,29 @@
         }
 
         /** A class without order or placement. */
-        public RequestClass(Effect effect, Scope scope, long keyMemory, long aim, long deadline,
-                double aimStretch, double worth, double lateShare, boolean streamed) {
-            this(effect, scope, keyMemory, aim, deadline, aimStretch, worth, lateShare, streamed, false,
-                Set.of(), Set.of());
+        public RequestClass(
+                Effect effect,
+                Scope scope,
+                long keyMemory,
+                long aim,
+                long deadline,
+                double aimStretch,
+                double worth,
+                double lateShare,
+                boolean streamed) {
+            this(
+                    effect,
+                    scope,
+                    keyMemory,
+                    aim,
+                    deadline,
+                    aimStretch,
+                    worth,
+                    lateShare,
+                    streamed,
+                    false,
+                    Set.of(),
+                    Set.of());
         }
     }
 
@@ -104,7 +164,7 @@
     }
 
     /** How much the worst-served class and the worst-served tenant count, beside the whole. */
-    record Goal(double whole, double worstWindow, double worstClass, double worstTenant) { }
+    record Goal(double whole, double worstWindow, double worstClass, double worstTenant) {}
 
     /** Points of the goal for each crossing of zones and for each new connection, per first try; 0: free. */
     record Prices(double crossZone, double handshake) {
@@ -115,16 +175,28 @@
     }
 
     /** What the site allows. {@code retryAfterMax}: the longest that clients observe, or 0. */
-    record Limits(int maxAttempts, boolean mayDuplicate, boolean mayCancel, boolean mayProbe,
-            long connectTimeout, long retryAfterMax) {
+    record Limits(
+            int maxAttempts,
+            boolean mayDuplicate,
+            boolean mayCancel,
+            boolean mayProbe,
+            long connectTimeout,
+            long retryAfterMax) {
         public Limits {
             require(maxAttempts > 0, "maxAttempts", maxAttempts);
         }
     }
 
     /** The figures of the rules; {@code orderPause}: a key's rest after an attempt that may still run. */
-    record Bounds(long answerSlack, long drainGrace, long askWithin, double coldFrom, long rampTime,
-            double overloadFactor, long fallWindow, long orderPause) {
+    record Bounds(
+            long answerSlack,
+            long drainGrace,
+            long askWithin,
+            double coldFrom,
+            long rampTime,
+            double overloadFactor,
+            long fallWindow,
+            long orderPause) {
         public Bounds {
             require(orderPause >= 0, "orderPause", orderPause);
             require(coldFrom > 0 && coldFrom <= 1, "coldFrom", coldFrom);
@@ -139,10 +211,22 @@
      * {@code warmKeys}: a server needs less work for a key that it served lately; {@code tick} is the
      * shortest step of the clock.
      */
-    record Settings(int balancers, int rank, int zone, List<RequestClass> classes, List<Tenant> tenants,
-            double overShareWorth, Goal goal, Prices prices,
-            boolean worthByWork, Discovery discovery, Reports reports,
-            boolean warmKeys, Limits limits, Bounds bounds, long tick) {
+    record Settings(
+            int balancers,
+            int rank,
+            int zone,
+            List<RequestClass> classes,
+            List<Tenant> tenants,
+            double overShareWorth,
+            Goal goal,
+            Prices prices,
+            boolean worthByWork,
+            Discovery discovery,
+            Reports reports,
+            boolean warmKeys,
+            Limits limits,
+            Bounds bounds,
+            long tick) {
         public Settings {
             classes = List.copyOf(classes);
             tenants = List.copyOf(tenants);
@@ -154,8 +238,13 @@
     }
 
     /** A server's own report; a figure that it doesn't carry is NaN. {@code recentLatency} is in µs. */
-    record Load(double inFlight, double queued, double utilization, double recentLatency,
-            double throughput, double errorsPerSecond) { }
+    record Load(
+            double inFlight,
+            double queued,
+            double utilization,
+            double recentLatency,
+            double throughput,
+            double errorsPerSecond) {}
 
     private static void require(boolean holds, String name, Object value) {
         if (!holds) {
@@ -174,8 +263,16 @@
      * @param work the client's guess of the work, or -1
      * @param resubmission the client says that it has tried before
      */
-    void request(long now, String request, int requestClass, int tenant, String key, long timeLeft,
-            long work, boolean resubmission, Actions out);
+    void request(
+            long now,
+            String request,
+            int requestClass,
+            int tenant,
+            String key,
+            long timeLeft,
+            long work,
+            boolean resubmission,
+            Actions out);
 
     /**
      * An attempt has ended; each attempt that was sent ends once.
@@ -184,8 +281,15 @@
      * @param closed the request has had its final answer (an OK is passed to the client by the caller)
      * @param load null where no report came with it
      */
-    void outcome(long now, String request, int attempt, Outcome outcome, long latency, boolean closed,
-            Load load, Actions out);
+    void outcome(
+            long now,
+            String request,
+            int attempt,
+            Outcome outcome,
+            long latency,
+            boolean closed,
+            Load load,
+            Actions out);
 
     /** A streamed answer has begun: the attempt belongs to the client, its time-outs no longer hold. */
     void streamStarted(long now, String request, int attempt, Actions out);
@@ -200,7 +304,7 @@
     void wake(long now, Actions out);
 
     /** A message from another balancer; junctionhead sends none and reads none. */
-    default void peerMessage(long now, int from, byte[] data, Actions out) { }
+    default void peerMessage(long now, int from, byte[] data, Actions out) {}
 
     /**
      * Takes new settings, for requests that come from here on; what has been learnt stays.
@@ -208,7 +312,7 @@
      * @param formerClasses for each class of the new settings its number in those before, or -1
      * @param formerTenants the same for tenants
      */
-    default void reconfigure(long now, Settings settings, int[] formerClasses, int[] formerTenants) { }
+    default void reconfigure(long now, Settings settings, int[] formerClasses, int[] formerTenants) {}
 
     /** What has been learnt so far, by names of the module's own, for another module to go on from. */
     default Map<String, double[]> learnt(long now) {
@@ -216,13 +320,13 @@
     }
 
     /** Goes on from what another module has learnt; what doesn't fit is passed over. */
-    default void resume(long now, Map<String, double[]> learnt) { }
+    default void resume(long now, Map<String, double[]> learnt) {}
 
     /**
      * From here on this module may use that part of what its balancer may send to cold servers: another
      * process of the same balancer uses the rest.
      */
-    default void share(double part) { }
+    default void share(double part) {}
 
     /** What the module may ask for: a sink that the caller implements. */
     interface Actions {
--- a/core/src/main/java/junctionhead/routes/Overflow.java
+++ b/core/src/main/java/junctionhead/routes/Overflow.java
@@ -26,10 +26,12 @@
      * @param limits share of the traffic that each pool may take at the most, over 0
      */
     public Overflow(double spare, double returnPerSecond, double... limits) {
-        if (!(spare >= 1) || !(returnPerSecond > 0) || limits.length == 0
+        if (!(spare >= 1)
+                || !(returnPerSecond > 0)
+                || limits.length == 0
                 || Arrays.stream(limits).anyMatch(l -> !(l > 0))) {
             throw new IllegalArgumentException("impossible overflow: spare " + spare + ", return " + returnPerSecond
-                + ", limits " + Arrays.toString(limits));
+                    + ", limits " + Arrays.toString(limits));
         }
         this.spare = spare;
         this.returnPerSecond = returnPerSecond;
@@ -47,8 +49,8 @@
     public double[] shares(long now, double... healthy) {
         double seconds = at == Long.MIN_VALUE ? 0 : Math.max(0, now - at) / 1e6;
         at = Math.max(at, now);
-        double before = 0;                                  // what this pool and the preferred ones had
-        double sum = 0;                                     // and what they get
+        double before = 0; // what this pool and the preferred ones had
+        double sum = 0; // and what they get
         for (int i = 0; i < shares.length; i++) {
             before += shares[i];
             // Leaving is immediate, and so is what no later pool can take; returning from those is not.
--- a/core/src/main/java/junctionhead/routes/PathTemplate.java
+++ b/core/src/main/java/junctionhead/routes/PathTemplate.java
@@ -10,7 +10,7 @@
  */
 public record PathTemplate(List<Segment> segments, boolean rest) {
     /** One part between slashes; {@code text} is the literal, or the name of a place. */
-    public record Segment(String text, boolean place) { }
+    public record Segment(String text, boolean place) {}
 
     private static final int MOST = 64;
 
@@ -40,8 +40,8 @@
             } else if (part.startsWith("{") && part.endsWith("}") && part.length() > 2) {
                 all.add(new Segment(part.substring(1, part.length() - 1), true));
             } else if (part.indexOf('{') >= 0 || part.indexOf('}') >= 0 || part.indexOf('*') >= 0) {
-                throw new IllegalArgumentException("path '" + text + "': '" + part
-                    + "' is neither a literal, nor '{name}', nor '**'");
+                throw new IllegalArgumentException(
+                        "path '" + text + "': '" + part + "' is neither a literal, nor '{name}', nor '**'");
             } else if (part.equals(".") || part.equals("..")) {
                 throw new IllegalArgumentException("path '" + text + "': no request with '" + part + "' is routed");
             } else {
@@ -49,8 +49,8 @@
             }
         }
         if (all.size() > MOST) {
-            throw new IllegalArgumentException("path '" + text + "' has " + all.size() + " segments, " + MOST
-                + " at most");
+            throw new IllegalArgumentException(
+                    "path '" + text + "' has " + all.size() + " segments, " + MOST + " at most");
         }
         return new PathTemplate(all, rest);
     }
--- a/core/src/main/java/junctionhead/routes/PoolHealth.java
+++ b/core/src/main/java/junctionhead/routes/PoolHealth.java
@@ -5,10 +5,10 @@
  * it serves against those that it is given. Pure; times in µs.
  */
 public final class PoolHealth {
-    private static final double FADE = 1e6;                 // µs over which ends count
+    private static final double FADE = 1e6; // µs over which ends count
     private static final double FULL_STRENGTH_FADE = 600e6; // a fleet made smaller on purpose is the full one by then
-    private static final double WELL = 0.9;                 // served of what was given, above which nothing is wrong
-    private static final double PRIOR = 5;                  // ends that a new or idle pool is credited with
+    private static final double WELL = 0.9; // served of what was given, above which nothing is wrong
+    private static final double PRIOR = 5; // ends that a new or idle pool is credited with
 
     private final int fullStrength;
     private double strength;
--- a/core/src/main/java/junctionhead/routes/RouteTable.java
+++ b/core/src/main/java/junctionhead/routes/RouteTable.java
@@ -27,8 +27,7 @@
 
         Route first(Route.Request request) {
             Route any = first(byTenant.getOrDefault(null, NONE), request);
-            Route own = request.tenant() == null ? null
-                : first(byTenant.getOrDefault(request.tenant(), NONE), request);
+            Route own = request.tenant() == null ? null : first(byTenant.getOrDefault(request.tenant(), NONE), request);
             if (any == null || own == null) {
                 return any == null ? own : any;
             }
--- a/core/src/main/java/junctionhead/routes/Split.java
+++ b/core/src/main/java/junctionhead/routes/Split.java
@@ -22,8 +22,8 @@
         this.weights = weights.clone();
         for (int i = 0; i < weights.length; i++) {
             if (!(weights[i] >= 0) || Double.isInfinite(weights[i])) {
-                throw new IllegalArgumentException("weight of '" + names[i] + "' is " + weights[i]
-                    + ": a number of 0 or more is wanted");
+                throw new IllegalArgumentException(
+                        "weight of '" + names[i] + "' is " + weights[i] + ": a number of 0 or more is wanted");
             }
         }
     }
@@ -48,7 +48,7 @@
     }
 
     /** The number that stands for a key's text. */
-    public static long hash(String text) {                  // FNV-1a, 64 bits, and a finalizer
+    public static long hash(String text) { // FNV-1a, 64 bits, and a finalizer
         long h = 0xcbf29ce484222325L;
         for (int i = 0; i < text.length(); i++) {
             h = (h ^ text.charAt(i)) * 0x100000001b3L;
@@ -56,7 +56,7 @@
         return mix(h);
     }
 
-    private static long mix(long value) {                   // the finalizer of SplitMix64
+    private static long mix(long value) { // the finalizer of SplitMix64
         long z = (value ^ value >>> 30) * 0xbf58476d1ce4e5b9L;
         z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
         return z ^ z >>> 31;
--- a/core/src/main/java/junctionhead/staleness/Staleness.java
+++ b/core/src/main/java/junctionhead/staleness/Staleness.java
@@ -20,7 +20,7 @@
     private final boolean pushed;
     private long grace;
     private long askWithin;
-    private long due = Long.MAX_VALUE;              // when what has been missed counts as told
+    private long due = Long.MAX_VALUE; // when what has been missed counts as told
 
     /**
      * Where lists are pushed, what there is counts as told at once, also before a watch is open.
--- a/core/src/main/java/junctionhead/subset/AdaptiveSample.java
+++ b/core/src/main/java/junctionhead/subset/AdaptiveSample.java
@@ -59,7 +59,7 @@
         while (held.size() > most && subset.level() < Subset.DEEPEST) {
             narrow(subset.narrower());
         }
-        if (held.size() > most) {                       // so many of one hash: no list that anybody means
+        if (held.size() > most) { // so many of one hash: no list that anybody means
             held.remove(held.size() - 1);
         }
     }
--- a/core/src/main/java/junctionhead/subset/Subset.java
+++ b/core/src/main/java/junctionhead/subset/Subset.java
@@ -16,6 +16,7 @@
 public record Subset(long point, int level) {
     /** No list is halved more often. */
     public static final int DEEPEST = 32;
+
     private static final long GOLDEN = 0x9e3779b97f4a7c15L;
     private static final int BITS = 64;
 
--- a/core/src/test/java/junctionhead/front/FrontTest.java
+++ b/core/src/test/java/junctionhead/front/FrontTest.java
@@ -60,29 +60,34 @@
     }
 
     private static Arrival get(String path, String key, String tenant) {
-        return new Arrival(new Route.Request("GET", PathTemplate.split(path), Map.of(), tenant, null), key, 1, false,
-            0.5);
+        return new Arrival(
+                new Route.Request("GET", PathTemplate.split(path), Map.of(), tenant, null), key, 1, false, 0.5);
     }
 
     @Test
     void whatCantBeRoutedIsSaidAtOnce() {
         FrontPlan strict = plan(List.of(pool("a")), List.of(route("r", "/api/{key}", way("a", 1))), Quotas.none(), 1);
         Front front = new Front(strict);
-        assertEquals(Answer.BAD_PATH, front.arrive(0, get("/api/../x", "k", null)).answer());
+        assertEquals(
+                Answer.BAD_PATH, front.arrive(0, get("/api/../x", "k", null)).answer());
         assertEquals(Answer.NOT_FOUND, front.arrive(0, get("/other", "k", null)).answer());
         assertEquals(Answer.NOT_FOUND, front.arrive(0, get("/api//", "k", null)).answer(), "doubled slashes are two");
         assertEquals("a", front.arrive(0, get("/api/a%2Fb", "k", null)).ticket().pool(), "an encoded slash is none");
         FrontPlan lenient = new FrontPlan(strict.pools(), strict.routes(), "a", Quotas.none(), 1, 0, ADVICE);
-        assertNull(new Front(lenient).arrive(0, get("/other", "k", null)).ticket().route());
-        assertThrows(IllegalArgumentException.class, () -> plan(List.of(pool("a")),
-            List.of(route("r", "/x", way("agnets", 1))), Quotas.none(), 1));
+        assertNull(
+                new Front(lenient).arrive(0, get("/other", "k", null)).ticket().route());
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> plan(List.of(pool("a")), List.of(route("r", "/x", way("agnets", 1))), Quotas.none(), 1));
     }
 
     @Test
     void allWeightsNothingAndALimitOfNothingRefuse() {
-        Front front = new Front(plan(List.of(pool("a"), pool("b"),
-            new PoolPlan("shut", ConcurrencyLimit.Plan.fixed(0), 0)), List.of(route("none", "/n", way("a", 0),
-                way("b", 0)), route("shut", "/s", way("shut", 1))), Quotas.none(), 1));
+        Front front = new Front(plan(
+                List.of(pool("a"), pool("b"), new PoolPlan("shut", ConcurrencyLimit.Plan.fixed(0), 0)),
+                List.of(route("none", "/n", way("a", 0), way("b", 0)), route("shut", "/s", way("shut", 1))),
+                Quotas.none(),
+                1));
         Verdict none = front.arrive(0, get("/n", "k", null));
         assertEquals(Reason.NO_POOL, none.reason());
         assertTrue(none.retryAfter() >= ADVICE.least() && none.retryAfter() <= ADVICE.most());
@@ -91,8 +96,11 @@
 
     @Test
     void theCheapestIsRefusedFirstAtAPoolsLimit() {
-        Front front = new Front(plan(List.of(new PoolPlan("a", ConcurrencyLimit.Plan.fixed(10), 0)),
-            List.of(route("r", "/x", way("a", 1))), Quotas.none(), 1));
+        Front front = new Front(plan(
+                List.of(new PoolPlan("a", ConcurrencyLimit.Plan.fixed(10), 0)),
+                List.of(route("r", "/x", way("a", 1))),
+                Quotas.none(),
+                1));
         Route.Request request = new Route.Request("GET", PathTemplate.split("/x"), Map.of(), null, null);
         int cheap = 0;
         while (front.arrive(0, new Arrival(request, "k", 0, false, 0)).ticket() != null) {
@@ -100,7 +108,8 @@
         }
         assertEquals(8, cheap, "a fifth is kept for those worth more");
         List<Ticket> dear = new ArrayList<>();
-        for (Ticket t = front.arrive(0, new Arrival(request, "k", 1, false, 0)).ticket(); t != null;
+        for (Ticket t = front.arrive(0, new Arrival(request, "k", 1, false, 0)).ticket();
+                t != null;
                 t = front.arrive(0, new Arrival(request, "k", 1, false, 0)).ticket()) {
             dear.add(t);
         }
@@ -112,10 +121,12 @@
 
     @Test
     void unknownTenantsShareOneLimitWhateverTheyCallThemselves() {
-        Quotas quotas = new Quotas(new Rate(100, 10, 100), Map.of("known", new TenantQuota(new Rate(50, 5, 50),
-            Map.of("r", new Rate(10, 1, 10)))), new Rate(5, 5, 5));
-        Front front = new Front(plan(List.of(pool("a")), List.of(route("r", "/x", way("a", 1)),
-            route("s", "/y", way("a", 1))), quotas, 1));
+        Quotas quotas = new Quotas(
+                new Rate(100, 10, 100),
+                Map.of("known", new TenantQuota(new Rate(50, 5, 50), Map.of("r", new Rate(10, 1, 10)))),
+                new Rate(5, 5, 5));
+        Front front = new Front(plan(
+                List.of(pool("a")), List.of(route("r", "/x", way("a", 1)), route("s", "/y", way("a", 1))), quotas, 1));
         int strangers = 0;
         for (int i = 0; i < 50; i++) {
             Arrival stranger = get("/x", "k", i % 3 == 0 ? null : i % 3 == 1 ? "/" : "t" + i);
@@ -130,8 +141,11 @@
     @Test
     void eachInstanceTakesItsPartOfASitesRate() {
         for (int n : new int[] {1, 2, 16}) {
-            Front front = new Front(plan(List.of(pool("a")), List.of(route("r", "/x", way("a", 1))),
-                new Quotas(new Rate(160, 16, 160), Map.of(), null), n));
+            Front front = new Front(plan(
+                    List.of(pool("a")),
+                    List.of(route("r", "/x", way("a", 1))),
+                    new Quotas(new Rate(160, 16, 160), Map.of(), null),
+                    n));
             int passed = 0;
             for (long now = 0; now < 10 * SECOND; now += 1000) {
                 passed += front.arrive(now, get("/x", "k", null)).ticket() != null ? 1 : 0;
@@ -142,8 +156,8 @@
 
     @Test
     void clientsRetriesDrawOnTheBudgetAndSoDoThePools() {
-        RoutePlan r = new RoutePlan(match("r", "/x", 1), List.of(way("a", 1)), 1.2, 0.05,
-            new Retries(0.2, 0, 10 * SECOND, true), null, 0);
+        RoutePlan r = new RoutePlan(
+                match("r", "/x", 1), List.of(way("a", 1)), 1.2, 0.05, new Retries(0.2, 0, 10 * SECOND, true), null, 0);
         Front front = new Front(plan(List.of(pool("a")), List.of(r), Quotas.none(), 1));
         Arrival again = new Arrival(get("/x", "k", null).request(), "k", 1, true, 0.5);
         assertEquals(Reason.CLIENT_RETRIES, front.arrive(0, again).reason());
@@ -159,8 +173,11 @@
 
     @Test
     void trafficSpillsByDegreesAndTheSameKeysFirst() {
-        Front front = new Front(plan(List.of(pool("first"), pool("second")), List.of(route("r", "/x", way("first", 1,
-            new Spill("second", 0.5)))), Quotas.none(), 1));
+        Front front = new Front(plan(
+                List.of(pool("first"), pool("second")),
+                List.of(route("r", "/x", way("first", 1, new Spill("second", 0.5)))),
+                Quotas.none(),
+                1));
         front.listed(0, "first", 10);
         front.listed(0, "second", 10);
         assertEquals(1, of(front, 0, "first"), 1e-9);
@@ -190,8 +207,11 @@
 
     @Test
     void aPoolThatServesLittleOfWhatItGetsLosesTraffic() {
-        Front front = new Front(plan(List.of(pool("first"), pool("second")), List.of(route("r", "/x", way("first", 1,
-            new Spill("second", 1)))), Quotas.none(), 1));
+        Front front = new Front(plan(
+                List.of(pool("first"), pool("second")),
+                List.of(route("r", "/x", way("first", 1, new Spill("second", 1)))),
+                Quotas.none(),
+                1));
         front.listed(0, "first", 10);
         front.listed(0, "second", 10);
         Map<String, Integer> got = new HashMap<>();
@@ -207,12 +227,16 @@
 
     @Test
     void aFrontThatIsReplacedAHundredTimesGrantsNoBurstAndLosesNoRequest() {
-        FrontPlan plan = plan(List.of(new PoolPlan("a", ConcurrencyLimit.Plan.fixed(50), 0)),
-            List.of(route("r", "/x", way("a", 1))), new Quotas(new Rate(10, 10, 10), Map.of(), null), 1);
+        FrontPlan plan = plan(
+                List.of(new PoolPlan("a", ConcurrencyLimit.Plan.fixed(50), 0)),
+                List.of(route("r", "/x", way("a", 1))),
+                new Quotas(new Rate(10, 10, 10), Map.of(), null),
+                1);
         Front front = new Front(plan);
         List<Ticket> open = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            for (Ticket t = front.arrive(i, get("/x", "k", null)).ticket(); t != null;
+            for (Ticket t = front.arrive(i, get("/x", "k", null)).ticket();
+                    t != null;
                     t = front.arrive(i, get("/x", "k", null)).ticket()) {
                 open.add(t);
             }
@@ -232,9 +256,13 @@
     @Property(tries = 300, seed = "11")
     void countsHold(@ForAll long seed, @ForAll @IntRange(min = 1, max = 20) int limit) {
         Random random = new Random(seed);
-        FrontPlan plan = plan(List.of(new PoolPlan("a", ConcurrencyLimit.Plan.fixed(limit), 0),
-            new PoolPlan("b", new ConcurrencyLimit.Plan(ConcurrencyLimit.Kind.AIMD, limit, 1, 20), 0)),
-            List.of(route("r", "/x", way("a", 1, new Spill("b", 0.7)), way("b", 1))), Quotas.none(), 1);
+        FrontPlan plan = plan(
+                List.of(
+                        new PoolPlan("a", ConcurrencyLimit.Plan.fixed(limit), 0),
+                        new PoolPlan("b", new ConcurrencyLimit.Plan(ConcurrencyLimit.Kind.AIMD, limit, 1, 20), 0)),
+                List.of(route("r", "/x", way("a", 1, new Spill("b", 0.7)), way("b", 1))),
+                Quotas.none(),
+                1);
         Front front = new Front(plan);
         ArrayDeque<Ticket> open = new ArrayDeque<>();
         Map<String, Integer> count = new HashMap<>(Map.of("a", 0, "b", 0));
@@ -256,8 +284,14 @@
                     }
                 }
                 default -> {
-                    Verdict v = front.arrive(now, new Arrival(get("/x", "k", null).request(),
-                        "k" + random.nextInt(50), random.nextDouble(), false, random.nextDouble()));
+                    Verdict v = front.arrive(
+                            now,
+                            new Arrival(
+                                    get("/x", "k", null).request(),
+                                    "k" + random.nextInt(50),
+                                    random.nextDouble(),
+                                    false,
+                                    random.nextDouble()));
                     assertEquals(v.answer() == Answer.TAKEN, v.ticket() != null);
                     if (v.ticket() != null) {
                         open.add(v.ticket());
--- a/core/src/test/java/junctionhead/limits/ConcurrencyLimitTest.java
+++ b/core/src/test/java/junctionhead/limits/ConcurrencyLimitTest.java
@@ -16,7 +16,7 @@
     private static final long SECOND = 1_000_000;
 
     /** What came of a run: mean limit, goodput as a share of capacity and mean latency over its last half. */
-    private record Seen(double limit, double goodput, double latency) { }
+    private record Seen(double limit, double goodput, double latency) {}
 
     private record End(long at, long began, int open) implements Comparable<End> {
         @Override
@@ -97,8 +97,9 @@
             for (Kind kind : new Kind[] {Kind.AIMD, Kind.VEGAS, Kind.GRADIENT}) {
                 Seen s = run(new Plan(kind, servers, 1, 100 * servers), servers, 1.4, 1, 20 * servers);
                 assertTrue(s.goodput > 0.8, kind + " before " + servers + ": " + s);
-                assertTrue(kind == Kind.AIMD || s.latency < aimd / 3, kind + " before " + servers + ": " + s + ", "
-                    + aimd);
+                assertTrue(
+                        kind == Kind.AIMD || s.latency < aimd / 3,
+                        kind + " before " + servers + ": " + s + ", " + aimd);
             }
         }
     }
--- a/core/src/test/java/junctionhead/limits/LimitsTest.java
+++ b/core/src/test/java/junctionhead/limits/LimitsTest.java
@@ -48,8 +48,8 @@
     }
 
     @Property(tries = 60, seed = "3")
-    void nobodyIsHeldUnderHisOwnRateByAnother(@ForAll @IntRange(max = 2000) int flood,
-            @ForAll @IntRange(min = 1, max = 40) int modest) {
+    void nobodyIsHeldUnderHisOwnRateByAnother(
+            @ForAll @IntRange(max = 2000) int flood, @ForAll @IntRange(min = 1, max = 40) int modest) {
         double[] passed = passing(tree(), flood, modest, 10);
         assertTrue(passed[1] >= 0.97 * modest - 0.2, modest + " a second asked, " + passed[1] + " passed");
         assertTrue(passed[0] + passed[1] <= 104, "the site's limit: " + (passed[0] + passed[1]));
--- a/core/src/test/java/junctionhead/policy/AdmissionTest.java
+++ b/core/src/test/java/junctionhead/policy/AdmissionTest.java
@@ -13,19 +13,19 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class AdmissionTest {
-    private static final long STEP = 10_000;            // µs
-    private static final double AIM = 200_000;          // µs
+    private static final long STEP = 10_000; // µs
+    private static final double AIM = 200_000; // µs
     private static final double[] ONE_TIER = {1};
 
     /** Many balancers before one queue that serves in the order of arrival; what is too late is given up by clients. */
     private static final class Fleet {
-        private record Job(int owner, long at) { }
+        private record Job(int owner, long at) {}
 
         private static final long PATIENCE = 1_000_000;
         private final SplittableRandom random = new SplittableRandom(7);
         private final List<Admission> balancers = new ArrayList<>();
         private final ArrayDeque<Job> queue = new ArrayDeque<>();
-        private final double[] perStep;                 // arrivals of each balancer
+        private final double[] perStep; // arrivals of each balancer
         private final double[] rate;
         private double credit;
         private long now;
@@ -131,7 +131,7 @@
     @Test
     void whatIsWorthLeastIsRefusedFirst() {
         Admission admission = new Admission(new double[] {0.5, 1}, 0.5, new SplittableRandom(1));
-        for (int i = 0; i < 400; i++) {                 // half of each tier, and three quarters can be served
+        for (int i = 0; i < 400; i++) { // half of each tier, and three quarters can be served
             admission.admits(i % 2);
             if (i % 4 != 3) {
                 admission.completed();
--- a/core/src/test/java/junctionhead/policy/AskAgainTest.java
+++ b/core/src/test/java/junctionhead/policy/AskAgainTest.java
@@ -12,17 +12,17 @@
 
 /** When discovery is asked again after calls that failed: by the standing terms, however often it has failed. */
 class AskAgainTest {
-    private static final long TOLD = 6_000_000;     // after discovery can be reached again
-    private static final long WAITING = 2_000_000;  // that a call takes which fails by waiting
-    private static final long TRY = 2_750_000;      // what Staleness leaves for a failed try when a watch falls silent
+    private static final long TOLD = 6_000_000; // after discovery can be reached again
+    private static final long WAITING = 2_000_000; // that a call takes which fails by waiting
+    private static final long TRY = 2_750_000; // what Staleness leaves for a failed try when a watch falls silent
     private static final long MARGIN = 500_000;
     private static final int CALLS = 12;
     private static final int SEEDS = 200;
 
     /** The pauses after so many failures in a row; the first of them ends a watch that has worked. */
     private static long[] pauses(long seed) {
-        Harness harness = new Harness(Harness.settings(20, true, Discovery.ASK, List.of(),
-            Harness.kind(Effect.SAFE, Scope.ALL)), seed);
+        Harness harness = new Harness(
+                Harness.settings(20, true, Discovery.ASK, List.of(), Harness.kind(Effect.SAFE, Scope.ALL)), seed);
         harness.list(ListKind.PERSISTED, Harness.fleet(3)).list(ListKind.COMPLETE, Harness.fleet(3));
         harness.pass(10_000_000);
         long[] pauses = new long[CALLS];
--- a/core/src/test/java/junctionhead/policy/DispatchTest.java
+++ b/core/src/test/java/junctionhead/policy/DispatchTest.java
@@ -51,7 +51,7 @@
         for (int seed = 0; seed < 3000; seed++) {
             Harness harness = halves(seed);
             List<String> order = new ArrayList<>();
-            for (int i = 0; i < 60; i++) {      // counts come to differ
+            for (int i = 0; i < 60; i++) { // counts come to differ
                 Harness.Sent sent = harness.request("w" + i, 0);
                 harness.now += 1000;
                 harness.end(sent, Outcome.OK);
@@ -60,7 +60,9 @@
             Map<String, Integer> counts = new HashMap<>();
             order.forEach(s -> counts.merge(s, 1, Integer::sum));
             List<String> ranked = counts.entrySet().stream()
-                .sorted((a, b) -> b.getValue() - a.getValue()).map(Map.Entry::getKey).toList();
+                    .sorted((a, b) -> b.getValue() - a.getValue())
+                    .map(Map.Entry::getKey)
+                    .toList();
             if (new HashSet<>(counts.values()).size() == counts.size()) {
                 wins.merge(ranked.indexOf(harness.request("x", 0).server), 1, Integer::sum);
             }
@@ -120,10 +122,10 @@
         harness.warmUp(40, 0, 50_000);
         Harness.Sent bad = harness.request("bad", 0);
         harness.now += 500;
-        harness.end(bad, Outcome.ERROR);      // the retry goes elsewhere
+        harness.end(bad, Outcome.ERROR); // the retry goes elsewhere
         assertEquals(2, harness.sentFor("bad").size());
         assertTrue(!harness.sentFor("bad").get(1).server.equals(bad.server));
-        for (int i = 0; i < 2; i++) {       // two other servers are empty: the failed one's slot still counts
+        for (int i = 0; i < 2; i++) { // two other servers are empty: the failed one's slot still counts
             assertTrue(!harness.request("n" + i, 0).server.equals(bad.server));
         }
     }
--- a/core/src/test/java/junctionhead/policy/Example.java
+++ b/core/src/test/java/junctionhead/policy/Example.java
@@ -5,23 +5,37 @@
 
 /** The README's example: a caller that embeds the module. */
 final class Example {
-    private Example() { }
+    private Example() {}
 
     static List<String> run() {
         List<String> done = new ArrayList<>();
-        Policy.RequestClass reads = new Policy.RequestClass(Policy.Effect.SAFE, Policy.Scope.ALL, 0,
-            300_000, 1_000_000, 0, 1, 0, false);
-        Policy.Settings settings = new Policy.Settings(2, 0, 0, List.of(reads), List.of(), 1,
-            new Policy.Goal(1, 0, 0, 0), new Policy.Prices(0, 0),
-            false, Policy.Discovery.PUSH, Policy.Reports.NONE, false,
-            new Policy.Limits(3, true, true, false, 250_000, 0),
-            new Policy.Bounds(20_000, 1_000_000, 0, 0.2, 20_000_000, 2.5, 1_500_000, 100_000), 1_000);
+        Policy.RequestClass reads =
+                new Policy.RequestClass(Policy.Effect.SAFE, Policy.Scope.ALL, 0, 300_000, 1_000_000, 0, 1, 0, false);
+        Policy.Settings settings = new Policy.Settings(
+                2,
+                0,
+                0,
+                List.of(reads),
+                List.of(),
+                1,
+                new Policy.Goal(1, 0, 0, 0),
+                new Policy.Prices(0, 0),
+                false,
+                Policy.Discovery.PUSH,
+                Policy.Reports.NONE,
+                false,
+                new Policy.Limits(3, true, true, false, 250_000, 0),
+                new Policy.Bounds(20_000, 1_000_000, 0, 0.2, 20_000_000, 2.5, 1_500_000, 100_000),
+                1_000);
         Policy policy = new Balance(settings, 42);
         Policy.Actions actions = new Sink(done);
 
         long now = 0;
-        policy.servers(now, Policy.ListKind.PERSISTED,
-            List.of(new Policy.Server("a:80", Policy.State.UP, 0, 1, 0, 0, 0)), actions);
+        policy.servers(
+                now,
+                Policy.ListKind.PERSISTED,
+                List.of(new Policy.Server("a:80", Policy.State.UP, 0, 1, 0, 0, 0)),
+                actions);
         // Asks for send("r1", "a:80", ..).
         policy.request(now, "r1", 0, 0, null, 1_000_000, -1, false, actions);
         now = 40_000;
@@ -37,33 +51,33 @@
         }
 
         @Override
-        public void refuse(String request, long retryAfter) { }
+        public void refuse(String request, long retryAfter) {}
 
         @Override
-        public void fail(String request) { }
+        public void fail(String request) {}
 
         @Override
-        public void cancel(String request, int attempt) { }
+        public void cancel(String request, int attempt) {}
 
         @Override
-        public void probe(String server) { }
+        public void probe(String server) {}
 
         @Override
-        public void watch(boolean on) { }
+        public void watch(boolean on) {}
 
         @Override
-        public void fetchList() { }
+        public void fetchList() {}
 
         @Override
-        public void closeIdle(String server) { }
+        public void closeIdle(String server) {}
 
         @Override
-        public void tell(int peer, byte[] data) { }
+        public void tell(int peer, byte[] data) {}
 
         @Override
-        public void wakeAfter(long delay) { }
+        public void wakeAfter(long delay) {}
 
         @Override
-        public void remark(String line) { }
+        public void remark(String line) {}
     }
 }
--- a/core/src/test/java/junctionhead/policy/FleetColdTest.java
+++ b/core/src/test/java/junctionhead/policy/FleetColdTest.java
@@ -28,9 +28,9 @@
  */
 class FleetColdTest {
     private static final long STEP = 1_000;
-    private static final int SLOTS = 4;             // requests that a box works on at once
-    private static final int QUEUE = 8;             // and that wait there; it turns away what comes beyond
-    private static final long AT = 15_000_000;      // when cold ones come, after the start
+    private static final int SLOTS = 4; // requests that a box works on at once
+    private static final int QUEUE = 8; // and that wait there; it turns away what comes beyond
+    private static final long AT = 15_000_000; // when cold ones come, after the start
     private static final long LENGTH = 40_000_000;
 
     /** An upstream: so many requests a second when it is warm, fewer while it is cold. */
@@ -50,15 +50,16 @@
         }
 
         double part(long now, Policy.Bounds b) {
-            return !cold() ? 1 : Math.min(1, b.coldFrom() + (1 - b.coldFrom()) * (now - server.startedAt())
-                / b.rampTime());
+            return !cold()
+                    ? 1
+                    : Math.min(1, b.coldFrom() + (1 - b.coldFrom()) * (now - server.startedAt()) / b.rampTime());
         }
     }
 
     private static final class Work {
         final Harness by;
         final Harness.Sent sent;
-        double left = 1;                            // of what a box does in SLOTS / perSecond
+        double left = 1; // of what a box does in SLOTS / perSecond
 
         Work(Harness by, Harness.Sent sent) {
             this.by = by;
@@ -73,13 +74,28 @@
     private long now = Harness.START;
 
     private void fleet(int balancers, long seed) {
-        Policy.Settings of = Harness.settings(balancers, false, Discovery.PUSH, List.of(),
-            Harness.kind(Effect.SAFE, Scope.ALL));
+        Policy.Settings of =
+                Harness.settings(balancers, false, Discovery.PUSH, List.of(), Harness.kind(Effect.SAFE, Scope.ALL));
         bounds = of.bounds();
         for (int i = 0; i < balancers; i++) {
-            fleet.add(new Harness(new Policy.Settings(balancers, i, of.zone(), of.classes(), of.tenants(),
-                of.overShareWorth(), of.goal(), of.prices(), of.worthByWork(), of.discovery(), of.reports(),
-                of.warmKeys(), of.limits(), of.bounds(), of.tick()), seed * 100 + i));
+            fleet.add(new Harness(
+                    new Policy.Settings(
+                            balancers,
+                            i,
+                            of.zone(),
+                            of.classes(),
+                            of.tenants(),
+                            of.overShareWorth(),
+                            of.goal(),
+                            of.prices(),
+                            of.worthByWork(),
+                            of.discovery(),
+                            of.reports(),
+                            of.warmKeys(),
+                            of.limits(),
+                            of.bounds(),
+                            of.tick()),
+                    seed * 100 + i));
             looked.add(0);
         }
     }
@@ -148,8 +164,10 @@
         fleet(1, 1);
         Box box = new Box(new Server("a", State.UP, 1_000_000, 1, 0, 0, 0), 10);
         // 2.5 x 0.2 x 10 in 1.5 s are 7.5; with 2 x 2.74 and 2 more: 14.98.
-        assertTrue(excess(LongStream.range(0, 14).map(t -> 1_000_000 + t).boxed().toList(), box, bounds) < 0);
-        assertTrue(excess(LongStream.range(0, 15).map(t -> 1_000_000 + t).boxed().toList(), box, bounds) > 0);
+        assertTrue(
+                excess(LongStream.range(0, 14).map(t -> 1_000_000 + t).boxed().toList(), box, bounds) < 0);
+        assertTrue(
+                excess(LongStream.range(0, 15).map(t -> 1_000_000 + t).boxed().toList(), box, bounds) > 0);
     }
 
     /**
@@ -167,7 +185,9 @@
         SplittableRandom random = new SplittableRandom(seed);
         fleet(balancers, seed);
         int many = 40;
-        double[] parts = IntStream.range(0, balancers).mapToDouble(i -> 0.5 + random.nextDouble()).toArray();
+        double[] parts = IntStream.range(0, balancers)
+                .mapToDouble(i -> 0.5 + random.nextDouble())
+                .toArray();
         double sum = IntStream.range(1, balancers).mapToDouble(i -> parts[i]).sum();
         for (int i = 0; i < balancers; i++) {
             parts[i] = i == 0 ? 0.2 : 0.8 * parts[i] / sum;
--- a/core/src/test/java/junctionhead/policy/FourRulesTest.java
+++ b/core/src/test/java/junctionhead/policy/FourRulesTest.java
@@ -34,7 +34,9 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Outcome.class, names = {"ERROR", "TIMEOUT", "RESET", "CANCELLED"})
+    @EnumSource(
+            value = Outcome.class,
+            names = {"ERROR", "TIMEOUT", "RESET", "CANCELLED"})
     void anUnsafeRequestThatMayHaveRunFails(Outcome outcome) {
         Harness harness = warm(UNSAFE);
         harness.end(harness.request("r", 0), outcome);
@@ -43,7 +45,9 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Outcome.class, names = {"FULL", "CONNECT_FAILED"})
+    @EnumSource(
+            value = Outcome.class,
+            names = {"FULL", "CONNECT_FAILED"})
     void anUnsafeRequestThatNeverRanGoesElsewhere(Outcome outcome) {
         Harness harness = warm(UNSAFE);
         Harness.Sent first = harness.request("r", 0);
@@ -63,7 +67,7 @@
     @Test
     void noSecondCopyWhereTheSiteForbidsIt() {
         Harness harness = new Harness(Harness.settings(1, false, Policy.Discovery.PUSH, List.of(), SAFE), 5)
-            .list(ListKind.PERSISTED, Harness.fleet(6));
+                .list(ListKind.PERSISTED, Harness.fleet(6));
         harness.warmUp(60, 0, 40_000);
         Harness.Sent first = harness.request("r", 0);
         assertEquals(0, first.timeout, "what may be repeated is not cut: its work would be done twice");
@@ -76,12 +80,12 @@
     void aKeyedRequestStaysWithinTheGroupThatRemembersIt(Scope scope) {
         for (int seed = 0; seed < 20; seed++) {
             Harness harness = new Harness(Harness.settings(Harness.kind(Effect.KEYED, scope)), seed)
-                .list(ListKind.PERSISTED, Harness.fleet(6));
+                    .list(ListKind.PERSISTED, Harness.fleet(6));
             harness.warmUp(40, 0, 40_000);
             Harness.Sent first = harness.request("r", 0);
             harness.end(first, Outcome.ERROR);
             Harness.Sent second = harness.sentFor("r").get(1);
-            if (scope != Scope.ALL) {       // cell and zone alternate over the fleet
+            if (scope != Scope.ALL) { // cell and zone alternate over the fleet
                 assertEquals(first.server.charAt(1) % 2, second.server.charAt(1) % 2);
             }
         }
@@ -92,7 +96,7 @@
     void aKeyedRequestIsNotSentAgainAfterItsWindow(Scope scope) {
         Harness harness = warm(Harness.kind(Effect.KEYED, scope));
         Harness.Sent first = harness.request("r", 0);
-        harness.pass(2_500_000);              // the window is 2 s from the first send
+        harness.pass(2_500_000); // the window is 2 s from the first send
         for (Harness.Sent copy : harness.sentFor("r")) {
             assertTrue(copy.at - first.at < 2_000_000);
         }
@@ -134,15 +138,14 @@
     void aColdServerGetsLessThanItsPart(int balancers) {
         // One warm server gives 50 answers a second to this balancer; the cold one may take its part of that.
         Policy.Settings settings = Harness.settings(balancers, true, Policy.Discovery.PUSH, List.of(), SAFE);
-        Harness harness = new Harness(settings, 1)
-            .list(ListKind.PERSISTED, Harness.fleet(4));
+        Harness harness = new Harness(settings, 1).list(ListKind.PERSISTED, Harness.fleet(4));
         harness.warmUp(300, 0, 20_000);
         harness.list(ListKind.PARTIAL, List.of(new Server("cold", State.UP, harness.now, 1, 0, 0, 0)));
         long born = harness.now;
         harness.warmUp(150, 0, 20_000);
         long sent = harness.sentTo("cold", born);
         double seconds = (harness.now - born) / 1e6;
-        double part = 0.2 + 0.8 * seconds / 20;         // at the end; less before
+        double part = 0.2 + 0.8 * seconds / 20; // at the end; less before
         assertTrue(sent <= 50.0 / 4 * part * 2.5 * seconds, sent + " in " + seconds + " s");
     }
 
@@ -162,12 +165,21 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void randomEventsKeepTheRules(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<RequestClass> kinds = List.of(SAFE, UNSAFE, Harness.kind(Effect.KEYED, Scope.ALL),
-            Harness.kind(Effect.KEYED, Scope.CELL), Harness.kind(Effect.KEYED, Scope.ZONE));
+        List<RequestClass> kinds = List.of(
+                SAFE,
+                UNSAFE,
+                Harness.kind(Effect.KEYED, Scope.ALL),
+                Harness.kind(Effect.KEYED, Scope.CELL),
+                Harness.kind(Effect.KEYED, Scope.ZONE));
         boolean copies = random.nextBoolean();
-        Harness harness = new Harness(Harness.settings(1 + random.nextInt(4), copies,
-            random.nextBoolean() ? Policy.Discovery.ASK : Policy.Discovery.PUSH,
-            List.of(new Policy.Tenant(5), new Policy.Tenant(50)), kinds.toArray(new RequestClass[0])), seed);
+        Harness harness = new Harness(
+                Harness.settings(
+                        1 + random.nextInt(4),
+                        copies,
+                        random.nextBoolean() ? Policy.Discovery.ASK : Policy.Discovery.PUSH,
+                        List.of(new Policy.Tenant(5), new Policy.Tenant(50)),
+                        kinds.toArray(new RequestClass[0])),
+                seed);
         Map<String, Server> truth = new TreeMap<>();
         Map<String, Long> deadlines = new TreeMap<>();
         Map<String, Integer> classOf = new TreeMap<>();
@@ -182,13 +194,13 @@
             if (what < 45) {
                 String id = "r" + step;
                 int kind = random.nextInt(kinds.size());
-                long left = random.nextInt(10) == 0 ? random.nextLong(30_000)
-                    : 200_000 + random.nextLong(2_800_000);
+                long left = random.nextInt(10) == 0 ? random.nextLong(30_000) : 200_000 + random.nextLong(2_800_000);
                 deadlines.put(id, harness.now + left);
                 classOf.put(id, kind);
                 harness.request(id, kind, random.nextInt(2), left);
             } else if (what < 88) {
-                List<Harness.Sent> out = harness.sends.stream().filter(s -> !s.ended).toList();
+                List<Harness.Sent> out =
+                        harness.sends.stream().filter(s -> !s.ended).toList();
                 if (!out.isEmpty()) {
                     Harness.Sent sent = out.get(random.nextInt(out.size()));
                     Outcome[] all = Outcome.values();
@@ -210,8 +222,14 @@
                 String id = "s" + random.nextInt(8);
                 State state = State.values()[random.nextInt(3)];
                 long started = random.nextBoolean() ? 0 : harness.now - random.nextLong(5_000_000);
-                Server s = new Server(id, state, started, 1 + random.nextInt(3),
-                    random.nextInt(2), random.nextInt(2), random.nextInt(2));
+                Server s = new Server(
+                        id,
+                        state,
+                        started,
+                        1 + random.nextInt(3),
+                        random.nextInt(2),
+                        random.nextInt(2),
+                        random.nextInt(2));
                 truth.put(id, s);
                 harness.list(ListKind.PARTIAL, List.of(s));
                 if (state == State.UP) {
@@ -226,8 +244,8 @@
             }
             // Attempts whose own time-out or request's deadline has come end then, as on the wire.
             for (Harness.Sent s : new ArrayList<>(harness.sends)) {
-                long until = s.timeout > 0 ? Math.min(s.at + s.timeout, deadlines.get(s.request))
-                    : deadlines.get(s.request);
+                long until =
+                        s.timeout > 0 ? Math.min(s.at + s.timeout, deadlines.get(s.request)) : deadlines.get(s.request);
                 if (!s.ended && harness.now >= until) {
                     ended.computeIfAbsent(s.request, k -> new TreeMap<>()).put(s.number, Outcome.TIMEOUT);
                     harness.end(s, Outcome.TIMEOUT);
@@ -253,8 +271,12 @@
         }
     }
 
-    private static void checkRepeat(Harness harness, Harness.Sent s, RequestClass kind,
-            Map<String, Map<Integer, Outcome>> ended, boolean copies) {
+    private static void checkRepeat(
+            Harness harness,
+            Harness.Sent s,
+            RequestClass kind,
+            Map<String, Map<Integer, Outcome>> ended,
+            boolean copies) {
         for (Harness.Sent earlier : harness.sentFor(s.request)) {
             if (earlier.number >= s.number) {
                 continue;
@@ -264,8 +286,8 @@
             assertTrue(copies || !open, "two attempts at once");
             if (open || !outcome.neverRan()) {
                 assertTrue(kind.effect() != Effect.UNSAFE, "an unsafe request went out twice");
-                assertTrue(kind.effect() != Effect.KEYED || s.at - earlier.at < kind.keyMemory(),
-                    "sent after its window");
+                assertTrue(
+                        kind.effect() != Effect.KEYED || s.at - earlier.at < kind.keyMemory(), "sent after its window");
             }
             assertTrue(outcome != Outcome.OK, "sent after it was served");
         }
