--- a/core/src/test/java/junctionhead/policy/FurtherRulesTest.java
+++ b/core/src/test/java/junctionhead/policy/FurtherRulesTest.java
@@ -22,13 +22,24 @@
     private static final RequestClass SAFE = Harness.kind(Effect.SAFE, Scope.ALL);
 
     private static RequestClass ordered(Effect effect) {
-        return new RequestClass(effect, Scope.ALL, 2_000_000, Harness.AIM, Harness.DEADLINE, 0, 1, 0.3, false,
-            true, Set.of(), Set.of());
+        return new RequestClass(
+                effect,
+                Scope.ALL,
+                2_000_000,
+                Harness.AIM,
+                Harness.DEADLINE,
+                0,
+                1,
+                0.3,
+                false,
+                true,
+                Set.of(),
+                Set.of());
     }
 
     private static RequestClass bound(Set<Integer> zones, Set<Integer> kinds) {
-        return new RequestClass(Effect.SAFE, Scope.ALL, 0, Harness.AIM, Harness.DEADLINE, 0, 1, 0.3, false,
-            false, zones, kinds);
+        return new RequestClass(
+                Effect.SAFE, Scope.ALL, 0, Harness.AIM, Harness.DEADLINE, 0, 1, 0.3, false, false, zones, kinds);
     }
 
     private static Harness fleet(RequestClass... kinds) {
@@ -54,7 +65,9 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Outcome.class, names = {"TIMEOUT", "RESET", "CANCELLED"})
+    @EnumSource(
+            value = Outcome.class,
+            names = {"TIMEOUT", "RESET", "CANCELLED"})
     void aKeyRestsAfterAnAttemptThatMayStillRun(Outcome outcome) {
         Harness harness = fleet(ordered(Effect.UNSAFE));
         Harness.Sent first = harness.keyed("a", 0, "k");
@@ -105,23 +118,25 @@
     @Test
     void aBoundClassGoesNowhereElse() {
         Harness harness = fleet(SAFE, bound(Set.of(1), Set.of()), bound(Set.of(), Set.of(0)));
-        for (int i = 0; i < 40; i++) {          // zones and kinds alternate over the fleet
+        for (int i = 0; i < 40; i++) { // zones and kinds alternate over the fleet
             assertEquals(1, harness.request("z" + i, 1).server.charAt(1) % 2);
             assertEquals(0, harness.request("k" + i, 2).server.charAt(1) % 2);
             harness.pass(10_000);
         }
         harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, Outcome.ERROR));
         harness.pass(Harness.DEADLINE);
-        harness.sends.stream().filter(s -> s.request.startsWith("z"))
-            .forEach(s -> assertEquals(1, s.server.charAt(1) % 2, "retries and copies too"));
-        harness.sends.stream().filter(s -> s.request.startsWith("k"))
-            .forEach(s -> assertEquals(0, s.server.charAt(1) % 2, "retries and copies too"));
+        harness.sends.stream()
+                .filter(s -> s.request.startsWith("z"))
+                .forEach(s -> assertEquals(1, s.server.charAt(1) % 2, "retries and copies too"));
+        harness.sends.stream()
+                .filter(s -> s.request.startsWith("k"))
+                .forEach(s -> assertEquals(0, s.server.charAt(1) % 2, "retries and copies too"));
     }
 
     @Test
     void aBoundRequestWaitsForAServerOfItsOwnWithoutHoldingUpOthers() {
-        Harness harness = new Harness(Harness.settings(SAFE, bound(Set.of(7), Set.of())), 3)
-            .list(ListKind.PERSISTED, List.of());
+        Harness harness =
+                new Harness(Harness.settings(SAFE, bound(Set.of(7), Set.of())), 3).list(ListKind.PERSISTED, List.of());
         harness.request("bound", 1);
         harness.request("free", 0);
         harness.list(ListKind.PARTIAL, Harness.fleet(4));
--- a/core/src/test/java/junctionhead/policy/Harness.java
+++ b/core/src/test/java/junctionhead/policy/Harness.java
@@ -46,7 +46,7 @@
     long wakeAt = Long.MAX_VALUE;
     int watches;
     int doubleFinals;
-    double reported = Double.NaN;                       // in-flight figure that outcomes carry, if any
+    double reported = Double.NaN; // in-flight figure that outcomes carry, if any
 
     Harness(Policy.Settings settings, long seed) {
         policy = new Balance(settings, seed);
@@ -60,13 +60,28 @@
         return settings(1, true, Policy.Discovery.PUSH, List.of(), classes);
     }
 
-    static Policy.Settings settings(int balancers, boolean copies, Policy.Discovery discovery,
-            List<Policy.Tenant> tenants, Policy.RequestClass... classes) {
-        return new Policy.Settings(balancers, 0, 0, List.of(classes), tenants, 0.1,
-            new Policy.Goal(1, 0, 0, 0), new Policy.Prices(0, 0),
-            true, discovery, Policy.Reports.NONE, false,
-            new Policy.Limits(5, copies, true, true, 250_000, 0),
-            new Policy.Bounds(20_000, 1_000_000, 10_000_000, 0.2, 20_000_000, 2.5, 1_500_000, PAUSE), 5_000);
+    static Policy.Settings settings(
+            int balancers,
+            boolean copies,
+            Policy.Discovery discovery,
+            List<Policy.Tenant> tenants,
+            Policy.RequestClass... classes) {
+        return new Policy.Settings(
+                balancers,
+                0,
+                0,
+                List.of(classes),
+                tenants,
+                0.1,
+                new Policy.Goal(1, 0, 0, 0),
+                new Policy.Prices(0, 0),
+                true,
+                discovery,
+                Policy.Reports.NONE,
+                false,
+                new Policy.Limits(5, copies, true, true, 250_000, 0),
+                new Policy.Bounds(20_000, 1_000_000, 10_000_000, 0.2, 20_000_000, 2.5, 1_500_000, PAUSE),
+                5_000);
     }
 
     static Server up(String id) {
@@ -121,8 +136,15 @@
         if (outcome == Outcome.OK) {
             finals.putIfAbsent(sent.request, "ok");
         }
-        policy.outcome(now, sent.request, sent.number, outcome, now - sent.at, closed,
-            new Policy.Load(reported, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN), this);
+        policy.outcome(
+                now,
+                sent.request,
+                sent.number,
+                outcome,
+                now - sent.at,
+                closed,
+                new Policy.Load(reported, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN),
+                this);
     }
 
     /** Lets time pass, waking the module when it asked for it. */
@@ -146,7 +168,9 @@
     }
 
     long sentTo(String server, long since) {
-        return sends.stream().filter(s -> s.server.equals(server) && s.at >= since).count();
+        return sends.stream()
+                .filter(s -> s.server.equals(server) && s.at >= since)
+                .count();
     }
 
     List<Sent> sentFor(String request) {
--- a/core/src/test/java/junctionhead/policy/HashRingTest.java
+++ b/core/src/test/java/junctionhead/policy/HashRingTest.java
@@ -53,7 +53,10 @@
         ring.place(fleet.get(7), 0);
         for (int key = 0; key < 2_000; key++) {
             String was = before.get(key);
-            assertTrue(!was.equals("s7") ? owner(ring, key).equals(was) : !owner(ring, key).equals("s7"));
+            assertTrue(
+                    !was.equals("s7")
+                            ? owner(ring, key).equals(was)
+                            : !owner(ring, key).equals("s7"));
         }
         ring.place(fleet.get(7), POINTS);
         for (int key = 0; key < 2_000; key++) {
--- a/core/src/test/java/junctionhead/policy/LearnedTest.java
+++ b/core/src/test/java/junctionhead/policy/LearnedTest.java
@@ -35,8 +35,10 @@
                 harness.request("q" + harness.now + "/" + i + "/" + j, 0);
             }
             harness.pass(latency);
-            harness.sends.stream().filter(s -> !s.ended).toList()
-                .forEach(s -> harness.end(s, bad.getOrDefault(s.server, Outcome.OK)));
+            harness.sends.stream()
+                    .filter(s -> !s.ended)
+                    .toList()
+                    .forEach(s -> harness.end(s, bad.getOrDefault(s.server, Outcome.OK)));
         }
     }
 
@@ -70,13 +72,15 @@
         Harness.Sent stuck = harness.request("stuck", 0);
         harness.pass(200_000);
         long from = harness.now;
-        for (int i = 0; i < 40; i++) {          // three at a time: the third finds all queues alike
+        for (int i = 0; i < 40; i++) { // three at a time: the third finds all queues alike
             for (int j = 0; j < 3; j++) {
                 harness.request("n" + i + "/" + j, 0);
             }
             harness.pass(20_000);
-            harness.sends.stream().filter(s -> !s.ended && s != stuck).toList()
-                .forEach(s -> harness.end(s, Outcome.OK));
+            harness.sends.stream()
+                    .filter(s -> !s.ended && s != stuck)
+                    .toList()
+                    .forEach(s -> harness.end(s, Outcome.OK));
         }
         assertEquals(0, harness.sentTo(stuck.server, from));
     }
@@ -98,21 +102,22 @@
         // Idle servers kept their old strain, which held the limit down for 20 s after the load had gone.
         Harness harness = harness(6, SAFE);
         serve(harness, 200, 30_000, Map.of());
-        for (int i = 0; i < 60; i++) {          // everything takes ten times as long
+        for (int i = 0; i < 60; i++) { // everything takes ten times as long
             harness.request("slow" + i, 0);
             harness.pass(50_000);
-            harness.sends.stream().filter(s -> !s.ended && harness.now - s.at >= 400_000).toList()
-                .forEach(s -> harness.end(s, Outcome.OK));
+            harness.sends.stream()
+                    .filter(s -> !s.ended && harness.now - s.at >= 400_000)
+                    .toList()
+                    .forEach(s -> harness.end(s, Outcome.OK));
         }
         harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, Outcome.OK));
         harness.pass(4_000_000);
         int sent = 0;
-        for (int i = 0; i < 10 * 12; i++) {     // twelve at a time
+        for (int i = 0; i < 10 * 12; i++) { // twelve at a time
             sent += harness.request("after" + i, 0) != null ? 1 : 0;
             while (i % 12 == 11 && i < 9 * 12 && harness.sends.stream().anyMatch(s -> !s.ended)) {
                 harness.pass(30_000);
-                harness.sends.stream().filter(s -> !s.ended).toList()
-                    .forEach(s -> harness.end(s, Outcome.OK));
+                harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, Outcome.OK));
                 sent = 0;
             }
         }
@@ -122,17 +127,21 @@
     @Test
     void anOverShareTenantLosesItsExcessAndKeepsItsShare() {
         // All requests of a tenant over its share were marked, so its share starved too.
-        Harness harness = new Harness(Harness.settings(1, true, Discovery.PUSH,
-            List.of(new Policy.Tenant(20), new Policy.Tenant(20)), UNSAFE), 3)
-            .list(ListKind.PERSISTED, Harness.fleet(2));
+        Harness harness = new Harness(
+                        Harness.settings(
+                                1, true, Discovery.PUSH, List.of(new Policy.Tenant(20), new Policy.Tenant(20)), UNSAFE),
+                        3)
+                .list(ListKind.PERSISTED, Harness.fleet(2));
         Map<Integer, int[]> served = Map.of(0, new int[2], 1, new int[2]);
-        for (int i = 0; i < 1200; i++) {        // tenant 0 brings 80 a second, tenant 1 20
+        for (int i = 0; i < 1200; i++) { // tenant 0 brings 80 a second, tenant 1 20
             int tenant = i % 5 == 4 ? 1 : 0;
             served.get(tenant)[0]++;
             harness.request(tenant + "-" + i, 0, tenant, 2_000_000);
             harness.pass(10_000);
-            harness.sends.stream().filter(s -> !s.ended && harness.now - s.at >= 300_000).toList()
-                .forEach(s -> harness.end(s, Outcome.OK));
+            harness.sends.stream()
+                    .filter(s -> !s.ended && harness.now - s.at >= 300_000)
+                    .toList()
+                    .forEach(s -> harness.end(s, Outcome.OK));
         }
         harness.finals.forEach((id, how) -> {
             if (how.equals("ok")) {
@@ -171,7 +180,7 @@
         int sent = 0;
         for (int i = 0; i < 20; i++) {
             harness.again("late" + i, 0, Harness.DEADLINE - Harness.AIM - 200_000);
-            harness.again("quick" + i, 0, Harness.DEADLINE - 150_000);  // this one can still be in time
+            harness.again("quick" + i, 0, Harness.DEADLINE - 150_000); // this one can still be in time
             refused += "refused".equals(harness.finals.get("late" + i)) ? 1 : 0;
             sent += harness.sentFor("quick" + i).size();
         }
@@ -183,35 +192,36 @@
     void aNextTryThatMayBeInTimeIsServedLikeAnyOther() {
         Harness harness = harness(6, SAFE);
         serve(harness, 20, 20_000, Map.of());
-        harness.again("again", 0, Harness.DEADLINE);            // as much time as a first try: age unknown
+        harness.again("again", 0, Harness.DEADLINE); // as much time as a first try: age unknown
         assertEquals(1, harness.sentFor("again").size());
     }
 
     @Test
     void theMostUrgentHeldRequestGoesFirst() {
         // In order of arrival requests with a short aim ran out behind those with a long one.
-        Policy.RequestClass patient = new Policy.RequestClass(Effect.SAFE, Scope.ALL, 0, 4 * Harness.AIM,
-            4 * Harness.DEADLINE, 0, 1, 0, false);
+        Policy.RequestClass patient = new Policy.RequestClass(
+                Effect.SAFE, Scope.ALL, 0, 4 * Harness.AIM, 4 * Harness.DEADLINE, 0, 1, 0, false);
         Harness harness = holding(SAFE, patient);
         harness.request("patient", 1, 0, 4 * Harness.DEADLINE);
         harness.request("urgent", 0);
         harness.list(ListKind.PARTIAL, Harness.fleet(1));
-        assertEquals(List.of("urgent", "patient"), harness.sends.stream().map(s -> s.request).toList());
+        assertEquals(
+                List.of("urgent", "patient"),
+                harness.sends.stream().map(s -> s.request).toList());
     }
 
     @Test
     void discoveryIsAskedAgainAfterErrorsAndSilenceButNotHammered() {
         Harness harness = new Harness(Harness.settings(2, true, Discovery.ASK, List.of(), SAFE), 3)
-            .list(ListKind.PERSISTED, Harness.fleet(2));
+                .list(ListKind.PERSISTED, Harness.fleet(2));
         assertEquals(1, harness.watches);
-        harness.pass(7_000_000);                  // silence: asked again within AskWithin
+        harness.pass(7_000_000); // silence: asked again within AskWithin
         assertEquals(2, harness.watches);
-        for (int i = 0; i < 20; i++) {          // 20 s of errors
+        for (int i = 0; i < 20; i++) { // 20 s of errors
             harness.list(ListKind.FAILED, List.of());
             harness.pass(1_000_000);
         }
-        assertTrue(harness.watches >= 5 && harness.watches <= 16,
-            "asked " + harness.watches + " times in 27 s");
+        assertTrue(harness.watches >= 5 && harness.watches <= 16, "asked " + harness.watches + " times in 27 s");
         int before = harness.watches;
         harness.list(ListKind.PARTIAL, List.of());
         harness.pass(60_000_000);
@@ -224,14 +234,14 @@
     private static int sentOf(Harness harness, int requests, int requestClass, int tenant, long latency) {
         int sent = 0;
         for (int i = 0; i < requests; i++) {
-            Harness.Sent s = harness.request("o" + harness.now + "/" + i, requestClass, tenant,
-                Harness.DEADLINE);
+            Harness.Sent s = harness.request("o" + harness.now + "/" + i, requestClass, tenant, Harness.DEADLINE);
             harness.pass(latency);
             if (s != null) {
                 sent++;
                 harness.end(s, Outcome.OK);
-                harness.sentFor(s.request).stream().filter(copy -> !copy.ended)
-                    .forEach(copy -> harness.end(copy, Outcome.CANCELLED));
+                harness.sentFor(s.request).stream()
+                        .filter(copy -> !copy.ended)
+                        .forEach(copy -> harness.end(copy, Outcome.CANCELLED));
             }
         }
         return sent;
@@ -260,8 +270,8 @@
 
     @Test
     void theCheapestAreTurnedAwayFirst() {
-        Policy.RequestClass dear = new Policy.RequestClass(Effect.UNSAFE, Scope.ALL, 0, Harness.AIM,
-            Harness.DEADLINE, 0, 9, 0, false);
+        Policy.RequestClass dear =
+                new Policy.RequestClass(Effect.UNSAFE, Scope.ALL, 0, Harness.AIM, Harness.DEADLINE, 0, 9, 0, false);
         Harness harness = harness(6, UNSAFE, dear);
         for (int i = 0; i < 30; i++) {
             sentOf(harness, 1, 0, 0, 350_000);
@@ -275,12 +285,11 @@
     @Test
     void oneTenantsExcessDoesNotWidenTheSharesOfAll() {
         // A tenant at three times its share made all shares 1.75 times as wide: servers were overdriven.
-        List<Policy.Tenant> tenants = List.of(new Policy.Tenant(8.4), new Policy.Tenant(8.4),
-            new Policy.Tenant(8.4));
+        List<Policy.Tenant> tenants = List.of(new Policy.Tenant(8.4), new Policy.Tenant(8.4), new Policy.Tenant(8.4));
         Harness harness = new Harness(Harness.settings(10, true, Discovery.PUSH, tenants, UNSAFE), 3)
-            .list(ListKind.PERSISTED, Harness.fleet(6));
+                .list(ListKind.PERSISTED, Harness.fleet(6));
         int sent = 0;
-        for (int i = 0; i < 60; i++) {          // 71 s of 270 ms each: this balancer's part of a share is 60
+        for (int i = 0; i < 60; i++) { // 71 s of 270 ms each: this balancer's part of a share is 60
             sent += sentOf(harness, 3, 0, 0, 270_000);
             sentOf(harness, i % 10 < 7 ? 1 : 0, 0, 1, 270_000);
             sentOf(harness, i % 10 < 7 ? 1 : 0, 0, 2, 270_000);
@@ -300,7 +309,9 @@
         serve(harness, 100, 20_000, bad);
         long from = harness.now;
         serve(harness, 20, 20_000, bad);
-        long good = harness.sends.stream().filter(s -> s.at >= from && !used.contains(s.server)).count();
+        long good = harness.sends.stream()
+                .filter(s -> s.at >= from && !used.contains(s.server))
+                .count();
         assertTrue(good >= 70, "others have taken over: " + good + " of 80");
     }
 
@@ -313,8 +324,7 @@
     }
 
     private static List<String> used(int servers, long seed) {
-        Harness harness = new Harness(Harness.settings(SAFE), seed)
-            .list(ListKind.PERSISTED, Harness.fleet(servers));
+        Harness harness = new Harness(Harness.settings(SAFE), seed).list(ListKind.PERSISTED, Harness.fleet(servers));
         for (int i = 0; i < 40; i++) {
             harness.request("r" + i, 0);
         }
@@ -332,7 +342,10 @@
                 harness.reported = s.server.equals("s1") ? filled : 2;
                 harness.end(s, Outcome.OK);
             }
-            long last = harness.sends.stream().skip(100).filter(s -> s.server.equals("s1")).count();
+            long last = harness.sends.stream()
+                    .skip(100)
+                    .filter(s -> s.server.equals("s1"))
+                    .count();
             assertTrue(filled != 50 || last <= 15, "a long reported queue is avoided: " + last);
         }
     }
@@ -383,8 +396,7 @@
             harness.pass(Harness.AIM - 5_000);
             int copies = harness.sentFor("silent").size() - 1;
             assertEquals(kind == SAFE ? 1 : 0, copies, "copies of " + kind.effect());
-            assertTrue(harness.sentFor("silent").stream().skip(1)
-                .noneMatch(s -> s.server.equals(silent.server)));
+            assertTrue(harness.sentFor("silent").stream().skip(1).noneMatch(s -> s.server.equals(silent.server)));
         }
     }
 
@@ -398,12 +410,13 @@
         }
         harness.pass(Harness.AIM);
         long copies = harness.sends.stream()
-            .filter(s -> s.request.startsWith("burst") && s.number > 0).count();
+                .filter(s -> s.request.startsWith("burst") && s.number > 0)
+                .count();
         assertTrue(copies > 0 && copies <= 10, "a budget of ten at most, not one for each of 60: " + copies);
         Harness full = harness(6, SAFE);
         serve(full, 60, 20_000, Map.of());
         List<Harness.Sent> turned =
-            IntStream.range(0, 8).mapToObj(i -> full.request("full" + i, 0)).toList();
+                IntStream.range(0, 8).mapToObj(i -> full.request("full" + i, 0)).toList();
         turned.forEach(s -> full.end(s, Outcome.FULL));
         full.request("wait", 0);
         full.pass(Harness.AIM);
@@ -413,12 +426,28 @@
     @Test
     void whereWorthGoesByRequestClassesAreTurnedAwayAlike() {
         // The light class starved for the heavy one: 10% of its worth was served by a half idle fleet.
-        Policy.RequestClass dear = new Policy.RequestClass(Effect.UNSAFE, Scope.ALL, 0, Harness.AIM,
-            Harness.DEADLINE, 0, 9, 0, false);
+        Policy.RequestClass dear =
+                new Policy.RequestClass(Effect.UNSAFE, Scope.ALL, 0, Harness.AIM, Harness.DEADLINE, 0, 9, 0, false);
         Policy.Settings s = Harness.settings(UNSAFE, dear);
-        Harness harness = new Harness(new Policy.Settings(1, 0, 0, s.classes(), List.of(), 0.1, s.goal(),
-            s.prices(), false, s.discovery(), s.reports(), false, s.limits(), s.bounds(), s.tick()), 3)
-            .list(ListKind.PERSISTED, Harness.fleet(6));
+        Harness harness = new Harness(
+                        new Policy.Settings(
+                                1,
+                                0,
+                                0,
+                                s.classes(),
+                                List.of(),
+                                0.1,
+                                s.goal(),
+                                s.prices(),
+                                false,
+                                s.discovery(),
+                                s.reports(),
+                                false,
+                                s.limits(),
+                                s.bounds(),
+                                s.tick()),
+                        3)
+                .list(ListKind.PERSISTED, Harness.fleet(6));
         for (int i = 0; i < 40; i++) {
             sentOf(harness, 1, 0, 0, 500_000);
             sentOf(harness, 1, 1, 0, 500_000);
@@ -432,23 +461,43 @@
     void aHotKeyGetsMoreServersThanAColdOne() {
         // Four of fifty servers took a seventh of all requests: as many as the hottest key brought.
         Policy.Settings s = Harness.settings(SAFE);
-        Harness harness = new Harness(new Policy.Settings(1, 0, 0, s.classes(), List.of(), 0.1, s.goal(),
-            s.prices(), true, s.discovery(), s.reports(), true, s.limits(), s.bounds(), s.tick()), 3)
-            .list(ListKind.PERSISTED, Harness.fleet(20));
+        Harness harness = new Harness(
+                        new Policy.Settings(
+                                1,
+                                0,
+                                0,
+                                s.classes(),
+                                List.of(),
+                                0.1,
+                                s.goal(),
+                                s.prices(),
+                                true,
+                                s.discovery(),
+                                s.reports(),
+                                true,
+                                s.limits(),
+                                s.bounds(),
+                                s.tick()),
+                        3)
+                .list(ListKind.PERSISTED, Harness.fleet(20));
         for (int i = 0; i < 600; i++) {
             Harness.Sent sent = harness.keyed("r" + i, 0, i % 2 == 0 ? "hot" : "k" + i % 75);
             harness.pass(10_000);
-            harness.sends.stream().filter(x -> !x.ended && harness.now - x.at >= 60_000).toList()
-                .forEach(x -> harness.end(x, Outcome.OK));
+            harness.sends.stream()
+                    .filter(x -> !x.ended && harness.now - x.at >= 60_000)
+                    .toList()
+                    .forEach(x -> harness.end(x, Outcome.OK));
             assertTrue(sent != null);
         }
         long hot = servers(harness, 0, 2);
-        long cold = servers(harness, 3, 150);           // of the odd ones: the even ones are for the hot key
+        long cold = servers(harness, 3, 150); // of the odd ones: the even ones are for the hot key
         assertTrue(hot >= 8 && cold <= 3, "hot on " + hot + ", cold on " + cold);
     }
 
     @ParameterizedTest
-    @EnumSource(value = Outcome.class, names = {"NOT_SENT", "CONNECT_FAILED", "RESET", "ERROR"})
+    @EnumSource(
+            value = Outcome.class,
+            names = {"NOT_SENT", "CONNECT_FAILED", "RESET", "ERROR"})
     void requestsThatFailedForOtherReasonsThanLoadCloseNoDoor(Outcome outcome) {
         // 200 that found no descriptor in a moment were taken for demand that the servers can't meet.
         Harness harness = harness(6, UNSAFE);
@@ -461,7 +510,7 @@
             }
             harness.pass(1_000);
         }
-        harness.pass(200_000);                          // all servers look bad, so all are used
+        harness.pass(200_000); // all servers look bad, so all are used
         int before = harness.sends.size();
         harness.request("after", 0);
         assertTrue(harness.sends.size() > before, "the next is sent");
@@ -485,10 +534,26 @@
     void aHotKeyAddsLittleToTheLoadOfEachOfItsServers() {
         // With half of their load from one key, its servers were late in a burst that the others bore.
         Policy.Settings s = Harness.settings(SAFE);
-        Harness harness = new Harness(new Policy.Settings(100, 0, 0, s.classes(), List.of(), 0.1, s.goal(),
-            s.prices(), true, s.discovery(), s.reports(), true, s.limits(), s.bounds(), s.tick()), 3)
-            .list(ListKind.PERSISTED, Harness.fleet(60));
-        for (int i = 0; i < 600; i++) {                 // ten a second, one in twelve for the hot key
+        Harness harness = new Harness(
+                        new Policy.Settings(
+                                100,
+                                0,
+                                0,
+                                s.classes(),
+                                List.of(),
+                                0.1,
+                                s.goal(),
+                                s.prices(),
+                                true,
+                                s.discovery(),
+                                s.reports(),
+                                true,
+                                s.limits(),
+                                s.bounds(),
+                                s.tick()),
+                        3)
+                .list(ListKind.PERSISTED, Harness.fleet(60));
+        for (int i = 0; i < 600; i++) { // ten a second, one in twelve for the hot key
             Harness.Sent sent = harness.keyed("r" + i, 0, i % 12 == 0 ? "hot" : "k" + i % 75);
             harness.pass(60_000);
             harness.end(sent, Outcome.OK);
@@ -504,9 +569,25 @@
         Policy.Settings s = Harness.settings(SAFE);
         Set<String> used = new HashSet<>();
         for (int rank = 0; rank < 100; rank++) {
-            Harness harness = new Harness(new Policy.Settings(100, rank, 0, s.classes(), List.of(), 0.1, s.goal(),
-                s.prices(), true, s.discovery(), s.reports(), true, s.limits(), s.bounds(), s.tick()), 3 + rank)
-                .list(ListKind.PERSISTED, Harness.fleet(60));
+            Harness harness = new Harness(
+                            new Policy.Settings(
+                                    100,
+                                    rank,
+                                    0,
+                                    s.classes(),
+                                    List.of(),
+                                    0.1,
+                                    s.goal(),
+                                    s.prices(),
+                                    true,
+                                    s.discovery(),
+                                    s.reports(),
+                                    true,
+                                    s.limits(),
+                                    s.bounds(),
+                                    s.tick()),
+                            3 + rank)
+                    .list(ListKind.PERSISTED, Harness.fleet(60));
             Harness.Sent sent = harness.keyed("r" + rank, 0, "key");
             harness.pass(30_000);
             harness.end(sent, Outcome.OK);
@@ -516,8 +597,11 @@
     }
 
     private static long servers(Harness harness, int first, int step) {
-        return harness.sends.stream().filter(x -> Integer.parseInt(x.request.substring(1)) % step == first)
-            .map(x -> x.server).distinct().count();
+        return harness.sends.stream()
+                .filter(x -> Integer.parseInt(x.request.substring(1)) % step == first)
+                .map(x -> x.server)
+                .distinct()
+                .count();
     }
 
     @Test
@@ -525,19 +609,19 @@
         // Refusal that rose within seconds and fell slowly turned a third of the requests away around restarts.
         Harness harness = harness(6, SAFE);
         sentOf(harness, 40, 0, 0, 50_000);
-        for (int i = 0; i < 20; i++) {          // two seconds of late answers, ten a second
+        for (int i = 0; i < 20; i++) { // two seconds of late answers, ten a second
             Harness.Sent sent = harness.request("late" + i, 0);
             harness.pass(100_000);
             if (sent != null) {
                 harness.now += 1;
-                harness.policy.outcome(harness.now, sent.request, sent.number, Outcome.OK, 2 * Harness.AIM,
-                    true, null, harness);
+                harness.policy.outcome(
+                        harness.now, sent.request, sent.number, Outcome.OK, 2 * Harness.AIM, true, null, harness);
                 sent.ended = true;
             }
         }
         int during = sentOf(harness, 20, 0, 0, 50_000);
         assertTrue(during > 0, "some are still sent, or nothing would ever be learnt");
-        sentOf(harness, 20, 0, 0, 50_000);      // two seconds of good ones in all
+        sentOf(harness, 20, 0, 0, 50_000); // two seconds of good ones in all
         assertTrue(sentOf(harness, 40, 0, 0, 1_000) >= 38, "and then nearly all are");
     }
 }
--- a/core/src/test/java/junctionhead/policy/LibraryTest.java
+++ b/core/src/test/java/junctionhead/policy/LibraryTest.java
@@ -38,24 +38,51 @@
 
     @Test
     void impossibleSettingsAreNamed() {
-        assertEquals("impossible aim: 0", assertThrows(IllegalArgumentException.class,
-            () -> new RequestClass(Effect.SAFE, Scope.ALL, 0, 0, 1, 0, 1, 0, false)).getMessage());
-        assertEquals("impossible coldFrom: 0.0", assertThrows(IllegalArgumentException.class,
-            () -> new Policy.Bounds(1, 1, 1, 0, 1, 2, 1, 0)).getMessage());
-        assertEquals("impossible maxAttempts: 0", assertThrows(IllegalArgumentException.class,
-            () -> new Policy.Limits(0, true, true, true, 1, 0)).getMessage());
-        assertEquals("impossible classes: none", assertThrows(IllegalArgumentException.class,
-            () -> Harness.settings()).getMessage());
+        assertEquals(
+                "impossible aim: 0",
+                assertThrows(
+                                IllegalArgumentException.class,
+                                () -> new RequestClass(Effect.SAFE, Scope.ALL, 0, 0, 1, 0, 1, 0, false))
+                        .getMessage());
+        assertEquals(
+                "impossible coldFrom: 0.0",
+                assertThrows(IllegalArgumentException.class, () -> new Policy.Bounds(1, 1, 1, 0, 1, 2, 1, 0))
+                        .getMessage());
+        assertEquals(
+                "impossible maxAttempts: 0",
+                assertThrows(IllegalArgumentException.class, () -> new Policy.Limits(0, true, true, true, 1, 0))
+                        .getMessage());
+        assertEquals(
+                "impossible classes: none",
+                assertThrows(IllegalArgumentException.class, () -> Harness.settings())
+                        .getMessage());
     }
 
     @ParameterizedTest
     @CsvSource({"0, 0, impossible balancers: 0", "2, 2, impossible rank: 2", "2, -1, impossible rank: -1"})
     void impossibleNumbersOfBalancersAreNamed(int balancers, int rank, String complaint) {
         Policy.Settings s = Harness.settings(SAFE);
-        assertEquals(complaint, assertThrows(IllegalArgumentException.class,
-            () -> new Policy.Settings(balancers, rank, 0, s.classes(), List.of(), 1, s.goal(), s.prices(),
-                false,
-                s.discovery(), s.reports(), false, s.limits(), s.bounds(), 1_000)).getMessage());
+        assertEquals(
+                complaint,
+                assertThrows(
+                                IllegalArgumentException.class,
+                                () -> new Policy.Settings(
+                                        balancers,
+                                        rank,
+                                        0,
+                                        s.classes(),
+                                        List.of(),
+                                        1,
+                                        s.goal(),
+                                        s.prices(),
+                                        false,
+                                        s.discovery(),
+                                        s.reports(),
+                                        false,
+                                        s.limits(),
+                                        s.bounds(),
+                                        1_000))
+                        .getMessage());
     }
 
     /** Settings unlike any deployment: sensible behaviour, every request answered. */
@@ -68,25 +95,40 @@
         "8, 3, 20000000, 60000000, 3, false, 8, 2000000",
         "6, 1, 600000, 1200000, 1, false, 50, 30000",
     })
-    void oddSettingsAreServed(int servers, int balancers, long aim, long deadline, int attempts,
-            boolean copies, int rate, long latency) {
+    void oddSettingsAreServed(
+            int servers, int balancers, long aim, long deadline, int attempts, boolean copies, int rate, long latency) {
         for (Effect effect : Effect.values()) {
             RequestClass kind = new RequestClass(effect, Scope.CELL, deadline, aim, deadline, 0, 1, 0, false);
-            Policy.Settings base =
-                Harness.settings(balancers, copies, Policy.Discovery.PUSH, List.of(), kind);
-            Harness harness = new Harness(new Policy.Settings(balancers, 0, 0, base.classes(), List.of(), 1,
-                base.goal(), base.prices(), false, base.discovery(), Policy.Reports.NONE, false,
-                new Policy.Limits(attempts, copies, false, false, 1000, 0), base.bounds(), 1_000), 9);
+            Policy.Settings base = Harness.settings(balancers, copies, Policy.Discovery.PUSH, List.of(), kind);
+            Harness harness = new Harness(
+                    new Policy.Settings(
+                            balancers,
+                            0,
+                            0,
+                            base.classes(),
+                            List.of(),
+                            1,
+                            base.goal(),
+                            base.prices(),
+                            false,
+                            base.discovery(),
+                            Policy.Reports.NONE,
+                            false,
+                            new Policy.Limits(attempts, copies, false, false, 1000, 0),
+                            base.bounds(),
+                            1_000),
+                    9);
             harness.list(ListKind.PERSISTED, Harness.fleet(servers));
             for (int i = 0; i < 400; i++) {
                 harness.request("r" + i, 0, 0, deadline);
                 harness.pass(1_000_000 / rate);
-                harness.sends.stream().filter(s -> !s.ended && harness.now - s.at >= latency).toList()
-                    .forEach(s -> harness.end(s, Outcome.OK));
+                harness.sends.stream()
+                        .filter(s -> !s.ended && harness.now - s.at >= latency)
+                        .toList()
+                        .forEach(s -> harness.end(s, Outcome.OK));
             }
             harness.pass(deadline);
-            harness.sends.stream().filter(s -> !s.ended).toList()
-                .forEach(s -> harness.end(s, Outcome.TIMEOUT));
+            harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, Outcome.TIMEOUT));
             harness.pass(deadline);
             assertEquals(400, harness.finals.size());
             assertEquals(0, harness.doubleFinals);
@@ -101,11 +143,12 @@
         for (int i = 0; i < 30_000; i++) {
             Harness.Sent sent = harness.request("r" + i, 0);
             harness.pass(5_000);
-            harness.sends.stream().filter(s -> !s.ended).toList()
-                .forEach(s -> harness.end(s, s.number % 7 == 6 ? Outcome.ERROR : Outcome.OK));
-            if (i % 50 == 0) {                  // machines come and go under new names
-                harness.list(ListKind.COMPLETE,
-                    List.of(Harness.up("a" + i), Harness.up("b" + i), Harness.up("c")));
+            harness.sends.stream()
+                    .filter(s -> !s.ended)
+                    .toList()
+                    .forEach(s -> harness.end(s, s.number % 7 == 6 ? Outcome.ERROR : Outcome.OK));
+            if (i % 50 == 0) { // machines come and go under new names
+                harness.list(ListKind.COMPLETE, List.of(Harness.up("a" + i), Harness.up("b" + i), Harness.up("c")));
                 harness.sends.clear();
                 harness.attempts.clear();
                 harness.finals.clear();
@@ -122,10 +165,14 @@
     void theReadmeQuotesLogLinesThatTheModuleWrites() throws IOException {
         String rules = Files.readString(Path.of("src/main/java/junctionhead/policy/Balance.java"));
         String page = Files.readString(Path.of("../README.md"));
-        for (String line : List.of("overload: refusing, level ", "ejected ", " ms after failures",
-                "recovered ", "discovery failed ", " times, asking again")) {
-            assertTrue(rules.contains(line),
-                "the module writes: " + line);
+        for (String line : List.of(
+                "overload: refusing, level ",
+                "ejected ",
+                " ms after failures",
+                "recovered ",
+                "discovery failed ",
+                " times, asking again")) {
+            assertTrue(rules.contains(line), "the module writes: " + line);
             assertTrue(page.contains(line.strip()), "the README names: " + line);
         }
     }
--- a/core/src/test/java/junctionhead/policy/PolicyPackagesTest.java
+++ b/core/src/test/java/junctionhead/policy/PolicyPackagesTest.java
@@ -27,7 +27,8 @@
 class PolicyPackagesTest {
     private static final String SOURCES = "core/src/main/java/";
     private static final JavaClasses CORE = new ClassFileImporter()
-        .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("junctionhead");
+            .withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages("junctionhead");
 
     @Test
     void allThatTheBalancersDecisionsRestOnLiesInThePackagesOfTheDeployFile() throws IOException {
@@ -44,28 +45,45 @@
     @Test
     void thePackagesOfTheDeployFileArePure() throws IOException {
         Set<String> named = namedPackages();
-        DescribedPredicate<JavaClass> inNamed = DescribedPredicate.describe("in " + named,
-            c -> named.contains(c.getPackageName()));
-        noClasses().that(inNamed).should().dependOnClassesThat()
-            .resideInAnyPackage("java.net..", "java.io..", "java.nio..", "java.util.concurrent..", "javax..",
-                "java.time..", "java.util.logging..", "io.netty..", "org.slf4j..")
-            .orShould().dependOnClassesThat().belongToAnyOf(Thread.class, Runtime.class, ProcessBuilder.class)
-            .orShould().callMethod(System.class, "nanoTime")
-            .orShould().callMethod(System.class, "currentTimeMillis")
-            .check(CORE);
+        DescribedPredicate<JavaClass> inNamed =
+                DescribedPredicate.describe("in " + named, c -> named.contains(c.getPackageName()));
+        noClasses()
+                .that(inNamed)
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "java.net..",
+                        "java.io..",
+                        "java.nio..",
+                        "java.util.concurrent..",
+                        "javax..",
+                        "java.time..",
+                        "java.util.logging..",
+                        "io.netty..",
+                        "org.slf4j..")
+                .orShould()
+                .dependOnClassesThat()
+                .belongToAnyOf(Thread.class, Runtime.class, ProcessBuilder.class)
+                .orShould()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .callMethod(System.class, "currentTimeMillis")
+                .check(CORE);
     }
 
     // Folders of the deploy file's key `policy`, as packages; each of them must be there.
     private static Set<String> namedPackages() throws IOException {
         Path root = Path.of("").toAbsolutePath().getParent();
-        Matcher key = Pattern.compile("(?m)^policy = \\[(.*?)]").matcher(
-            Files.readString(root.resolve("deploy/balancer.toml")));
+        Matcher key = Pattern.compile("(?m)^policy = \\[(.*?)]")
+                .matcher(Files.readString(root.resolve("deploy/balancer.toml")));
         assertTrue(key.find(), "the deploy file names no policy");
         Set<String> packages = new TreeSet<>();
         Matcher entry = Pattern.compile("\"([^\"]+)\"").matcher(key.group(1));
         while (entry.find()) {
             String folder = entry.group(1);
-            assertTrue(folder.startsWith(SOURCES) && Files.isDirectory(root.resolve(folder)), "no folder of core: " + folder);
+            assertTrue(
+                    folder.startsWith(SOURCES) && Files.isDirectory(root.resolve(folder)),
+                    "no folder of core: " + folder);
             packages.add(folder.substring(SOURCES.length()).replace('/', '.'));
         }
         assertFalse(packages.isEmpty());
@@ -78,7 +96,9 @@
         while (!next.isEmpty()) {
             JavaClass c = next.pop();
             if (c.getName().startsWith("junctionhead.") && found.add(c)) {
-                c.getDirectDependenciesFromSelf().stream().map(Dependency::getTargetClass).forEach(next::push);
+                c.getDirectDependenciesFromSelf().stream()
+                        .map(Dependency::getTargetClass)
+                        .forEach(next::push);
             }
         }
         return found;
--- a/core/src/test/java/junctionhead/policy/PurityTest.java
+++ b/core/src/test/java/junctionhead/policy/PurityTest.java
@@ -13,37 +13,62 @@
 /** The modules that decide touch neither sockets, files, threads nor clocks, and know no other module. */
 class PurityTest {
     private static final JavaClasses CORE = new ClassFileImporter()
-        .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("junctionhead");
+            .withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages("junctionhead");
 
     @Test
     void nothingReachesSocketsFilesOrThreads() {
-        noClasses().should().dependOnClassesThat()
-            .resideInAnyPackage("java.net..", "java.io..", "java.nio..", "java.util.concurrent..", "javax..",
-                "java.time..", "java.util.logging..")
-            .orShould().dependOnClassesThat().belongToAnyOf(Thread.class, Runtime.class, ProcessBuilder.class)
-            .check(CORE);
+        noClasses()
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "java.net..",
+                        "java.io..",
+                        "java.nio..",
+                        "java.util.concurrent..",
+                        "javax..",
+                        "java.time..",
+                        "java.util.logging..")
+                .orShould()
+                .dependOnClassesThat()
+                .belongToAnyOf(Thread.class, Runtime.class, ProcessBuilder.class)
+                .check(CORE);
     }
 
     @Test
     void timeAndRandomnessComeFromTheCaller() {
-        noClasses().should().callMethod(System.class, "nanoTime")
-            .orShould().callMethod(System.class, "currentTimeMillis")
-            .orShould().callMethod(Math.class, "random")
-            .orShould().callConstructor(java.util.Random.class)
-            .orShould().callConstructor(java.util.SplittableRandom.class)
-            .check(CORE);
+        noClasses()
+                .should()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .callMethod(System.class, "currentTimeMillis")
+                .orShould()
+                .callMethod(Math.class, "random")
+                .orShould()
+                .callConstructor(java.util.Random.class)
+                .orShould()
+                .callConstructor(java.util.SplittableRandom.class)
+                .check(CORE);
     }
 
     @Test
     void itKnowsOnlyTheJdkAndItself() {
-        noClasses().should().dependOnClassesThat()
-            .resideOutsideOfPackages("java..", "junctionhead..").check(CORE);
+        noClasses()
+                .should()
+                .dependOnClassesThat()
+                .resideOutsideOfPackages("java..", "junctionhead..")
+                .check(CORE);
     }
 
     @Test
     void thePartsOfCoreDontKnowEachOther() {
-        SlicesRuleDefinition.slices().matching("junctionhead.(*)..").should().notDependOnEachOther()
-            .ignoreDependency(resideInAPackage("junctionhead.front"),
-                resideInAnyPackage("junctionhead.routes", "junctionhead.limits")).check(CORE);
+        SlicesRuleDefinition.slices()
+                .matching("junctionhead.(*)..")
+                .should()
+                .notDependOnEachOther()
+                .ignoreDependency(
+                        resideInAPackage("junctionhead.front"),
+                        resideInAnyPackage("junctionhead.routes", "junctionhead.limits"))
+                .check(CORE);
     }
 }
--- a/core/src/test/java/junctionhead/policy/RandomFourRulesTest.java
+++ b/core/src/test/java/junctionhead/policy/RandomFourRulesTest.java
@@ -32,7 +32,7 @@
         String answer;
         final List<Server> servers = new ArrayList<>();
         final List<Long> at = new ArrayList<>();
-        final List<Outcome> ended = new ArrayList<>();          // null while out
+        final List<Outcome> ended = new ArrayList<>(); // null while out
     }
 
     /** Takes what happens in its order; each call says what rule is broken, or null. */
@@ -59,9 +59,11 @@
                 if (mayHaveRun && k.kind.effect() == Effect.UNSAFE) {
                     return "an unsafe effect may happen twice";
                 }
-                boolean outside = k.kind.scope() == Scope.CELL && k.servers.get(i).cell() != to.cell()
-                    || k.kind.scope() == Scope.ZONE && k.servers.get(i).zone() != to.zone();
-                if (mayHaveRun && k.kind.effect() == Effect.KEYED
+                boolean outside = k.kind.scope() == Scope.CELL
+                                && k.servers.get(i).cell() != to.cell()
+                        || k.kind.scope() == Scope.ZONE && k.servers.get(i).zone() != to.zone();
+                if (mayHaveRun
+                        && k.kind.effect() == Effect.KEYED
                         && (outside || now - k.at.get(i) >= k.kind.keyMemory())) {
                     return "a keyed request left its group or window";
                 }
@@ -82,14 +84,15 @@
                 return "answered too late";
             }
             boolean mayHaveRun = k.ended.stream().anyMatch(o -> o == null || !o.neverRan());
-            boolean harmless = k.kind.effect() == Effect.SAFE
-                || k.kind.effect() == Effect.KEYED && k.kind.scope() == Scope.ALL;
+            boolean harmless =
+                    k.kind.effect() == Effect.SAFE || k.kind.effect() == Effect.KEYED && k.kind.scope() == Scope.ALL;
             return how.equals("refused") && mayHaveRun && !harmless ? "refused though it may have run" : null;
         }
 
         String atTheEnd(long now) {
             return requests.values().stream().anyMatch(k -> k.answer == null && now > k.deadline + SLACK)
-                ? "a request was lost" : null;
+                    ? "a request was lost"
+                    : null;
         }
     }
 
@@ -135,9 +138,12 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void randomEventsKeepTheRules(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<RequestClass> kinds = List.of(Harness.kind(Effect.SAFE, Scope.ALL),
-            Harness.kind(Effect.UNSAFE, Scope.ALL), Harness.kind(Effect.KEYED, Scope.ALL),
-            Harness.kind(Effect.KEYED, Scope.CELL), Harness.kind(Effect.KEYED, Scope.ZONE));
+        List<RequestClass> kinds = List.of(
+                Harness.kind(Effect.SAFE, Scope.ALL),
+                Harness.kind(Effect.UNSAFE, Scope.ALL),
+                Harness.kind(Effect.KEYED, Scope.ALL),
+                Harness.kind(Effect.KEYED, Scope.CELL),
+                Harness.kind(Effect.KEYED, Scope.ZONE));
         Harness harness = new Harness(Harness.settings(kinds.toArray(new RequestClass[0])), seed);
         Checker checker = new Checker();
         Map<String, Server> servers = new HashMap<>();
@@ -147,7 +153,8 @@
         int answers = 0;
         for (int step = 0; step < 4000; step++) {
             int what = random.nextInt(100);
-            List<Harness.Sent> out = harness.sends.stream().filter(s -> !s.ended).toList();
+            List<Harness.Sent> out =
+                    harness.sends.stream().filter(s -> !s.ended).toList();
             if (what < 40) {
                 RequestClass kind = kinds.get(random.nextInt(kinds.size()));
                 long left = 100_000 + random.nextLong(2_000_000);
@@ -156,8 +163,7 @@
             } else if (what < 80 && !out.isEmpty()) {
                 Harness.Sent s = out.get(random.nextInt(out.size()));
                 Outcome[] all = Outcome.values();
-                end(harness, checker, s, random.nextInt(3) > 0 ? Outcome.OK
-                    : all[random.nextInt(all.length - 1)]);
+                end(harness, checker, s, random.nextInt(3) > 0 ? Outcome.OK : all[random.nextInt(all.length - 1)]);
             } else if (what < 84) {
                 String id = "s" + random.nextInt(8);
                 servers.computeIfPresent(id, (i, s) -> s.in(State.values()[random.nextInt(3)]));
@@ -204,21 +210,24 @@
         Policy.Settings settings = Harness.settings(Harness.kind(Effect.SAFE, Scope.ALL));
         Harness harness = new Harness(settings, seed).list(ListKind.PERSISTED, Harness.fleet(5));
         long started = 0;
-        for (int i = 0; i < 1500; i++) {                        // 40 answers a second from each of 5
+        for (int i = 0; i < 1500; i++) { // 40 answers a second from each of 5
             if (i == 500) {
-                harness.list(ListKind.PARTIAL,
-                    List.of(new Server("cold", State.UP, harness.now, 1, 0, 0, 0)));
+                harness.list(ListKind.PARTIAL, List.of(new Server("cold", State.UP, harness.now, 1, 0, 0, 0)));
             }
             for (int j = 0; j < 4; j++) {
                 harness.request("x" + i + "/" + j, 0);
             }
             harness.pass(10_000 + random.nextLong(20_000));
-            harness.sends.stream().filter(s -> !s.ended && harness.now - s.at >= 30_000).toList()
-                .forEach(s -> harness.end(s, Outcome.OK));
+            harness.sends.stream()
+                    .filter(s -> !s.ended && harness.now - s.at >= 30_000)
+                    .toList()
+                    .forEach(s -> harness.end(s, Outcome.OK));
             started = i < 500 ? harness.now : started;
         }
-        List<Long> sends =
-            harness.sends.stream().filter(s -> s.server.equals("cold")).map(s -> s.at).toList();
+        List<Long> sends = harness.sends.stream()
+                .filter(s -> s.server.equals("cold"))
+                .map(s -> s.at)
+                .toList();
         assertTrue(sends.size() > 20, "it is used: " + sends.size());
         assertNull(cold(sends, started, 40, settings.bounds()));
     }
--- a/core/src/test/java/junctionhead/policy/RandomOrderAndPlacementTest.java
+++ b/core/src/test/java/junctionhead/policy/RandomOrderAndPlacementTest.java
@@ -61,7 +61,8 @@
 
         static String placed(RequestClass kind, Server server) {
             boolean zone = kind.zones().isEmpty() || kind.zones().contains(server.zone());
-            boolean machine = kind.machineKinds().isEmpty() || kind.machineKinds().contains(server.kind());
+            boolean machine =
+                    kind.machineKinds().isEmpty() || kind.machineKinds().contains(server.kind());
             return zone && machine ? null : "sent to " + server.id() + ", which is not open to the class";
         }
     }
@@ -85,17 +86,19 @@
     }
 
     private static RequestClass kind(Effect effect, boolean inOrder, Set<Integer> zones, Set<Integer> kinds) {
-        return new RequestClass(effect, Scope.ALL, 2_000_000, Harness.AIM, Harness.DEADLINE, 0, 1, 0.3, false,
-            inOrder, zones, kinds);
+        return new RequestClass(
+                effect, Scope.ALL, 2_000_000, Harness.AIM, Harness.DEADLINE, 0, 1, 0.3, false, inOrder, zones, kinds);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void randomEventsKeepOrderAndPlacement(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<RequestClass> kinds = List.of(kind(Effect.SAFE, true, Set.of(), Set.of()),
-            kind(Effect.UNSAFE, true, Set.of(0), Set.of()), kind(Effect.KEYED, false, Set.of(), Set.of(1)),
-            kind(Effect.SAFE, false, Set.of(1), Set.of(0)));
+        List<RequestClass> kinds = List.of(
+                kind(Effect.SAFE, true, Set.of(), Set.of()),
+                kind(Effect.UNSAFE, true, Set.of(0), Set.of()),
+                kind(Effect.KEYED, false, Set.of(), Set.of(1)),
+                kind(Effect.SAFE, false, Set.of(1), Set.of(0)));
         Harness harness = new Harness(Harness.settings(kinds.toArray(new RequestClass[0])), seed);
         Checker checker = new Checker();
         Map<String, Integer> classOf = new LinkedHashMap<>();
@@ -117,12 +120,12 @@
                 }
                 harness.request(id, number, 0, key, 500_000 + random.nextLong(2_000_000), false);
             } else if (what < 80) {
-                List<Harness.Sent> out = harness.sends.stream().filter(s -> !s.ended).toList();
+                List<Harness.Sent> out =
+                        harness.sends.stream().filter(s -> !s.ended).toList();
                 if (!out.isEmpty()) {
                     Harness.Sent sent = out.get(random.nextInt(out.size()));
                     Outcome[] all = Outcome.values();
-                    Outcome outcome = random.nextInt(3) > 0 ? Outcome.OK
-                        : all[random.nextInt(all.length - 1)];
+                    Outcome outcome = random.nextInt(3) > 0 ? Outcome.OK : all[random.nextInt(all.length - 1)];
                     checked = end(harness, checker, sent, outcome, checked, kinds, classOf, servers);
                 }
             } else if (what < 84) {
@@ -142,8 +145,15 @@
         assertTrue(checked > 500, "enough was sent: " + checked);
     }
 
-    private static int end(Harness harness, Checker checker, Harness.Sent sent, Outcome outcome, int checked,
-            List<RequestClass> kinds, Map<String, Integer> classOf, Map<String, Server> servers) {
+    private static int end(
+            Harness harness,
+            Checker checker,
+            Harness.Sent sent,
+            Outcome outcome,
+            int checked,
+            List<RequestClass> kinds,
+            Map<String, Integer> classOf,
+            Map<String, Server> servers) {
         checker.ended(sent.request, outcome, harness.now);
         if (outcome == Outcome.OK) {
             checker.over.put(sent.request, true);
@@ -152,8 +162,13 @@
         return check(harness, checker, checked, kinds, classOf, servers);
     }
 
-    private static int check(Harness harness, Checker checker, int from, List<RequestClass> kinds,
-            Map<String, Integer> classOf, Map<String, Server> servers) {
+    private static int check(
+            Harness harness,
+            Checker checker,
+            int from,
+            List<RequestClass> kinds,
+            Map<String, Integer> classOf,
+            Map<String, Server> servers) {
         harness.finals.keySet().forEach(id -> checker.over.put(id, true));
         int checked = from;
         for (; checked < harness.sends.size(); checked++) {
--- a/core/src/test/java/junctionhead/policy/ReconfigureTest.java
+++ b/core/src/test/java/junctionhead/policy/ReconfigureTest.java
@@ -15,24 +15,21 @@
 
     @Test
     void figuresOfClassesMoveWithTheirNames() {
-        Harness harness = new Harness(Harness.settings(SAFE, UNSAFE), 1)
-            .list(ListKind.PERSISTED, Harness.fleet(3));
+        Harness harness = new Harness(Harness.settings(SAFE, UNSAFE), 1).list(ListKind.PERSISTED, Harness.fleet(3));
         double[] before = harness.policy.learnt(harness.now).get("usual");
-        harness.policy.reconfigure(harness.now, Harness.settings(UNSAFE, SAFE), new int[] {1, 0},
-            NONE);
-        assertArrayEquals(new double[] {before[1], before[0]},
-            harness.policy.learnt(harness.now).get("usual"));
+        harness.policy.reconfigure(harness.now, Harness.settings(UNSAFE, SAFE), new int[] {1, 0}, NONE);
+        assertArrayEquals(
+                new double[] {before[1], before[0]},
+                harness.policy.learnt(harness.now).get("usual"));
     }
 
     @Test
     void aSuccessorGoesOnFromWhatWasLearnt() {
-        Harness harness = new Harness(Harness.settings(SAFE), 1)
-            .list(ListKind.PERSISTED, Harness.fleet(3));
-        Harness next = new Harness(Harness.settings(SAFE), 2)
-            .list(ListKind.PERSISTED, Harness.fleet(3));
+        Harness harness = new Harness(Harness.settings(SAFE), 1).list(ListKind.PERSISTED, Harness.fleet(3));
+        Harness next = new Harness(Harness.settings(SAFE), 2).list(ListKind.PERSISTED, Harness.fleet(3));
         Map<String, double[]> learnt = harness.policy.learnt(harness.now);
         learnt.put("usual", new double[] {1234});
-        learnt.put("work", new double[] {1, 2, 3});     // of another number of classes: passed over
+        learnt.put("work", new double[] {1, 2, 3}); // of another number of classes: passed over
         next.policy.resume(next.now, learnt);
         assertEquals(1234, next.policy.learnt(next.now).get("usual")[0]);
         assertEquals(1, next.policy.learnt(next.now).get("work").length);
--- a/core/src/test/java/junctionhead/routes/OverflowTest.java
+++ b/core/src/test/java/junctionhead/routes/OverflowTest.java
@@ -20,20 +20,27 @@
         Overflow overflow = new Overflow(1.4, 0.1, 1, 0.5);
         assertArrayEquals(new double[] {1, 0}, overflow.shares(0, 0.8, 1), 1e-9, "0.8 x 1.4 is enough");
         assertArrayEquals(new double[] {0.7, 0.3}, overflow.shares(SECOND, 0.5, 1), 1e-9);
-        assertArrayEquals(new double[] {0.42, 0.5}, overflow.shares(2 * SECOND, 0.3, 1), 1e-9,
-            "the next pool takes no more than its limit");
-        assertArrayEquals(new double[] {0.5, 0.5}, overflow.shares(2 * SECOND, 1, 1), 1e-9,
-            "what only the first can take returns at once");
+        assertArrayEquals(
+                new double[] {0.42, 0.5},
+                overflow.shares(2 * SECOND, 0.3, 1),
+                1e-9,
+                "the next pool takes no more than its limit");
+        assertArrayEquals(
+                new double[] {0.5, 0.5},
+                overflow.shares(2 * SECOND, 1, 1),
+                1e-9,
+                "what only the first can take returns at once");
         assertArrayEquals(new double[] {0.7, 0.3}, overflow.shares(4 * SECOND, 1, 1), 1e-9, "the rest slowly");
-        assertArrayEquals(new double[] {0.7, 0.3}, overflow.shares(4 * SECOND, 1, 1), 1e-9,
-            "a clock that stands still");
+        assertArrayEquals(
+                new double[] {0.7, 0.3}, overflow.shares(4 * SECOND, 1, 1), 1e-9, "a clock that stands still");
         assertArrayEquals(new double[] {1, 0}, overflow.shares(60 * SECOND, 1, 1), 1e-9);
     }
 
     @Property(tries = 500, seed = "9")
     void noPoolGetsMoreThanItsLimitAndNothingIsRefusedThatOneCouldTake(
             @ForAll @Size(min = 1, max = 20) List<@DoubleRange(max = 1) Double> first,
-            @ForAll @DoubleRange(max = 1) double second, @ForAll @DoubleRange(min = 0.1, max = 1) double limit) {
+            @ForAll @DoubleRange(max = 1) double second,
+            @ForAll @DoubleRange(min = 0.1, max = 1) double limit) {
         Overflow overflow = new Overflow(1.25, 0.2, 1, limit, 0.3);
         double before = 1;
         long now = 0;
--- a/core/src/test/java/junctionhead/routes/RouteTableTest.java
+++ b/core/src/test/java/junctionhead/routes/RouteTableTest.java
@@ -24,41 +24,62 @@
 
     @Provide
     Arbitrary<List<Route>> routes() {
-        Arbitrary<String> path = Combinators.combine(PARTS.list().ofMinSize(1).ofMaxSize(3),
-            Arbitraries.of(true, false)).as((parts, rest) -> "/" + String.join("/", parts) + (rest ? "/**" : ""));
+        Arbitrary<String> path = Combinators.combine(
+                        PARTS.list().ofMinSize(1).ofMaxSize(3), Arbitraries.of(true, false))
+                .as((parts, rest) -> "/" + String.join("/", parts) + (rest ? "/**" : ""));
         Arbitrary<Set<String>> some = Arbitraries.of(Set.of(), Set.of("s"), Set.of("s", "t"));
         Arbitrary<Set<String>> methods = Arbitraries.of(Set.of(), Set.of("GET"), Set.of("POST"));
         Arbitrary<Map<String, String>> headers = Arbitraries.of(Map.of(), Map.of("H", "1"), Map.of("h", "2", "I", "1"));
-        return Combinators.combine(path, methods, headers, some, some).as((p, m, h, t, c) ->
-            new Route("", PathTemplate.of(p), m, h, t, c, 0)).list().ofMaxSize(12).map(list -> {
-                List<Route> placed = new ArrayList<>();
-                for (Route r : list) {
-                    placed.add(new Route("r" + placed.size(), r.path(), r.methods(), r.headers(), r.tenants(),
-                        r.classes(), placed.size()));
-                }
-                return placed;
-            });
+        return Combinators.combine(path, methods, headers, some, some)
+                .as((p, m, h, t, c) -> new Route("", PathTemplate.of(p), m, h, t, c, 0))
+                .list()
+                .ofMaxSize(12)
+                .map(list -> {
+                    List<Route> placed = new ArrayList<>();
+                    for (Route r : list) {
+                        placed.add(new Route(
+                                "r" + placed.size(),
+                                r.path(),
+                                r.methods(),
+                                r.headers(),
+                                r.tenants(),
+                                r.classes(),
+                                placed.size()));
+                    }
+                    return placed;
+                });
     }
 
     @Provide
     Arbitrary<Route.Request> requests() {
-        Arbitrary<String[]> path = Arbitraries.of("a", "b", "c", "").list().ofMinSize(1).ofMaxSize(4)
-            .map(l -> PathTemplate.split("/" + String.join("/", l)));
-        return Combinators.combine(Arbitraries.of("GET", "POST"), path,
-            Arbitraries.<Map<String, String>>of(Map.of(), Map.of("h", "1"), Map.of("h", "2", "i", "1")),
-            Arbitraries.of("s", "t", "u").injectNull(0.3), Arbitraries.of("s", "u").injectNull(0.3))
-            .as(Route.Request::new);
+        Arbitrary<String[]> path = Arbitraries.of("a", "b", "c", "")
+                .list()
+                .ofMinSize(1)
+                .ofMaxSize(4)
+                .map(l -> PathTemplate.split("/" + String.join("/", l)));
+        return Combinators.combine(
+                        Arbitraries.of("GET", "POST"),
+                        path,
+                        Arbitraries.<Map<String, String>>of(Map.of(), Map.of("h", "1"), Map.of("h", "2", "i", "1")),
+                        Arbitraries.of("s", "t", "u").injectNull(0.3),
+                        Arbitraries.of("s", "u").injectNull(0.3))
+                .as(Route.Request::new);
     }
 
     /** The tree finds just what the plain definition finds: the first in the stated order that refuses nothing. */
     @Property(tries = 2000, seed = "7")
-    void theTreeAgreesWithTheDefinition(@ForAll("routes") List<Route> routes,
-            @ForAll("requests") Route.Request request) {
-        Route expected = routes.stream().sorted(Route.MOST_SPECIFIC).filter(r -> r.refusal(request) == null)
-            .findFirst().orElse(null);
+    void theTreeAgreesWithTheDefinition(
+            @ForAll("routes") List<Route> routes, @ForAll("requests") Route.Request request) {
+        Route expected = routes.stream()
+                .sorted(Route.MOST_SPECIFIC)
+                .filter(r -> r.refusal(request) == null)
+                .findFirst()
+                .orElse(null);
         RouteTable table = new RouteTable(routes);
         assertEquals(expected, table.find(request));
-        assertEquals(routes.size() - (expected == null ? 0 : 1), table.explain(request).others().size());
+        assertEquals(
+                routes.size() - (expected == null ? 0 : 1),
+                table.explain(request).others().size());
     }
 
     private static Route.Request get(String path) {
@@ -66,12 +87,24 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"/api/x, literal", "/api/y, place", "/api/x/z, rest", "/api, whole", "/api/, rest", "/other, all",
-        "/api/%2e%2e%2Fx, place", "/api//x, rest", "/API/x, all", "/api/x?q=/../y, literal", "/api/a%2Fb, place"})
+    @CsvSource({
+        "/api/x, literal",
+        "/api/y, place",
+        "/api/x/z, rest",
+        "/api, whole",
+        "/api/, rest",
+        "/other, all",
+        "/api/%2e%2e%2Fx, place",
+        "/api//x, rest",
+        "/API/x, all",
+        "/api/x?q=/../y, literal",
+        "/api/a%2Fb, place"
+    })
     void theMostSpecificOfSeveralDepthsTakesIt(String path, String name) {
         List<Route> routes = new ArrayList<>();
         Map.of("literal", "/api/x", "place", "/api/{key}", "rest", "/api/**", "whole", "/api", "all", "/**")
-            .forEach((n, p) -> routes.add(new Route(n, PathTemplate.of(p), Set.of(), Map.of(), Set.of(), Set.of(), 0)));
+                .forEach((n, p) ->
+                        routes.add(new Route(n, PathTemplate.of(p), Set.of(), Map.of(), Set.of(), Set.of(), 0)));
         assertEquals(name, new RouteTable(routes).find(get(path)).name());
     }
 
@@ -82,11 +115,19 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"api/x | must begin with '/'", "/a/**/b | '**' may only stand at the end",
-        "/a*b | 'a*b' is neither a literal", "/{ | '{' is neither", "/a/../b | no request with '..' is routed",
-        "/{}/x | '{}' is neither"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "api/x | must begin with '/'",
+                "/a/**/b | '**' may only stand at the end",
+                "/a*b | 'a*b' is neither a literal",
+                "/{ | '{' is neither",
+                "/a/../b | no request with '..' is routed",
+                "/{}/x | '{}' is neither"
+            })
     void whatIsNoTemplateIsNamed(String text, String complaint) {
-        String said = assertThrows(IllegalArgumentException.class, () -> PathTemplate.of(text)).getMessage();
+        String said = assertThrows(IllegalArgumentException.class, () -> PathTemplate.of(text))
+                .getMessage();
         assertTrue(said.contains(complaint), said);
     }
 
@@ -97,6 +138,8 @@
         Route.Request request = new Route.Request("GET", new String[] {"a"}, Map.of("x-pool", "New"), null, null);
         assertEquals(route, table.find(request));
         Route.Request other = new Route.Request("GET", new String[] {"a"}, Map.of("x-pool", "new"), null, null);
-        assertEquals("r: header x-pool is 'new', not 'New'", table.explain(other).others().get(0));
+        assertEquals(
+                "r: header x-pool is 'new', not 'New'",
+                table.explain(other).others().get(0));
     }
 }
--- a/core/src/test/java/junctionhead/routes/SplitTest.java
+++ b/core/src/test/java/junctionhead/routes/SplitTest.java
@@ -33,8 +33,10 @@
     }
 
     @Property(tries = 200, seed = "5")
-    void sharesFollowTheWeights(@ForAll @DoubleRange(min = 0, max = 10) double a,
-            @ForAll @DoubleRange(min = 0.5, max = 10) double b, @ForAll @IntRange(max = 1000) int salt) {
+    void sharesFollowTheWeights(
+            @ForAll @DoubleRange(min = 0, max = 10) double a,
+            @ForAll @DoubleRange(min = 0.5, max = 10) double b,
+            @ForAll @IntRange(max = 1000) int salt) {
         Split split = new Split(new String[] {"a", "b"}, new double[] {a, b});
         int first = 0;
         for (int key = 0; key < 4000; key++) {
--- a/core/src/test/java/junctionhead/staleness/StalenessTest.java
+++ b/core/src/test/java/junctionhead/staleness/StalenessTest.java
@@ -20,8 +20,9 @@
             long patience = asked(grace).patience();
             assertTrue(patience >= 3 * SECOND, "a line that is a second late is no silence: " + patience);
             assertTrue(patience <= 4_500_000, "two lines are missing by then: " + patience);
-            assertTrue(patience == 3 * SECOND || patience + 2_750_000 < 6 * SECOND + grace,
-                "no second try within a grace of " + grace);
+            assertTrue(
+                    patience == 3 * SECOND || patience + 2_750_000 < 6 * SECOND + grace,
+                    "no second try within a grace of " + grace);
         }
         assertTrue(asked(600_000).patience() < asked(1_500_000).patience());
     }
@@ -45,7 +46,7 @@
         Staleness staleness = asked(SECOND);
         staleness.silentSince(10 * SECOND);
         assertEquals(16 * SECOND, staleness.told(17 * SECOND));
-        assertEquals(18 * SECOND, staleness.told(18 * SECOND));   // the new watch works
+        assertEquals(18 * SECOND, staleness.told(18 * SECOND)); // the new watch works
     }
 
     @Test
--- a/core/src/test/java/junctionhead/subset/SubsetTest.java
+++ b/core/src/test/java/junctionhead/subset/SubsetTest.java
@@ -43,7 +43,9 @@
     }
 
     @Property(tries = 200, seed = "1")
-    void everyUpstreamIsInExactlyOnePart(@ForAll long hash, @ForAll @IntRange(min = 0, max = FLEET) int rank,
+    void everyUpstreamIsInExactlyOnePart(
+            @ForAll long hash,
+            @ForAll @IntRange(min = 0, max = FLEET) int rank,
             @ForAll @IntRange(min = 0, max = 8) int level) {
         Subset s = at(rank, level);
         int holders = 0;
@@ -57,7 +59,9 @@
     }
 
     @Property(tries = 1_000, seed = "2")
-    void aNarrowerPartLiesWithinAWiderOne(@ForAll long hash, @ForAll @IntRange(min = 0, max = FLEET) int rank,
+    void aNarrowerPartLiesWithinAWiderOne(
+            @ForAll long hash,
+            @ForAll @IntRange(min = 0, max = FLEET) int rank,
             @ForAll @IntRange(min = 1, max = Subset.DEEPEST) int level) {
         Subset s = at(rank, level);
         assertTrue(!s.holds(hash) || s.wider().holds(hash));
@@ -147,8 +151,10 @@
     }
 
     @Property(tries = 300, seed = "4")
-    void neverMoreThanTheBoundAndWhatIsHeldHangsOnTheListAlone(@ForAll Random random,
-            @ForAll @IntRange(min = 0, max = FLEET) int rank, @ForAll @IntRange(min = 1, max = 3_000) int many,
+    void neverMoreThanTheBoundAndWhatIsHeldHangsOnTheListAlone(
+            @ForAll Random random,
+            @ForAll @IntRange(min = 0, max = FLEET) int rank,
+            @ForAll @IntRange(min = 1, max = 3_000) int many,
             @ForAll @IntRange(min = 1, max = 500) int most) {
         List<Long> list = list(random, many);
         AdaptiveSample<Long> g = gather(Subset.whole(rank), true, most, list);
--- a/discovery/src/main/java/junctionhead/discovery/DiscoveryClient.java
+++ b/discovery/src/main/java/junctionhead/discovery/DiscoveryClient.java
@@ -29,10 +29,10 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import junctionhead.policy.Policy.ListKind;
 import junctionhead.policy.Policy;
-import junctionhead.staleness.Staleness;
+import junctionhead.policy.Policy.ListKind;
 import junctionhead.settings.SettingsReader;
+import junctionhead.staleness.Staleness;
 
 /**
  * Asks discovery for the list and watches its changes: where discovery is asked, only as the module wishes;
@@ -40,11 +40,11 @@
  */
 public final class DiscoveryClient {
     private static final int CONNECT_MS = 2_000;
-    private static final long AGAIN_MS = 250;       // after a failed try, where lists are pushed
-    private static final long SOON_MS = 50;         // the same after a watch that worked
+    private static final long AGAIN_MS = 250; // after a failed try, where lists are pushed
+    private static final long SOON_MS = 50; // the same after a watch that worked
 
     private final EventLoop loop;
-    private final Set<Call> calls = new LinkedHashSet<>();      // under way
+    private final Set<Call> calls = new LinkedHashSet<>(); // under way
     private InetSocketAddress address;
     private SettingsReader.Boot boot;
     private final Holding holding;
@@ -55,7 +55,7 @@
     private final Staleness staleness;
     private long rev;
     private Call watch;
-    private boolean wanted;                         // a watch, whether one is open or not
+    private boolean wanted; // a watch, whether one is open or not
 
     /**
      * {@code news} gets each list and change; FAILED and null where a call or the watch has failed. {@code clock}
@@ -63,8 +63,15 @@
      *
      * @param holding what is taken of a list that is too long, shared with what keeps it
      */
-    public DiscoveryClient(EventLoop loop, InetSocketAddress address, SettingsReader.Boot boot, Holding holding,
-            long rev, LongSupplier clock, BiConsumer<ListKind, Targets> news, Consumer<String> log) {
+    public DiscoveryClient(
+            EventLoop loop,
+            InetSocketAddress address,
+            SettingsReader.Boot boot,
+            Holding holding,
+            long rev,
+            LongSupplier clock,
+            BiConsumer<ListKind, Targets> news,
+            Consumer<String> log) {
         this.loop = loop;
         this.address = address;
         this.boot = boot;
@@ -107,7 +114,8 @@
     /** Reads lists by new settings from here on. */
     public void reconfigure(SettingsReader.Boot next) {
         boot = next;
-        staleness.limits(next.settings().bounds().drainGrace(), next.settings().bounds().askWithin());
+        staleness.limits(
+                next.settings().bounds().drainGrace(), next.settings().bounds().askWithin());
     }
 
     /** Asks for the whole list once. */
@@ -146,7 +154,7 @@
         private Channel channel;
         private Future<?> silence;
         private long heardAt;
-        private boolean answered;                   // the module has had what its call was for
+        private boolean answered; // the module has had what its call was for
         private boolean over;
 
         Call(String uri, boolean watching) {
@@ -157,27 +165,29 @@
         void open() {
             calls.add(this);
             heard();
-            ChannelFuture connected = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel ch) {
-                        ch.pipeline().addLast(new HttpClientCodec(), Call.this);
-                    }
-                }).connect(address);
+            ChannelFuture connected = new Bootstrap()
+                    .group(loop)
+                    .channel(NioSocketChannel.class)
+                    .option(ChannelOption.TCP_NODELAY, true)
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                    .handler(new ChannelInitializer<Channel>() {
+                        @Override
+                        protected void initChannel(Channel ch) {
+                            ch.pipeline().addLast(new HttpClientCodec(), Call.this);
+                        }
+                    })
+                    .connect(address);
             channel = connected.channel();
-            if (!channel.isRegistered()) {              // no descriptor is left: it has no loop to tell of its end
+            if (!channel.isRegistered()) { // no descriptor is left: it has no loop to tell of its end
                 loop.execute(this::ended);
                 return;
             }
             channel.closeFuture().addListener(closed -> ended());
             connected.addListener(done -> {
                 if (done.isSuccess()) {
-                    DefaultFullHttpRequest ask =
-                        new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
-                    ask.headers().set(HttpHeaderNames.HOST,
-                        address.getAddress().getHostAddress() + ":" + address.getPort());
+                    DefaultFullHttpRequest ask = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
+                    ask.headers()
+                            .set(HttpHeaderNames.HOST, address.getAddress().getHostAddress() + ":" + address.getPort());
                     channel.writeAndFlush(ask);
                 } else {
                     ended();
@@ -204,12 +214,15 @@
             if (silence != null) {
                 silence.cancel(false);
             }
-            silence = loop.schedule(() -> {
-                if (answered) {
-                    staleness.silentSince(heardAt);
-                }
-                ended();
-            }, answered ? staleness.patience() : staleness.answerWithin(), TimeUnit.MICROSECONDS);
+            silence = loop.schedule(
+                    () -> {
+                        if (answered) {
+                            staleness.silentSince(heardAt);
+                        }
+                        ended();
+                    },
+                    answered ? staleness.patience() : staleness.answerWithin(),
+                    TimeUnit.MICROSECONDS);
         }
 
         @Override
@@ -263,7 +276,7 @@
             rev = targets.rev();
             if (!answered) {
                 answered = true;
-                heard();                            // from here on the time between two lines counts
+                heard(); // from here on the time between two lines counts
             }
             ListKind kind = targets.all() ? ListKind.COMPLETE : ListKind.PARTIAL;
             news.accept(kind, watching ? targets.told(staleness.told(clock.getAsLong())) : targets);
@@ -289,11 +302,14 @@
                 news.accept(ListKind.FAILED, null);
             } else if (watching) {
                 // One that has worked is soon opened anew: what its agent has counts as told meanwhile.
-                loop.schedule(() -> {
-                    if (watch == null) {
-                        watch(true);
-                    }
-                }, answered ? SOON_MS : AGAIN_MS, TimeUnit.MILLISECONDS);
+                loop.schedule(
+                        () -> {
+                            if (watch == null) {
+                                watch(true);
+                            }
+                        },
+                        answered ? SOON_MS : AGAIN_MS,
+                        TimeUnit.MILLISECONDS);
             }
         }
     }
--- a/discovery/src/main/java/junctionhead/discovery/Holding.java
+++ b/discovery/src/main/java/junctionhead/discovery/Holding.java
@@ -17,9 +17,9 @@
 
     private final int most;
     private Subset subset;
-    private Subset sought;                          // instead, of the next whole list; null: the same
+    private Subset sought; // instead, of the next whole list; null: the same
     private long named;
-    private Consumer<Holding> changed = h -> { };
+    private Consumer<Holding> changed = h -> {};
 
     /**
      * For the balancer of that rank.
@@ -63,8 +63,11 @@
 
     /** Begins to gather a list; {@code whole} where it says that it names all there are. */
     AdaptiveSample<Targets.Target> gather(boolean whole) {
-        return new AdaptiveSample<>(whole && sought != null ? sought : subset, whole, most,
-            t -> Subset.hash(t.server().id()));
+        return new AdaptiveSample<>(
+                whole && sought != null ? sought : subset,
+                whole,
+                most,
+                t -> Subset.hash(t.server().id()));
     }
 
     /** Seeks the next part in the next whole list, for nothing in this one is of use. Until then this one is held. */
@@ -86,8 +89,8 @@
             }
         }
         List<Targets.Target> held = List.copyOf(gathering.end());
-        return new Targets(list.rev(), list.all(), held, list.toldAt(),
-            new Targets.Part(gathering.subset(), gathering.named()));
+        return new Targets(
+                list.rev(), list.all(), held, list.toldAt(), new Targets.Part(gathering.subset(), gathering.named()));
     }
 
     /** Holds that part from here on, of a list that names so many; -1 where it isn't whole. */
@@ -103,7 +106,8 @@
 
     /** What operators are told, where not all is held; null else. */
     public String summary() {
-        return subset.level() == 0 ? null : "holds one part in " + subset.parts() + " of a list of " + named
-            + " upstreams, " + most + " at most";
+        return subset.level() == 0
+                ? null
+                : "holds one part in " + subset.parts() + " of a list of " + named + " upstreams, " + most + " at most";
     }
 }
--- a/discovery/src/main/java/junctionhead/discovery/ListReader.java
+++ b/discovery/src/main/java/junctionhead/discovery/ListReader.java
@@ -24,21 +24,25 @@
  * taken or passed over as it ends, so that the memory for a list doesn't grow with it.
  */
 public final class ListReader {
-    private static final int MOST = 4 << 20;        // bytes from one entry's end to the next
-    private static final long MOST_ALL = 1L << 29;  // of one list: some 3 million entries
+    private static final int MOST = 4 << 20; // bytes from one entry's end to the next
+    private static final long MOST_ALL = 1L << 29; // of one list: some 3 million entries
     private static final String TARGETS = "targets";
-    private static final JsonFactory JSON = JsonFactory.builder().streamReadConstraints(StreamReadConstraints.builder()
-        .maxNestingDepth(16).maxStringLength(1 << 16).build()).build();
+    private static final JsonFactory JSON = JsonFactory.builder()
+            .streamReadConstraints(StreamReadConstraints.builder()
+                    .maxNestingDepth(16)
+                    .maxStringLength(1 << 16)
+                    .build())
+            .build();
 
     private final JsonParser parser;
     private final ByteArrayFeeder feeder;
     private final Supplier<SettingsReader.Boot> boot;
     private final Holding holding;
-    private final Deque<Object> open = new ArrayDeque<>();      // maps and lists that have begun, the innermost first
-    private final Deque<String> names = new ArrayDeque<>();     // of what comes next in each open map
-    private AdaptiveSample<Targets.Target> gathering;                // null before the first entry of a list
-    private int length;                             // since an entry ended
-    private long all;                               // of the list that is coming in
+    private final Deque<Object> open = new ArrayDeque<>(); // maps and lists that have begun, the innermost first
+    private final Deque<String> names = new ArrayDeque<>(); // of what comes next in each open map
+    private AdaptiveSample<Targets.Target> gathering; // null before the first entry of a list
+    private int length; // since an entry ended
+    private long all; // of the list that is coming in
 
     /** Reads lists by the settings of the moment, what is held of them. */
     ListReader(Supplier<SettingsReader.Boot> boot, Holding holding) {
@@ -169,7 +173,7 @@
         if (gathering.wants(Subset.hash(Targets.uid(ended)))) {
             gathering.add(Targets.entry((Map<?, ?>) ended, boot.get()));
         } else {
-            Targets.state((Map<?, ?>) ended);           // what is not held must still be an entry
+            Targets.state((Map<?, ?>) ended); // what is not held must still be an entry
             gathering.pass();
         }
     }
@@ -180,14 +184,18 @@
         boolean complete = ended.get("all") == Boolean.TRUE;
         // What stands in it but an entry: a number, a word, a list.
         if (!(ended.get(TARGETS) instanceof List<?> rest) || !rest.isEmpty()) {
-            throw new IllegalArgumentException(ended.get(TARGETS) instanceof List<?> ? "a target without uid"
-                : "no list of targets");
+            throw new IllegalArgumentException(
+                    ended.get(TARGETS) instanceof List<?> ? "a target without uid" : "no list of targets");
         }
         if (g == null) {
             g = holding.gather(complete);
         }
         List<Targets.Target> held = List.copyOf(g.end());
-        whole.accept(new Targets((long) Targets.number(ended.get("rev"), 0), complete, held, Long.MAX_VALUE,
-            new Targets.Part(g.subset(), g.named())));
+        whole.accept(new Targets(
+                (long) Targets.number(ended.get("rev"), 0),
+                complete,
+                held,
+                Long.MAX_VALUE,
+                new Targets.Part(g.subset(), g.named())));
     }
 }
--- a/discovery/src/main/java/junctionhead/discovery/Membership.java
+++ b/discovery/src/main/java/junctionhead/discovery/Membership.java
@@ -21,14 +21,14 @@
  * out. All that the module and the connections hear of the list comes from here.
  */
 public final class Membership {
-    private final Map<String, Targets.Target> told = new LinkedHashMap<>();    // as discovery lists them
+    private final Map<String, Targets.Target> told = new LinkedHashMap<>(); // as discovery lists them
     private final Holding holding;
     private final TakenOut takenOut;
     private final LongSupplier clock;
     private final BiConsumer<ListKind, Targets> news;
     private long rev;
-    private boolean held;                           // what is known is too old to go by
-    private Runnable wanting = () -> { };
+    private boolean held; // what is known is too old to go by
+    private Runnable wanting = () -> {};
 
     /**
      * {@code news} gets each list and change as it holds here; null targets where discovery has failed.
@@ -93,7 +93,7 @@
     }
 
     private void letGo(Map<String, Targets.Target> passed) {
-        for (Iterator<Targets.Target> all = told.values().iterator(); all.hasNext();) {
+        for (Iterator<Targets.Target> all = told.values().iterator(); all.hasNext(); ) {
             Targets.Target t = all.next();
             if (!holding.holds(t.server().id())) {
                 all.remove();
@@ -118,7 +118,8 @@
     }
 
     private boolean usable(Targets.Target t) {
-        return t.server().state() == Policy.State.UP && !takenOut.holds(t.server().id());
+        return t.server().state() == Policy.State.UP
+                && !takenOut.holds(t.server().id());
     }
 
     /** What is held at most, and which part. */
@@ -178,16 +179,18 @@
         takenOut.become(out, back);
         List<Targets.Target> now = new ArrayList<>();
         if (theirs.rev() >= rev) {
-            Set<String> listed = theirs.list().stream().map(t -> t.server().id()).collect(Collectors.toSet());
+            Set<String> listed =
+                    theirs.list().stream().map(t -> t.server().id()).collect(Collectors.toSet());
             for (Targets.Target t : told.values()) {
                 if (!listed.contains(t.server().id())) {
                     now.add(new Targets.Target(t.server().in(Policy.State.GONE), t.endpoint()));
                 }
             }
             told.clear();
-            theirs.list().stream().filter(t -> holding.holds(t.server().id()))
-                .forEach(t -> told.put(t.server().id(), t));
-            within(holding.subset(), List.of());        // the other may hold more: that process may have a larger heap
+            theirs.list().stream()
+                    .filter(t -> holding.holds(t.server().id()))
+                    .forEach(t -> told.put(t.server().id(), t));
+            within(holding.subset(), List.of()); // the other may hold more: that process may have a larger heap
         }
         told.values().forEach(t -> now.add(here(t)));
         news.accept(ListKind.OWN, new Targets(rev, false, now));
@@ -200,7 +203,9 @@
         }
         Targets again = Targets.of(told().toJson(before), next);
         again.list().forEach(t -> told.put(t.server().id(), t));
-        news.accept(ListKind.OWN, new Targets(rev, false, again.list().stream().map(this::here).toList()));
+        news.accept(
+                ListKind.OWN,
+                new Targets(rev, false, again.list().stream().map(this::here).toList()));
     }
 
     /** Takes an upstream out; false where nobody knows it. */
--- a/discovery/src/main/java/junctionhead/discovery/PartialListRetry.java
+++ b/discovery/src/main/java/junctionhead/discovery/PartialListRetry.java
@@ -11,12 +11,12 @@
  */
 public final class PartialListRetry {
     private static final long FIRST_MS = 250;
-    private static final int DOUBLINGS = 5;         // up to 8 s
+    private static final int DOUBLINGS = 5; // up to 8 s
 
     private final EventLoop loop;
     private final Membership membership;
     private final DiscoveryClient client;
-    private final long spread;                      // so that balancers of one part don't ask at once, below 1024
+    private final long spread; // so that balancers of one part don't ask at once, below 1024
     private Future<?> next;
     private int asked;
 
@@ -47,7 +47,7 @@
         if (membership.barren()) {
             membership.holding().seekNext();
             client.fetch();
-            look();                                 // also where no answer comes
+            look(); // also where no answer comes
         }
     }
 }
--- a/discovery/src/main/java/junctionhead/discovery/Targets.java
+++ b/discovery/src/main/java/junctionhead/discovery/Targets.java
@@ -17,10 +17,10 @@
  */
 public record Targets(long rev, boolean all, List<Target> list, long toldAt, Part part) {
     /** An upstream as the module knows it, and where this balancer reaches it. */
-    public record Target(Policy.Server server, InetSocketAddress endpoint) { }
+    public record Target(Policy.Server server, InetSocketAddress endpoint) {}
 
     /** A part of a list that named so many upstreams. */
-    public record Part(Subset subset, long named) { }
+    public record Part(Subset subset, long named) {}
 
     public Targets(long rev, boolean all, List<Target> list) {
         this(rev, all, list, Long.MAX_VALUE);
@@ -45,8 +45,7 @@
             uid(entry);
             list.add(entry((Map<?, ?>) entry, boot));
         }
-        return new Targets((long) number(map.get("rev"), 0), Boolean.TRUE.equals(map.get("all")),
-            List.copyOf(list));
+        return new Targets((long) number(map.get("rev"), 0), Boolean.TRUE.equals(map.get("all")), List.copyOf(list));
     }
 
     /** The id of an entry; throws IllegalArgumentException where it has none. */
@@ -68,13 +67,20 @@
 
     static Target entry(Map<?, ?> e, SettingsReader.Boot boot) {
         Policy.State state = state(e);
-        InetSocketAddress endpoint = state == Policy.State.GONE && e.get("endpoint") == null ? null
-            : Endpoints.address(String.valueOf(e.get("endpoint")));
+        InetSocketAddress endpoint = state == Policy.State.GONE && e.get("endpoint") == null
+                ? null
+                : Endpoints.address(String.valueOf(e.get("endpoint")));
         double weight = number(e.get("capacity_hint"), 1);
-        return new Target(new Policy.Server(uid(e), state, Math.round(number(e.get("boot_ms"), 0) * 1000),
-            weight > 0 ? weight : 1, (int) number(e.get("pod_group"), -1),
-            boot.kinds().indexOf(SettingsReader.plain(e.get("model"))),
-            boot.zones().indexOf(SettingsReader.plain(e.get("az")))), endpoint);
+        return new Target(
+                new Policy.Server(
+                        uid(e),
+                        state,
+                        Math.round(number(e.get("boot_ms"), 0) * 1000),
+                        weight > 0 ? weight : 1,
+                        (int) number(e.get("pod_group"), -1),
+                        boot.kinds().indexOf(SettingsReader.plain(e.get("model"))),
+                        boot.zones().indexOf(SettingsReader.plain(e.get("az")))),
+                endpoint);
     }
 
     /** The list in discovery's form. */
@@ -84,7 +90,10 @@
             Policy.Server s = t.server();
             Map<String, Object> entry = new LinkedHashMap<>();
             entry.put("uid", s.id());
-            entry.put("endpoint", t.endpoint().getAddress().getHostAddress() + ":" + t.endpoint().getPort());
+            entry.put(
+                    "endpoint",
+                    t.endpoint().getAddress().getHostAddress() + ":"
+                            + t.endpoint().getPort());
             entry.put("state", s.state() == Policy.State.UP ? "in_service" : "terminating");
             entry.put("boot_ms", s.startedAt() / 1000.0);
             entry.put("capacity_hint", s.weight());
--- a/discovery/src/main/java/junctionhead/drain/TakenOut.java
+++ b/discovery/src/main/java/junctionhead/drain/TakenOut.java
@@ -11,7 +11,7 @@
  * call back undoes any number of calls out. What it holds wins over whatever discovery lists.
  */
 public final class TakenOut {
-    private static final int BACK_MOST = 1_024;     // remembered; the oldest are long warm
+    private static final int BACK_MOST = 1_024; // remembered; the oldest are long warm
 
     private final Set<String> out = new TreeSet<>();
     private final Map<String, Long> back = new LinkedHashMap<>() {
--- a/discovery/src/main/java/junctionhead/settings/Endpoints.java
+++ b/discovery/src/main/java/junctionhead/settings/Endpoints.java
@@ -6,7 +6,7 @@
 
 /** Addresses as they are written in configurations and lists. */
 public final class Endpoints {
-    private Endpoints() { }
+    private Endpoints() {}
 
     /**
      * Reads {@code address:port}.
--- a/discovery/src/main/java/junctionhead/settings/SettingsReader.java
+++ b/discovery/src/main/java/junctionhead/settings/SettingsReader.java
@@ -23,11 +23,17 @@
      * What a balancer is started with: the module's settings, the order of values in a load report, the names
      * that stand for the module's numbers, and after what time (µs) a server closes an idle connection.
      */
-    public record Boot(Settings settings, List<String> loadFields, List<String> classes, List<String> tenants,
-            List<String> zones, List<String> kinds, long idleClose) { }
-
-    private SettingsReader(Map<String, String> values,
-            BiFunction<String, String, ? extends RuntimeException> complaint) {
+    public record Boot(
+            Settings settings,
+            List<String> loadFields,
+            List<String> classes,
+            List<String> tenants,
+            List<String> zones,
+            List<String> kinds,
+            long idleClose) {}
+
+    private SettingsReader(
+            Map<String, String> values, BiFunction<String, String, ? extends RuntimeException> complaint) {
         this.values = values;
         this.complaint = complaint;
     }
@@ -37,12 +43,18 @@
      *
      * @param complaint makes the exception for a path and what is wrong there
      */
-    public static Boot read(Map<String, String> values,
-            BiFunction<String, String, ? extends RuntimeException> complaint) {
+    public static Boot read(
+            Map<String, String> values, BiFunction<String, String, ? extends RuntimeException> complaint) {
         SettingsReader in = new SettingsReader(values, complaint);
         try {
-            return new Boot(in.settings(), in.list("Stats.Fields"), in.names("Classes"), in.names("Realms"),
-                in.list("Areas"), in.list("Kinds"), in.whole("Limits.IdleClose", 0L));
+            return new Boot(
+                    in.settings(),
+                    in.list("Stats.Fields"),
+                    in.names("Classes"),
+                    in.names("Realms"),
+                    in.list("Areas"),
+                    in.list("Kinds"),
+                    in.whole("Limits.IdleClose", 0L));
         } catch (IllegalArgumentException e) {
             throw complaint.apply("BootInfo", e.getMessage());
         }
@@ -90,36 +102,63 @@
         List<Policy.RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < count("Classes", true); i++) {
             String at = "Classes." + i + ".";
-            classes.add(new Policy.RequestClass(word(Policy.Effect.class, at + "Idempotency", null),
-                word(Policy.Scope.class, at + "DedupScope", "all"), whole(at + "KeyTtl", 0L),
-                whole(at + "GoalTime", null), whole(at + "GiveUp", null), decimal(at + "AimStretch", 0.0),
-                decimal(at + "Gain", 1.0), decimal(at + "LateShare", 0.0), flag(at + "Stream", false),
-                flag(at + "InOrder", false), indexes(at + "AllowedIn", zones),
-                indexes(at + "RunsOn", kinds)));
+            classes.add(new Policy.RequestClass(
+                    word(Policy.Effect.class, at + "Idempotency", null),
+                    word(Policy.Scope.class, at + "DedupScope", "all"),
+                    whole(at + "KeyTtl", 0L),
+                    whole(at + "GoalTime", null),
+                    whole(at + "GiveUp", null),
+                    decimal(at + "AimStretch", 0.0),
+                    decimal(at + "Gain", 1.0),
+                    decimal(at + "LateShare", 0.0),
+                    flag(at + "Stream", false),
+                    flag(at + "InOrder", false),
+                    indexes(at + "AllowedIn", zones),
+                    indexes(at + "RunsOn", kinds)));
         }
         List<Policy.Tenant> tenants = new ArrayList<>();
         for (int i = 0; i < count("Realms", false); i++) {
             tenants.add(new Policy.Tenant(decimal("Realms." + i + ".AllowancePerS", null)));
         }
         int tries = (int) Math.min(Integer.MAX_VALUE, whole("Limits.TryLimit", null));
-        Policy.Limits limits = new Policy.Limits(tries,
-            flag("Limits.MayDuplicate", null), flag("Limits.Cancel", null), flag("Limits.Probes", null),
-            whole("Limits.DialTimeout", 0L), whole("Limits.MaxRetryAfter", 0L));
+        Policy.Limits limits = new Policy.Limits(
+                tries,
+                flag("Limits.MayDuplicate", null),
+                flag("Limits.Cancel", null),
+                flag("Limits.Probes", null),
+                whole("Limits.DialTimeout", 0L),
+                whole("Limits.MaxRetryAfter", 0L));
         boolean ask = word(Policy.Discovery.class, "MembershipMode", null) == Policy.Discovery.ASK;
-        Policy.Bounds bounds = new Policy.Bounds(whole("Rules.AnswerSlack", null),
-            whole("Rules.DrainGrace", null), whole("Rules.AskWithin", ask ? null : 0L),
-            decimal("Rules.ColdFrom", null), whole("Rules.RampTime", null),
-            decimal("Rules.OverloadFactor", null), whole("Rules.Fall", null), whole("Rules.OrderPause", 0L));
-        Policy.Goal goal = new Policy.Goal(decimal("Blend.Whole", 1.0), decimal("Blend.WorstWindow", 0.0),
-            decimal("Blend.WorstClass", 0.0), decimal("Blend.WorstTenant", 0.0));
-        return new Settings((int) Math.min(Integer.MAX_VALUE, whole("Balancers", null)),
-            (int) whole("Rank", 0L), zone(zones), List.copyOf(classes), List.copyOf(tenants),
-            decimal("OverShareWorth", 1.0), goal,
-            new Policy.Prices(decimal("Prices.CrossZone", 0.0), decimal("Prices.Handshake", 0.0)),
-            text("WorthBy", "request").equals("work"),
-            ask ? Policy.Discovery.ASK : Policy.Discovery.PUSH,
-            word(Policy.Reports.class, "Stats.How", "none"), flag("Specifics.WarmKeys", false), limits,
-            bounds, whole("Quantum", null));
+        Policy.Bounds bounds = new Policy.Bounds(
+                whole("Rules.AnswerSlack", null),
+                whole("Rules.DrainGrace", null),
+                whole("Rules.AskWithin", ask ? null : 0L),
+                decimal("Rules.ColdFrom", null),
+                whole("Rules.RampTime", null),
+                decimal("Rules.OverloadFactor", null),
+                whole("Rules.Fall", null),
+                whole("Rules.OrderPause", 0L));
+        Policy.Goal goal = new Policy.Goal(
+                decimal("Blend.Whole", 1.0),
+                decimal("Blend.WorstWindow", 0.0),
+                decimal("Blend.WorstClass", 0.0),
+                decimal("Blend.WorstTenant", 0.0));
+        return new Settings(
+                (int) Math.min(Integer.MAX_VALUE, whole("Balancers", null)),
+                (int) whole("Rank", 0L),
+                zone(zones),
+                List.copyOf(classes),
+                List.copyOf(tenants),
+                decimal("OverShareWorth", 1.0),
+                goal,
+                new Policy.Prices(decimal("Prices.CrossZone", 0.0), decimal("Prices.Handshake", 0.0)),
+                text("WorthBy", "request").equals("work"),
+                ask ? Policy.Discovery.ASK : Policy.Discovery.PUSH,
+                word(Policy.Reports.class, "Stats.How", "none"),
+                flag("Specifics.WarmKeys", false),
+                limits,
+                bounds,
+                whole("Quantum", null));
     }
 
     private String text(String path, String otherwise) {
--- a/discovery/src/test/java/junctionhead/discovery/ListReaderTest.java
+++ b/discovery/src/test/java/junctionhead/discovery/ListReaderTest.java
@@ -34,17 +34,20 @@
     void ofALongListOnlyOnePartIsKept() {
         Holding holding = new Holding(1_000, 3);
         Targets list = Lists.read(holding, Lists.list(41, true, 0, 40_000, "in_service"), 9_973);
-        assertTrue(list.list().size() <= 1_000 && list.list().size() > 250, "held " + list.list().size());
+        assertTrue(
+                list.list().size() <= 1_000 && list.list().size() > 250,
+                "held " + list.list().size());
         assertEquals(40_000, list.part().named());
-        assertTrue(list.list().stream().allMatch(t -> list.part().subset()
-            .holds(junctionhead.subset.Subset.hash(t.server().id()))));
+        assertTrue(list.list().stream().allMatch(t -> list.part()
+                .subset()
+                .holds(junctionhead.subset.Subset.hash(t.server().id()))));
         assertEquals(0, holding.subset().level(), "the reader decides nothing: whoever keeps the list does");
     }
 
     @Test
     void theOrderOfTheFieldsIsFree() {
         String text = "{\"targets\":[" + Lists.entry(1, "in_service") + "],\"x\":[[1],{\"targets\":[{}]}],"
-            + "\"all\":true,\"rev\":9}";
+                + "\"all\":true,\"rev\":9}";
         Targets list = Lists.read(new Holding(5, 0), text, 3);
         assertEquals(1, list.list().size());
         assertTrue(list.all());
@@ -52,20 +55,22 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "[1] | not an object: [",
-        "{\"rev\":1} | no list of targets",
-        "{\"targets\":3} | no list of targets",
-        "{\"targets\":[3]} | a target without uid",
-        "{\"targets\":[[]]} | a target without uid",
-        "{\"targets\":[{\"uid\":\"\"}]} | a target without uid",
-        "{\"targets\":[{\"uid\":\"a\",\"state\":\"odd\"}]} | unknown state: 'odd'",
-        "{\"targets\":[{\"uid\":\"a\",\"state\":\"in_service\",\"endpoint\":\"x\"}]} | not address:port: 'x'",
-        "{\"targets\":[nonsense]} | not JSON",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "[1] | not an object: [",
+                "{\"rev\":1} | no list of targets",
+                "{\"targets\":3} | no list of targets",
+                "{\"targets\":[3]} | a target without uid",
+                "{\"targets\":[[]]} | a target without uid",
+                "{\"targets\":[{\"uid\":\"\"}]} | a target without uid",
+                "{\"targets\":[{\"uid\":\"a\",\"state\":\"odd\"}]} | unknown state: 'odd'",
+                "{\"targets\":[{\"uid\":\"a\",\"state\":\"in_service\",\"endpoint\":\"x\"}]} | not address:port: 'x'",
+                "{\"targets\":[nonsense]} | not JSON",
+            })
     void whatIsNoListIsNamed(String text, String complaint) {
-        IllegalArgumentException e = assertThrows(IllegalArgumentException.class,
-            () -> Lists.read(new Holding(5, 0), text.strip(), 1_000));
+        IllegalArgumentException e =
+                assertThrows(IllegalArgumentException.class, () -> Lists.read(new Holding(5, 0), text.strip(), 1_000));
         assertEquals(complaint.strip(), e.getMessage());
     }
 
@@ -82,11 +87,11 @@
     @Test
     void whatNeverBecomesAListIsGivenUp() {
         ListReader reader = new ListReader(Lists::boot, new Holding(5, 0));
-        reader.read("{\"x\":[".getBytes(), t -> { });
+        reader.read("{\"x\":[".getBytes(), t -> {});
         byte[] junk = "1,".repeat(1 << 18).getBytes();
         IllegalArgumentException e = assertThrows(IllegalArgumentException.class, () -> {
             for (int i = 0; i < 20; i++) {
-                reader.read(junk, t -> { });
+                reader.read(junk, t -> {});
             }
         });
         assertTrue(e.getMessage().startsWith("over "), e.getMessage());
@@ -101,7 +106,8 @@
 
     @Test
     void aListWithinAnotherObjectIsReadAndNoFurther() throws IOException {
-        String text = "{\"a\":1,\"known\":" + Lists.list(3, true, 0, 50, "in_service").strip() + ",\"b\":2}";
+        String text =
+                "{\"a\":1,\"known\":" + Lists.list(3, true, 0, 50, "in_service").strip() + ",\"b\":2}";
         try (JsonParser p = new JsonFactory().createParser(text)) {
             while (p.nextToken() != JsonToken.START_OBJECT || !"known".equals(p.currentName())) {
                 assertTrue(p.currentToken() != null);
--- a/discovery/src/test/java/junctionhead/discovery/Lists.java
+++ b/discovery/src/test/java/junctionhead/discovery/Lists.java
@@ -10,28 +10,58 @@
 
 /** Lists and settings for tests. */
 final class Lists {
-    private Lists() { }
+    private Lists() {}
 
     static SettingsReader.Boot boot() {
         Map<String, String> values = new HashMap<>();
-        SettingsReader.flatten("", Map.of("Balancers", 8, "Rank", 3, "Quantum", 5_000, "MembershipMode", "push",
-            "Areas", List.of("a", "b"), "Kinds", List.of("m1", "m2"),
-            "Classes", List.of(Map.of("Name", "x", "Idempotency", "safe", "GoalTime", 1_000, "GiveUp", 2_000)),
-            "Limits", Map.of("TryLimit", 3, "MayDuplicate", false, "Cancel", true, "Probes", false),
-            "Rules", Map.of("AnswerSlack", 1, "DrainGrace", 1_500_000, "AskWithin", 10_000_000, "ColdFrom", 0.3,
-                "RampTime", 5_000_000, "OverloadFactor", 3.0, "Fall", 2_000_000)), values);
+        SettingsReader.flatten(
+                "",
+                Map.of(
+                        "Balancers",
+                        8,
+                        "Rank",
+                        3,
+                        "Quantum",
+                        5_000,
+                        "MembershipMode",
+                        "push",
+                        "Areas",
+                        List.of("a", "b"),
+                        "Kinds",
+                        List.of("m1", "m2"),
+                        "Classes",
+                        List.of(Map.of("Name", "x", "Idempotency", "safe", "GoalTime", 1_000, "GiveUp", 2_000)),
+                        "Limits",
+                        Map.of("TryLimit", 3, "MayDuplicate", false, "Cancel", true, "Probes", false),
+                        "Rules",
+                        Map.of(
+                                "AnswerSlack",
+                                1,
+                                "DrainGrace",
+                                1_500_000,
+                                "AskWithin",
+                                10_000_000,
+                                "ColdFrom",
+                                0.3,
+                                "RampTime",
+                                5_000_000,
+                                "OverloadFactor",
+                                3.0,
+                                "Fall",
+                                2_000_000)),
+                values);
         return SettingsReader.read(values, (path, what) -> new IllegalStateException(path + ": " + what));
     }
 
     static String entry(int i, String state) {
         return "{\"uid\":\"s-" + i + "\",\"endpoint\":\"127.0.0.1:" + (1_000 + i % 60_000)
-            + "\",\"az\":\"b\",\"model\":\"m2\",\"pod_group\":" + i / 4 + ",\"state\":\"" + state
-            + "\",\"capacity_hint\":1.5,\"boot_ms\":7}";
+                + "\",\"az\":\"b\",\"model\":\"m2\",\"pod_group\":" + i / 4 + ",\"state\":\"" + state
+                + "\",\"capacity_hint\":1.5,\"boot_ms\":7}";
     }
 
     static String list(int rev, boolean all, int from, int to, String state) {
         return "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":["
-            + IntStream.range(from, to).mapToObj(i -> entry(i, state)).collect(Collectors.joining(",")) + "]}\n";
+                + IntStream.range(from, to).mapToObj(i -> entry(i, state)).collect(Collectors.joining(",")) + "]}\n";
     }
 
     /** Reads one list in pieces of that size. */
--- a/discovery/src/test/java/junctionhead/discovery/MembershipTest.java
+++ b/discovery/src/test/java/junctionhead/discovery/MembershipTest.java
@@ -27,7 +27,7 @@
 
     private Holding holding;
     private Membership membership;
-    private final Map<String, Policy.State> module = new LinkedHashMap<>();     // as the module knows it
+    private final Map<String, Policy.State> module = new LinkedHashMap<>(); // as the module knows it
     private final List<String> changes = new ArrayList<>();
 
     MembershipTest() {
@@ -62,8 +62,10 @@
     }
 
     private Set<String> all(int from, int to) {
-        return IntStream.range(from, to).mapToObj(i -> "s-" + i).filter(holding::holds)
-            .collect(Collectors.toCollection(TreeSet::new));
+        return IntStream.range(from, to)
+                .mapToObj(i -> "s-" + i)
+                .filter(holding::holds)
+                .collect(Collectors.toCollection(TreeSet::new));
     }
 
     @Test
@@ -111,7 +113,7 @@
     void aShortListIsHeldWholeAgain() {
         whole(1_000);
         int level = holding.subset().level();
-        for (int i = 0; i < level; i++) {               // it widens by one step a list
+        for (int i = 0; i < level; i++) { // it widens by one step a list
             whole(10);
         }
         assertEquals(10, module.size());
@@ -121,8 +123,11 @@
     @Test
     void operatorsMayTakeOutWhatIsNotHeldAndItStaysOut() {
         whole(1_000);
-        String other = IntStream.range(0, 1_000).mapToObj(i -> "s-" + i).filter(id -> !holding.holds(id)).findFirst()
-            .orElseThrow();
+        String other = IntStream.range(0, 1_000)
+                .mapToObj(i -> "s-" + i)
+                .filter(id -> !holding.holds(id))
+                .findFirst()
+                .orElseThrow();
         String held = module.keySet().iterator().next();
         assertTrue(membership.setDown(other));
         assertTrue(membership.setDown(held));
@@ -172,8 +177,15 @@
     /** A list that stands in a file, or comes from a caller that read it by itself. */
     @Test
     void aListThatNobodyHasLookedAtIsBoundedToo() {
-        membership.listed(ListKind.COMPLETE, new Targets(9, true, IntStream.range(0, 500).mapToObj(i ->
-            new Targets.Target(new Policy.Server("s-" + i, Policy.State.UP, 0, 1, 0, 0, 0), null)).toList()));
+        membership.listed(
+                ListKind.COMPLETE,
+                new Targets(
+                        9,
+                        true,
+                        IntStream.range(0, 500)
+                                .mapToObj(i -> new Targets.Target(
+                                        new Policy.Server("s-" + i, Policy.State.UP, 0, 1, 0, 0, 0), null))
+                                .toList()));
         assertEquals(all(0, 500), new TreeSet<>(module.keySet()));
         assertTrue(module.size() <= MOST && holding.named() == 500, holding.summary());
     }
@@ -183,18 +195,26 @@
         MembershipTest other = new MembershipTest().begin(4);
         other.whole(15);
         whole(1_000);
-        Targets theirs = new Targets(9, true, IntStream.range(0, 500).mapToObj(i -> new Targets.Target(
-            new Policy.Server("s-" + i, Policy.State.UP, 0, 1, 0, 0, 0), null)).toList());
+        Targets theirs = new Targets(
+                9,
+                true,
+                IntStream.range(0, 500)
+                        .mapToObj(i ->
+                                new Targets.Target(new Policy.Server("s-" + i, Policy.State.UP, 0, 1, 0, 0, 0), null))
+                        .toList());
         membership.inherit(Set.of(), Map.of(), theirs);
         assertTrue(membership.told().list().size() <= MOST);
-        assertEquals(all(0, 500), membership.told().list().stream().map(t -> t.server().id())
-            .collect(Collectors.toCollection(TreeSet::new)));
+        assertEquals(
+                all(0, 500),
+                membership.told().list().stream()
+                        .map(t -> t.server().id())
+                        .collect(Collectors.toCollection(TreeSet::new)));
     }
 
     /** Whatever comes, the module knows what a balancer would that had always held that part. */
     @Property(tries = 60, seed = "6")
-    void theModuleKnowsAllOfThePartAndNothingElse(@ForAll java.util.Random random,
-            @ForAll @IntRange(min = 0, max = 50) int rank) {
+    void theModuleKnowsAllOfThePartAndNothingElse(
+            @ForAll java.util.Random random, @ForAll @IntRange(min = 0, max = 50) int rank) {
         MembershipTest t = new MembershipTest().begin(rank);
         Map<String, String> truth = new LinkedHashMap<>();
         for (int rev = 1; rev < 40; rev++) {
@@ -202,8 +222,8 @@
             List<String> entries = new ArrayList<>();
             for (int i = random.nextInt(60); i >= 0; i--) {
                 int id = random.nextInt(400);
-                String state = new String[] {"in_service", "in_service", "terminating", "terminated"}
-                    [random.nextInt(4)];
+                String state =
+                        new String[] {"in_service", "in_service", "terminating", "terminated"}[random.nextInt(4)];
                 if (state.equals("terminated")) {
                     truth.remove("s-" + id);
                 } else {
@@ -212,8 +232,9 @@
                 entries.add(Lists.entry(id, state));
             }
             t.told("{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":["
-                + String.join(",", all ? truth.values() : entries) + "]}");
-            Set<String> expected = truth.keySet().stream().filter(t.holding::holds).collect(Collectors.toSet());
+                    + String.join(",", all ? truth.values() : entries) + "]}");
+            Set<String> expected =
+                    truth.keySet().stream().filter(t.holding::holds).collect(Collectors.toSet());
             assertTrue(t.module.size() <= MOST);
             assertEquals(expected, t.module.keySet());
         }
--- a/lab/src/main/java/junctionhead/lab/cli/CompareCommand.java
+++ b/lab/src/main/java/junctionhead/lab/cli/CompareCommand.java
@@ -14,17 +14,23 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code lab compare}: two results of {@code run --json}, before and after a change, paired by seed. */
-@Command(name = "compare", mixinStandardHelpOptions = true, sortOptions = false,
-    description = "Compares two results of 'run --json' on the same seeds: where the second is better, by how much"
-        + " and how sure.",
-    footer = {"", "Example:", "  bin/lab compare before.json after.json --figure G --figure refused"})
+@Command(
+        name = "compare",
+        mixinStandardHelpOptions = true,
+        sortOptions = false,
+        description = "Compares two results of 'run --json' on the same seeds: where the second is better, by how much"
+                + " and how sure.",
+        footer = {"", "Example:", "  bin/lab compare before.json after.json --figure G --figure refused"})
 final class CompareCommand implements Callable<Integer> {
     @Parameters(index = "0", paramLabel = "A", description = "JSON of the first run.")
     private File first;
+
     @Parameters(index = "1", paramLabel = "B", description = "JSON of the second run.")
     private File second;
+
     @Option(names = "--variant", defaultValue = "balance", description = "Which variant of both; balance.")
     private String variant;
+
     @Option(names = "--figure", description = "Only that figure; may be given again.")
     private java.util.List<String> only;
 
@@ -34,7 +40,7 @@
         JsonNode a = figures(mapper, first);
         JsonNode b = figures(mapper, second);
         System.out.printf("%-22s%12s%12s%24s%n", variant, "A", "B", "B - A, paired");
-        for (Iterator<String> names = a.fieldNames(); names.hasNext();) {
+        for (Iterator<String> names = a.fieldNames(); names.hasNext(); ) {
             String name = names.next();
             if (only != null && !only.contains(name) || !b.has(name)) {
                 continue;
@@ -43,12 +49,19 @@
             double[] after = values(b.get(name));
             if (before.length != after.length) {
                 throw new IllegalArgumentException("the two have " + before.length + " and " + after.length
-                    + " seeds: only runs on the same seeds can be paired");
+                        + " seeds: only runs on the same seeds can be paired");
             }
             Interval d = Interval.ofDifferences(after, before);
             boolean sure = !Double.isNaN(d.halfWidth()) && !d.holds(0);
-            System.out.printf(Locale.ROOT, "%-22s%12.4f%12.4f%12.4f +- %.4f%s%n", name, Interval.of(before).mean(),
-                Interval.of(after).mean(), d.mean(), d.halfWidth(), sure ? "  *" : "");
+            System.out.printf(
+                    Locale.ROOT,
+                    "%-22s%12.4f%12.4f%12.4f +- %.4f%s%n",
+                    name,
+                    Interval.of(before).mean(),
+                    Interval.of(after).mean(),
+                    d.mean(),
+                    d.halfWidth(),
+                    sure ? "  *" : "");
         }
         System.out.println("* the 95% interval of the difference leaves out 0");
         return 0;
@@ -66,7 +79,8 @@
     }
 
     private static double[] values(JsonNode figure) {
-        return StreamSupport.stream(figure.path("values").spliterator(), false).mapToDouble(JsonNode::asDouble)
-            .toArray();
+        return StreamSupport.stream(figure.path("values").spliterator(), false)
+                .mapToDouble(JsonNode::asDouble)
+                .toArray();
     }
 }
--- a/lab/src/main/java/junctionhead/lab/cli/DemoCommand.java
+++ b/lab/src/main/java/junctionhead/lab/cli/DemoCommand.java
@@ -23,14 +23,19 @@
 import picocli.CommandLine.Parameters;
 
 /** Plays an experiment's first seed on sockets: real balancers before emulated upstreams. */
-@Command(name = "demo", mixinStandardHelpOptions = true, description = "Starts a register, emulated upstreams and real"
-    + " balancers on loopback, plays load with the experiment's troubles, and ends all of it.",
-    footer = {"", "Example:", "  bin/lab demo experiments/demo.toml"})
+@Command(
+        name = "demo",
+        mixinStandardHelpOptions = true,
+        description = "Starts a register, emulated upstreams and real"
+                + " balancers on loopback, plays load with the experiment's troubles, and ends all of it.",
+        footer = {"", "Example:", "  bin/lab demo experiments/demo.toml"})
 final class DemoCommand implements Callable<Integer> {
     @Parameters(arity = "0..1", defaultValue = "experiments/demo.toml", paramLabel = "FILE")
     private Path file;
+
     @Option(names = "--root", defaultValue = ".", description = "the project's root, where the run line starts")
     private Path root;
+
     @Option(names = "--html", defaultValue = "lab/target/demo.html", description = "where the page goes")
     private Path html;
 
@@ -40,24 +45,36 @@
     public Integer call() throws Exception {
         Experiment e = ExperimentReader.read(file);
         WorldPlan plan = e.plan();
-        String run = new TomlMapper().readTree(Files.readString(root.resolve("deploy/balancer.toml"))).get("run")
-            .asText();
+        String run = new TomlMapper()
+                .readTree(Files.readString(root.resolve("deploy/balancer.toml")))
+                .get("run")
+                .asText();
         Thread end = new Thread(this::endAll, "end");
-        Runtime.getRuntime().addShutdownHook(end);          // also on Ctrl-C: no process stays
+        Runtime.getRuntime().addShutdownHook(end); // also on Ctrl-C: no process stays
         try (LiveSite site = new LiveSite(plan, e.firstSeed())) {
             int many = Math.max(1, (int) Math.round(plan.balancers().middle()));
             List<InetSocketAddress> entries = new ArrayList<>();
             for (int i = 0; i < many; i++) {
-                BalancerProcess b = new BalancerProcess(List.of("bash", "-c", run), root,
-                    SiteSettings.config(plan, i, many, site));
+                BalancerProcess b =
+                        new BalancerProcess(List.of("bash", "-c", run), root, SiteSettings.config(plan, i, many, site));
                 balancers.add(b);
                 entries.add(b.address());
             }
-            System.out.printf(Locale.ROOT, "%d balancers by run before %.0f requests a second of capacity; load %.0f%n",
-                many, site.perSecond(), site.perSecond() * plan.load().level().middle());
-            try (Load load = new Load(new Load.Plan(entries, site.perSecond() * plan.load().level().middle(),
-                    plan.length(), 1 + (int) plan.clients().retries().middle(),
-                    Math.max(1, (int) plan.load().keys().middle()), e.firstSeed()), plan.classes())) {
+            System.out.printf(
+                    Locale.ROOT,
+                    "%d balancers by run before %.0f requests a second of capacity; load %.0f%n",
+                    many,
+                    site.perSecond(),
+                    site.perSecond() * plan.load().level().middle());
+            try (Load load = new Load(
+                    new Load.Plan(
+                            entries,
+                            site.perSecond() * plan.load().level().middle(),
+                            plan.length(),
+                            1 + (int) plan.clients().retries().middle(),
+                            Math.max(1, (int) plan.load().keys().middle()),
+                            e.firstSeed()),
+                    plan.classes())) {
                 int[] seconds = {0};
                 load.run(() -> {
                     if (System.console() != null) {
--- a/lab/src/main/java/junctionhead/lab/cli/FleetCommand.java
+++ b/lab/src/main/java/junctionhead/lab/cli/FleetCommand.java
@@ -19,23 +19,39 @@
 import picocli.CommandLine.Parameters;
 
 /** Measures how costs grow with the fleet. */
-@Command(name = "fleet", mixinStandardHelpOptions = true, sortOptions = false, description = "Runs fleets of many sizes"
-    + " on this machine's loopback: hollow balancers (the real client of discovery, membership and module) before a"
-    + " stand-in discovery, under churn, beside real balancers where the file asks for them. Measures at each size, and"
-    + " fits a line through each figure.",
-    footer = {"", "Exit codes: 0 all sizes ran, 1 one was refused or could not reach something, 2 unusable input.", "",
-        "Examples:", "  bin/lab fleet experiments/fleet/fleet-balancers.toml",
-        "  LAB_JAVA_OPTS=-Xmx10g bin/lab fleet experiments/fleet/fleet-upstreams.toml --json out.json", "",
-        "See docs/fleet-runs.md."})
+@Command(
+        name = "fleet",
+        mixinStandardHelpOptions = true,
+        sortOptions = false,
+        description = "Runs fleets of many sizes"
+                + " on this machine's loopback: hollow balancers (the real client of discovery,"
+                + " membership and module) before a"
+                + " stand-in discovery, under churn, beside real balancers where the file asks for them."
+                + " Measures at each size, and"
+                + " fits a line through each figure.",
+        footer = {
+            "",
+            "Exit codes: 0 all sizes ran, 1 one was refused or could not reach something, 2 unusable input.",
+            "",
+            "Examples:",
+            "  bin/lab fleet experiments/fleet/fleet-balancers.toml",
+            "  LAB_JAVA_OPTS=-Xmx10g bin/lab fleet experiments/fleet/fleet-upstreams.toml --json out.json",
+            "",
+            "See docs/fleet-runs.md."
+        })
 final class FleetCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", description = "The scale run.")
     private Path file;
+
     @Option(names = "--root", defaultValue = ".", description = "the project's root, where the run line starts")
     private Path root;
+
     @Option(names = "--json", description = "where the figures go as JSON")
     private Path json;
+
     @Option(names = "--html", defaultValue = "lab/target/fleet.html", description = "where the page goes")
     private Path html;
+
     @Option(names = "--commit", defaultValue = "", description = "of what runs, for the table and the JSON")
     private String commit;
 
@@ -57,8 +73,8 @@
                 long began = System.nanoTime();
                 ScalePoint point = axis.measure(size);
                 points.add(point);
-                System.err.printf(Locale.ROOT, "%s %d: %.0f s%n", sweep.axis(), size,
-                    (System.nanoTime() - began) / 1e9);
+                System.err.printf(
+                        Locale.ROOT, "%s %d: %.0f s%n", sweep.axis(), size, (System.nanoTime() - began) / 1e9);
                 // After each size: what has been measured stays, also where the next one is ended early.
                 write(new FleetResults(plan, host, commit, points, refused));
             }
--- a/lab/src/main/java/junctionhead/lab/cli/HuntCommand.java
+++ b/lab/src/main/java/junctionhead/lab/cli/HuntCommand.java
@@ -14,21 +14,30 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code lab hunt}: looks for worlds in which a rule breaks, or a collapse outlives its cause. */
-@Command(name = "hunt", mixinStandardHelpOptions = true, sortOptions = false,
-    description = "Draws random worlds within an experiment's ranges, with random troubles, and looks for a broken"
-        + " rule or a collapse that does not end when its cause does. What it finds is shrunk and written as an"
-        + " experiment. Exit code 1 where something was found.",
-    footer = {"", "Example:", "  bin/lab hunt --seed 7 --worlds 200 experiments/booking-day.toml"})
+@Command(
+        name = "hunt",
+        mixinStandardHelpOptions = true,
+        sortOptions = false,
+        description = "Draws random worlds within an experiment's ranges, with random troubles, and looks for a broken"
+                + " rule or a collapse that does not end when its cause does. What it finds is shrunk and written as an"
+                + " experiment. Exit code 1 where something was found.",
+        footer = {"", "Example:", "  bin/lab hunt --seed 7 --worlds 200 experiments/booking-day.toml"})
 final class HuntCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "FILE", defaultValue = "experiments/booking-day.toml",
-        description = "The experiment whose ranges are used; its first variant is hunted.")
+    @Parameters(
+            paramLabel = "FILE",
+            defaultValue = "experiments/booking-day.toml",
+            description = "The experiment whose ranges are used; its first variant is hunted.")
     private File file;
+
     @Option(names = "--seed", defaultValue = "1", description = "Seed of the hunt; 1.")
     private long seed;
+
     @Option(names = "--worlds", defaultValue = "50", description = "Worlds to draw; 50.")
     private int worlds;
+
     @Option(names = "--threads", description = "Worlds played at once.")
     private Integer threads;
+
     @Option(names = "--out", defaultValue = "found", description = "Folder for what is found; found.")
     private File out;
 
@@ -46,8 +55,15 @@
             Files.createDirectories(out.toPath());
             File written = new File(out, "hunt-" + seed + "-" + f.seed() + ".toml");
             Files.writeString(written.toPath(), ExperimentWriter.write(small));
-            System.out.printf(Locale.ROOT, "world %d: %s; shrunk from %d troubles to %d in %d runs: %s%n", f.seed(),
-                small.what(), f.plan().troubles().size(), small.plan().troubles().size(), small.runs(), written);
+            System.out.printf(
+                    Locale.ROOT,
+                    "world %d: %s; shrunk from %d troubles to %d in %d runs: %s%n",
+                    f.seed(),
+                    small.what(),
+                    f.plan().troubles().size(),
+                    small.plan().troubles().size(),
+                    small.runs(),
+                    written);
         }
         return finds.isEmpty() ? 0 : 1;
     }
--- a/lab/src/main/java/junctionhead/lab/cli/Lab.java
+++ b/lab/src/main/java/junctionhead/lab/cli/Lab.java
@@ -6,16 +6,30 @@
 import picocli.CommandLine.ScopeType;
 
 /** The laboratory's command line. Exit codes: 0 all expectations hold, 1 one doesn't, 2 unusable input. */
-@Command(name = "lab", mixinStandardHelpOptions = true, version = "junctionhead laboratory 0.1.0",
-    subcommands = {DemoCommand.class, MatrixCommand.class, WreckCommand.class, FleetCommand.class,
-        RunCommand.class, CompareCommand.class, QueueCommand.class, HuntCommand.class,
-        TheoryCommand.class, ScaleCommand.class, ReportCommand.class, ListCommand.class},
-    description = "Emulates the whole service in simulated time, and compares what a change does.")
+@Command(
+        name = "lab",
+        mixinStandardHelpOptions = true,
+        version = "junctionhead laboratory 0.1.0",
+        subcommands = {
+            DemoCommand.class,
+            MatrixCommand.class,
+            WreckCommand.class,
+            FleetCommand.class,
+            RunCommand.class,
+            CompareCommand.class,
+            QueueCommand.class,
+            HuntCommand.class,
+            TheoryCommand.class,
+            ScaleCommand.class,
+            ReportCommand.class,
+            ListCommand.class
+        },
+        description = "Emulates the whole service in simulated time, and compares what a change does.")
 public final class Lab {
     @Option(names = "--log-json", scope = ScopeType.INHERIT, description = "Log lines as JSON.")
     private boolean jsonLog;
 
-    private Lab() { }
+    private Lab() {}
 
     public static void main(String[] args) {
         System.exit(run(args));
--- a/lab/src/main/java/junctionhead/lab/cli/LabLog.java
+++ b/lab/src/main/java/junctionhead/lab/cli/LabLog.java
@@ -11,7 +11,7 @@
 
 /** The laboratory's log, on standard error: plain lines, or JSON lines on request. */
 final class LabLog {
-    private LabLog() { }
+    private LabLog() {}
 
     static Logger of(Class<?> type) {
         return LoggerFactory.getLogger(type);
--- a/lab/src/main/java/junctionhead/lab/cli/ListCommand.java
+++ b/lab/src/main/java/junctionhead/lab/cli/ListCommand.java
@@ -16,8 +16,10 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code lab list}: experiments, policies, troubles and figures that there are; checks the experiments too. */
-@Command(name = "list", mixinStandardHelpOptions = true,
-    description = "Lists experiments (and checks them), policies, troubles and figures.")
+@Command(
+        name = "list",
+        mixinStandardHelpOptions = true,
+        description = "Lists experiments (and checks them), policies, troubles and figures.")
 final class ListCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FOLDER", defaultValue = "experiments", description = "Where experiments are.")
     private Path folder;
@@ -30,7 +32,8 @@
             throw new IllegalArgumentException(folder + ": no such folder");
         }
         try (Stream<Path> files = Files.list(folder)) {
-            for (Path f : files.filter(p -> p.toString().endsWith(".toml")).sorted().toList()) {
+            for (Path f :
+                    files.filter(p -> p.toString().endsWith(".toml")).sorted().toList()) {
                 try {
                     Experiment e = ExperimentReader.read(f);
                     figures = Score.names(e.plan());
@@ -43,8 +46,9 @@
         }
         System.out.println("\npolicies: " + String.join(", ", Variants.names()));
         System.out.println("\ntroubles:");
-        Timeline.KINDS.entrySet().stream().sorted(java.util.Map.Entry.comparingByKey())
-            .forEach(e -> System.out.printf("  %-20s %s%n", e.getKey(), e.getValue()));
+        Timeline.KINDS.entrySet().stream()
+                .sorted(java.util.Map.Entry.comparingByKey())
+                .forEach(e -> System.out.printf("  %-20s %s%n", e.getKey(), e.getValue()));
         System.out.println("\nfigures: " + String.join(", ", figures));
         return sound ? 0 : 2;
     }
--- a/lab/src/main/java/junctionhead/lab/cli/ReportCommand.java
+++ b/lab/src/main/java/junctionhead/lab/cli/ReportCommand.java
@@ -20,15 +20,20 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code lab report}: all experiments of a folder, with a page for each and one that leads to them. */
-@Command(name = "report", mixinStandardHelpOptions = true, sortOptions = false,
-    description = "Plays all experiments of a folder; writes a page and a JSON for each, and an index. Exit code 1"
-        + " where an expectation doesn't hold.",
-    footer = {"", "Example:", "  bin/lab report --seeds 20 --out before"})
+@Command(
+        name = "report",
+        mixinStandardHelpOptions = true,
+        sortOptions = false,
+        description = "Plays all experiments of a folder; writes a page and a JSON for each, and an index. Exit code 1"
+                + " where an expectation doesn't hold.",
+        footer = {"", "Example:", "  bin/lab report --seeds 20 --out before"})
 final class ReportCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FOLDER", defaultValue = "experiments", description = "Where experiments are.")
     private Path folder;
+
     @Mixin
     private RunCommand.Playing playing;
+
     @Option(names = "--out", defaultValue = "lab/target/reports", description = "Folder for pages; lab/target/reports.")
     private Path out;
 
@@ -39,8 +44,9 @@
         }
         List<Experiment> experiments = new ArrayList<>();
         try (Stream<Path> files = Files.list(folder)) {
-            for (Path f : files.filter(p -> p.toString().endsWith(".toml")).sorted().toList()) {
-                experiments.add(playing.applied(ExperimentReader.read(f)));     // all are sound before any is played
+            for (Path f :
+                    files.filter(p -> p.toString().endsWith(".toml")).sorted().toList()) {
+                experiments.add(playing.applied(ExperimentReader.read(f))); // all are sound before any is played
             }
         }
         Files.createDirectories(out);
--- a/lab/src/main/java/junctionhead/lab/cli/RunCommand.java
+++ b/lab/src/main/java/junctionhead/lab/cli/RunCommand.java
@@ -16,17 +16,26 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code lab run}: plays an experiment and says whether what it expects holds. */
-@Command(name = "run", mixinStandardHelpOptions = true, sortOptions = false,
-    description = "Plays an experiment: prints the table, writes the page, says whether its expectations hold.",
-    footer = {"", "Examples:", "  bin/lab run experiments/booking-day.toml",
-        "  bin/lab run experiments/taken-out.toml --seeds 20 --json out.json --html out.html"})
+@Command(
+        name = "run",
+        mixinStandardHelpOptions = true,
+        sortOptions = false,
+        description = "Plays an experiment: prints the table, writes the page, says whether its expectations hold.",
+        footer = {
+            "",
+            "Examples:",
+            "  bin/lab run experiments/booking-day.toml",
+            "  bin/lab run experiments/taken-out.toml --seeds 20 --json out.json --html out.html"
+        })
 final class RunCommand implements Callable<Integer> {
     /** What all commands that play experiments take. */
     static final class Playing {
         @Option(names = "--seed", description = "First seed, in place of the experiment's.")
         private Long seed;
+
         @Option(names = "--seeds", description = "How many seeds, in place of the experiment's.")
         private Integer seeds;
+
         @Option(names = "--threads", description = "Days played at once; as many as there are processors.")
         private Integer threads;
 
@@ -48,12 +57,17 @@
 
     @Parameters(paramLabel = "FILE", description = "The experiment, a TOML file.")
     private File file;
+
     @Mixin
     private Playing playing;
+
     @Option(names = "--json", paramLabel = "FILE", description = "Writes all figures there.")
     private File json;
-    @Option(names = "--html", paramLabel = "FILE",
-        description = "Writes the page there; lab/target/reports/NAME.html unless given.")
+
+    @Option(
+            names = "--html",
+            paramLabel = "FILE",
+            description = "Writes the page there; lab/target/reports/NAME.html unless given.")
     private File html;
 
     @Override
--- a/lab/src/main/java/junctionhead/lab/cli/ScaleCommand.java
+++ b/lab/src/main/java/junctionhead/lab/cli/ScaleCommand.java
@@ -23,31 +23,52 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code lab scale}: how a policy grows with the number of balancers and upstreams. */
-@Command(name = "scale", mixinStandardHelpOptions = true, sortOptions = false,
-    description = "Plays an experiment's world at several sizes, one day each on one thread: worth, rules, cost of a"
-        + " decision, memory of a module. What grows faster than the fleet shows here.",
-    footer = {"", "Example:", "  bin/lab scale experiments/booking-day.toml --size 3x10 --size 48x1000"})
+@Command(
+        name = "scale",
+        mixinStandardHelpOptions = true,
+        sortOptions = false,
+        description =
+                "Plays an experiment's world at several sizes, one day each on one thread: worth, rules, cost of a"
+                        + " decision, memory of a module. What grows faster than the fleet shows here.",
+        footer = {"", "Example:", "  bin/lab scale experiments/booking-day.toml --size 3x10 --size 48x1000"})
 final class ScaleCommand implements Callable<Integer> {
     private static final int MODULES = 10;
 
     @Parameters(paramLabel = "FILE", description = "The experiment.")
     private File file;
+
     @Option(names = "--size", description = "BALANCERSxUPSTREAMS; 3x10, 8x50, 16x200 and 48x1000 unless given.")
     private List<String> sizes;
+
     @Option(names = "--policy", defaultValue = Variants.OWN, description = "Policy; balance.")
     private String policy;
+
     @Option(names = "--length", defaultValue = "40", description = "Seconds of a day; 40.")
     private int length;
+
     @Option(names = "--seed", defaultValue = "1", description = "Seed; 1.")
     private long seed;
 
     @Override
     public Integer call() throws IOException {
         Experiment e = ExperimentReader.read(file.toPath());
-        Variant variant = e.variants().stream().filter(v -> v.policy().equals(policy)).findFirst()
-            .orElse(new Variant(policy, policy, e.variants().get(0).figures()));
-        System.out.printf("%-10s%8s%8s%8s%10s%12s%12s%10s%12s%12s%10s%n", "size", "G", "broken", "fallen",
-            "requests", "us/request", "us/list", "core/s", "kB/module", "events/s", "seconds");
+        Variant variant = e.variants().stream()
+                .filter(v -> v.policy().equals(policy))
+                .findFirst()
+                .orElse(new Variant(policy, policy, e.variants().get(0).figures()));
+        System.out.printf(
+                "%-10s%8s%8s%8s%10s%12s%12s%10s%12s%12s%10s%n",
+                "size",
+                "G",
+                "broken",
+                "fallen",
+                "requests",
+                "us/request",
+                "us/list",
+                "core/s",
+                "kB/module",
+                "events/s",
+                "seconds");
         System.out.printf("%-10s%s%n", "", "margins left by each rule: cold (share), drain (ms), answer (ms)");
         List<String> wanted = sizes == null ? List.of("3x10", "8x50", "16x200", "48x1000") : sizes;
         for (String size : wanted) {
@@ -55,8 +76,12 @@
             if (x < 1) {
                 throw new IllegalArgumentException("'" + size + "' is no size: BALANCERSxUPSTREAMS is wanted");
             }
-            play(size, e.plan(), variant, Integer.parseInt(size.substring(0, x)),
-                Integer.parseInt(size.substring(x + 1)));
+            play(
+                    size,
+                    e.plan(),
+                    variant,
+                    Integer.parseInt(size.substring(0, x)),
+                    Integer.parseInt(size.substring(x + 1)));
         }
         return 0;
     }
@@ -65,12 +90,34 @@
         // The register's capacity is for the site's three balancers: a larger site has a larger one.
         WorldPlan.Discovery d = sitePlan.discovery();
         double times = Math.max(1, balancers / 3.0) * Math.max(1, upstreams / 10.0);
-        WorldPlan base = sitePlan.sized(Range.of(balancers), Range.of(upstreams)).lasting(length * 1_000_000L);
-        WorldPlan plan = new WorldPlan(base.length(), base.balancers(), base.upstreams(), base.zones(), base.load(),
-            base.network(), base.clients(), new WorldPlan.Discovery(d.ask(), d.notice(), d.silentNotice(), d.add(),
-                d.period(), d.spread(), new Range(d.capacity().from() * times, d.capacity().to() * times),
-                d.callLines(), d.timeout()), base.rules(), base.goal(), base.prices(), base.fleet(), base.kinds(),
-            base.classes(), base.tenants(), base.troubles());
+        WorldPlan base =
+                sitePlan.sized(Range.of(balancers), Range.of(upstreams)).lasting(length * 1_000_000L);
+        WorldPlan plan = new WorldPlan(
+                base.length(),
+                base.balancers(),
+                base.upstreams(),
+                base.zones(),
+                base.load(),
+                base.network(),
+                base.clients(),
+                new WorldPlan.Discovery(
+                        d.ask(),
+                        d.notice(),
+                        d.silentNotice(),
+                        d.add(),
+                        d.period(),
+                        d.spread(),
+                        new Range(d.capacity().from() * times, d.capacity().to() * times),
+                        d.callLines(),
+                        d.timeout()),
+                base.rules(),
+                base.goal(),
+                base.prices(),
+                base.fleet(),
+                base.kinds(),
+                base.classes(),
+                base.tenants(),
+                base.troubles());
         Metered.Meter meter = new Metered.Meter();
         PolicyMaker maker = Variants.maker(variant);
         List<Policy.Settings> seen = new ArrayList<>();
@@ -81,19 +128,34 @@
         });
         double seconds = (System.nanoTime() - began) / 1e9;
         double requests = day.figures().get("requests");
-        System.out.printf(Locale.ROOT, "%-10s%8.3f%8.0f%8.0f%10.0f%12.1f%12.1f%10.4f%12.1f%12.0f%10.1f%n", size,
-            day.figures().get("G"), day.figures().get("rules.broken"), day.figures().get("fallen"), requests,
-            meter.decisionNanos() / 1e3 / requests, meter.listNanos() / 1e3 / Math.max(1, meter.lists()),
-            meter.allNanos() / 1e9 / length / balancers, memory(maker, seen.get(0), upstreams) / 1024.0,
-            day.figures().get("events") / seconds, seconds);
-        System.out.printf(Locale.ROOT, "%-10s%.3f, %.0f, %.1f%n", "", day.figures().get("margin.cold"),
-            day.figures().get("margin.drain_ms"), day.figures().get("margin.answer_ms"));
+        System.out.printf(
+                Locale.ROOT,
+                "%-10s%8.3f%8.0f%8.0f%10.0f%12.1f%12.1f%10.4f%12.1f%12.0f%10.1f%n",
+                size,
+                day.figures().get("G"),
+                day.figures().get("rules.broken"),
+                day.figures().get("fallen"),
+                requests,
+                meter.decisionNanos() / 1e3 / requests,
+                meter.listNanos() / 1e3 / Math.max(1, meter.lists()),
+                meter.allNanos() / 1e9 / length / balancers,
+                memory(maker, seen.get(0), upstreams) / 1024.0,
+                day.figures().get("events") / seconds,
+                seconds);
+        System.out.printf(
+                Locale.ROOT,
+                "%-10s%.3f, %.0f, %.1f%n",
+                "",
+                day.figures().get("margin.cold"),
+                day.figures().get("margin.drain_ms"),
+                day.figures().get("margin.answer_ms"));
     }
 
     // Bytes of a module that knows the fleet and has served for a while.
     private static double memory(PolicyMaker maker, Policy.Settings settings, int upstreams) {
-        List<Policy.Server> fleet = IntStream.range(0, upstreams).mapToObj(i ->
-            new Policy.Server("u" + i, Policy.State.UP, 0, 1, i / 4, i % 2, i % 3)).toList();
+        List<Policy.Server> fleet = IntStream.range(0, upstreams)
+                .mapToObj(i -> new Policy.Server("u" + i, Policy.State.UP, 0, 1, i / 4, i % 2, i % 3))
+                .toList();
         List<Policy> modules = new ArrayList<>();
         long before = used();
         for (int m = 0; m < MODULES; m++) {
--- a/lab/src/main/java/junctionhead/lab/experiment/Expectation.java
+++ b/lab/src/main/java/junctionhead/lab/experiment/Expectation.java
@@ -11,14 +11,14 @@
  * {@code min(figure, variant)} or {@code diff(figure, variant, variant)}, compared with a number. A plain figure is
  * the first variant's mean over all seeds. A difference is paired by seed, and its whole 95% interval must hold.
  */
-public record Expectation(String text, String function, String figure, String variant, String other, String operator,
-        double bound) {
+public record Expectation(
+        String text, String function, String figure, String variant, String other, String operator, double bound) {
     private static final Pattern FORM = Pattern.compile("\\s*(?:(max|min|diff)\\(\\s*([\\w.-]+)\\s*"
-        + "(?:,\\s*([\\w.()-]+)\\s*)?(?:,\\s*([\\w.()-]+)\\s*)?\\)|([\\w.-]+?)(?:\\[([\\w.()-]+)\\])?)"
-        + "\\s*(==|<=|>=|<|>)\\s*(-?[0-9.]+(?:e-?[0-9]+)?)\\s*");
+            + "(?:,\\s*([\\w.()-]+)\\s*)?(?:,\\s*([\\w.()-]+)\\s*)?\\)|([\\w.-]+?)(?:\\[([\\w.()-]+)\\])?)"
+            + "\\s*(==|<=|>=|<|>)\\s*(-?[0-9.]+(?:e-?[0-9]+)?)\\s*");
 
     /** Whether it holds, and with what figure. */
-    public record Verdict(Expectation expectation, boolean holds, String found) { }
+    public record Verdict(Expectation expectation, boolean holds, String found) {}
 
     /**
      * Reads one.
@@ -29,27 +29,26 @@
         Matcher m = FORM.matcher(text);
         if (!m.matches()) {
             throw new IllegalArgumentException("expectation \"" + text + "\" can't be read: such as"
-                + " \"rules.broken == 0\" or \"diff(G, balance, random) > 0.1\"");
+                    + " \"rules.broken == 0\" or \"diff(G, balance, random) > 0.1\"");
         }
         String function = m.group(1) == null ? "mean" : m.group(1);
         String figure = m.group(1) == null ? m.group(5) : m.group(2);
         String variant = m.group(1) == null ? m.group(6) : m.group(3);
         if (!figures.contains(figure)) {
-            throw new IllegalArgumentException("expectation \"" + text + "\": no figure '" + figure + "'"
-                + Section.meant(figure, figures));
+            throw new IllegalArgumentException(
+                    "expectation \"" + text + "\": no figure '" + figure + "'" + Section.meant(figure, figures));
         }
         String first = variant == null ? variants.get(0) : variant;
         for (String v : new String[] {first, m.group(4)}) {
             if (v != null && !variants.contains(v)) {
-                throw new IllegalArgumentException("expectation \"" + text + "\": no variant '" + v + "'"
-                    + Section.meant(v, variants));
+                throw new IllegalArgumentException(
+                        "expectation \"" + text + "\": no variant '" + v + "'" + Section.meant(v, variants));
             }
         }
         if (function.equals("diff") && m.group(4) == null) {
             throw new IllegalArgumentException("expectation \"" + text + "\": diff takes a figure and two variants");
         }
-        return new Expectation(text, function, figure, first, m.group(4), m.group(7),
-            Double.parseDouble(m.group(8)));
+        return new Expectation(text, function, figure, first, m.group(4), m.group(7), Double.parseDouble(m.group(8)));
     }
 
     /** Holds it against what the variants came to. */
@@ -80,16 +79,17 @@
                 high = mean.mean();
             }
         }
-        boolean holds = switch (operator) {
-            case ">" -> low > bound;
-            case ">=" -> low >= bound;
-            case "<" -> high < bound;
-            case "<=" -> high <= bound;
-            default -> low == bound && high == bound;
-        };
+        boolean holds =
+                switch (operator) {
+                    case ">" -> low > bound;
+                    case ">=" -> low >= bound;
+                    case "<" -> high < bound;
+                    case "<=" -> high <= bound;
+                    default -> low == bound && high == bound;
+                };
         String found = function.equals("diff") && !Double.isNaN(mean.halfWidth())
-            ? String.format(java.util.Locale.ROOT, "%.4f +- %.4f", mean.mean(), mean.halfWidth())
-            : String.format(java.util.Locale.ROOT, "%.4f", low);
+                ? String.format(java.util.Locale.ROOT, "%.4f +- %.4f", mean.mean(), mean.halfWidth())
+                : String.format(java.util.Locale.ROOT, "%.4f", low);
         return new Verdict(this, holds, found);
     }
 }
--- a/lab/src/main/java/junctionhead/lab/experiment/Experiment.java
+++ b/lab/src/main/java/junctionhead/lab/experiment/Experiment.java
@@ -8,8 +8,14 @@
  * A question to the laboratory: a world with its troubles, the variants to play it under, on which seeds, and
  * what is expected to come of it.
  */
-public record Experiment(String name, String question, WorldPlan plan, long firstSeed, int seeds,
-        List<Variant> variants, List<Expectation> expectations) {
+public record Experiment(
+        String name,
+        String question,
+        WorldPlan plan,
+        long firstSeed,
+        int seeds,
+        List<Variant> variants,
+        List<Expectation> expectations) {
 
     /** The same on other seeds. */
     public Experiment on(long first, int many) {
--- a/lab/src/main/java/junctionhead/lab/experiment/FrontReader.java
+++ b/lab/src/main/java/junctionhead/lab/experiment/FrontReader.java
@@ -7,19 +7,21 @@
 import junctionhead.lab.variants.FrontSpec;
 import junctionhead.lab.world.WorldPlan;
 import junctionhead.limits.ConcurrencyLimit;
-import junctionhead.toml.Section.Measure;
 import junctionhead.toml.Section;
+import junctionhead.toml.Section.Measure;
 
 /** Reads the front of an experiment, and how each variant uses it. */
 final class FrontReader {
     private static final Set<String> PARTS = Set.of("quotas", "retries", "limits", "spill", "steps");
     private static final double CEILING = 3;
 
-    private FrontReader() { }
+    private FrontReader() {}
 
     static FrontSpec read(Section f, WorldPlan plan) {
-        List<String> pools = plan.kinds().stream().map(WorldPlan.Kind::pool).distinct().toList();
-        List<String> classes = plan.classes().stream().map(WorldPlan.RequestKind::name).toList();
+        List<String> pools =
+                plan.kinds().stream().map(WorldPlan.Kind::pool).distinct().toList();
+        List<String> classes =
+                plan.classes().stream().map(WorldPlan.RequestKind::name).toList();
         List<FrontSpec.Pool> own = new ArrayList<>();
         for (Section p : f.tables("pool")) {
             String name = p.text("name", null);
@@ -27,9 +29,13 @@
                 p.fault("name", "no [[kind]] is of pool '" + name + "'" + Section.meant(name, pools));
             }
             ConcurrencyLimit.Kind limit = p.has("limit") ? p.word("limit", ConcurrencyLimit.Kind.class, null) : null;
-            own.add(new FrontSpec.Pool(name, limit, p.number("start", Measure.NUMBER, 8),
-                p.number("least", Measure.NUMBER, 1), p.number("most", Measure.NUMBER, 100),
-                (int) p.number("full_strength", Measure.NUMBER, 0)));
+            own.add(new FrontSpec.Pool(
+                    name,
+                    limit,
+                    p.number("start", Measure.NUMBER, 8),
+                    p.number("least", Measure.NUMBER, 1),
+                    p.number("most", Measure.NUMBER, 100),
+                    (int) p.number("full_strength", Measure.NUMBER, 0)));
             p.done();
         }
         Set<String> named = new HashSet<>();
@@ -46,9 +52,13 @@
         if (routes.isEmpty()) {
             f.fault("route", "no [[front.route]]: one at least is wanted");
         }
-        FrontSpec spec = new FrontSpec(List.copyOf(own), List.copyOf(routes),
-            f.number("tenant_rate", Measure.NUMBER, 0), f.number("tenant_ceiling", Measure.NUMBER, CEILING),
-            f.number("site_rate", Measure.NUMBER, 1), f.number("reserve", Measure.SHARE, 0));
+        FrontSpec spec = new FrontSpec(
+                List.copyOf(own),
+                List.copyOf(routes),
+                f.number("tenant_rate", Measure.NUMBER, 0),
+                f.number("tenant_ceiling", Measure.NUMBER, CEILING),
+                f.number("site_rate", Measure.NUMBER, 1),
+                f.number("reserve", Measure.SHARE, 0));
         f.done();
         return spec;
     }
@@ -80,11 +90,20 @@
         if (weights.size() != to.size()) {
             r.fault("weights", weights.size() + " weights for " + to.size() + " pools");
         }
-        FrontSpec.Way way = new FrontSpec.Way(name, Set.copyOf(only), to, weights, spill,
-            r.number("spill_most", Measure.SHARE, 1), Math.max(1, r.number("spare", Measure.NUMBER, 1.2)),
-            Math.max(1e-6, r.number("return_per_s", Measure.NUMBER, 0.05)), r.number("retry_share", Measure.SIGNED, -1),
-            r.flag("count_clients", true), (int) r.number("steps", Measure.NUMBER, 0), r.time("steps_from", 0),
-            Math.max(1, r.time("steps_length", 1_000_000)));
+        FrontSpec.Way way = new FrontSpec.Way(
+                name,
+                Set.copyOf(only),
+                to,
+                weights,
+                spill,
+                r.number("spill_most", Measure.SHARE, 1),
+                Math.max(1, r.number("spare", Measure.NUMBER, 1.2)),
+                Math.max(1e-6, r.number("return_per_s", Measure.NUMBER, 0.05)),
+                r.number("retry_share", Measure.SIGNED, -1),
+                r.flag("count_clients", true),
+                (int) r.number("steps", Measure.NUMBER, 0),
+                r.time("steps_from", 0),
+                Math.max(1, r.time("steps_length", 1_000_000)));
         r.done();
         return way;
     }
@@ -115,14 +134,19 @@
         List<String> without = variant.texts("without", List.of());
         for (String w : without) {
             if (!PARTS.contains(w)) {
-                variant.fault("without", "no part '" + w + "'; there are " + String.join(", ",
-                    PARTS.stream().sorted().toList()) + Section.meant(w, PARTS));
+                variant.fault(
+                        "without",
+                        "no part '" + w + "'; there are "
+                                + String.join(", ", PARTS.stream().sorted().toList()) + Section.meant(w, PARTS));
             }
         }
-        ConcurrencyLimit.Kind limit = variant.has("limit")
-            ? variant.word("limit", ConcurrencyLimit.Kind.class, null) : null;
-        return new FrontSpec.Use(front, limit, Set.copyOf(without),
-            Math.max(1e-6, variant.number("told_times", Measure.NUMBER, 1)),
-            (int) variant.number("told_more", Measure.SIGNED, 0));
+        ConcurrencyLimit.Kind limit =
+                variant.has("limit") ? variant.word("limit", ConcurrencyLimit.Kind.class, null) : null;
+        return new FrontSpec.Use(
+                front,
+                limit,
+                Set.copyOf(without),
+                Math.max(1e-6, variant.number("told_times", Measure.NUMBER, 1)),
+                (int) variant.number("told_more", Measure.SIGNED, 0));
     }
 }
--- a/lab/src/main/java/junctionhead/lab/experiment/Results.java
+++ b/lab/src/main/java/junctionhead/lab/experiment/Results.java
@@ -16,7 +16,9 @@
 
     /** A figure of a variant, a value for each seed. */
     public double[] values(String variant, String figure) {
-        return days.get(variant).stream().mapToDouble(d -> d.figures().getOrDefault(figure, Double.NaN)).toArray();
+        return days.get(variant).stream()
+                .mapToDouble(d -> d.figures().getOrDefault(figure, Double.NaN))
+                .toArray();
     }
 
     /** Its mean over the seeds. */
--- a/lab/src/main/java/junctionhead/lab/experiment/Runner.java
+++ b/lab/src/main/java/junctionhead/lab/experiment/Runner.java
@@ -14,7 +14,7 @@
 
 /** Plays an experiment's days on several threads. Each day is a world of its own, so their number changes nothing. */
 public final class Runner {
-    private Runner() { }
+    private Runner() {}
 
     /** Hears of progress: {@code done} days of {@code all}. It is called on the threads that play. */
     @FunctionalInterface
@@ -40,8 +40,10 @@
                 long seed = experiment.firstSeed() + i;
                 for (Variant v : experiment.variants()) {
                     playing.get(v.name()).add(pool.submit(() -> {
-                        Day day = Day.play(v.calm() ? experiment.plan().with(List.of())
-                            : experiment.plan(), seed, Variants.maker(v, experiment.plan()));
+                        Day day = Day.play(
+                                v.calm() ? experiment.plan().with(List.of()) : experiment.plan(),
+                                seed,
+                                Variants.maker(v, experiment.plan()));
                         progress.played(done.incrementAndGet(), all);
                         return day;
                     }));
--- a/lab/src/main/java/junctionhead/lab/fleet/Axes.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/Axes.java
@@ -24,13 +24,13 @@
      * @param plan what stands at each size, unless the axis says otherwise
      * @param root of the project, where run lines start
      */
-    public record Setup(FleetPlan plan, Path root) { }
+    public record Setup(FleetPlan plan, Path root) {}
 
     private interface Maker {
         Axis make(Setup setup) throws IOException;
     }
 
-    private Axes() { }
+    private Axes() {}
 
     /** Their names. */
     public static List<String> names() {
--- a/lab/src/main/java/junctionhead/lab/fleet/Churn.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/Churn.java
@@ -21,23 +21,28 @@
      * @param drain µs from "terminating" to "terminated", not shortened by {@code speed}
      * @param gone µs from there to "in_service", the same
      */
-    public record Rates(double machines, double racks, double zones, double configurations, double speed, long drain,
-            long gone) { }
+    public record Rates(
+            double machines, double racks, double zones, double configurations, double speed, long drain, long gone) {}
 
     /** What an event is of. */
-    enum What { MACHINE, RACK, ZONE, CONFIGURATION }
+    enum What {
+        MACHINE,
+        RACK,
+        ZONE,
+        CONFIGURATION
+    }
 
     /** At that time, in µs from the start, these machines have that state. */
-    record Event(long at, What what, List<Integer> machines, String state, double hint, boolean booted) { }
+    record Event(long at, What what, List<Integer> machines, String state, double hint, boolean booted) {}
 
-    private record Step(long at, long order, What what, int from, int to, int stage, int restart) { }
+    private record Step(long at, long order, What what, int from, int to, int stage, int restart) {}
 
     private static final String[] STATES = {"terminating", "terminated", "in_service"};
 
     private final Machines machines;
     private final Rates rates;
     private final long seed;
-    private final long[] boots;                         // ms since 1970, as last told
+    private final long[] boots; // ms since 1970, as last told
 
     Churn(Machines machines, Rates rates, long seed) {
         this.machines = machines;
@@ -49,20 +54,20 @@
     /** All that happens in that time (µs), in order; what has not come to its end by then stays as it is. */
     List<Event> events(long length) {
         PriorityQueue<Step> due =
-            new PriorityQueue<>(Comparator.comparingLong(Step::at).thenComparingLong(Step::order));
+                new PriorityQueue<>(Comparator.comparingLong(Step::at).thenComparingLong(Step::order));
         begin(due, length, What.MACHINE, rates.machines());
         begin(due, length, What.RACK, rates.racks());
         begin(due, length, What.ZONE, rates.zones());
         begin(due, length, What.CONFIGURATION, rates.configurations());
         Draws hints = new Streams(seed).of("churn", 0, "hints");
-        int[] owner = new int[machines.many()];         // the restart that a machine is in; 0: none
+        int[] owner = new int[machines.many()]; // the restart that a machine is in; 0: none
         List<Event> events = new ArrayList<>();
         int order = due.size();
         for (Step s = due.poll(); s != null && s.at < length; s = due.poll()) {
             List<Integer> hit = owned(owner, s);
             double hint = s.what == What.CONFIGURATION ? Math.round(hints.between(0.5, 2) * 100) / 100.0 : 1;
             if (hit.isEmpty()) {
-                continue;                               // it is in another restart already
+                continue; // it is in another restart already
             }
             if (s.what == What.CONFIGURATION) {
                 events.add(new Event(s.at, s.what, hit, "in_service", hint, false));
@@ -94,14 +99,16 @@
         Draws draws = new Streams(seed).of("churn", what.ordinal(), "starts");
         double at = draws.exponential(1e6 / rate);
         for (int n = 0; at < length; n++) {
-            int of = draws.below(switch (what) {
-                case RACK -> machines.racks();
-                case ZONE -> machines.zones();
-                default -> machines.many();
-            });
+            int of = draws.below(
+                    switch (what) {
+                        case RACK -> machines.racks();
+                        case ZONE -> machines.zones();
+                        default -> machines.many();
+                    });
             int from = what == What.RACK ? machines.rackFrom(of) : what == What.ZONE ? machines.zoneFrom(of) : of;
-            int to = what == What.RACK ? machines.rackFrom(of + 1) : what == What.ZONE ? machines.zoneFrom(of + 1)
-                : of + 1;
+            int to = what == What.RACK
+                    ? machines.rackFrom(of + 1)
+                    : what == What.ZONE ? machines.zoneFrom(of + 1) : of + 1;
             due.add(new Step(Math.round(at), due.size(), what, from, to, 0, 1 + due.size()));
             at += draws.exponential(1e6 / rate);
         }
@@ -112,6 +119,8 @@
         if (e.booted) {
             e.machines.forEach(i -> boots[i] = unixMs);
         }
-        return e.machines.stream().map(i -> machines.entry(i, e.state, e.hint, boots[i])).toList();
+        return e.machines.stream()
+                .map(i -> machines.entry(i, e.state, e.hint, boots[i]))
+                .toList();
     }
 }
--- a/lab/src/main/java/junctionhead/lab/fleet/Clocks.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/Clocks.java
@@ -9,14 +9,17 @@
 final class Clocks {
     private static final ThreadMXBean THREADS = ManagementFactory.getPlatformMXBean(ThreadMXBean.class);
     private static final OperatingSystemMXBean SYSTEM =
-        ManagementFactory.getPlatformMXBean(OperatingSystemMXBean.class);
+            ManagementFactory.getPlatformMXBean(OperatingSystemMXBean.class);
     private static final int COLLECTIONS = 2;
 
-    private Clocks() { }
+    private Clocks() {}
 
     /** Seconds that these threads have run, all together. */
     static double cpu(List<Long> threads) {
-        return threads.stream().mapToLong(t -> Math.max(0, THREADS.getThreadCpuTime(t))).sum() / 1e9;
+        return threads.stream()
+                        .mapToLong(t -> Math.max(0, THREADS.getThreadCpuTime(t)))
+                        .sum()
+                / 1e9;
     }
 
     /** Seconds that the whole process has run, garbage collection and compilation among them. */
@@ -26,13 +29,16 @@
 
     /** Bytes that these threads have allocated, whatever has become of them. */
     static double allocated(List<Long> threads) {
-        return threads.stream().mapToLong(t -> Math.max(0, THREADS.getThreadAllocatedBytes(t))).sum();
+        return threads.stream()
+                .mapToLong(t -> Math.max(0, THREADS.getThreadAllocatedBytes(t)))
+                .sum();
     }
 
     /** Milliseconds that this process has stood still for collection. */
     static double collected() {
         return ManagementFactory.getGarbageCollectorMXBeans().stream()
-            .mapToLong(g -> Math.max(0, g.getCollectionTime())).sum();
+                .mapToLong(g -> Math.max(0, g.getCollectionTime()))
+                .sum();
     }
 
     /** Bytes of heap in use when all that is garbage has gone. */
--- a/lab/src/main/java/junctionhead/lab/fleet/FleetPlan.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/FleetPlan.java
@@ -9,8 +9,16 @@
  * @param outage null where there is none
  * @param restart null where the fleet isn't restarted
  */
-public record FleetPlan(String name, String question, long seed, Fleet fleet, Churn.Rates churn, Discovery discovery,
-        Restart restart, Outage outage, List<Sweep> sweeps) {
+public record FleetPlan(
+        String name,
+        String question,
+        long seed,
+        Fleet fleet,
+        Churn.Rates churn,
+        Discovery discovery,
+        Restart restart,
+        Outage outage,
+        List<Sweep> sweeps) {
     /** Keeps a copy. */
     public FleetPlan {
         sweeps = List.copyOf(sweeps);
@@ -30,9 +38,20 @@
      * @param reach for how long what should come is waited for, before it is said not to have come
      * @param upstreamsMost that a hollow balancer holds of a list, as one by the {@code run} line does by its heap
      */
-    public record Fleet(boolean ask, int balancers, int upstreams, int real, double loadPerSecond,
-            double decisionsPerSecond, int loops, List<String> zones, int rackSize, long idle, long length,
-            long reach, int upstreamsMost) {
+    public record Fleet(
+            boolean ask,
+            int balancers,
+            int upstreams,
+            int real,
+            double loadPerSecond,
+            double decisionsPerSecond,
+            int loops,
+            List<String> zones,
+            int rackSize,
+            long idle,
+            long length,
+            long reach,
+            int upstreamsMost) {
         /** Keeps a copy. */
         public Fleet {
             zones = List.copyOf(zones);
@@ -46,20 +65,24 @@
      * @param callTimeout after which a waiting call is refused
      * @param kept revisions of which the changes are known; who comes from an older one gets the whole list
      */
-    public record Discovery(long callTime, long callTimeout, int kept) { }
+    public record Discovery(long callTime, long callTimeout, int kept) {}
 
     /**
      * A restart of all hollow balancers at one moment.
      *
      * @param known whether they come back with the list that they had, or with none
      */
-    public record Restart(boolean known) { }
+    public record Restart(boolean known) {}
 
     /** How discovery fails. */
-    public enum Kind { DOWN, CUT_OFF, SLOW }
+    public enum Kind {
+        DOWN,
+        CUT_OFF,
+        SLOW
+    }
 
     /** Discovery fails for that time, and comes back; {@code callTime} is of a slow one. */
-    public record Outage(Kind kind, long length, long callTime) { }
+    public record Outage(Kind kind, long length, long callTime) {}
 
     /** One axis and its sizes, growing. */
     public record Sweep(String axis, List<Long> sizes) {
@@ -72,9 +95,28 @@
     /** The same before that many upstreams, with that many hollow balancers. */
     FleetPlan sized(int balancers, int upstreams) {
         Fleet f = fleet;
-        return new FleetPlan(name, question, seed, new Fleet(f.ask, balancers, upstreams, f.real, f.loadPerSecond,
-            f.decisionsPerSecond, f.loops, f.zones, f.rackSize, f.idle, f.length, f.reach,
-            f.upstreamsMost), churn, discovery, restart,
-            outage, sweeps);
+        return new FleetPlan(
+                name,
+                question,
+                seed,
+                new Fleet(
+                        f.ask,
+                        balancers,
+                        upstreams,
+                        f.real,
+                        f.loadPerSecond,
+                        f.decisionsPerSecond,
+                        f.loops,
+                        f.zones,
+                        f.rackSize,
+                        f.idle,
+                        f.length,
+                        f.reach,
+                        f.upstreamsMost),
+                churn,
+                discovery,
+                restart,
+                outage,
+                sweeps);
     }
 }
--- a/lab/src/main/java/junctionhead/lab/fleet/FleetReader.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/FleetReader.java
@@ -17,9 +17,9 @@
     private static final double HOUR = 3600;
     private static final double DAY = 24 * HOUR;
     private static final int MOST = 10_000_000;
-    private static final long RUN_HEAP = 40L << 20;             // -Xmx of the run line
+    private static final long RUN_HEAP = 40L << 20; // -Xmx of the run line
 
-    private FleetReader() { }
+    private FleetReader() {}
 
     /**
      * Reads the file with all that it includes.
@@ -38,8 +38,9 @@
         FleetPlan.Fleet fleet = fleet(root.table("fleet"));
         Churn.Rates churn = churn(root.table("churn"));
         Section d = root.table("discovery");
-        FleetPlan.Discovery discovery = new FleetPlan.Discovery(d.time("call_time", 0),
-            d.time("call_timeout", 2_000_000), (int) d.number("kept", Measure.COUNT, 1_000));
+        FleetPlan.Discovery discovery =
+                new FleetPlan.Discovery(d.time("call_time", 0), d.time("call_timeout", 2_000_000), (int)
+                        d.number("kept", Measure.COUNT, 1_000));
         d.done();
         FleetPlan.Restart restart = null;
         if (root.has("restart")) {
@@ -63,27 +64,40 @@
         if (zones.isEmpty()) {
             f.fault("zones", "'zones' is empty: one at least is wanted");
         }
-        FleetPlan.Fleet fleet = new FleetPlan.Fleet(mode.equals("ask"), count(f, "balancers", 10),
-            count(f, "upstreams", 100), (int) whole(f, "real", 0), f.number("load_per_s", Measure.NUMBER, 50),
-            f.number("decisions_per_s", Measure.NUMBER, 0), count(f, "loops", 2), zones, count(f, "rack_size", 40),
-            f.time("idle", 10_000_000), f.time("length", 20_000_000), f.time("reach", 60_000_000),
-            count(f, "upstreams_most", Holding.most(RUN_HEAP)));
+        FleetPlan.Fleet fleet = new FleetPlan.Fleet(
+                mode.equals("ask"),
+                count(f, "balancers", 10),
+                count(f, "upstreams", 100),
+                (int) whole(f, "real", 0),
+                f.number("load_per_s", Measure.NUMBER, 50),
+                f.number("decisions_per_s", Measure.NUMBER, 0),
+                count(f, "loops", 2),
+                zones,
+                count(f, "rack_size", 40),
+                f.time("idle", 10_000_000),
+                f.time("length", 20_000_000),
+                f.time("reach", 60_000_000),
+                count(f, "upstreams_most", Holding.most(RUN_HEAP)));
         f.done();
         return fleet;
     }
 
     private static Churn.Rates churn(Section c) {
-        Churn.Rates rates = new Churn.Rates(c.number("machines_per_hour", Measure.NUMBER, 0) / HOUR,
-            c.number("racks_per_hour", Measure.NUMBER, 0) / HOUR, c.number("zones_per_hour", Measure.NUMBER, 0) / HOUR,
-            c.number("configurations_per_day", Measure.NUMBER, 0) / DAY, c.number("speed", Measure.NUMBER, 1),
-            c.time("drain", 2_000_000), c.time("gone", 1_000_000));
+        Churn.Rates rates = new Churn.Rates(
+                c.number("machines_per_hour", Measure.NUMBER, 0) / HOUR,
+                c.number("racks_per_hour", Measure.NUMBER, 0) / HOUR,
+                c.number("zones_per_hour", Measure.NUMBER, 0) / HOUR,
+                c.number("configurations_per_day", Measure.NUMBER, 0) / DAY,
+                c.number("speed", Measure.NUMBER, 1),
+                c.time("drain", 2_000_000),
+                c.time("gone", 1_000_000));
         c.done();
         return rates;
     }
 
     private static FleetPlan.Outage outage(Section o) {
-        FleetPlan.Outage outage = new FleetPlan.Outage(o.word("kind", FleetPlan.Kind.class, null),
-            o.time("length", 10_000_000), o.time("call_time", 100_000));
+        FleetPlan.Outage outage = new FleetPlan.Outage(
+                o.word("kind", FleetPlan.Kind.class, null), o.time("length", 10_000_000), o.time("call_time", 100_000));
         o.done();
         return outage;
     }
@@ -106,8 +120,10 @@
         for (Section a : root.tables("axis")) {
             String name = a.text("name", null);
             if (name != null && !Axes.names().contains(name)) {
-                a.fault("name", "no axis '" + name + "'; there are " + String.join(", ", Axes.names())
-                    + Section.meant(name, Axes.names()));
+                a.fault(
+                        "name",
+                        "no axis '" + name + "'; there are " + String.join(", ", Axes.names())
+                                + Section.meant(name, Axes.names()));
             }
             if (!names.add(String.valueOf(name))) {
                 a.fault("name", "the axis '" + name + "' is there already");
@@ -131,8 +147,10 @@
             }
             long size = Long.parseLong(text);
             if (!sizes.isEmpty() && size <= sizes.get(sizes.size() - 1)) {
-                a.fault("sizes", "'sizes' holds " + size + " behind " + sizes.get(sizes.size() - 1)
-                    + ": each must be larger than the one before");
+                a.fault(
+                        "sizes",
+                        "'sizes' holds " + size + " behind " + sizes.get(sizes.size() - 1)
+                                + ": each must be larger than the one before");
                 return List.of(1L);
             }
             sizes.add(size);
--- a/lab/src/main/java/junctionhead/lab/fleet/FleetRun.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/FleetRun.java
@@ -34,22 +34,22 @@
     private static final double MS = 1e6;
     private static final long POLL_NS = 2_000_000;
     private static final int WARM = 4;
-    private static final int SEEN = 2_500;              // entries: the heap of fewer is lost in what else changes
-    private static final int PLAIN = 200;               // watches without a balancer, for the stand-in's own heap
-    private static final long CALM_US = 5_000_000;      // of load straight at upstreams, to be compared with
+    private static final int SEEN = 2_500; // entries: the heap of fewer is lost in what else changes
+    private static final int PLAIN = 200; // watches without a balancer, for the stand-in's own heap
+    private static final long CALM_US = 5_000_000; // of load straight at upstreams, to be compared with
     // What a size needs, from what trials gave, with some on top (docs/design/fleet-runs.md).
     private static final long BASE_BYTES = 300L << 20;
     private static final long BALANCER_BYTES = 150_000;
-    private static final long HELD_BYTES = 1_500;       // of one upstream in one balancer
-    private static final long LISTED_BYTES = 1_000;     // of one upstream in the stand-in
-    private static final int DESCRIPTORS_EACH = 6;      // both ends of a watch, of a call, and of those that close
+    private static final long HELD_BYTES = 1_500; // of one upstream in one balancer
+    private static final long LISTED_BYTES = 1_000; // of one upstream in the stand-in
+    private static final int DESCRIPTORS_EACH = 6; // both ends of a watch, of a call, and of those that close
     private static final int DESCRIPTORS_BASE = 500;
 
     private final FleetPlan plan;
     private final Path root;
     private final Map<String, Double> figures = new TreeMap<>();
     private final List<String> missed = new ArrayList<>();
-    private boolean listed;                             // all have their first list
+    private boolean listed; // all have their first list
 
     /** {@code root}: of the project, for the run line. */
     FleetRun(FleetPlan plan, Path root) {
@@ -60,17 +60,21 @@
     static Need need(FleetPlan plan) {
         long b = plan.fleet().balancers();
         long u = plan.fleet().upstreams();
-        return new Need(BASE_BYTES + b * (BALANCER_BYTES + u * HELD_BYTES) + u * LISTED_BYTES
-            + plan.fleet().real() * Host.REAL_BYTES, plan.fleet().real(),
-            (int) Math.min(Integer.MAX_VALUE, DESCRIPTORS_BASE + b * DESCRIPTORS_EACH));
+        return new Need(
+                BASE_BYTES
+                        + b * (BALANCER_BYTES + u * HELD_BYTES)
+                        + u * LISTED_BYTES
+                        + plan.fleet().real() * Host.REAL_BYTES,
+                plan.fleet().real(),
+                (int) Math.min(Integer.MAX_VALUE, DESCRIPTORS_BASE + b * DESCRIPTORS_EACH));
     }
 
     /** Plays it. */
     ScalePoint play(String axis, long size) throws IOException, InterruptedException {
         figures.put(LOAD, Host.load());
         try (QuickUpstream upstream = new QuickUpstream(LISTENERS)) {
-            Machines machines = new Machines(plan.fleet().upstreams(), plan.fleet().zones(), plan.fleet().rackSize(),
-                upstream.endpoints());
+            Machines machines = new Machines(
+                    plan.fleet().upstreams(), plan.fleet().zones(), plan.fleet().rackSize(), upstream.endpoints());
             try (StandInDiscovery discovery = new StandInDiscovery(machines.all(), plan.discovery());
                     HollowFleet fleet = new HollowFleet(plan, discovery);
                     RealBalancers real = plan.fleet().real() > 0 ? new RealBalancers(root) : null) {
@@ -98,7 +102,8 @@
 
     /** What a balancer said of lists that it could not read, once. */
     static void complaints(BalancerProcess p, String who, List<String> missed) {
-        List<String> said = p.log().stream().filter(l -> l.contains("can't be read")).toList();
+        List<String> said =
+                p.log().stream().filter(l -> l.contains("can't be read")).toList();
         if (!said.isEmpty()) {
             missed.add(who + " said " + said.size() + " times, last: " + said.get(said.size() - 1));
         }
@@ -137,7 +142,8 @@
             figures.put("heap_per_balancer_bytes", each);
         }
         if (have) {
-            figures.put("entries_held_count", (double) fleet.up().stream().mapToInt(Integer::intValue).sum());
+            figures.put("entries_held_count", (double)
+                    fleet.up().stream().mapToInt(Integer::intValue).sum());
         }
         Tally tally = fleet.tally();
         if (tally.unread > 0) {
@@ -162,7 +168,7 @@
         double before = Clocks.retained();
         List<SocketChannel> open = new ArrayList<>();
         byte[] ask = ("GET /api/targets?watch=1&from=" + discovery.rev() + " HTTP/1.1\r\nHost: h\r\n\r\n")
-            .getBytes(StandardCharsets.US_ASCII);
+                .getBytes(StandardCharsets.US_ASCII);
         try {
             for (int i = 0; i < many; i++) {
                 SocketChannel c = SocketChannel.open(discovery.address());
@@ -184,7 +190,7 @@
         boolean all = await(() -> fleet.at(rev) >= many, plan.fleet().reach());
         if (!all) {
             missed.add(what + ": " + fleet.at(rev) + " of " + many + " hollow balancers have it after "
-                + plan.fleet().reach() / 1_000_000 + " s");
+                    + plan.fleet().reach() / 1_000_000 + " s");
         }
         return all;
     }
@@ -208,11 +214,17 @@
         List<BalancerProcess> all = new ArrayList<>();
         int many = plan.fleet().balancers() + plan.fleet().real();
         for (int i = 0; i < plan.fleet().real(); i++) {
-            RealBalancers.Start start = real.start(Site.config(plan.fleet(), plan.fleet().balancers() + i, many,
-                discovery.address().getPort(), machines.known(discovery.rev())));
+            RealBalancers.Start start = real.start(Site.config(
+                    plan.fleet(),
+                    plan.fleet().balancers() + i,
+                    many,
+                    discovery.address().getPort(),
+                    machines.known(discovery.rev())));
             if (start.process() == null) {
-                missed.add("a real balancer " + (start.exitCode() < 0 ? "was not ready after 30 s"
-                    : "ended with exit code " + start.exitCode()));
+                missed.add("a real balancer "
+                        + (start.exitCode() < 0
+                                ? "was not ready after 30 s"
+                                : "ended with exit code " + start.exitCode()));
                 figures.put("real_exit_code", (double) start.exitCode());
             } else {
                 all.add(start.process());
@@ -225,14 +237,26 @@
     // ---- windows of figures
 
     /** What stands at the beginning of a window. */
-    private record Mark(long at, StandInDiscovery.Counts counts, double hollow, double standIn, double process,
-            double real, double allocated, double collected) { }
+    private record Mark(
+            long at,
+            StandInDiscovery.Counts counts,
+            double hollow,
+            double standIn,
+            double process,
+            double real,
+            double allocated,
+            double collected) {}
 
     private static Mark mark(StandInDiscovery discovery, HollowFleet fleet, List<BalancerProcess> real) {
-        return new Mark(System.nanoTime(), discovery.counts(), Clocks.cpu(fleet.threads()),
-            Clocks.cpu(List.of(discovery.thread())), Clocks.process(),
-            real.stream().mapToDouble(p -> Host.cpu(p.pid())).sum(), Clocks.allocated(fleet.threads()),
-            Clocks.collected());
+        return new Mark(
+                System.nanoTime(),
+                discovery.counts(),
+                Clocks.cpu(fleet.threads()),
+                Clocks.cpu(List.of(discovery.thread())),
+                Clocks.process(),
+                real.stream().mapToDouble(p -> Host.cpu(p.pid())).sum(),
+                Clocks.allocated(fleet.threads()),
+                Clocks.collected());
     }
 
     // What a fleet without its list costs is another figure, and no line goes through both.
@@ -241,16 +265,23 @@
         double seconds = (to.at - from.at) / 1e9;
         int many = plan.fleet().balancers();
         StandInDiscovery.Counts c = to.counts.since(from.counts);
-        figures.put(window + "_received_per_watch_bytes_per_s", c.bytesOut() / seconds / (many + plan.fleet().real()));
-        figures.put(window + "_messages_per_watch_per_s", c.messages() / seconds / (many + plan.fleet().real()));
+        figures.put(
+                window + "_received_per_watch_bytes_per_s",
+                c.bytesOut() / seconds / (many + plan.fleet().real()));
+        figures.put(
+                window + "_messages_per_watch_per_s",
+                c.messages() / seconds / (many + plan.fleet().real()));
         figures.put(window + "_cpu_per_balancer_percent", (to.hollow - from.hollow) / seconds / many * 100);
-        figures.put(window + "_loops_busy_percent", (to.hollow - from.hollow) / seconds / plan.fleet().loops() * 100);
+        figures.put(
+                window + "_loops_busy_percent",
+                (to.hollow - from.hollow) / seconds / plan.fleet().loops() * 100);
         figures.put(window + "_allocated_per_balancer_bytes_per_s", (to.allocated - from.allocated) / seconds / many);
         figures.put(window + "_stood_still_ms", to.collected - from.collected);
         figures.put(window + "_discovery_cpu_percent", (to.standIn - from.standIn) / seconds * 100);
         // Garbage collection, compilation, and where there is load its clients and upstreams.
-        figures.put(window + "_other_cpu_percent", (to.process - from.process - (to.hollow - from.hollow)
-            - (to.standIn - from.standIn)) / seconds * 100);
+        figures.put(
+                window + "_other_cpu_percent",
+                (to.process - from.process - (to.hollow - from.hollow) - (to.standIn - from.standIn)) / seconds * 100);
         return c;
     }
 
@@ -266,8 +297,13 @@
         }
     }
 
-    private void churn(StandInDiscovery discovery, HollowFleet fleet, List<BalancerProcess> real, Machines machines,
-            List<InetSocketAddress> upstreams) throws InterruptedException {
+    private void churn(
+            StandInDiscovery discovery,
+            HollowFleet fleet,
+            List<BalancerProcess> real,
+            Machines machines,
+            List<InetSocketAddress> upstreams)
+            throws InterruptedException {
         double retained = Clocks.retained();
         double calm = real.isEmpty() ? 0 : load(upstreams, CALM_US);
         fleet.begin();
@@ -279,7 +315,9 @@
             if (real.isEmpty()) {
                 TimeUnit.MICROSECONDS.sleep(plan.fleet().length());
             } else {
-                churned = load(real.stream().map(BalancerProcess::address).toList(), plan.fleet().length());
+                churned = load(
+                        real.stream().map(BalancerProcess::address).toList(),
+                        plan.fleet().length());
             }
             await(publisher::over, plan.fleet().length());
         }
@@ -309,15 +347,25 @@
             missed.add(tally.refused + " of " + (tally.refused + tally.decided) + " decisions were refusals");
         }
         if (!real.isEmpty()) {
-            figures.put("real_churn_cpu_percent", (to.real - from.real) / ((to.at - from.at) / 1e9) / real.size()
-                * 100);
+            figures.put(
+                    "real_churn_cpu_percent", (to.real - from.real) / ((to.at - from.at) / 1e9) / real.size() * 100);
             figures.put("real_straight_p99_ms", calm);
             figures.put("real_p99_ms", churned);
             figures.put("real_added_p99_ms", churned - calm);
-            figures.put("real_rss_most_mb",
-                real.stream().mapToDouble(p -> Host.status(p.pid(), "VmRSS")).max().orElse(Double.NaN) / MB);
-            figures.put("real_hwm_most_mb",
-                real.stream().mapToDouble(p -> Host.status(p.pid(), "VmHWM")).max().orElse(Double.NaN) / MB);
+            figures.put(
+                    "real_rss_most_mb",
+                    real.stream()
+                                    .mapToDouble(p -> Host.status(p.pid(), "VmRSS"))
+                                    .max()
+                                    .orElse(Double.NaN)
+                            / MB);
+            figures.put(
+                    "real_hwm_most_mb",
+                    real.stream()
+                                    .mapToDouble(p -> Host.status(p.pid(), "VmHWM"))
+                                    .max()
+                                    .orElse(Double.NaN)
+                            / MB);
         }
     }
 
@@ -331,9 +379,10 @@
 
     // p99 in ms from the intended start, of what was served.
     private double load(List<InetSocketAddress> to, long micros) throws InterruptedException {
-        try (Load load = new Load(new Load.Plan(to, plan.fleet().loadPerSecond() * plan.fleet().real(), micros, 2,
-                1_000, plan.seed()), List.of(Site.LOOKUP))) {
-            load.run(() -> { });
+        try (Load load = new Load(
+                new Load.Plan(to, plan.fleet().loadPerSecond() * plan.fleet().real(), micros, 2, 1_000, plan.seed()),
+                List.of(Site.LOOKUP))) {
+            load.run(() -> {});
             long unserved = load.outcomes().stream().filter(o -> !o.served()).count();
             if (unserved > 0) {
                 missed.add(unserved + " of " + load.outcomes().size() + " requests to real balancers were not served");
@@ -353,8 +402,13 @@
         recovered("restart", discovery, before, all && listed, began, fleet.tally());
     }
 
-    private void recovered(String what, StandInDiscovery discovery, StandInDiscovery.Counts before, boolean all,
-            long began, Tally tally) {
+    private void recovered(
+            String what,
+            StandInDiscovery discovery,
+            StandInDiscovery.Counts before,
+            boolean all,
+            long began,
+            Tally tally) {
         StandInDiscovery.Counts c = discovery.counts().since(before);
         if (all) {
             figures.put(what + "_all_listed_ms", (System.nanoTime() - began) / MS);
@@ -368,8 +422,7 @@
         figures.put(what + "_failed_in_balancers_count", (double) tally.failed);
     }
 
-    private void outage(StandInDiscovery discovery, HollowFleet fleet, Machines machines)
-            throws InterruptedException {
+    private void outage(StandInDiscovery discovery, HollowFleet fleet, Machines machines) throws InterruptedException {
         FleetPlan.Outage o = plan.outage();
         fleet.begin();
         discovery.forgetPeak();
@@ -423,12 +476,15 @@
             events = churn.events(length);
             long began = System.nanoTime();
             for (Churn.Event e : events) {
-                clock.schedule(() -> {
-                    late = Math.max(late, (System.nanoTime() - began) / 1_000 - e.at());
-                    discovery.publish(churn.changes(e, System.currentTimeMillis()));
-                    entries += e.machines().size();
-                    done++;
-                }, Math.max(0, e.at() * 1_000 - (System.nanoTime() - began)), TimeUnit.NANOSECONDS);
+                clock.schedule(
+                        () -> {
+                            late = Math.max(late, (System.nanoTime() - began) / 1_000 - e.at());
+                            discovery.publish(churn.changes(e, System.currentTimeMillis()));
+                            entries += e.machines().size();
+                            done++;
+                        },
+                        Math.max(0, e.at() * 1_000 - (System.nanoTime() - began)),
+                        TimeUnit.NANOSECONDS);
             }
         }
 
--- a/lab/src/main/java/junctionhead/lab/fleet/HollowBalancer.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/HollowBalancer.java
@@ -24,8 +24,8 @@
  * once. It ends with its event loop, as a process does: its sockets close and nothing is said.
  */
 final class HollowBalancer implements Policy.Actions {
-    private static final long LIST_MS = 10_000;     // as the balancer: how long a start waits for a push
-    private static final long LATENCY_US = 2_000;   // of what is answered at once, as the module is told
+    private static final long LIST_MS = 10_000; // as the balancer: how long a start waits for a push
+    private static final long LATENCY_US = 2_000; // of what is answered at once, as the module is told
 
     private final EventLoop loop;
     private final FleetPlan.Fleet plan;
@@ -42,11 +42,18 @@
     private boolean handing;
     private long requests;
     private volatile long rev;
-    private volatile boolean listed;                // discovery has said something of its own
+    private volatile boolean listed; // discovery has said something of its own
 
     /** {@code known}: what it had before; an empty list of revision 0 for none. */
-    HollowBalancer(EventLoop loop, FleetPlan.Fleet plan, int rank, int many, InetSocketAddress discovery, long seed,
-            Targets known, Tally tally) {
+    HollowBalancer(
+            EventLoop loop,
+            FleetPlan.Fleet plan,
+            int rank,
+            int many,
+            InetSocketAddress discovery,
+            long seed,
+            Targets known,
+            Tally tally) {
         SettingsReader.Boot boot = Site.boot(plan, rank, many);
         this.loop = loop;
         this.plan = plan;
@@ -55,8 +62,8 @@
         this.known = known;
         this.policy = new Balance(boot.settings(), seed);
         Holding holding = new Holding(plan.upstreamsMost(), rank);
-        this.client = new DiscoveryClient(loop, discovery, boot, holding, known.rev(), this::now, this::heard,
-            this::complain);
+        this.client = new DiscoveryClient(
+                loop, discovery, boot, holding, known.rev(), this::now, this::heard, this::complain);
         this.membership = new Membership(holding, new TakenOut(), this::now, this::news);
         holding.onChange(h -> hand(now -> policy.share(Math.min(many, h.subset().parts()))));
         new PartialListRetry(loop, membership, client, seed);
@@ -166,10 +173,10 @@
     }
 
     @Override
-    public void cancel(String request, int attempt) { }
+    public void cancel(String request, int attempt) {}
 
     @Override
-    public void probe(String server) { }
+    public void probe(String server) {}
 
     @Override
     public void watch(boolean on) {
@@ -182,10 +189,10 @@
     }
 
     @Override
-    public void closeIdle(String server) { }
+    public void closeIdle(String server) {}
 
     @Override
-    public void tell(int peer, byte[] data) { }
+    public void tell(int peer, byte[] data) {}
 
     @Override
     public void wakeAfter(long delay) {
@@ -193,5 +200,5 @@
     }
 
     @Override
-    public void remark(String line) { }
+    public void remark(String line) {}
 }
--- a/lab/src/main/java/junctionhead/lab/fleet/HollowFleet.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/HollowFleet.java
@@ -53,9 +53,15 @@
         for (int i = 0; i < many; i++) {
             int rank = from + i;
             int loop = rank % loops.size();
-            fresh.add(new HollowBalancer(loops.get(loop), plan.fleet(), rank, all, discovery.address(),
-                new Streams(plan.seed()).seed("hollow", rank), i < known.size() ? known.get(i) : NOTHING,
-                tallies.get(loop)));
+            fresh.add(new HollowBalancer(
+                    loops.get(loop),
+                    plan.fleet(),
+                    rank,
+                    all,
+                    discovery.address(),
+                    new Streams(plan.seed()).seed("hollow", rank),
+                    i < known.size() ? known.get(i) : NOTHING,
+                    tallies.get(loop)));
         }
         balancers.addAll(fresh);
         for (int i = 0; i < many; i++) {
