--- a/lab/src/main/java/junctionhead/lab/fleet/Host.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/Host.java
@@ -24,27 +24,38 @@
     static final int PROCESSES = 200;
     /** What a balancer by the run line may use: its limit on the days that are scored. */
     static final long REAL_BYTES = 192L << 20;
+
     private static final double MB = 1 << 20;
-    private static final double OLD = 2.0 / 3;      // of a heap, that the collector leaves for what stays
+    private static final double OLD = 2.0 / 3; // of a heap, that the collector leaves for what stays
 
     /** This machine. */
     public static Host here() {
         OperatingSystemMXBean os = ManagementFactory.getPlatformMXBean(OperatingSystemMXBean.class);
-        long descriptors = os instanceof UnixOperatingSystemMXBean unix ? unix.getMaxFileDescriptorCount()
-            : Integer.MAX_VALUE;
-        return new Host(os.getTotalMemorySize(), Runtime.getRuntime().maxMemory(), PROCESSES, descriptors,
-            Runtime.getRuntime().availableProcessors());
+        long descriptors =
+                os instanceof UnixOperatingSystemMXBean unix ? unix.getMaxFileDescriptorCount() : Integer.MAX_VALUE;
+        return new Host(
+                os.getTotalMemorySize(),
+                Runtime.getRuntime().maxMemory(),
+                PROCESSES,
+                descriptors,
+                Runtime.getRuntime().availableProcessors());
     }
 
     /** What it lacks for that, with the figure that would be needed; none where it will do. */
     public List<String> lacks(Need need) {
         List<String> all = new ArrayList<>();
         if (need.bytes() > memory / 2) {
-            all.add(String.format(Locale.ROOT, "needs %.0f MB of memory, half of this machine's is %.0f MB",
-                need.bytes() / MB, memory / 2 / MB));
+            all.add(String.format(
+                    Locale.ROOT,
+                    "needs %.0f MB of memory, half of this machine's is %.0f MB",
+                    need.bytes() / MB,
+                    memory / 2 / MB));
         } else if (need.bytes() - need.processes() * REAL_BYTES > heap * OLD) {
-            all.add(String.format(Locale.ROOT, "needs -Xmx%.0fm, %.0fm may be used now (LAB_JAVA_OPTS)",
-                (need.bytes() - need.processes() * REAL_BYTES) / MB / OLD, heap / MB));
+            all.add(String.format(
+                    Locale.ROOT,
+                    "needs -Xmx%.0fm, %.0fm may be used now (LAB_JAVA_OPTS)",
+                    (need.bytes() - need.processes() * REAL_BYTES) / MB / OLD,
+                    heap / MB));
         }
         if (need.processes() > processes) {
             all.add("needs " + need.processes() + " processes, " + processes + " are allowed");
--- a/lab/src/main/java/junctionhead/lab/fleet/Machines.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/Machines.java
@@ -12,7 +12,7 @@
  */
 final class Machines {
     /** One entry of a list in discovery's form, without line end. */
-    record Change(String uid, boolean gone, byte[] json) { }
+    record Change(String uid, boolean gone, byte[] json) {}
 
     static final List<String> KINDS = List.of("m1", "m2");
 
@@ -68,9 +68,10 @@
     Change entry(int machine, String state, double hint, long bootMs) {
         String uid = uid(machine);
         String json = "{\"uid\":\"" + uid + "\",\"endpoint\":\"" + endpoint(machine) + "\",\"az\":\""
-            + zones.get(zoneOf(machine)) + "\",\"model\":\"" + model(machine) + "\",\"pod_group\":"
-            + machine / rackSize + ",\"state\":\"" + state + "\",\"capacity_hint\":" + hint + ",\"boot_ms\":" + bootMs
-            + "}";
+                + zones.get(zoneOf(machine)) + "\",\"model\":\"" + model(machine) + "\",\"pod_group\":"
+                + machine / rackSize + ",\"state\":\"" + state + "\",\"capacity_hint\":" + hint + ",\"boot_ms\":"
+                + bootMs
+                + "}";
         return new Change(uid, state.equals("terminated"), json.getBytes(StandardCharsets.US_ASCII));
     }
 
@@ -95,8 +96,23 @@
     Map<String, Object> known(long rev) {
         List<Map<String, Object>> targets = new ArrayList<>(many);
         for (int i = 0; i < many; i++) {
-            targets.add(Map.of("uid", uid(i), "endpoint", endpoint(i), "az", zones.get(zoneOf(i)), "model", model(i),
-                "pod_group", i / rackSize, "state", "in_service", "capacity_hint", 1.0, "boot_ms", 0));
+            targets.add(Map.of(
+                    "uid",
+                    uid(i),
+                    "endpoint",
+                    endpoint(i),
+                    "az",
+                    zones.get(zoneOf(i)),
+                    "model",
+                    model(i),
+                    "pod_group",
+                    i / rackSize,
+                    "state",
+                    "in_service",
+                    "capacity_hint",
+                    1.0,
+                    "boot_ms",
+                    0));
         }
         return Map.of("rev", rev, "all", true, "targets", targets);
     }
--- a/lab/src/main/java/junctionhead/lab/fleet/Need.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/Need.java
@@ -7,4 +7,4 @@
  * @param processes beside the laboratory's own
  * @param descriptors of the laboratory's process
  */
-public record Need(long bytes, int processes, int descriptors) { }
+public record Need(long bytes, int processes, int descriptors) {}
--- a/lab/src/main/java/junctionhead/lab/fleet/QuickUpstream.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/QuickUpstream.java
@@ -34,17 +34,22 @@
     private final List<InetSocketAddress> addresses = new ArrayList<>();
 
     QuickUpstream(int listeners) {
-        ServerBootstrap server = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, 1_024).childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel c) {
-                    c.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(BODY_MOST), new Answers());
-                }
-            });
+        ServerBootstrap server = new ServerBootstrap()
+                .group(group)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, 1_024)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel c) {
+                        c.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(BODY_MOST), new Answers());
+                    }
+                });
         for (int i = 0; i < listeners; i++) {
             addresses.add((InetSocketAddress) server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
-                .syncUninterruptibly().channel().localAddress());
+                    .syncUninterruptibly()
+                    .channel()
+                    .localAddress());
         }
     }
 
@@ -54,14 +59,18 @@
 
     /** The same as discovery writes them. */
     List<String> endpoints() {
-        return addresses.stream().map(a -> a.getAddress().getHostAddress() + ":" + a.getPort()).toList();
+        return addresses.stream()
+                .map(a -> a.getAddress().getHostAddress() + ":" + a.getPort())
+                .toList();
     }
 
     private static final class Answers extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-            DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
-                Unpooled.copiedBuffer("done", StandardCharsets.US_ASCII));
+            DefaultFullHttpResponse answer = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1,
+                    HttpResponseStatus.OK,
+                    Unpooled.copiedBuffer("done", StandardCharsets.US_ASCII));
             HttpUtil.setContentLength(answer, answer.content().readableBytes());
             context.writeAndFlush(answer);
         }
--- a/lab/src/main/java/junctionhead/lab/fleet/RealBalancers.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/RealBalancers.java
@@ -27,7 +27,7 @@
      * @param rssBytes the most that was seen of it meanwhile, every 20 ms
      * @param why what it said where it isn't ready
      */
-    record Start(BalancerProcess process, int exitCode, double millis, double rssBytes, String why) { }
+    record Start(BalancerProcess process, int exitCode, double millis, double rssBytes, String why) {}
 
     private final Path root;
     private final String run;
@@ -42,9 +42,11 @@
      */
     RealBalancers(Path root) throws IOException {
         this.root = root;
-        this.run = new TomlMapper().readTree(Files.readString(root.resolve("deploy/balancer.toml"))).get("run")
-            .asText();
-        Runtime.getRuntime().addShutdownHook(end);          // also on Ctrl-C: no process and no file stays
+        this.run = new TomlMapper()
+                .readTree(Files.readString(root.resolve("deploy/balancer.toml")))
+                .get("run")
+                .asText();
+        Runtime.getRuntime().addShutdownHook(end); // also on Ctrl-C: no process and no file stays
     }
 
     /** Starts one and waits until it is ready or has ended. */
@@ -58,28 +60,34 @@
         AtomicBoolean over = new AtomicBoolean();
         AtomicLong most = new AtomicLong();
         long began = System.nanoTime();
-        Thread sampler = new Thread(() -> {
-            while (!over.get()) {
-                if (pid.get() != 0 && System.nanoTime() - began > START_NS) {
-                    ProcessHandle.of(pid.get()).ifPresent(ProcessHandle::destroyForcibly);
-                }
-                double rss = pid.get() == 0 ? Double.NaN : Host.status(pid.get(), "VmRSS");
-                if (!Double.isNaN(rss)) {
-                    most.accumulateAndGet((long) rss, Math::max);
-                }
-                LockSupport.parkNanos(SAMPLE_NS);
-            }
-        }, "rss");
+        Thread sampler = new Thread(
+                () -> {
+                    while (!over.get()) {
+                        if (pid.get() != 0 && System.nanoTime() - began > START_NS) {
+                            ProcessHandle.of(pid.get()).ifPresent(ProcessHandle::destroyForcibly);
+                        }
+                        double rss = pid.get() == 0 ? Double.NaN : Host.status(pid.get(), "VmRSS");
+                        if (!Double.isNaN(rss)) {
+                            most.accumulateAndGet((long) rss, Math::max);
+                        }
+                        LockSupport.parkNanos(SAMPLE_NS);
+                    }
+                },
+                "rss");
         sampler.setDaemon(true);
         sampler.start();
         try {
             BalancerProcess process =
-                new BalancerProcess(List.of("bash", "-c", run), root, config, environment, pid::set);
+                    new BalancerProcess(List.of("bash", "-c", run), root, config, environment, pid::set);
             synchronized (this) {
                 processes.add(process);
             }
-            return new Start(process, -1, (System.nanoTime() - began) / 1e6,
-                Math.max(most.get(), Host.status(process.pid(), "VmHWM")), "");
+            return new Start(
+                    process,
+                    -1,
+                    (System.nanoTime() - began) / 1e6,
+                    Math.max(most.get(), Host.status(process.pid(), "VmHWM")),
+                    "");
         } catch (BalancerProcess.DidNotStart e) {
             return new Start(null, e.exitCode(), (System.nanoTime() - began) / 1e6, most.get(), e.getMessage());
         } finally {
@@ -104,7 +112,7 @@
         try {
             Runtime.getRuntime().removeShutdownHook(end);
         } catch (IllegalStateException already) {
-            Thread.currentThread().interrupt();             // it all ends
+            Thread.currentThread().interrupt(); // it all ends
         }
     }
 }
--- a/lab/src/main/java/junctionhead/lab/fleet/RealUpstreamsAxis.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/RealUpstreamsAxis.java
@@ -13,8 +13,8 @@
  */
 final class RealUpstreamsAxis implements Axis {
     private static final double MB = 1 << 20;
-    private static final int ENTRY_BYTES = 1_000;   // here: the list as objects, as text and as bytes
-    private static final int LAST = 300;            // characters of what it said
+    private static final int ENTRY_BYTES = 1_000; // here: the list as objects, as text and as bytes
+    private static final int LAST = 300; // characters of what it said
 
     private final Axes.Setup setup;
 
@@ -41,19 +41,23 @@
         try (QuickUpstream upstream = new QuickUpstream(FleetRun.LISTENERS);
                 RealBalancers real = new RealBalancers(setup.root())) {
             Machines machines = new Machines((int) size, fleet.zones(), fleet.rackSize(), upstream.endpoints());
-            try (StandInDiscovery discovery = new StandInDiscovery(machines.all(), setup.plan().discovery())) {
+            try (StandInDiscovery discovery =
+                    new StandInDiscovery(machines.all(), setup.plan().discovery())) {
                 figures.put("list_bytes", (double) discovery.listBytes());
-                RealBalancers.Start start = real.start(Site.config(fleet, 0, 1, discovery.address().getPort(),
-                    machines.known(discovery.rev())));
+                RealBalancers.Start start = real.start(
+                        Site.config(fleet, 0, 1, discovery.address().getPort(), machines.known(discovery.rev())));
                 figures.put("ready_yes", start.process() == null ? 0.0 : 1);
                 figures.put(start.process() == null ? "ended_ms" : "ready_ms", start.millis());
                 figures.put("start_rss_most_mb", start.rssBytes() / MB);
                 if (start.process() == null) {
                     figures.put("exit_code", (double) start.exitCode());
                     String said = start.why();
-                    missed.add(size + " upstreams known: " + (start.exitCode() < 0 ? "not ready after 30 s"
-                        : "ended with exit code " + start.exitCode()) + ": "
-                        + said.substring(Math.max(0, said.length() - LAST)));
+                    missed.add(size + " upstreams known: "
+                            + (start.exitCode() < 0
+                                    ? "not ready after 30 s"
+                                    : "ended with exit code " + start.exitCode())
+                            + ": "
+                            + said.substring(Math.max(0, said.length() - LAST)));
                 } else {
                     long pid = start.process().pid();
                     figures.put("start_cpu_s", Host.cpu(pid));
--- a/lab/src/main/java/junctionhead/lab/fleet/Repeated.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/Repeated.java
@@ -11,7 +11,7 @@
     /** What was made last, so that nobody can leave out the making. */
     private static volatile Object kept;
 
-    private Repeated() { }
+    private Repeated() {}
 
     /** Milliseconds that {@code work} takes: the middle of five. */
     static double millis(Supplier<?> work) {
--- a/lab/src/main/java/junctionhead/lab/fleet/RoutesAxis.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/RoutesAxis.java
@@ -22,7 +22,7 @@
  */
 final class RoutesAxis implements Axis {
     private static final int PATHS = 1024;
-    private static final int EACH = 6_000;          // bytes here: file, table, front and what is made meanwhile
+    private static final int EACH = 6_000; // bytes here: file, table, front and what is made meanwhile
 
     private final Axes.Setup setup;
 
@@ -55,8 +55,8 @@
         Route.Request[] requests = new Route.Request[PATHS];
         for (int i = 0; i < PATHS; i++) {
             int r = (int) (i * 7919L % size);
-            requests[i] = new Route.Request("GET", PathTemplate.split(path(r).replace("{key}", "k" + i)), Map.of(),
-                null, "lookup");
+            requests[i] = new Route.Request(
+                    "GET", PathTemplate.split(path(r).replace("{key}", "k" + i)), Map.of(), null, "lookup");
         }
         int[] next = {0};
         figures.put("match_ns", Repeated.nanos(() -> table.find(requests[next[0] = next[0] + 1 & PATHS - 1])));
@@ -66,8 +66,13 @@
         try {
             write(file, size);
             figures.put("file_bytes", (double) Files.size(file));
-            RealStart.measure(setup, Map.of(), Map.of("ROUTER_OPERATOR_FILE", file.toString()),
-                size + " routes", figures, missed);
+            RealStart.measure(
+                    setup,
+                    Map.of(),
+                    Map.of("ROUTER_OPERATOR_FILE", file.toString()),
+                    size + " routes",
+                    figures,
+                    missed);
         } finally {
             Files.deleteIfExists(file);
         }
@@ -82,11 +87,17 @@
         ConcurrencyLimit.Plan limit = new ConcurrencyLimit.Plan(ConcurrencyLimit.Kind.FIXED, 100, 10, 1000);
         List<FrontPlan.RoutePlan> plans = new ArrayList<>();
         for (Route r : routes) {
-            plans.add(new FrontPlan.RoutePlan(r, List.of(new FrontPlan.Way("site", 1, List.of())), 1.2, 0.05, null,
-                null, 0));
+            plans.add(new FrontPlan.RoutePlan(
+                    r, List.of(new FrontPlan.Way("site", 1, List.of())), 1.2, 0.05, null, null, 0));
         }
-        return new FrontPlan(List.of(new FrontPlan.PoolPlan("site", limit, 10)), plans, "site",
-            FrontPlan.Quotas.none(), 1, 0.1, new FrontPlan.Advice(100_000, 1_500_000));
+        return new FrontPlan(
+                List.of(new FrontPlan.PoolPlan("site", limit, 10)),
+                plans,
+                "site",
+                FrontPlan.Quotas.none(),
+                1,
+                0.1,
+                new FrontPlan.Advice(100_000, 1_500_000));
     }
 
     private static void write(Path file, long size) throws IOException {
@@ -94,7 +105,7 @@
             out.write("[front]\nunmatched = \"site\"\n");
             for (int i = 0; i < size; i++) {
                 out.write("\n[[route]]\nname = \"r" + i + "\"\npath = \"" + path(i) + "\"\nmethods = [\"GET\"]\n"
-                    + "to = [{ pool = \"site\", weight = 1 }]\n");
+                        + "to = [{ pool = \"site\", weight = 1 }]\n");
             }
         }
     }
--- a/lab/src/main/java/junctionhead/lab/fleet/Site.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/Site.java
@@ -13,10 +13,20 @@
 /** The settings that hollow and real balancers of a scale run are given: the same for both but for the rank. */
 final class Site {
     /** The one class of requests that the load brings. */
-    static final WorldPlan.RequestKind LOOKUP = new WorldPlan.RequestKind("lookup", Range.of(1), Range.of(1_000),
-        WorldPlan.Spread.EXPONENTIAL, Range.of(0), Range.of(0), 200_000, 1_000_000, 1, 0, Policy.Effect.SAFE);
+    static final WorldPlan.RequestKind LOOKUP = new WorldPlan.RequestKind(
+            "lookup",
+            Range.of(1),
+            Range.of(1_000),
+            WorldPlan.Spread.EXPONENTIAL,
+            Range.of(0),
+            Range.of(0),
+            200_000,
+            1_000_000,
+            1,
+            0,
+            Policy.Effect.SAFE);
 
-    private Site() { }
+    private Site() {}
 
     /** Settings as the deployment writes them, for the balancer of that rank among so many. */
     static Map<String, Object> settings(FleetPlan.Fleet fleet, int rank, int many) {
@@ -28,12 +38,51 @@
         s.put("Areas", fleet.zones());
         s.put("Locality", rank % fleet.zones().size());
         s.put("Kinds", Machines.KINDS);
-        s.put("Classes", List.of(Map.of("Name", LOOKUP.name(), "Idempotency",
-            LOOKUP.effect().name().toLowerCase(Locale.ROOT), "GoalTime", LOOKUP.aim(), "GiveUp", LOOKUP.deadline())));
-        s.put("Limits", Map.of("TryLimit", 3, "MayDuplicate", false, "Cancel", true, "Probes", false, "DialTimeout",
-            100_000, "MaxRetryAfter", 1_500_000, "IdleClose", 60_000_000));
-        s.put("Rules", Map.of("AnswerSlack", 20_000, "DrainGrace", 1_500_000, "AskWithin", 10_000_000, "ColdFrom", 0.3,
-            "RampTime", 5_000_000, "OverloadFactor", 3.0, "Fall", 2_000_000));
+        s.put(
+                "Classes",
+                List.of(Map.of(
+                        "Name",
+                        LOOKUP.name(),
+                        "Idempotency",
+                        LOOKUP.effect().name().toLowerCase(Locale.ROOT),
+                        "GoalTime",
+                        LOOKUP.aim(),
+                        "GiveUp",
+                        LOOKUP.deadline())));
+        s.put(
+                "Limits",
+                Map.of(
+                        "TryLimit",
+                        3,
+                        "MayDuplicate",
+                        false,
+                        "Cancel",
+                        true,
+                        "Probes",
+                        false,
+                        "DialTimeout",
+                        100_000,
+                        "MaxRetryAfter",
+                        1_500_000,
+                        "IdleClose",
+                        60_000_000));
+        s.put(
+                "Rules",
+                Map.of(
+                        "AnswerSlack",
+                        20_000,
+                        "DrainGrace",
+                        1_500_000,
+                        "AskWithin",
+                        10_000_000,
+                        "ColdFrom",
+                        0.3,
+                        "RampTime",
+                        5_000_000,
+                        "OverloadFactor",
+                        3.0,
+                        "Fall",
+                        2_000_000));
         return s;
     }
 
@@ -45,8 +94,8 @@
     }
 
     /** A real balancer's configuration. */
-    static Map<String, Object> config(FleetPlan.Fleet fleet, int rank, int many, int discoveryPort,
-            Map<String, Object> known) {
+    static Map<String, Object> config(
+            FleetPlan.Fleet fleet, int rank, int many, int discoveryPort, Map<String, Object> known) {
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("name", "fleet-" + rank);
         all.put("listen", "127.0.0.1:0");
--- a/lab/src/main/java/junctionhead/lab/fleet/StandInDiscovery.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/StandInDiscovery.java
@@ -54,7 +54,7 @@
     private static final long BEAT_NS = 2_000_000_000L;
     private static final int BACKLOG = 4_096;
     private static final int BODY_MOST = 64 << 10;
-    private static final long SLOT_NS = 100_000_000L;   // of the calls that are counted by the second
+    private static final long SLOT_NS = 100_000_000L; // of the calls that are counted by the second
     private static final int SLOTS = 10;
 
     /**
@@ -73,14 +73,34 @@
      * @param longestMicros the longest of these
      * @param peakPerSecond the most calls that came in any one second (in steps of 100 ms), refused ones among them
      */
-    public record Counts(long calls, long watches, long refused, long silent, long wholes, long lines, long beats,
-            long bytesOut, long bytesIn, long waitedMicros, long longestMicros, long peakPerSecond) {
+    public record Counts(
+            long calls,
+            long watches,
+            long refused,
+            long silent,
+            long wholes,
+            long lines,
+            long beats,
+            long bytesOut,
+            long bytesIn,
+            long waitedMicros,
+            long longestMicros,
+            long peakPerSecond) {
         /** What has happened since then; the peak and the longest wait are the later ones. */
         Counts since(Counts before) {
-            return new Counts(calls - before.calls, watches - before.watches, refused - before.refused,
-                silent - before.silent, wholes - before.wholes, lines - before.lines, beats - before.beats,
-                bytesOut - before.bytesOut, bytesIn - before.bytesIn, waitedMicros - before.waitedMicros,
-                longestMicros, peakPerSecond);
+            return new Counts(
+                    calls - before.calls,
+                    watches - before.watches,
+                    refused - before.refused,
+                    silent - before.silent,
+                    wholes - before.wholes,
+                    lines - before.lines,
+                    beats - before.beats,
+                    bytesOut - before.bytesOut,
+                    bytesIn - before.bytesIn,
+                    waitedMicros - before.waitedMicros,
+                    longestMicros,
+                    peakPerSecond);
         }
 
         /** Lines, empty ones among them, and answers. */
@@ -89,15 +109,19 @@
         }
     }
 
-    private enum Mode { UP, DOWN, CUT_OFF }
+    private enum Mode {
+        UP,
+        DOWN,
+        CUT_OFF
+    }
 
-    private record Revision(long rev, List<Machines.Change> changes) { }
+    private record Revision(long rev, List<Machines.Change> changes) {}
 
-    private record Waiting(Channel channel, String uri, long at) { }
+    private record Waiting(Channel channel, String uri, long at) {}
 
     private static final class Watch {
         final Channel channel;
-        long sent;                                  // the last revision
+        long sent; // the last revision
         long wroteAt;
 
         Watch(Channel channel) {
@@ -111,15 +135,15 @@
     private final FleetPlan.Discovery plan;
     private final Map<String, Machines.Change> current = new LinkedHashMap<>();
     private final ArrayDeque<Revision> history = new ArrayDeque<>();
-    private final Map<Long, ByteBuf> since = new HashMap<>();       // of this revision, by the one that is known
+    private final Map<Long, ByteBuf> since = new HashMap<>(); // of this revision, by the one that is known
     private final Map<Long, Long> published = new ConcurrentHashMap<>();
     private final Set<Watch> watches = new LinkedHashSet<>();
     private final Set<Channel> channels = new LinkedHashSet<>();
-    private final Set<Channel> limbo = new LinkedHashSet<>();       // came while cut off: reset when it is back
+    private final Set<Channel> limbo = new LinkedHashSet<>(); // came while cut off: reset when it is back
     private final ArrayDeque<Waiting> queue = new ArrayDeque<>();
     private final Map<Long, Integer> slots = new HashMap<>();
     private final Channel listener;
-    private ByteBuf whole;                          // of this revision, if it was asked for
+    private ByteBuf whole; // of this revision, if it was asked for
     private Mode mode = Mode.UP;
     private boolean serving;
     private long callNanos;
@@ -149,14 +173,20 @@
         loop = group.next();
         try {
             thread = on(() -> Thread.currentThread().getId());
-            listener = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel c) {
-                        accepted(c);
-                    }
-                }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).syncUninterruptibly().channel();
+            listener = new ServerBootstrap()
+                    .group(group)
+                    .channel(NioServerSocketChannel.class)
+                    .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                    .childOption(ChannelOption.TCP_NODELAY, true)
+                    .childHandler(new ChannelInitializer<SocketChannel>() {
+                        @Override
+                        protected void initChannel(SocketChannel c) {
+                            accepted(c);
+                        }
+                    })
+                    .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                    .syncUninterruptibly()
+                    .channel();
         } catch (RuntimeException e) {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
             throw new IOException("the stand-in can't listen: " + e.getMessage(), e);
@@ -190,8 +220,8 @@
 
     /** What has happened so far. */
     public Counts counts() {
-        return on(() -> new Counts(calls, opened, refused, silent, wholes, lines, beats, bytesOut, bytesIn, waited,
-            longest, peak()));
+        return on(() -> new Counts(
+                calls, opened, refused, silent, wholes, lines, beats, bytesOut, bytesIn, waited, longest, peak()));
     }
 
     /** Counts the peak and the longest wait anew from here on. */
@@ -332,8 +362,9 @@
 
         @Override
         public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
-            bytesOut += message instanceof ByteBuf b ? b.readableBytes()
-                : message instanceof ByteBufHolder h ? h.content().readableBytes() : 0;
+            bytesOut += message instanceof ByteBuf b
+                    ? b.readableBytes()
+                    : message instanceof ByteBufHolder h ? h.content().readableBytes() : 0;
             context.write(message, promise);
         }
     }
@@ -367,7 +398,7 @@
             Waiting w = queue.poll();
             long wait = System.nanoTime() - w.at;
             if (!w.channel.isActive()) {
-                continue;                               // whoever asked has gone
+                continue; // whoever asked has gone
             }
             waited += wait / 1_000;
             longest = Math.max(longest, wait / 1_000);
@@ -379,14 +410,17 @@
             calls++;
             if (callNanos > 0) {
                 serving = true;
-                loop.schedule(() -> {
-                    if (mode == Mode.UP) {
-                        serve(w);
-                    } else if (mode == Mode.CUT_OFF) {
-                        limbo.add(w.channel);
-                    }
-                    next();
-                }, callNanos, TimeUnit.NANOSECONDS);
+                loop.schedule(
+                        () -> {
+                            if (mode == Mode.UP) {
+                                serve(w);
+                            } else if (mode == Mode.CUT_OFF) {
+                                limbo.add(w.channel);
+                            }
+                            next();
+                        },
+                        callNanos,
+                        TimeUnit.NANOSECONDS);
             } else {
                 serve(w);
             }
--- a/lab/src/main/java/junctionhead/lab/fleet/Tally.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/Tally.java
@@ -9,14 +9,14 @@
     final Histogram inForce = new Histogram(LONGEST_US, 3);
     private final StandInDiscovery discovery;
     private long windowFrom = Long.MAX_VALUE;
-    long lists;                                     // whole ones handed to modules
-    long changes;                                   // lists of changes
-    long entries;                                   // in all of them
-    long failed;                                    // calls and watches
-    long unread;                                    // lists that the client could not read
-    long decided;                                   // requests that a module sent somewhere
-    long refused;                                   // and that it refused or failed
-    String complaint;                               // the last that a client had
+    long lists; // whole ones handed to modules
+    long changes; // lists of changes
+    long entries; // in all of them
+    long failed; // calls and watches
+    long unread; // lists that the client could not read
+    long decided; // requests that a module sent somewhere
+    long refused; // and that it refused or failed
+    String complaint; // the last that a client had
 
     Tally(StandInDiscovery discovery) {
         this.discovery = discovery;
--- a/lab/src/main/java/junctionhead/lab/fleet/TenantsAxis.java
+++ b/lab/src/main/java/junctionhead/lab/fleet/TenantsAxis.java
@@ -18,9 +18,9 @@
  * whether a balancer by the {@code run} line starts with them.
  */
 final class TenantsAxis implements Axis {
-    private static final int EACH = 3_000;          // bytes here: settings as objects, text and values, the books
+    private static final int EACH = 3_000; // bytes here: settings as objects, text and values, the books
     private static final int NAMES = 1024;
-    private static final long STEP = 200_000;       // µs between wakes: each looks at all there is
+    private static final long STEP = 200_000; // µs between wakes: each looks at all there is
 
     private final Axes.Setup setup;
 
@@ -43,8 +43,11 @@
         Map<String, Double> figures = new TreeMap<>();
         List<String> missed = new ArrayList<>();
         figures.put(FleetRun.LOAD, Host.load());
-        Map<String, Object> realms = Map.of("Realms", IntStream.range(0, (int) size).mapToObj(i ->
-            Map.of("Name", "tenant-" + i, "AllowancePerS", 2.0)).toList());
+        Map<String, Object> realms = Map.of(
+                "Realms",
+                IntStream.range(0, (int) size)
+                        .mapToObj(i -> Map.of("Name", "tenant-" + i, "AllowancePerS", 2.0))
+                        .toList());
         Map<String, Object> all = new HashMap<>(Site.settings(setup.plan().fleet(), 0, 1));
         all.putAll(realms);
         figures.put("settings_heap_per_tenant_bytes", Repeated.retained(() -> boot(all)) / size);
@@ -53,15 +56,19 @@
         figures.put("module_heap_per_tenant_bytes", Repeated.retained(() -> new Balance(settings, 1)) / size);
         Balance module = new Balance(settings, 1);
         Quiet out = new Quiet();
-        module.servers(1, Policy.ListKind.PERSISTED,
-            List.of(new Policy.Server("a", Policy.State.UP, 0, 1, 0, 0, 0)), out);
+        module.servers(
+                1, Policy.ListKind.PERSISTED, List.of(new Policy.Server("a", Policy.State.UP, 0, 1, 0, 0, 0)), out);
         long[] now = {1};
-        figures.put("module_wake_us", Repeated.millis(() -> {
-            for (int i = 0; i < 100; i++) {
-                module.wake(now[0] += STEP, out);
-            }
-            return module;
-        }) * 1e3 / 100);
+        figures.put(
+                "module_wake_us",
+                Repeated.millis(() -> {
+                            for (int i = 0; i < 100; i++) {
+                                module.wake(now[0] += STEP, out);
+                            }
+                            return module;
+                        })
+                        * 1e3
+                        / 100);
         int[] same = IntStream.range(0, (int) size).toArray();
         figures.put("module_reconfigure_ms", Repeated.millis(() -> {
             module.reconfigure(now[0], settings, new int[] {0}, same);
@@ -70,10 +77,11 @@
         TokenTree.Rate rate = new TokenTree.Rate(1e9, 1e6, 1e9);
         figures.put("quotas_heap_per_tenant_bytes", Repeated.retained(() -> quotas(size, rate)) / size);
         TokenTree tree = quotas(size, rate);
-        String[] names = IntStream.range(0, NAMES).mapToObj(i -> "t" + i * 7919L % size).toArray(String[]::new);
+        String[] names =
+                IntStream.range(0, NAMES).mapToObj(i -> "t" + i * 7919L % size).toArray(String[]::new);
         int[] next = {0};
-        figures.put("quota_take_ns",
-            Repeated.nanos(() -> tree.take(now[0]++, names[next[0] = next[0] + 1 & NAMES - 1])));
+        figures.put(
+                "quota_take_ns", Repeated.nanos(() -> tree.take(now[0]++, names[next[0] = next[0] + 1 & NAMES - 1])));
         RealStart.measure(setup, realms, Map.of(), size + " tenants", figures, missed);
         return new ScalePoint(name(), size, figures, missed);
     }
--- a/lab/src/main/java/junctionhead/lab/hunt/ExperimentWriter.java
+++ b/lab/src/main/java/junctionhead/lab/hunt/ExperimentWriter.java
@@ -9,7 +9,7 @@
 public final class ExperimentWriter {
     private final StringBuilder out = new StringBuilder();
 
-    private ExperimentWriter() { }
+    private ExperimentWriter() {}
 
     /** The text of the file. */
     public static String write(Hunt.Find find) {
@@ -28,8 +28,9 @@
         time("length", p.length());
         number("balancers", p.balancers());
         number("upstreams", p.upstreams());
-        out.append("zones = [").append(p.zones().stream().map(z -> '"' + z + '"').collect(Collectors.joining(", ")))
-            .append("]\n");
+        out.append("zones = [")
+                .append(p.zones().stream().map(z -> '"' + z + '"').collect(Collectors.joining(", ")))
+                .append("]\n");
         head("load");
         number("level", p.load().level());
         text("shape", p.load().shape().name().toLowerCase(Locale.ROOT));
@@ -169,7 +170,10 @@
     }
 
     private void text(String key, String value) {
-        out.append(key).append(" = \"").append(value.replace("\\", "\\\\").replace("\"", "\\\"")).append("\"\n");
+        out.append(key)
+                .append(" = \"")
+                .append(value.replace("\\", "\\\\").replace("\"", "\\\""))
+                .append("\"\n");
     }
 
     private void flag(String key, boolean value) {
@@ -177,8 +181,10 @@
     }
 
     private void number(String key, Range r) {
-        out.append(key).append(" = ").append(r.from() == r.to() ? plain(r.from())
-            : "[" + plain(r.from()) + ", " + plain(r.to()) + "]").append('\n');
+        out.append(key)
+                .append(" = ")
+                .append(r.from() == r.to() ? plain(r.from()) : "[" + plain(r.from()) + ", " + plain(r.to()) + "]")
+                .append('\n');
     }
 
     private void time(String key, long value) {
@@ -186,12 +192,18 @@
     }
 
     private void time(String key, Range r) {
-        out.append(key).append(" = ").append(r.from() == r.to() ? '"' + plain(r.from()) + "us\""
-            : "[\"" + plain(r.from()) + "us\", \"" + plain(r.to()) + "us\"]").append('\n');
+        out.append(key)
+                .append(" = ")
+                .append(
+                        r.from() == r.to()
+                                ? '"' + plain(r.from()) + "us\""
+                                : "[\"" + plain(r.from()) + "us\", \"" + plain(r.to()) + "us\"]")
+                .append('\n');
     }
 
     private static String plain(double v) {
-        return v == Math.rint(v) && Math.abs(v) < 1e15 ? Long.toString((long) v)
-            : new java.math.BigDecimal(Double.toString(v)).toPlainString();
+        return v == Math.rint(v) && Math.abs(v) < 1e15
+                ? Long.toString((long) v)
+                : new java.math.BigDecimal(Double.toString(v)).toPlainString();
     }
 }
--- a/lab/src/main/java/junctionhead/lab/hunt/Hunt.java
+++ b/lab/src/main/java/junctionhead/lab/hunt/Hunt.java
@@ -26,13 +26,13 @@
 public final class Hunt {
     private static final long SECOND = 1_000_000;
     private static final int TROUBLES = 5;
-    private static final long CALM = 12 * SECOND;           // after the last trouble, to recover in
-    private static final int LAST = 4;                      // s at the end that show a collapse
-    private static final double COLLAPSED = 0.5;            // of the worth before the first trouble, or without any
+    private static final long CALM = 12 * SECOND; // after the last trouble, to recover in
+    private static final int LAST = 4; // s at the end that show a collapse
+    private static final double COLLAPSED = 0.5; // of the worth before the first trouble, or without any
     private static final int MOST_RUNS = 60;
 
     /** A world that shows something; {@code runs}: days played to make it as small as it is. */
-    public record Find(long seed, WorldPlan plan, Variant variant, String what, int runs) { }
+    public record Find(long seed, WorldPlan plan, Variant variant, String what, int runs) {}
 
     private final Experiment experiment;
     private final Streams streams;
@@ -90,9 +90,13 @@
             String kind = kinds.get(draws.below(kinds.size()));
             double at = draws.between(3 * SECOND, (length - CALM) / 2.0);
             double last = Math.min(draws.between(SECOND, 12 * SECOND), length - CALM - at);
-            troubles.add(new Trouble(kind, Range.of(Math.rint(at)), Range.of(Math.rint(Math.max(SECOND, last))),
-                Range.of(round(part(kind, draws.uniform()))), Range.of(round(size(kind, draws.uniform()))),
-                Range.of(round(extra(kind, draws.uniform())))));
+            troubles.add(new Trouble(
+                    kind,
+                    Range.of(Math.rint(at)),
+                    Range.of(Math.rint(Math.max(SECOND, last))),
+                    Range.of(round(part(kind, draws.uniform()))),
+                    Range.of(round(size(kind, draws.uniform()))),
+                    Range.of(round(extra(kind, draws.uniform())))));
         }
         return experiment.plan().lasting(length).with(troubles);
     }
@@ -198,7 +202,10 @@
         if (plan.upstreams().most() >= 4) {
             all.add(plan.sized(plan.balancers(), half(plan.upstreams(), 2)));
         }
-        double end = plan.troubles().stream().mapToDouble(t -> t.at().most() + t.length().most()).max().orElse(0);
+        double end = plan.troubles().stream()
+                .mapToDouble(t -> t.at().most() + t.length().most())
+                .max()
+                .orElse(0);
         if (plan.length() > end + CALM + SECOND) {
             all.add(plan.lasting(Math.round((end + CALM) / SECOND) * SECOND));
         }
@@ -206,8 +213,16 @@
             Trouble t = plan.troubles().get(i);
             if (t.length().most() >= 2 * SECOND) {
                 List<Trouble> shorter = new ArrayList<>(plan.troubles());
-                shorter.set(i, new Trouble(t.kind(), t.at(), Range.of(Math.rint(t.length().most() / 2)), t.part(),
-                    t.size(), t.extra(), t.of()));
+                shorter.set(
+                        i,
+                        new Trouble(
+                                t.kind(),
+                                t.at(),
+                                Range.of(Math.rint(t.length().most() / 2)),
+                                t.part(),
+                                t.size(),
+                                t.extra(),
+                                t.of()));
                 all.add(plan.with(shorter));
             }
         }
--- a/lab/src/main/java/junctionhead/lab/judge/Broken.java
+++ b/lab/src/main/java/junctionhead/lab/judge/Broken.java
@@ -5,5 +5,13 @@
 /** A broken rule: which, when (µs of the day), whose request, and the chain of events that led there. */
 public record Broken(Rule rule, long at, String subject, String what, List<String> chain) {
     /** The rules that every balancer keeps. */
-    public enum Rule { LOST, ANSWERED_TWICE, DUPLICATE, TWO_AT_ONCE, DRAIN, COLD, MALFORMED }
+    public enum Rule {
+        LOST,
+        ANSWERED_TWICE,
+        DUPLICATE,
+        TWO_AT_ONCE,
+        DRAIN,
+        COLD,
+        MALFORMED
+    }
 }
--- a/lab/src/main/java/junctionhead/lab/judge/Day.java
+++ b/lab/src/main/java/junctionhead/lab/judge/Day.java
@@ -7,8 +7,13 @@
 import junctionhead.lab.world.WorldPlan;
 
 /** One day of one world under one policy, and what it came to. */
-public record Day(long seed, Map<String, Double> figures, List<Broken> broken, Score.Series series,
-        List<String> remarks, double seconds) {
+public record Day(
+        long seed,
+        Map<String, Double> figures,
+        List<Broken> broken,
+        Score.Series series,
+        List<String> remarks,
+        double seconds) {
 
     /** Draws the world of {@code seed} and plays its day. */
     public static Day play(WorldPlan plan, long seed, PolicyMaker maker) {
@@ -19,7 +24,12 @@
         world.everySecond(() -> score.sample(world.held()));
         World.Costs costs = world.run();
         Map<String, Double> figures = score.figures(costs, judge.count(), world.spells());
-        return new Day(seed, figures, List.copyOf(judge.broken()), score.series(world),
-            List.copyOf(world.remarks()), (System.nanoTime() - began) / 1e9);
+        return new Day(
+                seed,
+                figures,
+                List.copyOf(judge.broken()),
+                score.series(world),
+                List.copyOf(world.remarks()),
+                (System.nanoTime() - began) / 1e9);
     }
 }
--- a/lab/src/main/java/junctionhead/lab/judge/Judge.java
+++ b/lab/src/main/java/junctionhead/lab/judge/Judge.java
@@ -77,7 +77,12 @@
     @Override
     public void sending(Attempt a, long now) {
         Taken t = a.taken();
-        score.sent(a.target(), t.attempts().size(), t.client().key(), plan.kinds().get(a.kind()).pool(), now);
+        score.sent(
+                a.target(),
+                t.attempts().size(),
+                t.client().key(),
+                plan.kinds().get(a.kind()).pool(),
+                now);
         if (t.answered()) {
             breach(Rule.MALFORMED, now, t.id(), "sent after its final answer", t);
         }
@@ -96,8 +101,13 @@
             score.sentWhileDraining(now - since);
         }
         if (since != Long.MAX_VALUE && now - since > plan.rules().drainGrace()) {
-            breach(Rule.DRAIN, now, t.id(), "sent to " + a.target() + " " + (now - since) / 1000
-                + " ms after balancer " + t.at().rank() + " was told that it drains or is gone", t);
+            breach(
+                    Rule.DRAIN,
+                    now,
+                    t.id(),
+                    "sent to " + a.target() + " " + (now - since) / 1000 + " ms after balancer " + t.at().rank()
+                            + " was told that it drains or is gone",
+                    t);
         }
     }
 
@@ -167,9 +177,15 @@
     public void fell(Upstream u, double toldPart, long now) {
         score.fell();
         if (toldPart >= TOLD_PART) {
-            breach(Rule.COLD, now, u.id(), String.format(Locale.ROOT,
-                "fell over while cold; %.0f%% of the work came from balancers that knew of its start",
-                100 * toldPart), null);
+            breach(
+                    Rule.COLD,
+                    now,
+                    u.id(),
+                    String.format(
+                            Locale.ROOT,
+                            "fell over while cold; %.0f%% of the work came from balancers that knew of its start",
+                            100 * toldPart),
+                    null);
         }
     }
 
--- a/lab/src/main/java/junctionhead/lab/judge/Score.java
+++ b/lab/src/main/java/junctionhead/lab/judge/Score.java
@@ -20,7 +20,7 @@
     private static final long SECOND = 1_000_000;
     private static final int WINDOW = 10;
     private static final double OVER_SHARE = 0.1;
-    private static final double BACK = 0.95;                // of the level before: a service has recovered
+    private static final double BACK = 0.95; // of the level before: a service has recovered
     private static final long LONGEST = 60 * SECOND;
 
     private final WorldPlan plan;
@@ -47,8 +47,8 @@
     private long fallen;
     private long lists;
     private long flaps;
-    private final Map<Integer, List<String>> pools = new java.util.HashMap<>();     // that each key has been at
-    private final double[] done;                            // work of what was served, by the second of its end
+    private final Map<Integer, List<String>> pools = new java.util.HashMap<>(); // that each key has been at
+    private final double[] done; // work of what was served, by the second of its end
     private final List<int[]> held = new ArrayList<>();
     private final Map<String, Long> sentTo = new java.util.TreeMap<>();
 
@@ -56,9 +56,16 @@
      * What a day came to, second by second; {@code held}: requests in each upstream, -1 where it is gone.
      * {@code sentTo}: attempts by the id they were sent to.
      */
-    public record Series(double[] worth, long[] arrivals, long[] refusals, long[] attempts, List<int[]> held,
-            List<String> upstreams, Map<String, Long> sentTo, List<Timeline.Spell> spells,
-            List<double[]> percentiles) { }
+    public record Series(
+            double[] worth,
+            long[] arrivals,
+            long[] refusals,
+            long[] attempts,
+            List<int[]> held,
+            List<String> upstreams,
+            Map<String, Long> sentTo,
+            List<Timeline.Spell> spells,
+            List<double[]> percentiles) {}
 
     public Score(WorldPlan plan) {
         this.plan = plan;
@@ -79,8 +86,9 @@
 
     /** Names of the figures that a day in such a world comes to. */
     public static List<String> names(WorldPlan plan) {
-        return new ArrayList<>(new Score(plan).figures(new World.Costs(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1), 0,
-            List.of()).keySet());
+        return new ArrayList<>(new Score(plan)
+                .figures(new World.Costs(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1), 0, List.of())
+                .keySet());
     }
 
     private int second(long now) {
@@ -204,11 +212,18 @@
         WorldPlan.Goal g = plan.goal();
         WorldPlan.Prices p = plan.prices();
         double first = Math.max(1, firstTries);
-        double price = p.crossZone() * costs.crossings() / first + p.handshake() * costs.handshakes() / first
-            + p.probe() * costs.probes() / first + p.waste() * ratio0(costs.wastedWork(), costs.offeredWork())
-            + p.lateFail() * ratio0(lateLost, allAsked);
-        f.put("G", g.whole() * whole + g.worstWindow() * window + g.worstClass() * worstClass
-            + g.worstTenant() * worstTenant - price);
+        double price = p.crossZone() * costs.crossings() / first
+                + p.handshake() * costs.handshakes() / first
+                + p.probe() * costs.probes() / first
+                + p.waste() * ratio0(costs.wastedWork(), costs.offeredWork())
+                + p.lateFail() * ratio0(lateLost, allAsked);
+        f.put(
+                "G",
+                g.whole() * whole
+                        + g.worstWindow() * window
+                        + g.worstClass() * worstClass
+                        + g.worstTenant() * worstTenant
+                        - price);
         f.put("rules.broken", (double) brokenRules);
         f.put("whole", whole);
         f.put("worst_window", window);
@@ -221,8 +236,9 @@
         f.put("attempts", sends / Math.max(1.0, taken));
         f.put("further_attempts", further / Math.max(1.0, taken));
         for (Policy.Outcome o : Policy.Outcome.values()) {
-            f.put("attempts." + o.name().toLowerCase(java.util.Locale.ROOT),
-                outcomes.getOrDefault(o, 0L) / Math.max(1.0, sends));
+            f.put(
+                    "attempts." + o.name().toLowerCase(java.util.Locale.ROOT),
+                    outcomes.getOrDefault(o, 0L) / Math.max(1.0, sends));
         }
         for (int i = 0; i < latencies.length; i++) {
             String name = plan.classes().get(i).name();
--- a/lab/src/main/java/junctionhead/lab/policies/Chooser.java
+++ b/lab/src/main/java/junctionhead/lab/policies/Chooser.java
@@ -8,8 +8,8 @@
     int choose(ServerView view, Draws draws);
 
     /** A job went to that server. */
-    default void dispatched(int server) { }
+    default void dispatched(int server) {}
 
     /** The servers are other ones from here on: {@code former[i]} was the number of server i, or -1. */
-    default void renumber(int[] former) { }
+    default void renumber(int[] former) {}
 }
--- a/lab/src/main/java/junctionhead/lab/policies/Choosers.java
+++ b/lab/src/main/java/junctionhead/lab/policies/Choosers.java
@@ -8,7 +8,7 @@
 public final class Choosers {
     /** Names that {@link #named} takes, with d the servers sampled and a those of the accomplished set. */
     public static final List<String> NAMES =
-        List.of("random", "round-robin", "jsq", "jsq-d", "sed-d", "sed", "jsq-dfds", "jsq-das");
+            List.of("random", "round-robin", "jsq", "jsq-d", "sed-d", "sed", "jsq-dfds", "jsq-das");
 
     /** Figures of a sampling policy; {@code fastShare} is the paper's p. */
     public record Figures(int d, int a, double fastShare) {
@@ -19,7 +19,7 @@
         }
     }
 
-    private Choosers() { }
+    private Choosers() {}
 
     /**
      * Makes a policy.
@@ -36,8 +36,8 @@
             case "sed-d" -> new Sampling(figures.d, true);
             case "jsq-dfds" -> new FastFirst(figures.a, figures.d - figures.a);
             case "jsq-das" -> new Accomplishment(figures);
-            default -> throw new IllegalArgumentException("no policy '" + name + "'; there are "
-                + String.join(", ", NAMES));
+            default -> throw new IllegalArgumentException(
+                    "no policy '" + name + "'; there are " + String.join(", ", NAMES));
         };
     }
 
--- a/lab/src/main/java/junctionhead/lab/policies/Quiet.java
+++ b/lab/src/main/java/junctionhead/lab/policies/Quiet.java
@@ -5,35 +5,35 @@
 /** Takes what a module asks for and does nothing: callers override what they care for. */
 public class Quiet implements Policy.Actions {
     @Override
-    public void send(String request, String server, long timeout) { }
+    public void send(String request, String server, long timeout) {}
 
     @Override
-    public void refuse(String request, long retryAfter) { }
+    public void refuse(String request, long retryAfter) {}
 
     @Override
-    public void fail(String request) { }
+    public void fail(String request) {}
 
     @Override
-    public void cancel(String request, int attempt) { }
+    public void cancel(String request, int attempt) {}
 
     @Override
-    public void probe(String server) { }
+    public void probe(String server) {}
 
     @Override
-    public void watch(boolean on) { }
+    public void watch(boolean on) {}
 
     @Override
-    public void fetchList() { }
+    public void fetchList() {}
 
     @Override
-    public void closeIdle(String server) { }
+    public void closeIdle(String server) {}
 
     @Override
-    public void tell(int peer, byte[] data) { }
+    public void tell(int peer, byte[] data) {}
 
     @Override
-    public void wakeAfter(long delay) { }
+    public void wakeAfter(long delay) {}
 
     @Override
-    public void remark(String line) { }
+    public void remark(String line) {}
 }
--- a/lab/src/main/java/junctionhead/lab/policies/Ranking.java
+++ b/lab/src/main/java/junctionhead/lab/policies/Ranking.java
@@ -9,7 +9,7 @@
  */
 final class Ranking {
     private long[] counts = {};
-    private int[] ranked = {};                              // servers, most accomplished first
+    private int[] ranked = {}; // servers, most accomplished first
     private int[] rank = {};
     private final java.util.HashMap<Long, Integer> firsts = new java.util.HashMap<>(); // by count
 
@@ -19,9 +19,11 @@
             next[i] = former[i] >= 0 && former[i] < counts.length ? counts[former[i]] : 0;
         }
         counts = next;
-        ranked = IntStream.range(0, next.length).boxed()
-            .sorted((a, b) -> counts[a] != counts[b] ? Long.compare(counts[b], counts[a])
-                : Integer.compare(a, b)).mapToInt(Integer::intValue).toArray();
+        ranked = IntStream.range(0, next.length)
+                .boxed()
+                .sorted((a, b) -> counts[a] != counts[b] ? Long.compare(counts[b], counts[a]) : Integer.compare(a, b))
+                .mapToInt(Integer::intValue)
+                .toArray();
         rank = new int[next.length];
         firsts.clear();
         for (int i = 0; i < ranked.length; i++) {
--- a/lab/src/main/java/junctionhead/lab/queue/QueueModel.java
+++ b/lab/src/main/java/junctionhead/lab/queue/QueueModel.java
@@ -24,15 +24,26 @@
 public final class QueueModel {
     /** Simulated microseconds in a unit of time. */
     public static final long UNIT = 100_000;
+
     private static final int BATCHES = 30;
-    private static final long FAR = 1_000_000_000_000L;     // a deadline that is never met
+    private static final long FAR = 1_000_000_000_000L; // a deadline that is never met
 
     /**
      * What to run. {@code lambda} is the arrival rate per server and unit of time; {@code cores} jobs are served
      * at once by a server, each at its rate.
      */
-    public record Setting(String policy, int servers, int cores, double lambda, double fastShare, double fastRate,
-            double slowRate, int d, int a, long jobs, long seed) {
+    public record Setting(
+            String policy,
+            int servers,
+            int cores,
+            double lambda,
+            double fastShare,
+            double fastRate,
+            double slowRate,
+            int d,
+            int a,
+            long jobs,
+            long seed) {
         public Setting {
             require(servers > 0, "servers", servers);
             require(cores > 0, "cores", cores);
@@ -56,8 +67,15 @@
      * What came of it. Response times are in units of time; {@code warmUp} jobs at the start don't count.
      * {@code fastIdentified} is the share of the fast servers in the accomplished set, by jobs sent, at the end.
      */
-    public record Result(Setting setting, double meanResponse, double ci95, double fastIdentified, long warmUp,
-            long refused, long events, double seconds) { }
+    public record Result(
+            Setting setting,
+            double meanResponse,
+            double ci95,
+            double fastIdentified,
+            long warmUp,
+            long refused,
+            long events,
+            double seconds) {}
 
     private final Setting setting;
     private final Simulation simulation = new Simulation();
@@ -78,13 +96,15 @@
         services = streams.of("servers", 0, "service");
         choices = streams.of("dispatcher", 0, "choice");
         int fast = (int) Math.round(setting.fastShare * setting.servers);
-        servers = IntStream.range(0, setting.servers).mapToObj(i -> new Server(i, i < fast))
-            .toArray(Server[]::new);
+        servers = IntStream.range(0, setting.servers)
+                .mapToObj(i -> new Server(i, i < fast))
+                .toArray(Server[]::new);
         warmUp = setting.jobs / 5;
         responses = new BatchMeans((setting.jobs - warmUp) / BATCHES);
-        dispatcher = setting.policy.equals("balance") ? new ByModule(streams.seed("dispatcher", 0))
-            : new ByChooser(Choosers.named(setting.policy,
-                new Choosers.Figures(setting.d, setting.a, setting.fastShare)));
+        dispatcher = setting.policy.equals("balance")
+                ? new ByModule(streams.seed("dispatcher", 0))
+                : new ByChooser(
+                        Choosers.named(setting.policy, new Choosers.Figures(setting.d, setting.a, setting.fastShare)));
     }
 
     /** Plays {@code setting} to its end. */
@@ -96,8 +116,15 @@
         while (model.arrived < setting.jobs || model.busy()) {
             model.simulation.step();
         }
-        return new Result(setting, model.responses.mean(), model.responses.halfWidth(), model.fastIdentified(),
-            model.warmUp, model.refused, model.simulation.fired(), (System.nanoTime() - began) / 1e9);
+        return new Result(
+                setting,
+                model.responses.mean(),
+                model.responses.halfWidth(),
+                model.fastIdentified(),
+                model.warmUp,
+                model.refused,
+                model.simulation.fired(),
+                (System.nanoTime() - began) / 1e9);
     }
 
     private boolean busy() {
@@ -113,16 +140,21 @@
         }
     }
 
-    private double exactTime;                               // gaps of some 100 µs must not all be rounded down
+    private double exactTime; // gaps of some 100 µs must not all be rounded down
 
     private double fastIdentified() {
-        int fast = (int) IntStream.range(0, servers.length).filter(i -> servers[i].fast).count();
+        int fast = (int)
+                IntStream.range(0, servers.length).filter(i -> servers[i].fast).count();
         if (fast == 0 || fast == servers.length) {
             return Double.NaN;
         }
-        return IntStream.range(0, servers.length).boxed()
-            .sorted((x, y) -> Long.compare(servers[y].sent, servers[x].sent)).limit(fast)
-            .filter(i -> servers[i].fast).count() / (double) fast;
+        return IntStream.range(0, servers.length)
+                        .boxed()
+                        .sorted((x, y) -> Long.compare(servers[y].sent, servers[x].sent))
+                        .limit(fast)
+                        .filter(i -> servers[i].fast)
+                        .count()
+                / (double) fast;
     }
 
     /** One server: jobs wait in a ring buffer of their arrival times. */
@@ -195,11 +227,11 @@
     }
 
     private interface Dispatcher {
-        default void begin() { }
+        default void begin() {}
 
         void dispatch(long job, long now);
 
-        default void ended(long job, Server server, long latency, long now) { }
+        default void ended(long job, Server server, long latency, long now) {}
     }
 
     private final class ByChooser implements Dispatcher, ServerView {
@@ -242,18 +274,37 @@
         private final Policy policy;
 
         ByModule(long seed) {
-            Policy.RequestClass only = new Policy.RequestClass(Policy.Effect.SAFE, Policy.Scope.ALL, 0, FAR / 2, FAR,
-                0, 1, 1, false);
-            policy = new Balance(new Policy.Settings(1, 0, 0, List.of(only), List.of(), 1,
-                new Policy.Goal(1, 0, 0, 0), new Policy.Prices(0, 0), false, Policy.Discovery.PUSH,
-                Policy.Reports.NONE, false, new Policy.Limits(1, false, false, false, UNIT, 0),
-                new Policy.Bounds(UNIT, UNIT, 0, 1, 0, 3, UNIT, 0), UNIT / 10), seed);
+            Policy.RequestClass only =
+                    new Policy.RequestClass(Policy.Effect.SAFE, Policy.Scope.ALL, 0, FAR / 2, FAR, 0, 1, 1, false);
+            policy = new Balance(
+                    new Policy.Settings(
+                            1,
+                            0,
+                            0,
+                            List.of(only),
+                            List.of(),
+                            1,
+                            new Policy.Goal(1, 0, 0, 0),
+                            new Policy.Prices(0, 0),
+                            false,
+                            Policy.Discovery.PUSH,
+                            Policy.Reports.NONE,
+                            false,
+                            new Policy.Limits(1, false, false, false, UNIT, 0),
+                            new Policy.Bounds(UNIT, UNIT, 0, 1, 0, 3, UNIT, 0),
+                            UNIT / 10),
+                    seed);
         }
 
         @Override
         public void begin() {
-            policy.servers(0, Policy.ListKind.PERSISTED, IntStream.range(0, servers.length).mapToObj(i ->
-                new Policy.Server(Integer.toString(i), Policy.State.UP, 0, 1, 0, 0, 0)).toList(), this);
+            policy.servers(
+                    0,
+                    Policy.ListKind.PERSISTED,
+                    IntStream.range(0, servers.length)
+                            .mapToObj(i -> new Policy.Server(Integer.toString(i), Policy.State.UP, 0, 1, 0, 0, 0))
+                            .toList(),
+                    this);
         }
 
         @Override
--- a/lab/src/main/java/junctionhead/lab/queue/Theory.java
+++ b/lab/src/main/java/junctionhead/lab/queue/Theory.java
@@ -4,7 +4,7 @@
 public final class Theory {
     private static final int TERMS = 400;
 
-    private Theory() { }
+    private Theory() {}
 
     /** M/M/1: Kleinrock, "Queueing Systems" vol. 1, (3.26). */
     public static double mm1(double lambda) {
@@ -14,7 +14,7 @@
     /** M/M/c with service rate 1 a core and {@code load} per core, by Erlang's C formula. */
     public static double mmc(int cores, double load) {
         double offered = cores * load;
-        double blocking = 1;                                // Erlang B by its recursion
+        double blocking = 1; // Erlang B by its recursion
         for (int i = 1; i <= cores; i++) {
             blocking = offered * blocking / (i + offered * blocking);
         }
@@ -28,7 +28,7 @@
             return mm1(lambda);
         }
         double sum = 0;
-        double power = 1;                                   // d^i
+        double power = 1; // d^i
         for (int i = 1; i < TERMS; i++) {
             power *= d;
             double term = Math.pow(lambda, (power - d) / (d - 1));
@@ -47,11 +47,11 @@
      * @param asPrinted equation 5 as printed, where a job that joins a queue of i jobs takes i services; else
      *     i + 1, its own included
      */
-    public static double jsqDfDs(int dF, int dS, double lambda, double p, double fastRate, double slowRate,
-            boolean asPrinted) {
+    public static double jsqDfDs(
+            int dF, int dS, double lambda, double p, double fastRate, double slowRate, boolean asPrinted) {
         double fast = lambda / (p * fastRate);
         double slow = 0;
-        for (int i = 0; i < 200_000; i++) {                 // a damped iteration: it contracts where stable
+        for (int i = 0; i < 200_000; i++) { // a damped iteration: it contracts where stable
             double busyFast = Math.pow(fast, dF);
             double nextSlow = lambda * busyFast * (1 - Math.pow(slow, dS)) / (slowRate * (1 - p));
             double nextFast = lambda * (1 - busyFast + busyFast * Math.pow(slow, dS)) / (fastRate * p);
@@ -73,7 +73,8 @@
             joined += (asPrinted ? i : i + 1) * (Math.pow(s, dF) - Math.pow(next, dF)) / noneFast;
             s = next;
         }
-        return (1 - noneFast) / fastRate + noneFast * (1 - noneSlow) / slowRate
-            + noneFast * noneSlow * joined / fastRate;
+        return (1 - noneFast) / fastRate
+                + noneFast * (1 - noneSlow) / slowRate
+                + noneFast * noneSlow * joined / fastRate;
     }
 }
--- a/lab/src/main/java/junctionhead/lab/report/FigurePlot.java
+++ b/lab/src/main/java/junctionhead/lab/report/FigurePlot.java
@@ -14,24 +14,36 @@
 
 /** One plot of several curves over the same figure, as a page by itself. */
 public final class FigurePlot {
-    private FigurePlot() { }
+    private FigurePlot() {}
 
     /** Writes the page; values that aren't finite are left out of their curve. */
-    public static void write(File file, String title, String xName, String yName, double[] x, List<String> names,
-            List<double[]> curves) throws IOException {
+    public static void write(
+            File file, String title, String xName, String yName, double[] x, List<String> names, List<double[]> curves)
+            throws IOException {
         System.setProperty("java.awt.headless", "true");
-        XYChart chart = new XYChartBuilder().width(900).height(560).title(title).xAxisTitle(xName).yAxisTitle(yName)
-            .build();
+        XYChart chart = new XYChartBuilder()
+                .width(900)
+                .height(560)
+                .title(title)
+                .xAxisTitle(xName)
+                .yAxisTitle(yName)
+                .build();
         for (int c = 0; c < names.size(); c++) {
             double[] y = curves.get(c);
-            int[] known = IntStream.range(0, x.length).filter(i -> Double.isFinite(y[i])).toArray();
-            chart.addSeries(names.get(c), IntStream.of(known).mapToDouble(i -> x[i]).toArray(),
-                IntStream.of(known).mapToDouble(i -> y[i]).toArray());
+            int[] known = IntStream.range(0, x.length)
+                    .filter(i -> Double.isFinite(y[i]))
+                    .toArray();
+            chart.addSeries(
+                    names.get(c),
+                    IntStream.of(known).mapToDouble(i -> x[i]).toArray(),
+                    IntStream.of(known).mapToDouble(i -> y[i]).toArray());
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         VectorGraphicsEncoder.saveVectorGraphic(chart, out, VectorGraphicsFormat.SVG);
         String svg = out.toString(StandardCharsets.UTF_8);
-        Files.writeString(file.toPath(), "<!DOCTYPE html><meta charset=\"utf-8\"><title>" + title + "</title>"
-            + svg.substring(svg.indexOf("<svg")));
+        Files.writeString(
+                file.toPath(),
+                "<!DOCTYPE html><meta charset=\"utf-8\"><title>" + title + "</title>"
+                        + svg.substring(svg.indexOf("<svg")));
     }
 }
--- a/lab/src/main/java/junctionhead/lab/report/HtmlReport.java
+++ b/lab/src/main/java/junctionhead/lab/report/HtmlReport.java
@@ -25,11 +25,20 @@
 
 /** Results as one page that needs no other file: what was asked, the answer, figures and plots. */
 public final class HtmlReport {
-    private static final int MOST_ROWS = 40;                // of a heat map
-    private static final double QUEUE_FULL = 40;            // requests at which a cell is darkest
-    private static final Color[] COLOURS = {new Color(0x1b6ca8), new Color(0xd1495b), new Color(0x3a8d55),
-        new Color(0xedae49), new Color(0x6b4c9a), new Color(0x666666), new Color(0x00a6a6), new Color(0x9c6644)};
-    static final String STYLE = """
+    private static final int MOST_ROWS = 40; // of a heat map
+    private static final double QUEUE_FULL = 40; // requests at which a cell is darkest
+    private static final Color[] COLOURS = {
+        new Color(0x1b6ca8),
+        new Color(0xd1495b),
+        new Color(0x3a8d55),
+        new Color(0xedae49),
+        new Color(0x6b4c9a),
+        new Color(0x666666),
+        new Color(0x00a6a6),
+        new Color(0x9c6644)
+    };
+    static final String STYLE =
+            """
         body { font: 15px/1.5 sans-serif; margin: 2em auto; max-width: 1080px; color: #222; padding: 0 1em }
         h1 { font-size: 1.5em } h2 { font-size: 1.15em; margin-top: 2em; border-bottom: 1px solid #ccc }
         table { border-collapse: collapse; font-variant-numeric: tabular-nums }
@@ -57,16 +66,24 @@
 
     private String page() throws IOException {
         page.append("<!DOCTYPE html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
-            .append(text(results.experiment().name())).append("</title><style>").append(STYLE)
-            .append("</style></head><body><h1>").append(text(results.experiment().name())).append("</h1><p>")
-            .append(text(results.experiment().question())).append("</p>");
+                .append(text(results.experiment().name()))
+                .append("</title><style>")
+                .append(STYLE)
+                .append("</style></head><body><h1>")
+                .append(text(results.experiment().name()))
+                .append("</h1><p>")
+                .append(text(results.experiment().question()))
+                .append("</p>");
         answer();
         figures();
         int seed = 0;
-        page.append("<h2>One day in detail (seed ").append(results.experiment().firstSeed()).append(")</h2>")
-            .append("<p class=\"note\">Shaded: ").append(text(spells(seed))).append("</p>");
-        overTime("Worth answered in time, as a share of what was asked for", "share", seed,
-            s -> s.worth(), 1.05);
+        page.append("<h2>One day in detail (seed ")
+                .append(results.experiment().firstSeed())
+                .append(")</h2>")
+                .append("<p class=\"note\">Shaded: ")
+                .append(text(spells(seed)))
+                .append("</p>");
+        overTime("Worth answered in time, as a share of what was asked for", "share", seed, s -> s.worth(), 1.05);
         overTime("Attempts sent per second", "attempts / s", seed, s -> doubles(s.attempts()), Double.NaN);
         overTime("Refused per second", "refusals / s", seed, s -> doubles(s.refusals()), Double.NaN);
         latencies(seed);
@@ -82,35 +99,52 @@
     private void answer() {
         page.append("<h2>The answer</h2><table><tr><th>expectation</th><th>found</th><th></th></tr>");
         for (Expectation.Verdict v : results.verdicts()) {
-            page.append("<tr><td><code>").append(text(v.expectation().text())).append("</code></td><td>")
-                .append(text(v.found())).append("</td><td class=\"").append(v.holds() ? "good\">holds" : "bad\">fails")
-                .append("</td></tr>");
+            page.append("<tr><td><code>")
+                    .append(text(v.expectation().text()))
+                    .append("</code></td><td>")
+                    .append(text(v.found()))
+                    .append("</td><td class=\"")
+                    .append(v.holds() ? "good\">holds" : "bad\">fails")
+                    .append("</td></tr>");
         }
         page.append("</table>");
         for (String v : variants.subList(1, variants.size())) {
             Interval d = results.difference("G", variants.get(0), v);
-            page.append("<p>G of <b>").append(text(variants.get(0))).append("</b> over <b>").append(text(v))
-                .append("</b>, on the same ").append(results.experiment().seeds()).append(" seeds: <b>")
-                .append(text(Table.cell(d))).append("</b>").append(Double.isNaN(d.halfWidth()) ? ""
-                    : d.holds(0) ? ", which is no difference that these seeds can show." : ".").append("</p>");
+            page.append("<p>G of <b>")
+                    .append(text(variants.get(0)))
+                    .append("</b> over <b>")
+                    .append(text(v))
+                    .append("</b>, on the same ")
+                    .append(results.experiment().seeds())
+                    .append(" seeds: <b>")
+                    .append(text(Table.cell(d)))
+                    .append("</b>")
+                    .append(
+                            Double.isNaN(d.halfWidth())
+                                    ? ""
+                                    : d.holds(0) ? ", which is no difference that these seeds can show." : ".")
+                    .append("</p>");
         }
     }
 
     private void figures() {
         page.append("<h2>Figures</h2><p class=\"note\">Mean over the seeds with the half width of its 95% interval."
-            + " Shares are from 0 to 1; rows that are 0 throughout are left out.</p><table><tr><th></th>");
+                + " Shares are from 0 to 1; rows that are 0 throughout are left out.</p><table><tr><th></th>");
         variants.forEach(v -> page.append("<th>").append(text(v)).append("</th>"));
         page.append("</tr>");
         for (String f : results.figures()) {
-            if (variants.stream().allMatch(v -> Arrays.stream(results.values(v, f)).allMatch(x -> x == 0))
+            if (variants.stream()
+                            .allMatch(v -> Arrays.stream(results.values(v, f)).allMatch(x -> x == 0))
                     && !f.equals("rules.broken")) {
                 continue;
             }
             page.append("<tr><td>").append(text(f)).append("</td>");
             for (String v : variants) {
-                boolean bad = f.equals("rules.broken") && Arrays.stream(results.values(v, f)).sum() > 0;
-                page.append(bad ? "<td class=\"bad\">" : "<td>").append(text(Table.cell(results.mean(v, f))))
-                    .append("</td>");
+                boolean bad = f.equals("rules.broken")
+                        && Arrays.stream(results.values(v, f)).sum() > 0;
+                page.append(bad ? "<td class=\"bad\">" : "<td>")
+                        .append(text(Table.cell(results.mean(v, f))))
+                        .append("</td>");
             }
             page.append("</tr>");
         }
@@ -123,8 +157,14 @@
 
     private String spells(int seed) {
         List<Timeline.Spell> spells = series(variants.get(0), seed).spells();
-        return spells.isEmpty() ? "nothing goes wrong" : String.join(", ", spells.stream().map(s ->
-            String.format(Locale.ROOT, "%s %.0f-%.0f s", s.kind(), s.from() / 1e6, s.to() / 1e6)).toList());
+        return spells.isEmpty()
+                ? "nothing goes wrong"
+                : String.join(
+                        ", ",
+                        spells.stream()
+                                .map(s -> String.format(
+                                        Locale.ROOT, "%s %.0f-%.0f s", s.kind(), s.from() / 1e6, s.to() / 1e6))
+                                .toList());
     }
 
     private interface Values {
@@ -135,15 +175,16 @@
         XYChart chart = chart(title, "seconds of the day", unit);
         double most = 0;
         for (String v : variants) {
-            most = Math.max(most, Arrays.stream(values.of(series(v, seed))).max().orElse(1));
+            most = Math.max(
+                    most, Arrays.stream(values.of(series(v, seed))).max().orElse(1));
         }
         double height = Double.isNaN(top) ? Math.max(1, most * 1.05) : top;
         int shade = 0;
         for (Timeline.Spell s : series(variants.get(0), seed).spells()) {
             double from = s.from() / 1e6;
             double to = Math.max(from + 0.1, s.to() / 1e6);
-            var area = chart.addSeries("shade" + shade++, new double[] {from, from, to, to},
-                new double[] {0, height, height, 0});
+            var area = chart.addSeries(
+                    "shade" + shade++, new double[] {from, from, to, to}, new double[] {0, height, height, 0});
             area.setXYSeriesRenderStyle(org.knowm.xchart.XYSeries.XYSeriesRenderStyle.Area);
             area.setFillColor(new Color(120, 120, 120, 26));
             area.setLineColor(new Color(0, 0, 0, 0));
@@ -160,7 +201,9 @@
     }
 
     private void latencies(int seed) throws IOException {
-        List<String> classes = results.experiment().plan().classes().stream().map(k -> k.name()).toList();
+        List<String> classes = results.experiment().plan().classes().stream()
+                .map(k -> k.name())
+                .toList();
         double[] x = IntStream.rangeClosed(1, 99).mapToDouble(i -> i).toArray();
         for (int c = 0; c < classes.size(); c++) {
             XYChart chart = chart("Latency of " + classes.get(c) + ", from the client's first try", "percentile", "ms");
@@ -174,16 +217,27 @@
     }
 
     private static XYChart chart(String title, String x, String y) {
-        XYChart chart = new XYChartBuilder().width(1000).height(300).title(title).xAxisTitle(x).yAxisTitle(y)
-            .theme(Styler.ChartTheme.XChart).build();
-        chart.getStyler().setChartBackgroundColor(Color.WHITE).setLegendPosition(Styler.LegendPosition.OutsideE)
-            .setLegendBorderColor(Color.WHITE).setPlotBorderVisible(false);
+        XYChart chart = new XYChartBuilder()
+                .width(1000)
+                .height(300)
+                .title(title)
+                .xAxisTitle(x)
+                .yAxisTitle(y)
+                .theme(Styler.ChartTheme.XChart)
+                .build();
+        chart.getStyler()
+                .setChartBackgroundColor(Color.WHITE)
+                .setLegendPosition(Styler.LegendPosition.OutsideE)
+                .setLegendBorderColor(Color.WHITE)
+                .setPlotBorderVisible(false);
         return chart;
     }
 
     private static void line(XYChart chart, String name, double[] x, double[] y, int number) {
-        chart.addSeries(name, x, y).setMarker(SeriesMarkers.NONE).setLineColor(COLOURS[number % COLOURS.length])
-            .setLineWidth(1.8f);
+        chart.addSeries(name, x, y)
+                .setMarker(SeriesMarkers.NONE)
+                .setLineColor(COLOURS[number % COLOURS.length])
+                .setLineWidth(1.8f);
     }
 
     private void put(XYChart chart) throws IOException {
@@ -191,7 +245,7 @@
         VectorGraphicsEncoder.saveVectorGraphic(chart, out, VectorGraphicsFormat.SVG);
         String svg = out.toString(StandardCharsets.UTF_8);
         page.append(svg.substring(svg.indexOf("<svg"))
-            .replaceFirst("width=\"([0-9.]+)(?:mm|px)?\" height=\"([0-9.]+)(?:mm|px)?\"", "width=\"1000\""));
+                .replaceFirst("width=\"([0-9.]+)(?:mm|px)?\" height=\"([0-9.]+)(?:mm|px)?\"", "width=\"1000\""));
     }
 
     // Upstream x time: how many requests each holds. Cells are plain rectangles, runs of one shade joined.
@@ -203,35 +257,56 @@
             return;
         }
         int wide = Math.max(2, 820 / columns);
-        double sent = Math.max(1, s.sentTo().values().stream().mapToLong(Long::longValue).sum());
+        double sent = Math.max(
+                1, s.sentTo().values().stream().mapToLong(Long::longValue).sum());
         int high = 12;
-        page.append("<h3>").append(text(variant)).append(": requests in each upstream, second by second</h3>")
-            .append("<p class=\"note\">White: none; darkest: ").append((int) QUEUE_FULL)
-            .append(" or more; grey: not running. On the right its share of all attempts.")
-            .append(rows < all ? " The first " + rows + " of " + all + "."
-                : "")
-            .append("</p><svg xmlns=\"http://www.w3.org/2000/svg\" width=\"")
-            .append(130 + wide * columns).append("\" height=\"").append(rows * high + 20).append("\">");
+        page.append("<h3>")
+                .append(text(variant))
+                .append(": requests in each upstream, second by second</h3>")
+                .append("<p class=\"note\">White: none; darkest: ")
+                .append((int) QUEUE_FULL)
+                .append(" or more; grey: not running. On the right its share of all attempts.")
+                .append(rows < all ? " The first " + rows + " of " + all + "." : "")
+                .append("</p><svg xmlns=\"http://www.w3.org/2000/svg\" width=\"")
+                .append(130 + wide * columns)
+                .append("\" height=\"")
+                .append(rows * high + 20)
+                .append("\">");
         for (int row = 0; row < rows; row++) {
-            page.append(String.format(Locale.ROOT, "<text x=\"0\" y=\"%d\" font-size=\"10\">%s</text>",
-                row * high + 10, text(s.upstreams().get(row))));
-            page.append(String.format(Locale.ROOT, "<text x=\"%d\" y=\"%d\" font-size=\"10\">%.1f%%</text>",
-                76 + wide * columns, row * high + 10,
-                100 * s.sentTo().getOrDefault(s.upstreams().get(row), 0L) / sent));
+            page.append(String.format(
+                    Locale.ROOT,
+                    "<text x=\"0\" y=\"%d\" font-size=\"10\">%s</text>",
+                    row * high + 10,
+                    text(s.upstreams().get(row))));
+            page.append(String.format(
+                    Locale.ROOT,
+                    "<text x=\"%d\" y=\"%d\" font-size=\"10\">%.1f%%</text>",
+                    76 + wide * columns,
+                    row * high + 10,
+                    100 * s.sentTo().getOrDefault(s.upstreams().get(row), 0L) / sent));
             int from = 0;
             for (int c = 1; c <= columns; c++) {
                 String shade = shade(s.held().get(from), row);
                 if (c == columns || !shade(s.held().get(c), row).equals(shade)) {
-                    page.append(String.format(Locale.ROOT,
-                        "<rect x=\"%d\" y=\"%d\" width=\"%d\" height=\"%d\" fill=\"%s\"/>", 70 + from * wide,
-                        row * high, (c - from) * wide, high - 1, shade));
+                    page.append(String.format(
+                            Locale.ROOT,
+                            "<rect x=\"%d\" y=\"%d\" width=\"%d\" height=\"%d\" fill=\"%s\"/>",
+                            70 + from * wide,
+                            row * high,
+                            (c - from) * wide,
+                            high - 1,
+                            shade));
                     from = c;
                 }
             }
         }
         for (int second = 0; second <= columns; second += 10) {
-            page.append(String.format(Locale.ROOT, "<text x=\"%d\" y=\"%d\" font-size=\"10\">%d s</text>",
-                70 + second * wide, rows * high + 14, second));
+            page.append(String.format(
+                    Locale.ROOT,
+                    "<text x=\"%d\" y=\"%d\" font-size=\"10\">%d s</text>",
+                    70 + second * wide,
+                    rows * high + 14,
+                    second));
         }
         page.append("</svg>");
     }
@@ -252,8 +327,8 @@
         }
         page.append("<h2>Rules that ").append(text(variant)).append(" broke</h2><pre>");
         for (Broken b : broken.subList(0, Math.min(20, broken.size()))) {
-            page.append(text(String.format(Locale.ROOT, "%s at %.6f s: %s: %s%n", b.rule(), b.at() / 1e6, b.subject(),
-                b.what())));
+            page.append(text(String.format(
+                    Locale.ROOT, "%s at %.6f s: %s: %s%n", b.rule(), b.at() / 1e6, b.subject(), b.what())));
             b.chain().forEach(step -> page.append("    ").append(text(step)).append('\n'));
         }
         page.append("</pre>");
--- a/lab/src/main/java/junctionhead/lab/report/IndexPage.java
+++ b/lab/src/main/java/junctionhead/lab/report/IndexPage.java
@@ -9,31 +9,44 @@
 
 /** The page that leads to those of many experiments: for each what was asked, G of each variant, what fails. */
 public final class IndexPage {
-    private IndexPage() { }
+    private IndexPage() {}
 
     /** One experiment in a line for a terminal. */
     public static String line(Results r) {
-        StringBuilder out = new StringBuilder(String.format("%-16s", r.experiment().name()));
+        StringBuilder out =
+                new StringBuilder(String.format("%-16s", r.experiment().name()));
         r.days().keySet().forEach(v -> out.append(String.format("  %s %s", v, Table.cell(r.mean(v, "G")))));
         long fails = r.verdicts().stream().filter(v -> !v.holds()).count();
-        return out.append(fails == 0 ? "  holds" : "  " + fails + " expectations FAIL").toString();
+        return out.append(fails == 0 ? "  holds" : "  " + fails + " expectations FAIL")
+                .toString();
     }
 
     /** Writes the page, which expects the others beside it. */
     public static void write(List<Results> all, File file) throws IOException {
         StringBuilder page = new StringBuilder("<!DOCTYPE html><html lang=\"en\"><head><meta charset=\"utf-8\">")
-            .append("<title>Experiments</title><style>").append(HtmlReport.STYLE)
-            .append("</style></head><body><h1>Experiments</h1><table><tr><th>experiment</th><th>G of each variant")
-            .append("</th><th>expectations</th></tr>");
+                .append("<title>Experiments</title><style>")
+                .append(HtmlReport.STYLE)
+                .append("</style></head><body><h1>Experiments</h1><table><tr><th>experiment</th><th>G of each variant")
+                .append("</th><th>expectations</th></tr>");
         for (Results r : all) {
             long fails = r.verdicts().stream().filter(v -> !v.holds()).count();
-            page.append("<tr><td><a href=\"").append(r.experiment().name()).append(".html\">")
-                .append(HtmlReport.text(r.experiment().name())).append("</a><br><span class=\"note\">")
-                .append(HtmlReport.text(r.experiment().question())).append("</span></td><td>");
-            r.days().keySet().forEach(v -> page.append(String.format(Locale.ROOT, "%s %s<br>", HtmlReport.text(v),
-                HtmlReport.text(Table.cell(r.mean(v, "G"))))));
-            page.append("</td><td class=\"").append(fails == 0 ? "good\">hold" : "bad\">" + fails + " fail")
-                .append("</td></tr>");
+            page.append("<tr><td><a href=\"")
+                    .append(r.experiment().name())
+                    .append(".html\">")
+                    .append(HtmlReport.text(r.experiment().name()))
+                    .append("</a><br><span class=\"note\">")
+                    .append(HtmlReport.text(r.experiment().question()))
+                    .append("</span></td><td>");
+            r.days()
+                    .keySet()
+                    .forEach(v -> page.append(String.format(
+                            Locale.ROOT,
+                            "%s %s<br>",
+                            HtmlReport.text(v),
+                            HtmlReport.text(Table.cell(r.mean(v, "G"))))));
+            page.append("</td><td class=\"")
+                    .append(fails == 0 ? "good\">hold" : "bad\">" + fails + " fail")
+                    .append("</td></tr>");
         }
         Files.writeString(file.toPath(), page.append("</table></body></html>\n").toString());
     }
--- a/lab/src/main/java/junctionhead/lab/report/JsonReport.java
+++ b/lab/src/main/java/junctionhead/lab/report/JsonReport.java
@@ -21,7 +21,7 @@
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final double THOUSAND = 1_000;
 
-    private JsonReport() { }
+    private JsonReport() {}
 
     /** Writes {@code results} to {@code file}. */
     public static void write(Results results, File file) throws IOException {
@@ -29,9 +29,11 @@
     }
 
     static ObjectNode of(Results r) {
-        ObjectNode root = MAPPER.createObjectNode().put("experiment", r.experiment().name())
-            .put("question", r.experiment().question()).put("first_seed", r.experiment().firstSeed())
-            .put("seeds", r.experiment().seeds());
+        ObjectNode root = MAPPER.createObjectNode()
+                .put("experiment", r.experiment().name())
+                .put("question", r.experiment().question())
+                .put("first_seed", r.experiment().firstSeed())
+                .put("seeds", r.experiment().seeds());
         List<String> variants = List.copyOf(r.days().keySet());
         ObjectNode all = root.putObject("variants");
         for (String v : variants) {
@@ -53,15 +55,20 @@
             }
             ArrayNode broken = node.putArray("broken");
             for (Broken b : r.broken(v)) {
-                ObjectNode entry = broken.addObject().put("rule", b.rule().name()).put("at_us", b.at())
-                    .put("subject", b.subject()).put("what", b.what());
+                ObjectNode entry = broken.addObject()
+                        .put("rule", b.rule().name())
+                        .put("at_us", b.at())
+                        .put("subject", b.subject())
+                        .put("what", b.what());
                 b.chain().forEach(entry.putArray("chain")::add);
             }
         }
         ArrayNode verdicts = root.putArray("expectations");
         for (Expectation.Verdict v : r.verdicts()) {
-            verdicts.addObject().put("expectation", v.expectation().text()).put("holds", v.holds())
-                .put("found", v.found());
+            verdicts.addObject()
+                    .put("expectation", v.expectation().text())
+                    .put("holds", v.holds())
+                    .put("found", v.found());
         }
         return root;
     }
--- a/lab/src/main/java/junctionhead/lab/report/Table.java
+++ b/lab/src/main/java/junctionhead/lab/report/Table.java
@@ -11,15 +11,21 @@
 public final class Table {
     private static final int CHAINS = 3;
 
-    private Table() { }
+    private Table() {}
 
     /** The whole table: variants, differences to the first, expectations, broken rules. */
     public static String of(Results r) {
         StringBuilder out = new StringBuilder();
         List<String> variants = List.copyOf(r.days().keySet());
-        out.append(r.experiment().name()).append(": ").append(r.experiment().question()).append('\n');
-        out.append(String.format(Locale.ROOT, "%d seeds from %d; mean and half width of the 95%% interval%n%n",
-            r.experiment().seeds(), r.experiment().firstSeed()));
+        out.append(r.experiment().name())
+                .append(": ")
+                .append(r.experiment().question())
+                .append('\n');
+        out.append(String.format(
+                Locale.ROOT,
+                "%d seeds from %d; mean and half width of the 95%% interval%n%n",
+                r.experiment().seeds(),
+                r.experiment().firstSeed()));
         out.append(String.format("%-18s", ""));
         variants.forEach(v -> out.append(String.format("%22s", v)));
         out.append('\n');
@@ -33,13 +39,14 @@
         }
         for (String v : variants.subList(1, variants.size())) {
             Interval d = r.difference("G", variants.get(0), v);
-            out.append(String.format(Locale.ROOT, "%nG of %s over %s, paired: %s%s", variants.get(0), v, cell(d),
-                sure(d)));
+            out.append(String.format(
+                    Locale.ROOT, "%nG of %s over %s, paired: %s%s", variants.get(0), v, cell(d), sure(d)));
         }
         out.append('\n');
         for (Expectation.Verdict v : r.verdicts()) {
-            out.append(String.format("%n%s  %s   (%s)", v.holds() ? "holds " : "FAILS ", v.expectation().text(),
-                v.found()));
+            out.append(String.format(
+                    "%n%s  %s   (%s)",
+                    v.holds() ? "holds " : "FAILS ", v.expectation().text(), v.found()));
         }
         for (String v : variants) {
             broken(v, r, out);
@@ -59,8 +66,8 @@
         }
         out.append(String.format(Locale.ROOT, "%n%n%s broke rules %.0f times; the first:", variant, all));
         for (Broken b : broken.subList(0, Math.min(CHAINS, broken.size()))) {
-            out.append(String.format(Locale.ROOT, "%n  %s at %.6f s: %s: %s", b.rule(), b.at() / 1e6, b.subject(),
-                b.what()));
+            out.append(String.format(
+                    Locale.ROOT, "%n  %s at %.6f s: %s: %s", b.rule(), b.at() / 1e6, b.subject(), b.what()));
             b.chain().forEach(step -> out.append("\n      ").append(step));
         }
     }
--- a/lab/src/main/java/junctionhead/lab/sim/Streams.java
+++ b/lab/src/main/java/junctionhead/lab/sim/Streams.java
@@ -25,7 +25,7 @@
         return mix(mix(seed ^ hash(party)) + number * 0x9e3779b97f4a7c15L);
     }
 
-    private static long hash(String text) {                 // FNV-1a, 64 bits
+    private static long hash(String text) { // FNV-1a, 64 bits
         long h = 0xcbf29ce484222325L;
         for (int i = 0; i < text.length(); i++) {
             h = (h ^ text.charAt(i)) * 0x100000001b3L;
@@ -33,7 +33,7 @@
         return h;
     }
 
-    private static long mix(long value) {                   // the finalizer of SplitMix64
+    private static long mix(long value) { // the finalizer of SplitMix64
         long z = (value ^ value >>> 30) * 0xbf58476d1ce4e5b9L;
         z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
         return z ^ z >>> 31;
--- a/lab/src/main/java/junctionhead/lab/sockets/BalancerProcess.java
+++ b/lab/src/main/java/junctionhead/lab/sockets/BalancerProcess.java
@@ -53,8 +53,16 @@
      * @throws IOException where it doesn't come up; the message ends with its log
      */
     public BalancerProcess(Path jar, Map<String, InetSocketAddress> upstreams) throws IOException {
-        this(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC", "-Xmx64m",
-            "-jar", jar.toString(), "serve"), Path.of("."), config(upstreams));
+        this(
+                List.of(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-XX:+UseSerialGC",
+                        "-Xmx64m",
+                        "-jar",
+                        jar.toString(),
+                        "serve"),
+                Path.of("."),
+                config(upstreams));
     }
 
     /**
@@ -75,9 +83,10 @@
      * @param environment variables beside those of this process
      * @throws IOException where it doesn't come up; the message ends with its log
      */
-    public BalancerProcess(List<String> command, Path folder, Map<String, Object> settings,
-            Map<String, String> environment) throws IOException {
-        this(command, folder, settings, environment, pid -> { });
+    public BalancerProcess(
+            List<String> command, Path folder, Map<String, Object> settings, Map<String, String> environment)
+            throws IOException {
+        this(command, folder, settings, environment, pid -> {});
     }
 
     /**
@@ -86,8 +95,13 @@
      * @param begun gets its id before it is ready
      * @throws DidNotStart where it doesn't come up; the message ends with its log
      */
-    public BalancerProcess(List<String> command, Path folder, Map<String, Object> settings,
-            Map<String, String> environment, LongConsumer begun) throws IOException {
+    public BalancerProcess(
+            List<String> command,
+            Path folder,
+            Map<String, Object> settings,
+            Map<String, String> environment,
+            LongConsumer begun)
+            throws IOException {
         config = Files.createTempFile("balancer", ".json");
         Files.writeString(config, new ObjectMapper().writeValueAsString(settings));
         ProcessBuilder start = new ProcessBuilder(command).directory(folder.toFile());
@@ -98,9 +112,9 @@
         start.redirectErrorStream(true);
         process = start.start();
         begun.accept(process.pid());
-        Runtime.getRuntime().addShutdownHook(new Thread(process::destroy));     // also on Ctrl-C nothing stays
-        BufferedReader out = new BufferedReader(new InputStreamReader(process.getInputStream(),
-            StandardCharsets.UTF_8));
+        Runtime.getRuntime().addShutdownHook(new Thread(process::destroy)); // also on Ctrl-C nothing stays
+        BufferedReader out =
+                new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
         InetSocketAddress found = null;
         while (found == null) {
             String line = out.readLine();
@@ -110,33 +124,35 @@
             log.add(line);
             int at = line.indexOf("listening on ");
             if (at >= 0) {
-                found = new InetSocketAddress(InetAddress.getLoopbackAddress(),
-                    Integer.parseInt(line.substring(line.lastIndexOf(':') + 1)));
+                found = new InetSocketAddress(
+                        InetAddress.getLoopbackAddress(), Integer.parseInt(line.substring(line.lastIndexOf(':') + 1)));
             }
         }
         if (found == null) {
             int code = exitCode();
-            close();                                        // nobody else knows of it
+            close(); // nobody else knows of it
             throw new DidNotStart("the balancer didn't start: " + String.join("; ", log), code);
         }
         address = found;
-        Thread reader = new Thread(() -> {
-            try {
-                for (String line = out.readLine(); line != null; line = out.readLine()) {
-                    synchronized (log) {
-                        log.add(line);
+        Thread reader = new Thread(
+                () -> {
+                    try {
+                        for (String line = out.readLine(); line != null; line = out.readLine()) {
+                            synchronized (log) {
+                                log.add(line);
+                            }
+                        }
+                    } catch (IOException e) {
+                        Thread.currentThread().interrupt(); // it has ended
                     }
-                }
-            } catch (IOException e) {
-                Thread.currentThread().interrupt();         // it has ended
-            }
-        }, "balancer's log");
+                },
+                "balancer's log");
         reader.setDaemon(true);
         reader.start();
         try {
             awaitReady();
         } catch (IOException e) {
-            close();                                        // nobody else knows of it
+            close(); // nobody else knows of it
             throw e;
         }
     }
@@ -144,15 +160,16 @@
     private void awaitReady() throws IOException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
         while (System.nanoTime() < until && process.isAlive()) {
-            Exchange ready = Exchange.of(address, "GET /-/ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n",
-                2_000);
+            Exchange ready =
+                    Exchange.of(address, "GET /-/ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", 2_000);
             if (ready.status() == 200) {
                 return;
             }
-            LockSupport.parkNanos(AGAIN_NS);                // asking must not cost it the core that it starts on
+            LockSupport.parkNanos(AGAIN_NS); // asking must not cost it the core that it starts on
         }
-        throw new DidNotStart("the balancer wasn't ready in time: " + String.join("; ", log()),
-            process.isAlive() ? RUNS : exitCode());
+        throw new DidNotStart(
+                "the balancer wasn't ready in time: " + String.join("; ", log()),
+                process.isAlive() ? RUNS : exitCode());
     }
 
     private int exitCode() {
@@ -169,16 +186,42 @@
         settings.put("Balancers", 1);
         settings.put("Quantum", 5_000);
         settings.put("MembershipMode", "push");
-        settings.put("Classes", List.of(
-            Map.of("Name", "seat-lookup", "Idempotency", "safe", "GoalTime", 200_000, "GiveUp", 1_000_000),
-            Map.of("Name", "book-seat", "Idempotency", "unsafe", "GoalTime", 800_000, "GiveUp", 3_000_000)));
-        settings.put("Limits", Map.of("TryLimit", 3, "MayDuplicate", false, "Cancel", true, "Probes", false,
-            "DialTimeout", 100_000));
-        settings.put("Rules", Map.of("AnswerSlack", 20_000, "DrainGrace", 1_500_000, "AskWithin", 10_000_000,
-            "ColdFrom", 0.3, "RampTime", 5_000_000, "OverloadFactor", 3.0, "Fall", 2_000_000));
+        settings.put(
+                "Classes",
+                List.of(
+                        Map.of("Name", "seat-lookup", "Idempotency", "safe", "GoalTime", 200_000, "GiveUp", 1_000_000),
+                        Map.of(
+                                "Name",
+                                "book-seat",
+                                "Idempotency",
+                                "unsafe",
+                                "GoalTime",
+                                800_000,
+                                "GiveUp",
+                                3_000_000)));
+        settings.put(
+                "Limits",
+                Map.of("TryLimit", 3, "MayDuplicate", false, "Cancel", true, "Probes", false, "DialTimeout", 100_000));
+        settings.put(
+                "Rules",
+                Map.of(
+                        "AnswerSlack",
+                        20_000,
+                        "DrainGrace",
+                        1_500_000,
+                        "AskWithin",
+                        10_000_000,
+                        "ColdFrom",
+                        0.3,
+                        "RampTime",
+                        5_000_000,
+                        "OverloadFactor",
+                        3.0,
+                        "Fall",
+                        2_000_000));
         List<Map<String, Object>> targets = new ArrayList<>();
-        upstreams.forEach((id, at) -> targets.add(Map.of("uid", id, "endpoint",
-            at.getAddress().getHostAddress() + ":" + at.getPort(), "state", "in_service")));
+        upstreams.forEach((id, at) -> targets.add(Map.of(
+                "uid", id, "endpoint", at.getAddress().getHostAddress() + ":" + at.getPort(), "state", "in_service")));
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("name", "lab");
         all.put("listen", "127.0.0.1:0");
--- a/lab/src/main/java/junctionhead/lab/sockets/Box.java
+++ b/lab/src/main/java/junctionhead/lab/sockets/Box.java
@@ -45,13 +45,15 @@
     }
 
     private static void daemon(Work work) {
-        Thread t = new Thread(() -> {
-            try {
-                work.run();
-            } catch (IOException e) {
-                Thread.currentThread().interrupt();         // its socket has ended, and so does it
-            }
-        }, "box");
+        Thread t = new Thread(
+                () -> {
+                    try {
+                        work.run();
+                    } catch (IOException e) {
+                        Thread.currentThread().interrupt(); // its socket has ended, and so does it
+                    }
+                },
+                "box");
         t.setDaemon(true);
         t.start();
     }
@@ -66,12 +68,12 @@
             String length = header(head, "content-length");
             int wanted = length == null ? 0 : Integer.parseInt(length);
             if (in.readNBytes(wanted).length < wanted) {
-                return;                                     // broken off: it never runs
+                return; // broken off: it never runs
             }
             ran.merge(String.valueOf(header(head, "req-id")), 1, Integer::sum);
             s.getOutputStream().write(answers.apply(head));
             s.shutdownOutput();
-            in.readAllBytes();                              // closed with bytes unread it would be a reset
+            in.readAllBytes(); // closed with bytes unread it would be a reset
         } finally {
             open.remove(s);
         }
@@ -101,7 +103,7 @@
     /** An answer of 200 with that body, behind which the connection ends. */
     public static byte[] ok(String body) {
         return ("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\nConnection: close\r\n\r\n" + body)
-            .getBytes(StandardCharsets.ISO_8859_1);
+                .getBytes(StandardCharsets.ISO_8859_1);
     }
 
     /** Where it listens. */
--- a/lab/src/main/java/junctionhead/lab/sockets/DemoPage.java
+++ b/lab/src/main/java/junctionhead/lab/sockets/DemoPage.java
@@ -28,7 +28,8 @@
     public List<String> broken() {
         List<String> broken = new ArrayList<>();
         for (Load.Outcome o : load.outcomes()) {
-            int ran = o.ids().stream().mapToInt(id -> ledger.getOrDefault(id, 0)).sum();
+            int ran =
+                    o.ids().stream().mapToInt(id -> ledger.getOrDefault(id, 0)).sum();
             if (plan.classes().get(o.kind()).effect() == Policy.Effect.UNSAFE && ran > 1) {
                 broken.add(o.ids() + " ran " + ran + " times");
             }
@@ -42,19 +43,28 @@
     /** The table's lines. */
     public List<String> table() {
         List<String> lines = new ArrayList<>();
-        lines.add(String.format("%-14s %9s %9s %9s %9s %9s %9s", "class", "asked", "in aim", "served", "p50 ms",
-            "p99 ms", "p99.9 ms"));
+        lines.add(String.format(
+                "%-14s %9s %9s %9s %9s %9s %9s", "class", "asked", "in aim", "served", "p50 ms", "p99 ms", "p99.9 ms"));
         for (int i = 0; i < plan.classes().size(); i++) {
             int kind = i;
             WorldPlan.RequestKind k = plan.classes().get(i);
-            List<Load.Outcome> own = load.outcomes().stream().filter(o -> o.kind() == kind).toList();
+            List<Load.Outcome> own =
+                    load.outcomes().stream().filter(o -> o.kind() == kind).toList();
             long served = own.stream().filter(Load.Outcome::served).count();
-            long inAim = own.stream().filter(o -> o.served() && o.micros() <= k.aim()).count();
+            long inAim = own.stream()
+                    .filter(o -> o.served() && o.micros() <= k.aim())
+                    .count();
             Histogram h = load.latencies(i);
-            lines.add(String.format(Locale.ROOT, "%-14s %9d %9.4f %9.4f %9.1f %9.1f %9.1f", k.name(), own.size(),
-                inAim / (double) Math.max(1, own.size()), served / (double) Math.max(1, own.size()),
-                h.getValueAtPercentile(50) / 1e3, h.getValueAtPercentile(99) / 1e3,
-                h.getValueAtPercentile(99.9) / 1e3));
+            lines.add(String.format(
+                    Locale.ROOT,
+                    "%-14s %9d %9.4f %9.4f %9.1f %9.1f %9.1f",
+                    k.name(),
+                    own.size(),
+                    inAim / (double) Math.max(1, own.size()),
+                    served / (double) Math.max(1, own.size()),
+                    h.getValueAtPercentile(50) / 1e3,
+                    h.getValueAtPercentile(99) / 1e3,
+                    h.getValueAtPercentile(99.9) / 1e3));
         }
         lines.add("last status of each request (0: none in time): " + load.statuses());
         List<String> broken = broken();
@@ -83,13 +93,18 @@
         for (WorldPlan.Trouble t : plan.troubles()) {
             double from = t.at().middle() / plan.length() * WIDTH;
             double wide = Math.max(2, t.length().middle() / plan.length() * WIDTH);
-            shades.append(String.format(Locale.ROOT, "<rect x=%.1f y=0 width=%.1f height=%d fill='#fdd'>"
-                + "<title>%s</title></rect>", from, wide, HEIGHT, t.kind()));
+            shades.append(String.format(
+                    Locale.ROOT,
+                    "<rect x=%.1f y=0 width=%.1f height=%d fill='#fdd'>" + "<title>%s</title></rect>",
+                    from,
+                    wide,
+                    HEIGHT,
+                    t.kind()));
         }
         return "<!doctype html><meta charset=utf-8><title>Demo</title><style>body{font:15px sans-serif;margin:2em}"
-            + "pre{font-size:14px}svg{border:1px solid #ccc}</style><h1>A day on sockets</h1><p>" + question
-            + "</p><pre>" + String.join("\n", table()) + "</pre><h2>Worth served within the aim, by second</h2><p>"
-            + "0 at the bottom, all at the top; troubles shaded.</p><svg width=" + WIDTH + " height=" + HEIGHT + ">"
-            + shades + "<polyline fill=none stroke='#275' stroke-width=2 points='" + line + "'/></svg>";
+                + "pre{font-size:14px}svg{border:1px solid #ccc}</style><h1>A day on sockets</h1><p>" + question
+                + "</p><pre>" + String.join("\n", table()) + "</pre><h2>Worth served within the aim, by second</h2><p>"
+                + "0 at the bottom, all at the top; troubles shaded.</p><svg width=" + WIDTH + " height=" + HEIGHT + ">"
+                + shades + "<polyline fill=none stroke='#275' stroke-width=2 points='" + line + "'/></svg>";
     }
 }
--- a/lab/src/main/java/junctionhead/lab/sockets/Exchange.java
+++ b/lab/src/main/java/junctionhead/lab/sockets/Exchange.java
@@ -29,7 +29,7 @@
             try {
                 s.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
             } catch (IOException e) {
-                return read(s, began, "reset");             // what was said before is still worth reading
+                return read(s, began, "reset"); // what was said before is still worth reading
             }
             return read(s, began, "closed");
         } catch (IOException e) {
--- a/lab/src/main/java/junctionhead/lab/sockets/KillMatrix.java
+++ b/lab/src/main/java/junctionhead/lab/sockets/KillMatrix.java
@@ -26,21 +26,26 @@
  */
 public final class KillMatrix {
     /** Where the fault is, and in which direction. */
-    public enum Side { CLIENT_UP, CLIENT_DOWN, UPSTREAM_UP, UPSTREAM_DOWN }
+    public enum Side {
+        CLIENT_UP,
+        CLIENT_DOWN,
+        UPSTREAM_UP,
+        UPSTREAM_DOWN
+    }
 
     /** One cell: a request of a class, broken in a way at a byte; {@code offset} -1 after the last byte. */
-    public record Case(String kind, Side side, What what, long offset) { }
+    public record Case(String kind, Side side, What what, long offset) {}
 
     /** What came of it; {@code wrong} is null where every rule held. */
-    public record Result(Case of, boolean struck, int ran, Exchange client, String wrong) { }
+    public record Result(Case of, boolean struck, int ran, Exchange client, String wrong) {}
 
     private static final List<What> FAULTS = List.of(What.CUT, What.HALF_CLOSE, What.RESET, What.SILENCE);
     private static final int IDS = 8;
     private static final int DEADLINE_MS = 400;
     private static final int SLACK_MS = 20;
     private static final int PATIENCE_MS = 1_000;
-    private static final int TRIES = 6;                     // until a fault meets the request it is meant for
-    private static final int CALM = 2;                      // requests between two cases, so that upstreams are trusted
+    private static final int TRIES = 6; // until a fault meets the request it is meant for
+    private static final int CALM = 2; // requests between two cases, so that upstreams are trusted
     private static final long SETTLE_MS = 500;
     private static final long REST_MS = 400;
 
@@ -83,7 +88,7 @@
             for (Future<?> f : running) {
                 f.get();
             }
-            TimeUnit.MILLISECONDS.sleep(SETTLE_MS);         // what is still on its way runs now, or never
+            TimeUnit.MILLISECONDS.sleep(SETTLE_MS); // what is still on its way runs now, or never
             List<Result> results = new ArrayList<>();
             for (Played p : played) {
                 int ran = p.by.box.ran(p.id);
@@ -132,15 +137,15 @@
         boolean book = kind.equals("book-seat");
         String body = book ? "{\"seat\":\"17B\",\"bus\":204}" : "";
         return (book ? "POST" : "GET") + " /api/k" + id.hashCode() % 7 + " HTTP/1.1\r\nHost: h\r\nReq-Id: " + id
-            + "\r\nReq-Kind: " + kind + "\r\nReq-Deadline-Ms: " + DEADLINE_MS + "\r\n"
-            + (book ? "Content-Length: " + body.length() + "\r\n" : "") + "\r\n" + body;
+                + "\r\nReq-Kind: " + kind + "\r\nReq-Deadline-Ms: " + DEADLINE_MS + "\r\n"
+                + (book ? "Content-Length: " + body.length() + "\r\n" : "") + "\r\n" + body;
     }
 
     private String id() {
         return String.format(Locale.ROOT, "m%07d", ids.incrementAndGet());
     }
 
-    private record Played(Case of, boolean struck, String id, Exchange client, Worker by) { }
+    private record Played(Case of, boolean struck, String id, Exchange client, Worker by) {}
 
     private final class Worker implements AutoCloseable {
         private final NioEventLoopGroup group = new NioEventLoopGroup(1);
@@ -191,8 +196,15 @@
             if (x.status() != 200) {
                 throw new IllegalStateException("a clean request got " + x + "; " + balancer.log());
             }
-            return Map.of(Side.CLIENT_UP, front.bytes(f, true), Side.CLIENT_DOWN, front.bytes(f, false),
-                Side.UPSTREAM_UP, before.bytes(b, true), Side.UPSTREAM_DOWN, before.bytes(b, false));
+            return Map.of(
+                    Side.CLIENT_UP,
+                    front.bytes(f, true),
+                    Side.CLIENT_DOWN,
+                    front.bytes(f, false),
+                    Side.UPSTREAM_UP,
+                    before.bytes(b, true),
+                    Side.UPSTREAM_DOWN,
+                    before.bytes(b, false));
         }
 
         Played play(Case c) {
@@ -202,12 +214,20 @@
             boolean struck = false;
             for (int i = 0; i < TRIES && !struck; i++) {
                 if (i > 1) {
-                    rest();                                 // refused while upstreams that failed rest: wait it out
+                    rest(); // refused while upstreams that failed rest: wait it out
                 }
                 int number = server.connections() + 1;
                 server.forget(number);
-                server.script(List.of(new Fault(number, number, up(c.side), c.what, 1, c.offset < 0 ? Point.END : null,
-                    Math.max(0, c.offset), 0, 0)));
+                server.script(List.of(new Fault(
+                        number,
+                        number,
+                        up(c.side),
+                        c.what,
+                        1,
+                        c.offset < 0 ? Point.END : null,
+                        Math.max(0, c.offset),
+                        0,
+                        0)));
                 id = id();
                 seen = Exchange.of(entry, request(c.kind, id), PATIENCE_MS);
                 struck = server.struck(number);
@@ -255,20 +275,49 @@
     public static List<String[]> table(List<Result> results) {
         Map<String, List<Result>> groups = new LinkedHashMap<>();
         for (Result r : results) {
-            groups.computeIfAbsent(r.of.kind + "\n" + word(r.of.side) + "\n" + word(r.of.what),
-                k -> new ArrayList<>()).add(r);
+            groups.computeIfAbsent(r.of.kind + "\n" + word(r.of.side) + "\n" + word(r.of.what), k -> new ArrayList<>())
+                    .add(r);
         }
         List<String[]> rows = new ArrayList<>();
-        rows.add(new String[] {"class", "side", "fault", "cases", "struck", "ran 0", "ran 1", "ran 2+", "200", "502",
-            "503", "no answer", "slowest ms", "wrong"});
+        rows.add(new String[] {
+            "class",
+            "side",
+            "fault",
+            "cases",
+            "struck",
+            "ran 0",
+            "ran 1",
+            "ran 2+",
+            "200",
+            "502",
+            "503",
+            "no answer",
+            "slowest ms",
+            "wrong"
+        });
         groups.forEach((name, of) -> {
             String[] key = name.split("\n");
-            rows.add(new String[] {key[0], key[1], key[2], "" + of.size(), count(of, r -> r.struck),
-                count(of, r -> r.ran == 0), count(of, r -> r.ran == 1), count(of, r -> r.ran > 1),
-                count(of, r -> r.client.status() == 200), count(of, r -> r.client.status() == 502),
-                count(of, r -> r.client.status() == 503), count(of, r -> r.client.status() == 0),
-                "" + of.stream().filter(r -> r.client.status() != 0).mapToLong(r -> r.client.micros() / 1000).max()
-                    .orElse(0), count(of, r -> r.wrong != null)});
+            rows.add(new String[] {
+                key[0],
+                key[1],
+                key[2],
+                "" + of.size(),
+                count(of, r -> r.struck),
+                count(of, r -> r.ran == 0),
+                count(of, r -> r.ran == 1),
+                count(of, r -> r.ran > 1),
+                count(of, r -> r.client.status() == 200),
+                count(of, r -> r.client.status() == 502),
+                count(of, r -> r.client.status() == 503),
+                count(of, r -> r.client.status() == 0),
+                ""
+                        + of.stream()
+                                .filter(r -> r.client.status() != 0)
+                                .mapToLong(r -> r.client.micros() / 1000)
+                                .max()
+                                .orElse(0),
+                count(of, r -> r.wrong != null)
+            });
         });
         return rows;
     }
--- a/lab/src/main/java/junctionhead/lab/sockets/LiveSite.java
+++ b/lab/src/main/java/junctionhead/lab/sockets/LiveSite.java
@@ -48,9 +48,9 @@
 public final class LiveSite implements AutoCloseable {
     private static final long STEP_US = 1_000;
     private static final int BODY_MOST = 1 << 20;
-    private static final long HOLD_S = 2;                   // a watch says something that often
+    private static final long HOLD_S = 2; // a watch says something that often
 
-    private record Open(Channel channel, String id, int address) { }
+    private record Open(Channel channel, String id, int address) {}
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final EventLoop loop = group.next();
@@ -79,11 +79,16 @@
                 ports.add(port(i));
             }
             register = (InetSocketAddress) server().childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel c) {
-                    c.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(BODY_MOST), new Listing());
-                }
-            }).bind(InetAddress.getLoopbackAddress(), 0).sync().channel().localAddress();
+                        @Override
+                        protected void initChannel(Channel c) {
+                            c.pipeline()
+                                    .addLast(new HttpServerCodec(), new HttpObjectAggregator(BODY_MOST), new Listing());
+                        }
+                    })
+                    .bind(InetAddress.getLoopbackAddress(), 0)
+                    .sync()
+                    .channel()
+                    .localAddress();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
@@ -93,17 +98,27 @@
     }
 
     private ServerBootstrap server() {
-        return new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, 1024).childOption(ChannelOption.TCP_NODELAY, true);
+        return new ServerBootstrap()
+                .group(loop, loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, 1024)
+                .childOption(ChannelOption.TCP_NODELAY, true);
     }
 
     private Channel port(int address) throws InterruptedException {
         return server().childHandler(new ChannelInitializer<Channel>() {
-            @Override
-            protected void initChannel(Channel c) {
-                c.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(BODY_MOST), new Serving(address));
-            }
-        }).bind(InetAddress.getLoopbackAddress(), 0).sync().channel();
+                    @Override
+                    protected void initChannel(Channel c) {
+                        c.pipeline()
+                                .addLast(
+                                        new HttpServerCodec(),
+                                        new HttpObjectAggregator(BODY_MOST),
+                                        new Serving(address));
+                    }
+                })
+                .bind(InetAddress.getLoopbackAddress(), 0)
+                .sync()
+                .channel();
     }
 
     /** Where the register listens. */
@@ -123,7 +138,9 @@
 
     /** The list as balancers should know it at their start, in the register's form. */
     public Map<String, Object> known() {
-        return loop.submit(() -> list(told.values(), true)).syncUninterruptibly().getNow();
+        return loop.submit(() -> list(told.values(), true))
+                .syncUninterruptibly()
+                .getNow();
     }
 
     private long micros() {
@@ -137,12 +154,17 @@
                 // Bound on the loop itself, so it can't be waited for: its port is known when it has been bound.
                 int address = ports.size();
                 ports.add(server().childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel c) {
-                        c.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(BODY_MOST),
-                            new Serving(address));
-                    }
-                }).bind(InetAddress.getLoopbackAddress(), 0).channel());
+                            @Override
+                            protected void initChannel(Channel c) {
+                                c.pipeline()
+                                        .addLast(
+                                                new HttpServerCodec(),
+                                                new HttpObjectAggregator(BODY_MOST),
+                                                new Serving(address));
+                            }
+                        })
+                        .bind(InetAddress.getLoopbackAddress(), 0)
+                        .channel());
             }
             connections.forEach((address, some) -> {
                 if (!fleet.listens(address) && !some.isEmpty()) {
@@ -230,15 +252,15 @@
                 answer(o.channel, HttpResponseStatus.INTERNAL_SERVER_ERROR, "error", false);
             }
             default -> {
-                ran.merge(o.id, 1, Integer::sum);           // it may have run: counted as if it had
+                ran.merge(o.id, 1, Integer::sum); // it may have run: counted as if it had
                 reset(o.channel);
             }
         }
     }
 
     private void answer(Channel to, HttpResponseStatus status, String body, boolean declined) {
-        DefaultFullHttpResponse r = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-            Unpooled.copiedBuffer(body, StandardCharsets.US_ASCII));
+        DefaultFullHttpResponse r = new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.US_ASCII));
         HttpUtil.setContentLength(r, body.length());
         if (declined) {
             r.headers().set("Srv-Declined", "1");
@@ -290,14 +312,21 @@
         for (Policy.Server s : servers) {
             Map<String, Object> e = new LinkedHashMap<>();
             e.put("uid", s.id());
-            e.put("endpoint", "127.0.0.1:" + ((InetSocketAddress) ports.get(portOf(s)).localAddress()).getPort());
-            e.put("state", switch (s.state()) {
-                case UP -> "in_service";
-                case DRAINING -> "terminating";
-                default -> "terminated";
-            });
-            e.put("boot_ms", s.startedAt() <= 0 ? 0
-                : (unixBegan + s.startedAt() - junctionhead.lab.world.World.began()) / 1000.0);
+            e.put(
+                    "endpoint",
+                    "127.0.0.1:" + ((InetSocketAddress) ports.get(portOf(s)).localAddress()).getPort());
+            e.put(
+                    "state",
+                    switch (s.state()) {
+                        case UP -> "in_service";
+                        case DRAINING -> "terminating";
+                        default -> "terminated";
+                    });
+            e.put(
+                    "boot_ms",
+                    s.startedAt() <= 0
+                            ? 0
+                            : (unixBegan + s.startedAt() - junctionhead.lab.world.World.began()) / 1000.0);
             e.put("capacity_hint", s.weight());
             e.put("pod_group", s.cell());
             e.put("az", plan.zones().get(s.zone()));
@@ -333,8 +362,10 @@
                 return;
             }
             if (!request.uri().contains("watch=1")) {
-                DefaultFullHttpResponse whole = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
-                    Unpooled.copiedBuffer(text(list(told.values(), true)), StandardCharsets.UTF_8));
+                DefaultFullHttpResponse whole = new DefaultFullHttpResponse(
+                        HttpVersion.HTTP_1_1,
+                        HttpResponseStatus.OK,
+                        Unpooled.copiedBuffer(text(list(told.values(), true)), StandardCharsets.UTF_8));
                 HttpUtil.setContentLength(whole, whole.content().readableBytes());
                 c.writeAndFlush(whole);
                 return;
--- a/lab/src/main/java/junctionhead/lab/sockets/Load.java
+++ b/lab/src/main/java/junctionhead/lab/sockets/Load.java
@@ -45,11 +45,11 @@
     private static final long STEP_US = 500;
 
     /** What the clients want: so many first tries a second over that time, further tries where harmless. */
-    public record Plan(List<InetSocketAddress> balancers, double perSecond, long micros, int tries, int keys,
-            long seed) { }
+    public record Plan(
+            List<InetSocketAddress> balancers, double perSecond, long micros, int tries, int keys, long seed) {}
 
     /** What one client's request came to. {@code ids}: of its tries, in order. */
-    public record Outcome(int kind, long second, boolean served, long micros, int status, List<String> ids) { }
+    public record Outcome(int kind, long second, boolean served, long micros, int status, List<String> ids) {}
 
     private static final class Want {
         final int kind;
@@ -101,21 +101,26 @@
     public void run(Runnable second) throws InterruptedException {
         next = now();
         double end = next + plan.micros;
-        loop.scheduleAtFixedRate(() -> {
-            while (next <= now() && next < end) {
-                arrive(Math.round(next));
-                next += draws.exponential(1e6 / plan.perSecond);
-            }
-            if (next >= end && (open == 0 || now() > end + 5_000_000)) {
-                over.countDown();
-            }
-        }, 0, STEP_US, TimeUnit.MICROSECONDS);
+        loop.scheduleAtFixedRate(
+                () -> {
+                    while (next <= now() && next < end) {
+                        arrive(Math.round(next));
+                        next += draws.exponential(1e6 / plan.perSecond);
+                    }
+                    if (next >= end && (open == 0 || now() > end + 5_000_000)) {
+                        over.countDown();
+                    }
+                },
+                0,
+                STEP_US,
+                TimeUnit.MICROSECONDS);
         loop.scheduleAtFixedRate(second, 1, 1, TimeUnit.SECONDS);
         over.await();
     }
 
     private void arrive(long intended) {
-        double u = draws.uniform() * kinds.stream().mapToDouble(k -> k.share().middle()).sum();
+        double u = draws.uniform()
+                * kinds.stream().mapToDouble(k -> k.share().middle()).sum();
         int kind = 0;
         while (kind < kinds.size() - 1 && u >= kinds.get(kind).share().middle()) {
             u -= kinds.get(kind++).share().middle();
@@ -132,7 +137,9 @@
             return;
         }
         w.ids.add("L" + ++number);
-        for (Channel c = idle.get(w.balancer).pollLast(); c != null; c = idle.get(w.balancer).pollLast()) {
+        for (Channel c = idle.get(w.balancer).pollLast();
+                c != null;
+                c = idle.get(w.balancer).pollLast()) {
             if (c.isActive()) {
                 c.pipeline().get(Talk.class).ask(w);
                 return;
@@ -144,19 +151,25 @@
         }
         connections++;
         Talk talk = new Talk(w);
-        new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1_000).handler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel c) {
-                    c.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(BODY_MOST), talk);
-                    c.closeFuture().addListener(closed -> connections--);
-                }
-            }).connect(plan.balancers.get(w.balancer)).addListener(connected -> {
-                if (!connected.isSuccess()) {
-                    talk.want = null;
-                    again(w, -1);
-                }
-            });
+        new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1_000)
+                .handler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel c) {
+                        c.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(BODY_MOST), talk);
+                        c.closeFuture().addListener(closed -> connections--);
+                    }
+                })
+                .connect(plan.balancers.get(w.balancer))
+                .addListener(connected -> {
+                    if (!connected.isSuccess()) {
+                        talk.want = null;
+                        again(w, -1);
+                    }
+                });
     }
 
     // A refusal and a connection that never came up are harmless; anything else only for what may be repeated.
@@ -203,10 +216,16 @@
             WorldPlan.RequestKind kind = kinds.get(w.kind);
             boolean safe = kind.effect() == Policy.Effect.SAFE;
             byte[] body = safe ? new byte[0] : ("{\"seat\":\"" + w.key + "\"}").getBytes(StandardCharsets.US_ASCII);
-            DefaultFullHttpRequest r = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-                safe ? HttpMethod.GET : HttpMethod.POST, "/api/" + w.key, Unpooled.wrappedBuffer(body));
-            r.headers().set(HttpHeaderNames.HOST, "lab").set("Req-Id", w.ids.get(w.ids.size() - 1))
-                .set("Req-Kind", kind.name()).set("Req-Deadline-Ms", Math.max(1, (w.deadline - now()) / 1000));
+            DefaultFullHttpRequest r = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1,
+                    safe ? HttpMethod.GET : HttpMethod.POST,
+                    "/api/" + w.key,
+                    Unpooled.wrappedBuffer(body));
+            r.headers()
+                    .set(HttpHeaderNames.HOST, "lab")
+                    .set("Req-Id", w.ids.get(w.ids.size() - 1))
+                    .set("Req-Kind", kind.name())
+                    .set("Req-Deadline-Ms", Math.max(1, (w.deadline - now()) / 1000));
             if (!safe) {
                 HttpUtil.setContentLength(r, body.length);
             }
--- a/lab/src/main/java/junctionhead/lab/sockets/SiteSettings.java
+++ b/lab/src/main/java/junctionhead/lab/sockets/SiteSettings.java
@@ -8,7 +8,7 @@
 
 /** A balancer's configuration for a world, in the form that the deployment gives it. */
 public final class SiteSettings {
-    private SiteSettings() { }
+    private SiteSettings() {}
 
     /** For the balancer of that rank among so many, before that site. */
     public static Map<String, Object> config(WorldPlan plan, int rank, int many, LiveSite site) {
@@ -22,19 +22,64 @@
         settings.put("Kinds", plan.kinds().stream().map(WorldPlan.Kind::name).toList());
         List<Map<String, Object>> classes = new ArrayList<>();
         for (WorldPlan.RequestKind k : plan.classes()) {
-            classes.add(Map.of("Name", k.name(), "Idempotency", k.effect().name().toLowerCase(java.util.Locale.ROOT),
-                "GoalTime", k.aim(), "GiveUp", k.deadline(), "Gain", k.worth(), "KeyTtl", 5_000_000));
+            classes.add(Map.of(
+                    "Name",
+                    k.name(),
+                    "Idempotency",
+                    k.effect().name().toLowerCase(java.util.Locale.ROOT),
+                    "GoalTime",
+                    k.aim(),
+                    "GiveUp",
+                    k.deadline(),
+                    "Gain",
+                    k.worth(),
+                    "KeyTtl",
+                    5_000_000));
         }
         settings.put("Classes", classes);
         WorldPlan.Rules r = plan.rules();
-        settings.put("Limits", Map.of("TryLimit", r.maxAttempts(), "MayDuplicate", r.secondCopies(), "Cancel",
-            r.cancel(), "Probes", r.probes(), "DialTimeout", plan.fleet().connectTimeout(), "MaxRetryAfter",
-            r.retryAfterMax(), "IdleClose", plan.fleet().idle()));
-        double coldFrom = plan.kinds().stream().mapToDouble(k -> k.coldFrom().least()).min().orElse(1);
-        double ramp = plan.kinds().stream().mapToDouble(k -> k.coldTime().most()).max().orElse(0);
-        settings.put("Rules", Map.of("AnswerSlack", r.answerSlack(), "DrainGrace", r.drainGrace(), "AskWithin",
-            r.askWithin(), "ColdFrom", Math.max(0.01, Math.min(1, coldFrom)), "RampTime", Math.round(ramp),
-            "OverloadFactor", r.overloadFactor(), "Fall", r.fall()));
+        settings.put(
+                "Limits",
+                Map.of(
+                        "TryLimit",
+                        r.maxAttempts(),
+                        "MayDuplicate",
+                        r.secondCopies(),
+                        "Cancel",
+                        r.cancel(),
+                        "Probes",
+                        r.probes(),
+                        "DialTimeout",
+                        plan.fleet().connectTimeout(),
+                        "MaxRetryAfter",
+                        r.retryAfterMax(),
+                        "IdleClose",
+                        plan.fleet().idle()));
+        double coldFrom = plan.kinds().stream()
+                .mapToDouble(k -> k.coldFrom().least())
+                .min()
+                .orElse(1);
+        double ramp = plan.kinds().stream()
+                .mapToDouble(k -> k.coldTime().most())
+                .max()
+                .orElse(0);
+        settings.put(
+                "Rules",
+                Map.of(
+                        "AnswerSlack",
+                        r.answerSlack(),
+                        "DrainGrace",
+                        r.drainGrace(),
+                        "AskWithin",
+                        r.askWithin(),
+                        "ColdFrom",
+                        Math.max(0.01, Math.min(1, coldFrom)),
+                        "RampTime",
+                        Math.round(ramp),
+                        "OverloadFactor",
+                        r.overloadFactor(),
+                        "Fall",
+                        r.fall()));
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("name", "demo-" + rank);
         all.put("listen", "127.0.0.1:0");
--- a/lab/src/main/java/junctionhead/lab/sockets/WreckServer.java
+++ b/lab/src/main/java/junctionhead/lab/sockets/WreckServer.java
@@ -33,8 +33,8 @@
  * are counted from 1 in the order in which they are accepted. All state is the loop's.
  */
 public final class WreckServer {
-    private static final long PIECE_GAP = 200;              // µs between pieces, so that each is a packet of its own
-    private static final int HELD_MOST = 1 << 20;           // bytes of one direction that may wait here
+    private static final long PIECE_GAP = 200; // µs between pieces, so that each is a packet of its own
+    private static final int HELD_MOST = 1 << 20; // bytes of one direction that may wait here
 
     private final EventLoop loop;
     private final InetSocketAddress target;
@@ -57,19 +57,27 @@
      */
     public InetSocketAddress listen(int port) throws IOException {
         try {
-            Channel listener = new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, 1024)
-                .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true).childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.AUTO_READ, false)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        opened(channel);
-                    }
-                }).bind(InetAddress.getLoopbackAddress(), port).sync().channel();
+            Channel listener = new ServerBootstrap()
+                    .group(loop, loop)
+                    .channel(NioServerSocketChannel.class)
+                    .option(ChannelOption.SO_REUSEADDR, true)
+                    .option(ChannelOption.SO_BACKLOG, 1024)
+                    .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
+                    .childOption(ChannelOption.TCP_NODELAY, true)
+                    .childOption(ChannelOption.AUTO_READ, false)
+                    .childHandler(new ChannelInitializer<Channel>() {
+                        @Override
+                        protected void initChannel(Channel channel) {
+                            opened(channel);
+                        }
+                    })
+                    .bind(InetAddress.getLoopbackAddress(), port)
+                    .sync()
+                    .channel();
             loop.submit(() -> {
-                listeners.add(listener);
-            }).syncUninterruptibly();
+                        listeners.add(listener);
+                    })
+                    .syncUninterruptibly();
             return (InetSocketAddress) listener.localAddress();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -80,16 +88,18 @@
     /** Ends all of it. */
     public void close() {
         loop.submit(() -> {
-            listeners.forEach(Channel::close);
-            List.copyOf(pairs.values()).forEach(Pair::cut);
-        }).syncUninterruptibly();
+                    listeners.forEach(Channel::close);
+                    List.copyOf(pairs.values()).forEach(Pair::cut);
+                })
+                .syncUninterruptibly();
     }
 
     /** Another script, for connections accepted from here on. */
     public void script(List<Fault> next) {
         loop.submit(() -> {
-            script = List.copyOf(next);
-        }).syncUninterruptibly();
+                    script = List.copyOf(next);
+                })
+                .syncUninterruptibly();
     }
 
     /** Lets go on what a {@code pause} holds, in all connections. */
@@ -100,37 +110,46 @@
     /** What has happened, by connection and direction: the same bytes give the same trace. */
     public List<String> trace() {
         return loop.submit(() -> {
-            List<String> all = new ArrayList<>(refused);
-            pairs.values().forEach(p -> {
-                all.addAll(p.up.lane.trace());
-                all.addAll(p.down.lane.trace());
-            });
-            return all;
-        }).syncUninterruptibly().getNow();
+                    List<String> all = new ArrayList<>(refused);
+                    pairs.values().forEach(p -> {
+                        all.addAll(p.up.lane.trace());
+                        all.addAll(p.down.lane.trace());
+                    });
+                    return all;
+                })
+                .syncUninterruptibly()
+                .getNow();
     }
 
     /** Bytes that a connection has passed on in a direction; 0 for one that there wasn't. */
     public long bytes(int connection, boolean up) {
         return loop.submit(() -> {
-            Pair p = pairs.get(connection);
-            return p == null ? 0L : up ? p.up.lane.bytes() : p.down.lane.bytes();
-        }).syncUninterruptibly().getNow();
+                    Pair p = pairs.get(connection);
+                    return p == null ? 0L : up ? p.up.lane.bytes() : p.down.lane.bytes();
+                })
+                .syncUninterruptibly()
+                .getNow();
     }
 
     /** Whether a fault has struck that connection. */
     public boolean struck(int connection) {
         return loop.submit(() -> {
-            Pair p = pairs.get(connection);
-            return p != null && !(p.up.lane.trace().isEmpty() && p.down.lane.trace().isEmpty());
-        }).syncUninterruptibly().getNow();
+                    Pair p = pairs.get(connection);
+                    return p != null
+                            && !(p.up.lane.trace().isEmpty()
+                                    && p.down.lane.trace().isEmpty());
+                })
+                .syncUninterruptibly()
+                .getNow();
     }
 
     /** Ends and forgets connections before that one: a silent one would hold its descriptors for ever. */
     public void forget(int before) {
         loop.submit(() -> {
-            pairs.headMap(before).values().forEach(Pair::cut);
-            pairs.headMap(before).clear();
-        }).syncUninterruptibly();
+                    pairs.headMap(before).values().forEach(Pair::cut);
+                    pairs.headMap(before).clear();
+                })
+                .syncUninterruptibly();
     }
 
     /** Connections accepted so far. */
@@ -148,7 +167,7 @@
                 return;
             }
             if (f.concerns(number) && f.what() == What.MUTE) {
-                refused.add(number + " mute");              // accepted, never read, never answered
+                refused.add(number + " mute"); // accepted, never read, never answered
                 return;
             }
         }
@@ -156,8 +175,11 @@
     }
 
     private static double amount(List<Fault> script, int connection, boolean up, What what) {
-        return script.stream().filter(f -> f.concerns(connection) && f.up() == up && f.what() == what)
-            .mapToDouble(Fault::amount).findFirst().orElse(0);
+        return script.stream()
+                .filter(f -> f.concerns(connection) && f.up() == up && f.what() == what)
+                .mapToDouble(Fault::amount)
+                .findFirst()
+                .orElse(0);
     }
 
     /** A client's connection and the one to the server that belongs to it. */
@@ -171,10 +193,14 @@
             this.client = client;
             up = new Way(number, true);
             down = new Way(number, false);
-            ChannelFuture connected = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.ALLOW_HALF_CLOSURE, true).option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.AUTO_READ, false)
-                .handler(new Reader(down)).connect(target);
+            ChannelFuture connected = new Bootstrap()
+                    .group(loop)
+                    .channel(NioSocketChannel.class)
+                    .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
+                    .option(ChannelOption.TCP_NODELAY, true)
+                    .option(ChannelOption.AUTO_READ, false)
+                    .handler(new Reader(down))
+                    .connect(target);
             server = connected.channel();
             up.to = server;
             up.from = client;
@@ -275,11 +301,14 @@
                         return;
                     }
                     busy = true;
-                    loop.schedule(() -> {
-                        then.run();
-                        busy = false;
-                        go();
-                    }, wait, TimeUnit.MICROSECONDS);
+                    loop.schedule(
+                            () -> {
+                                then.run();
+                                busy = false;
+                                go();
+                            },
+                            wait,
+                            TimeUnit.MICROSECONDS);
                 });
                 go();
             }
@@ -305,7 +334,7 @@
                     }
                     case SILENCE -> {
                         silent = true;
-                        from.config().setAutoRead(true);    // its sender sees a connection that takes all
+                        from.config().setAutoRead(true); // its sender sees a connection that takes all
                     }
                     case PAUSE -> paused = true;
                     default -> throw new IllegalStateException("no step: " + what);
@@ -361,7 +390,7 @@
 
             @Override
             public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-                context.close();                            // a reset is passed on as an end
+                context.close(); // a reset is passed on as an end
             }
         }
     }
--- a/lab/src/main/java/junctionhead/lab/variants/FrontSpec.java
+++ b/lab/src/main/java/junctionhead/lab/variants/FrontSpec.java
@@ -21,12 +21,12 @@
  * @param siteRate of all together, as a multiple of all allowances
  * @param reserve as {@link FrontPlan} has it
  */
-public record FrontSpec(List<Pool> pools, List<Way> routes, double tenantRate, double tenantCeiling, double siteRate,
-        double reserve) {
+public record FrontSpec(
+        List<Pool> pools, List<Way> routes, double tenantRate, double tenantCeiling, double siteRate, double reserve) {
 
     /** A pool: its limit's kind (null: none) and, for each upstream, where the limit begins, its floor and its cap. */
-    public record Pool(String name, ConcurrencyLimit.Kind limit, double start, double least, double most,
-            int fullStrength) { }
+    public record Pool(
+            String name, ConcurrencyLimit.Kind limit, double start, double least, double most, int fullStrength) {}
 
     /**
      * A route by classes (none: all).
@@ -35,9 +35,20 @@
      * @param stepsFrom when, in µs of the day, and for how long
      * @param retryShare of first tries; negative: no budget
      */
-    public record Way(String name, Set<String> classes, List<String> to, List<Double> weights, List<String> spill,
-            double spillMost, double spare, double returnPerSecond, double retryShare, boolean countClients, int steps,
-            long stepsFrom, long stepsLength) { }
+    public record Way(
+            String name,
+            Set<String> classes,
+            List<String> to,
+            List<Double> weights,
+            List<String> spill,
+            double spillMost,
+            double spare,
+            double returnPerSecond,
+            double retryShare,
+            boolean countClients,
+            int steps,
+            long stepsFrom,
+            long stepsLength) {}
 
     /**
      * How a variant uses it.
@@ -47,15 +58,20 @@
      * @param toldTimes what a balancer believes of the number of instances: this times the truth, and
      *     {@code toldMore} more
      */
-    public record Use(FrontSpec spec, ConcurrencyLimit.Kind limit, Set<String> without, double toldTimes,
-            int toldMore) { }
+    public record Use(
+            FrontSpec spec, ConcurrencyLimit.Kind limit, Set<String> without, double toldTimes, int toldMore) {}
 
     private static final long RETRY_WINDOW = 10_000_000;
     private static final long ADVICE_LEAST = 50_000;
 
     /** The plan for a balancer with those settings, where each pool has so many upstreams, at that time of the day. */
-    FrontPlan plan(Use use, Policy.Settings settings, List<String> classes, List<String> tenants,
-            Map<String, Integer> upstreams, long time) {
+    FrontPlan plan(
+            Use use,
+            Policy.Settings settings,
+            List<String> classes,
+            List<String> tenants,
+            Map<String, Integer> upstreams,
+            long time) {
         int told = Math.max(1, (int) Math.round(settings.balancers() * use.toldTimes) + use.toldMore);
         List<FrontPlan.PoolPlan> all = new ArrayList<>();
         for (Pool p : pools) {
@@ -63,8 +79,9 @@
             ConcurrencyLimit.Kind kind = use.limit != null ? use.limit : p.limit;
             int least = Math.max(1, (int) Math.round(p.least * each));
             int start = Math.max(least, (int) Math.round(p.start * each));
-            ConcurrencyLimit.Plan limit = kind == null || use.without.contains("limits") ? null
-                : new ConcurrencyLimit.Plan(kind, start, least, Math.max(start, (int) Math.round(p.most * each)));
+            ConcurrencyLimit.Plan limit = kind == null || use.without.contains("limits")
+                    ? null
+                    : new ConcurrencyLimit.Plan(kind, start, least, Math.max(start, (int) Math.round(p.most * each)));
             all.add(new FrontPlan.PoolPlan(p.name, limit, p.fullStrength));
         }
         List<FrontPlan.RoutePlan> ways = new ArrayList<>();
@@ -78,13 +95,20 @@
             for (int i = 0; i < tenants.size(); i++) {
                 double allowance = settings.tenants().get(i).allowancePerSecond();
                 sum += allowance;
-                own.put(tenants.get(i), new FrontPlan.TenantQuota(rate(allowance * tenantRate,
-                    allowance * tenantCeiling), Map.of()));
+                own.put(
+                        tenants.get(i),
+                        new FrontPlan.TenantQuota(rate(allowance * tenantRate, allowance * tenantCeiling), Map.of()));
             }
             quotas = new FrontPlan.Quotas(rate(sum * siteRate, sum * siteRate), own, null);
         }
-        return new FrontPlan(all, ways, null, quotas, told, reserve,
-            new FrontPlan.Advice(ADVICE_LEAST, settings.limits().retryAfterMax()));
+        return new FrontPlan(
+                all,
+                ways,
+                null,
+                quotas,
+                told,
+                reserve,
+                new FrontPlan.Advice(ADVICE_LEAST, settings.limits().retryAfterMax()));
     }
 
     // A second's worth may come at once: shares are counted over a second as well.
@@ -93,19 +117,28 @@
     }
 
     private FrontPlan.RoutePlan route(Way w, Use use, int place, long time) {
-        double moved = w.steps == 0 || time < w.stepsFrom || use.without.contains("steps") ? 0
-            : Math.min(1, Math.floor((time - w.stepsFrom) * (double) w.steps / w.stepsLength + 1) / w.steps);
-        List<FrontPlan.Spill> spills = use.without.contains("spill") ? List.of()
-            : w.spill.stream().map(s -> new FrontPlan.Spill(s, w.spillMost)).toList();
+        double moved = w.steps == 0 || time < w.stepsFrom || use.without.contains("steps")
+                ? 0
+                : Math.min(1, Math.floor((time - w.stepsFrom) * (double) w.steps / w.stepsLength + 1) / w.steps);
+        List<FrontPlan.Spill> spills = use.without.contains("spill")
+                ? List.of()
+                : w.spill.stream().map(s -> new FrontPlan.Spill(s, w.spillMost)).toList();
         List<FrontPlan.Way> ways = new ArrayList<>();
         for (int i = 0; i < w.to.size(); i++) {
             double weight = w.steps == 0 ? w.weights.get(i) : i == 0 ? 1 - moved : i == w.to.size() - 1 ? moved : 0;
             ways.add(new FrontPlan.Way(w.to.get(i), weight, spills));
         }
-        FrontPlan.Retries retries = w.retryShare < 0 || use.without.contains("retries") ? null
-            : new FrontPlan.Retries(w.retryShare, 1, RETRY_WINDOW, w.countClients);
-        return new FrontPlan.RoutePlan(new Route(w.name, PathTemplate.of("/**"), Set.of(), Map.of(), Set.of(),
-            w.classes, place), ways, w.spare, w.returnPerSecond, retries, null, 0);
+        FrontPlan.Retries retries = w.retryShare < 0 || use.without.contains("retries")
+                ? null
+                : new FrontPlan.Retries(w.retryShare, 1, RETRY_WINDOW, w.countClients);
+        return new FrontPlan.RoutePlan(
+                new Route(w.name, PathTemplate.of("/**"), Set.of(), Map.of(), Set.of(), w.classes, place),
+                ways,
+                w.spare,
+                w.returnPerSecond,
+                retries,
+                null,
+                0);
     }
 
     /** The steps that have been taken by that time of the day: the plan changes with them. */
--- a/lab/src/main/java/junctionhead/lab/variants/FrontedPolicy.java
+++ b/lab/src/main/java/junctionhead/lab/variants/FrontedPolicy.java
@@ -20,9 +20,9 @@
  */
 final class FrontedPolicy implements Policy {
     /** What the world's numbers stand for. */
-    record Names(List<String> classes, List<String> tenants, List<String> kindPools, List<Double> worths) { }
+    record Names(List<String> classes, List<String> tenants, List<String> kindPools, List<Double> worths) {}
 
-    private record Wake(long at, String pool) { }
+    private record Wake(long at, String pool) {}
 
     private static final class Open {
         final Front.Ticket ticket;
@@ -51,7 +51,12 @@
     private Actions out;
     private long time;
 
-    FrontedPolicy(FrontSpec.Use use, Settings settings, Names names, Draws draws, long begin,
+    FrontedPolicy(
+            FrontSpec.Use use,
+            Settings settings,
+            Names names,
+            Draws draws,
+            long begin,
             Function<String, Policy> module) {
         this.use = use;
         this.settings = settings;
@@ -78,8 +83,8 @@
             Open o = open.get(request);
             if (o != null && o.attempts > 0 && !front.mayTryAgain(time, o.ticket)) {
                 int denied = o.attempts++;
-                later.add(() -> modules.get(pool).outcome(time, request, denied, Outcome.NOT_SENT, 0, false, null,
-                    this));
+                later.add(
+                        () -> modules.get(pool).outcome(time, request, denied, Outcome.NOT_SENT, 0, false, null, this));
                 return;
             }
             if (o != null) {
@@ -201,7 +206,9 @@
         }
         own.forEach((pool, some) -> {
             if (kind != ListKind.FAILED) {
-                front.listed(now, pool, (int) states.get(pool).values().stream().filter(s -> s == State.UP).count());
+                front.listed(now, pool, (int) states.get(pool).values().stream()
+                        .filter(s -> s == State.UP)
+                        .count());
             }
             if (kind != ListKind.OWN || !some.isEmpty()) {
                 modules.get(pool).servers(now, kind, some, actions(pool));
@@ -218,8 +225,16 @@
     }
 
     @Override
-    public void request(long now, String id, int kind, int tenant, String key, long timeLeft, long work,
-            boolean resubmission, Actions to) {
+    public void request(
+            long now,
+            String id,
+            int kind,
+            int tenant,
+            String key,
+            long timeLeft,
+            long work,
+            boolean resubmission,
+            Actions to) {
         begin(now, to);
         if (use.spec().step(now - begin) != step) {
             Front next = new Front(plan(now));
@@ -230,9 +245,19 @@
         double least = worths.stream().mapToDouble(w -> w).min().orElse(1);
         double most = worths.stream().mapToDouble(w -> w).max().orElse(1);
         double rank = most > least ? (worths.get(kind) - least) / (most - least) : 1;
-        Front.Verdict v = front.arrive(now, new Front.Arrival(new Route.Request("GET", ROOT, Map.of(),
-            names.tenants.isEmpty() ? null : names.tenants.get(tenant), names.classes.get(kind)), key, rank,
-            resubmission, draws.uniform()));
+        Front.Verdict v = front.arrive(
+                now,
+                new Front.Arrival(
+                        new Route.Request(
+                                "GET",
+                                ROOT,
+                                Map.of(),
+                                names.tenants.isEmpty() ? null : names.tenants.get(tenant),
+                                names.classes.get(kind)),
+                        key,
+                        rank,
+                        resubmission,
+                        draws.uniform()));
         if (v.ticket() == null) {
             to.refuse(id, v.retryAfter());
             return;
@@ -244,8 +269,8 @@
     }
 
     @Override
-    public void outcome(long now, String id, int attempt, Outcome outcome, long latency, boolean closed, Load load,
-            Actions to) {
+    public void outcome(
+            long now, String id, int attempt, Outcome outcome, long latency, boolean closed, Load load, Actions to) {
         begin(now, to);
         Open o = open.get(id);
         if (o == null) {
@@ -294,7 +319,7 @@
     public void wake(long now, Actions to) {
         begin(now, to);
         List<String> due = new ArrayList<>();
-        for (Iterator<Wake> i = wakes.iterator(); i.hasNext();) {
+        for (Iterator<Wake> i = wakes.iterator(); i.hasNext(); ) {
             Wake w = i.next();
             if (w.at <= now) {
                 due.add(w.pool);
--- a/lab/src/main/java/junctionhead/lab/variants/Metered.java
+++ b/lab/src/main/java/junctionhead/lab/variants/Metered.java
@@ -52,16 +52,31 @@
     }
 
     @Override
-    public void request(long now, String request, int requestClass, int tenant, String key, long timeLeft, long work,
-            boolean resubmission, Actions out) {
+    public void request(
+            long now,
+            String request,
+            int requestClass,
+            int tenant,
+            String key,
+            long timeLeft,
+            long work,
+            boolean resubmission,
+            Actions out) {
         long began = clock.getAsLong();
         policy.request(now, request, requestClass, tenant, key, timeLeft, work, resubmission, out);
         meter.decisions += clock.getAsLong() - began;
     }
 
     @Override
-    public void outcome(long now, String request, int attempt, Outcome outcome, long latency, boolean closed,
-            Load load, Actions out) {
+    public void outcome(
+            long now,
+            String request,
+            int attempt,
+            Outcome outcome,
+            long latency,
+            boolean closed,
+            Load load,
+            Actions out) {
         long began = clock.getAsLong();
         policy.outcome(now, request, attempt, outcome, latency, closed, load, out);
         meter.decisions += clock.getAsLong() - began;
--- a/lab/src/main/java/junctionhead/lab/variants/TextbookPolicy.java
+++ b/lab/src/main/java/junctionhead/lab/variants/TextbookPolicy.java
@@ -120,7 +120,8 @@
         for (int i = 0; i < before.size(); i++) {
             places.put(before.get(i).entry.id(), i);
         }
-        chooser.renumber(up.stream().mapToInt(s -> places.getOrDefault(s.entry.id(), -1)).toArray());
+        chooser.renumber(
+                up.stream().mapToInt(s -> places.getOrDefault(s.entry.id(), -1)).toArray());
     }
 
     private void ask(long now, Actions out) {
@@ -131,8 +132,16 @@
     }
 
     @Override
-    public void request(long now, String id, int kind, int tenant, String key, long timeLeft, long work,
-            boolean resubmission, Actions out) {
+    public void request(
+            long now,
+            String id,
+            int kind,
+            int tenant,
+            String key,
+            long timeLeft,
+            long work,
+            boolean resubmission,
+            Actions out) {
         Open o = new Open(kind, now + timeLeft);
         open.put(id, o);
         send(id, o, now, out);
@@ -194,8 +203,8 @@
     }
 
     @Override
-    public void outcome(long now, String id, int attempt, Outcome outcome, long latency, boolean closed, Load load,
-            Actions out) {
+    public void outcome(
+            long now, String id, int attempt, Outcome outcome, long latency, boolean closed, Load load, Actions out) {
         Open o = open.get(id);
         if (o == null || attempt >= o.tried.size()) {
             return;
@@ -212,7 +221,9 @@
             return;
         }
         boolean may = outcome.neverRan() || settings.classes().get(o.kind).effect() == Effect.SAFE;
-        if (may && outcome != Outcome.NOT_SENT && now < o.deadline
+        if (may
+                && outcome != Outcome.NOT_SENT
+                && now < o.deadline
                 && o.tried.size() < settings.limits().maxAttempts()) {
             send(id, o, now, out);
         } else {
@@ -233,10 +244,10 @@
     }
 
     @Override
-    public void streamStarted(long now, String id, int attempt, Actions out) { }
+    public void streamStarted(long now, String id, int attempt, Actions out) {}
 
     @Override
-    public void probed(long now, String server, Outcome outcome, long latency, Load load, Actions out) { }
+    public void probed(long now, String server, Outcome outcome, long latency, Load load, Actions out) {}
 
     @Override
     public void wake(long now, Actions out) {
--- a/lab/src/main/java/junctionhead/lab/variants/Variants.java
+++ b/lab/src/main/java/junctionhead/lab/variants/Variants.java
@@ -19,6 +19,7 @@
     public static final String OWN = "balance";
     /** The one that sees the true state of all upstreams. */
     public static final String SEER = "seer";
+
     private static final String LEAST_IN_FLIGHT = "least-in-flight";
 
     /**
@@ -34,7 +35,7 @@
         }
     }
 
-    private Variants() { }
+    private Variants() {}
 
     /** All names that {@link #maker} takes. */
     public static List<String> names() {
@@ -58,8 +59,9 @@
         return (settings, seed, truth) -> {
             Draws draws = new Streams(seed).of("policy", 0, "choice");
             Seer seer = new Seer(truth, settings.zone());
-            Chooser chooser = v.policy.equals(SEER) ? seer
-                : Choosers.named(v.policy.equals(LEAST_IN_FLIGHT) ? "jsq" : v.policy, v.figures);
+            Chooser chooser = v.policy.equals(SEER)
+                    ? seer
+                    : Choosers.named(v.policy.equals(LEAST_IN_FLIGHT) ? "jsq" : v.policy, v.figures);
             TextbookPolicy policy = new TextbookPolicy(settings, chooser, draws, truth);
             seer.sees(policy);
             return policy;
@@ -73,14 +75,19 @@
             return inner;
         }
         FrontedPolicy.Names names = new FrontedPolicy.Names(
-            plan.classes().stream().map(WorldPlan.RequestKind::name).toList(),
-            plan.tenants().stream().map(WorldPlan.Tenant::name).toList(),
-            plan.kinds().stream().map(WorldPlan.Kind::pool).toList(),
-            plan.classes().stream().map(WorldPlan.RequestKind::worth).toList());
+                plan.classes().stream().map(WorldPlan.RequestKind::name).toList(),
+                plan.tenants().stream().map(WorldPlan.Tenant::name).toList(),
+                plan.kinds().stream().map(WorldPlan.Kind::pool).toList(),
+                plan.classes().stream().map(WorldPlan.RequestKind::worth).toList());
         return (settings, seed, truth) -> {
             Streams streams = new Streams(seed);
-            return new FrontedPolicy(v.front, settings, names, streams.of("front", 0, "advice"), World.began(),
-                pool -> inner.make(settings, streams.seed("pool " + pool, 0), truth));
+            return new FrontedPolicy(
+                    v.front,
+                    settings,
+                    names,
+                    streams.of("front", 0, "advice"),
+                    World.began(),
+                    pool -> inner.make(settings, streams.seed("pool " + pool, 0), truth));
         };
     }
 
--- a/lab/src/main/java/junctionhead/lab/world/Balancer.java
+++ b/lab/src/main/java/junctionhead/lab/world/Balancer.java
@@ -57,7 +57,8 @@
 
     /** When it counts as told that the upstream drains or is gone, whatever reached it; or the largest long. */
     public long deemedTold(String id) {
-        return subscriber.deemedTold(world.register.endListedAt(id), world.plan.rules().askWithin());
+        return subscriber.deemedTold(
+                world.register.endListedAt(id), world.plan.rules().askWithin());
     }
 
     boolean alive() {
@@ -90,8 +91,10 @@
         List<Policy.Server> laid = new ArrayList<>(servers.size());
         for (Policy.Server s : servers) {
             list.put(s.id(), s);
-            laid.add(outByOperators.containsKey(s.id()) && s.state() == Policy.State.UP
-                ? s.in(Policy.State.DRAINING) : s);
+            laid.add(
+                    outByOperators.containsKey(s.id()) && s.state() == Policy.State.UP
+                            ? s.in(Policy.State.DRAINING)
+                            : s);
         }
         if (kind != Policy.ListKind.FAILED) {
             world.judge.told(this, kind, laid, now);
@@ -120,8 +123,16 @@
         world.judge.taken(t, now);
         t.overdue = world.simulation.timer(t.deadline() + world.plan.rules().answerSlack() + 1, at -> overdue(t, at));
         ClientRequest c = t.client();
-        policy.request(now, t.id(), c.kind, c.tenant, c.key < 0 ? null : Integer.toHexString(c.key), patience, -1,
-            marked, this);
+        policy.request(
+                now,
+                t.id(),
+                c.kind,
+                c.tenant,
+                c.key < 0 ? null : Integer.toHexString(c.key),
+                patience,
+                -1,
+                marked,
+                this);
     }
 
     private void overdue(Taken t, long now) {
@@ -229,8 +240,12 @@
         Taken t = taken.get(request);
         Upstream u = world.at(server);
         if (t == null || u == null || !list.containsKey(server)) {
-            world.judge.malformed(this, "send of " + request + " to " + server
-                + (t == null ? ": no such request is open" : ": never listed"), t, now);
+            world.judge.malformed(
+                    this,
+                    "send of " + request + " to " + server
+                            + (t == null ? ": no such request is open" : ": never listed"),
+                    t,
+                    now);
             return;
         }
         Attempt a = new Attempt(t, t.attempts.size(), server, u, now);
@@ -239,15 +254,17 @@
         t.attempts.add(a);
         t.out++;
         long left = t.deadline() - now;
-        if (t.answered || t.gone || left <= 0 || a.number() >= world.plan.rules().maxAttempts()) {
+        if (t.answered
+                || t.gone
+                || left <= 0
+                || a.number() >= world.plan.rules().maxAttempts()) {
             world.simulation.after(0, at -> outcome(a, Outcome.NOT_SENT, at));
             return;
         }
-        a.timeout = world.simulation.timer(now + (timeout == 0 ? left : Math.max(0, Math.min(timeout, left))),
-            at -> {
-                u.abandon(a);
-                outcome(a, Outcome.TIMEOUT, at);
-            });
+        a.timeout = world.simulation.timer(now + (timeout == 0 ? left : Math.max(0, Math.min(timeout, left))), at -> {
+            u.abandon(a);
+            outcome(a, Outcome.TIMEOUT, at);
+        });
         Links l = links.computeIfAbsent(u, x -> new Links());
         boolean fresh = !l.take(u, now, world.plan.fleet().idle());
         world.carry(a, fresh, now);
@@ -282,8 +299,8 @@
     public void cancel(String request, int attempt) {
         Taken t = taken.get(request);
         if (t == null || attempt < 0 || attempt >= t.attempts.size()) {
-            world.judge.malformed(this, "cancel of " + request + "/" + attempt + ": never sent", t,
-                world.simulation.now());
+            world.judge.malformed(
+                    this, "cancel of " + request + "/" + attempt + ": never sent", t, world.simulation.now());
             return;
         }
         Attempt a = t.attempts.get(attempt);
--- a/lab/src/main/java/junctionhead/lab/world/Chance.java
+++ b/lab/src/main/java/junctionhead/lab/world/Chance.java
@@ -6,7 +6,7 @@
  * one request; this gives the same.
  */
 final class Chance {
-    private Chance() { }
+    private Chance() {}
 
     /** Uniform in [0, 1). */
     static double uniform(long seed, long number, long concern) {
--- a/lab/src/main/java/junctionhead/lab/world/ClientRequest.java
+++ b/lab/src/main/java/junctionhead/lab/world/ClientRequest.java
@@ -14,7 +14,15 @@
     int tries;
     boolean over;
 
-    ClientRequest(long number, int kind, int tenant, int zone, int key, double work, long firstAt, long deadline,
+    ClientRequest(
+            long number,
+            int kind,
+            int tenant,
+            int zone,
+            int key,
+            double work,
+            long firstAt,
+            long deadline,
             boolean overShare) {
         this.number = number;
         this.kind = kind;
--- a/lab/src/main/java/junctionhead/lab/world/Clients.java
+++ b/lab/src/main/java/junctionhead/lab/world/Clients.java
@@ -9,11 +9,19 @@
 /** Clients: open-loop arrivals, keys, tenants, tries given up, retries; and the front that spreads them. */
 public final class Clients {
     private static final double DAY_PART = 2 * Math.PI;
-    private static final long BURST = 2_000_000;            // µs that a burst of that shape lasts
+    private static final long BURST = 2_000_000; // µs that a burst of that shape lasts
     private static final int MAX_BACKOFF_DOUBLINGS = 6;
 
     /** How a try ended. */
-    public enum End { SERVED, REFUSED, FAILED, SILENT, CUT, UNREACHABLE, LEFT }
+    public enum End {
+        SERVED,
+        REFUSED,
+        FAILED,
+        SILENT,
+        CUT,
+        UNREACHABLE,
+        LEFT
+    }
 
     private final World world;
     private final WorldPlan plan;
@@ -23,7 +31,7 @@
     private final Draws zones;
     private final Draws keys;
     private final Draws works;
-    private final double rate;                              // mean first tries per µs
+    private final double rate; // mean first tries per µs
     private final double swing;
     private final double[] kindShares;
     private final double[] tenantShares;
@@ -67,10 +75,17 @@
         honour = c.honour().draw(figures);
         impatient = c.impatient().draw(figures);
         swing = plan.load().swing().draw(figures);
-        kindShares = cumulated(plan.classes().stream().mapToDouble(k -> k.share().draw(figures)).toArray());
-        workMeans = plan.classes().stream().mapToDouble(k -> k.work().draw(figures)).toArray();
-        variations = plan.classes().stream().mapToDouble(k -> k.variation().draw(figures)).toArray();
-        double[] usage = plan.tenants().stream().mapToDouble(t -> t.share() * t.usage().draw(figures)).toArray();
+        kindShares = cumulated(plan.classes().stream()
+                .mapToDouble(k -> k.share().draw(figures))
+                .toArray());
+        workMeans =
+                plan.classes().stream().mapToDouble(k -> k.work().draw(figures)).toArray();
+        variations = plan.classes().stream()
+                .mapToDouble(k -> k.variation().draw(figures))
+                .toArray();
+        double[] usage = plan.tenants().stream()
+                .mapToDouble(t -> t.share() * t.usage().draw(figures))
+                .toArray();
         tenantShares = cumulated(usage.length == 0 ? new double[] {1} : usage);
         double skew = plan.load().zoneSkew().draw(figures);
         double[] zoneWeights = new double[plan.zones().size()];
@@ -203,18 +218,21 @@
         int zone = drawn(zoneShares, ofZone.uniform());
         double heat = ofKey.uniform();
         double which = ofKey.uniform();
-        int key = keyShares.length == 0 ? -1 : heat < hotShare
-            ? keyShares.length - 1 - (int) (which * Math.min(hotKeys, keyShares.length))
-            : drawn(keyShares, which);
+        int key = keyShares.length == 0
+                ? -1
+                : heat < hotShare
+                        ? keyShares.length - 1 - (int) (which * Math.min(hotKeys, keyShares.length))
+                        : drawn(keyShares, which);
         WorldPlan.RequestKind k = plan.classes().get(kind);
-        double work = switch (k.spread()) {
-            case EXPONENTIAL -> ofWork.exponential(workMeans[kind]);
-            case LOGNORMAL -> ofWork.lognormal(workMeans[kind], variations[kind]);
-            case PARETO -> ofWork.pareto(workMeans[kind], variations[kind]);
-            case FIXED -> workMeans[kind];
-        };
-        ClientRequest r = new ClientRequest(number++, kind, tenant, zone, key, work, now, now + k.deadline(),
-            overShare(tenant, now));
+        double work =
+                switch (k.spread()) {
+                    case EXPONENTIAL -> ofWork.exponential(workMeans[kind]);
+                    case LOGNORMAL -> ofWork.lognormal(workMeans[kind], variations[kind]);
+                    case PARETO -> ofWork.pareto(workMeans[kind], variations[kind]);
+                    case FIXED -> workMeans[kind];
+                };
+        ClientRequest r = new ClientRequest(
+                number++, kind, tenant, zone, key, work, now, now + k.deadline(), overShare(tenant, now));
         open++;
         world.offered += work;
         world.judge.asked(r, now);
@@ -226,8 +244,8 @@
             return false;
         }
         double perMicro = allowances[tenant] / 1e6;
-        tokens[tenant] = Math.min(Math.max(1, allowances[tenant]),
-            tokens[tenant] + perMicro * (now - tokensAt[tenant]));
+        tokens[tenant] =
+                Math.min(Math.max(1, allowances[tenant]), tokens[tenant] + perMicro * (now - tokensAt[tenant]));
         tokensAt[tenant] = now;
         if (tokens[tenant] < 1) {
             return true;
@@ -253,7 +271,7 @@
                 ended(r, End.UNREACHABLE, 0, at + world.network.client(serial, 1), serial);
                 return;
             }
-            if (there >= patience) {                        // given up before it arrived
+            if (there >= patience) { // given up before it arrived
                 ended(r, End.SILENT, 0, at, serial);
                 return;
             }
--- a/lab/src/main/java/junctionhead/lab/world/LiveFleet.java
+++ b/lab/src/main/java/junctionhead/lab/world/LiveFleet.java
@@ -26,9 +26,13 @@
 
     /** Draws the world of {@code seed}; {@code replies} hears of each request's end. */
     public LiveFleet(WorldPlan plan, long seed, Replies replies) {
-        world = new World(plan, seed, (settings, s, truth) -> {
-            throw new IllegalStateException("a live fleet has no balancers");
-        }, new Unobserved());
+        world = new World(
+                plan,
+                seed,
+                (settings, s, truth) -> {
+                    throw new IllegalStateException("a live fleet has no balancers");
+                },
+                new Unobserved());
         world.slots.clear();
         world.outside = (a, outcome) -> replies.ended(a.taken().serial, outcome);
         works = world.streams.of("live", 0, "work");
@@ -91,12 +95,13 @@
         Upstream u = world.upstreamAt(address);
         WorldPlan.RequestKind k = world.plan.classes().get(kind);
         double mean = k.work().middle();
-        double work = switch (k.spread()) {
-            case EXPONENTIAL -> works.exponential(mean);
-            case LOGNORMAL -> works.lognormal(mean, k.variation().middle());
-            case PARETO -> works.pareto(mean, k.variation().middle());
-            case FIXED -> mean;
-        };
+        double work =
+                switch (k.spread()) {
+                    case EXPONENTIAL -> works.exponential(mean);
+                    case LOGNORMAL -> works.lognormal(mean, k.variation().middle());
+                    case PARETO -> works.pareto(mean, k.variation().middle());
+                    case FIXED -> mean;
+                };
         long now = world.simulation.now();
         ClientRequest c = new ClientRequest(request, kind, 0, 0, key, work, now, now + FAR, false);
         Taken t = new Taken(Long.toString(request), request, c, null, now, now + FAR);
--- a/lab/src/main/java/junctionhead/lab/world/Network.java
+++ b/lab/src/main/java/junctionhead/lab/world/Network.java
@@ -4,7 +4,7 @@
 
 /** Delays between zones, loss, and partitions one way or both. */
 final class Network {
-    private static final long RESEND = 200_000;             // µs until a lost segment is sent again
+    private static final long RESEND = 200_000; // µs until a lost segment is sent again
     private static final int PATHS = 16;
 
     private final long[][] delay;
@@ -22,7 +22,8 @@
         cut = new boolean[zones][zones];
         for (int i = 0; i < zones; i++) {
             for (int j = 0; j <= i; j++) {
-                delay[i][j] = Math.round((i == j ? plan.network().same() : plan.network().cross()).draw(draws));
+                delay[i][j] = Math.round(
+                        (i == j ? plan.network().same() : plan.network().cross()).draw(draws));
                 delay[j][i] = delay[i][j];
             }
         }
--- a/lab/src/main/java/junctionhead/lab/world/Rack.java
+++ b/lab/src/main/java/junctionhead/lab/world/Rack.java
@@ -8,7 +8,7 @@
     final int number;
     final int zone;
     final List<Upstream> members = new ArrayList<>();
-    private final double limit;                             // share of their capacity; 1 = unlimited
+    private final double limit; // share of their capacity; 1 = unlimited
     private double factor = 1;
 
     Rack(int number, int zone, double limit) {
--- a/lab/src/main/java/junctionhead/lab/world/Register.java
+++ b/lab/src/main/java/junctionhead/lab/world/Register.java
@@ -13,8 +13,8 @@
  * Discovery: knows late and only of processes that run, drain or are gone, and handles one call after another.
  */
 final class Register {
-    private static final long AGAIN = 500_000;              // µs after a break, where lists are pushed
-    private static final int HISTORY = 256;                 // versions behind which a watch gets the whole list
+    private static final long AGAIN = 500_000; // µs after a break, where lists are pushed
+    private static final int HISTORY = 256; // versions behind which a watch gets the whole list
 
     /** A balancer's standing with the register. */
     static final class Subscriber {
@@ -115,11 +115,13 @@
         }
         Policy.Server known = entries.get(entry.id());
         if (known != null && known.startedAt() > entry.startedAt()) {
-            return;                                         // news of a process that has been replaced meanwhile
+            return; // news of a process that has been replaced meanwhile
         }
         if (entry.state() == Policy.State.GONE) {
             entries.remove(entry.id());
-        } else if (known == null || known.state() == Policy.State.UP || entry.state() != Policy.State.UP
+        } else if (known == null
+                || known.state() == Policy.State.UP
+                || entry.state() != Policy.State.UP
                 || known.startedAt() != entry.startedAt()) {
             entries.put(entry.id(), entry);
         } else {
@@ -218,7 +220,8 @@
         if (gap) {
             s.balancer.news(ListKind.COMPLETE, list(), now);
         } else {
-            List<Policy.Server> news = new ArrayList<>(changes.tailMap(from, false).values());
+            List<Policy.Server> news =
+                    new ArrayList<>(changes.tailMap(from, false).values());
             if (listsTwice) {
                 news.addAll(List.copyOf(news));
             }
--- a/lab/src/main/java/junctionhead/lab/world/Taken.java
+++ b/lab/src/main/java/junctionhead/lab/world/Taken.java
@@ -7,7 +7,7 @@
 /** A client's try, as a balancer holds it: it owes exactly one final answer by the deadline. */
 public final class Taken {
     /** Something that happened to it, for the chain of events that a broken rule shows. */
-    public record Step(long at, String what) { }
+    public record Step(long at, String what) {}
 
     private final String id;
     private final ClientRequest client;
