--- a/lab/src/main/java/junctionhead/lab/world/Timeline.java
+++ b/lab/src/main/java/junctionhead/lab/world/Timeline.java
@@ -14,39 +14,40 @@
 
     /** The kinds of trouble, each with what its figures mean. */
     public static final Map<String, String> KINDS = Map.ofEntries(
-        Map.entry("slow", "part of the upstreams, size times slower"),
-        Map.entry("fast_errors", "part of the upstreams fail the share size of requests at once"),
-        Map.entry("grey", "part of the upstreams pass probes, fail the share size and are extra times slower"),
-        Map.entry("garble", "part of the upstreams spoil the share size of their answers; the requests have run"),
-        Map.entry("settings_changed", "balancers get settings with size attempts, and the former ones at the end"),
-        Map.entry("hot_key", "the share size of traffic concerns extra keys"),
-        Map.entry("deploy", "part of the upstreams replaced, a share size at a time, each after extra s of drain"),
-        Map.entry("same_address", "part of the upstreams replaced at once at their addresses under new ids"),
-        Map.entry("shared_slow", "all upstreams, size times slower"),
-        Map.entry("rack_lost", "one rack ends at once and comes back; silent where size > 0"),
-        Map.entry("death", "part of the upstreams end at once, successors at the end; silent where size > 0"),
-        Map.entry("restart", "part of the upstreams end and come back after extra s under their ids"),
-        Map.entry("zone_cut", "one zone is cut off both ways"),
-        Map.entry("zone_cut_one_way", "nothing gets out of one zone"),
-        Map.entry("register_down", "discovery is down"),
-        Map.entry("register_twice", "discovery lists each id twice"),
-        Map.entry("balancers_killed", "part of the balancers are killed at once and come back at the end"),
-        Map.entry("balancers_restarted", "part of the balancers end in order one by one, each is back after extra s"),
-        Map.entry("balancers_upgraded", "part of the balancers replaced one by one, two processes at a time"),
-        Map.entry("retry_storm", "clients try size times more, without waits"),
-        Map.entry("burst", "size times as many arrivals"),
-        Map.entry("tenant_flood", "the tenant of number extra, from 0, sends size times as much"),
-        Map.entry("clock_step", "part of the upstreams state start times extra s off"),
-        Map.entry("taken_out", "operators take part of the upstreams out, restart them and put them back"),
-        Map.entry("network_slow", "all messages take size times as long"),
-        Map.entry("loss", "the share size of messages is lost and sent again"));
+            Map.entry("slow", "part of the upstreams, size times slower"),
+            Map.entry("fast_errors", "part of the upstreams fail the share size of requests at once"),
+            Map.entry("grey", "part of the upstreams pass probes, fail the share size and are extra times slower"),
+            Map.entry("garble", "part of the upstreams spoil the share size of their answers; the requests have run"),
+            Map.entry("settings_changed", "balancers get settings with size attempts, and the former ones at the end"),
+            Map.entry("hot_key", "the share size of traffic concerns extra keys"),
+            Map.entry("deploy", "part of the upstreams replaced, a share size at a time, each after extra s of drain"),
+            Map.entry("same_address", "part of the upstreams replaced at once at their addresses under new ids"),
+            Map.entry("shared_slow", "all upstreams, size times slower"),
+            Map.entry("rack_lost", "one rack ends at once and comes back; silent where size > 0"),
+            Map.entry("death", "part of the upstreams end at once, successors at the end; silent where size > 0"),
+            Map.entry("restart", "part of the upstreams end and come back after extra s under their ids"),
+            Map.entry("zone_cut", "one zone is cut off both ways"),
+            Map.entry("zone_cut_one_way", "nothing gets out of one zone"),
+            Map.entry("register_down", "discovery is down"),
+            Map.entry("register_twice", "discovery lists each id twice"),
+            Map.entry("balancers_killed", "part of the balancers are killed at once and come back at the end"),
+            Map.entry(
+                    "balancers_restarted", "part of the balancers end in order one by one, each is back after extra s"),
+            Map.entry("balancers_upgraded", "part of the balancers replaced one by one, two processes at a time"),
+            Map.entry("retry_storm", "clients try size times more, without waits"),
+            Map.entry("burst", "size times as many arrivals"),
+            Map.entry("tenant_flood", "the tenant of number extra, from 0, sends size times as much"),
+            Map.entry("clock_step", "part of the upstreams state start times extra s off"),
+            Map.entry("taken_out", "operators take part of the upstreams out, restart them and put them back"),
+            Map.entry("network_slow", "all messages take size times as long"),
+            Map.entry("loss", "the share size of messages is lost and sent again"));
 
     /** One trouble as it was drawn: from when to when, in µs of the day. */
-    public record Spell(String kind, long from, long to) { }
+    public record Spell(String kind, long from, long to) {}
 
     private final World world;
     private final List<Spell> spells = new ArrayList<>();
-    private String of;                                      // the pool that the trouble being installed concerns
+    private String of; // the pool that the trouble being installed concerns
 
     Timeline(World world) {
         this.world = world;
@@ -75,23 +76,34 @@
     private void install(String kind, long from, long length, double part, double size, double extra, Draws draws) {
         switch (kind) {
             case "slow" -> some(part, from, length, draws, (u, now) -> u.slow(size, now), (u, now) -> u.slow(1, now));
-            case "shared_slow" -> some(1, from, length, draws, (u, now) -> u.slow(size, now),
-                (u, now) -> u.slow(1, now));
-            case "fast_errors" -> some(part, from, length, draws, (u, now) -> u.failing(size),
-                (u, now) -> u.failing(0));
-            case "garble" -> some(part, from, length, draws, (u, now) -> u.spoiling(size),
-                (u, now) -> u.spoiling(0));
-            case "settings_changed" -> during(from, length, now -> reconfigure((int) Math.max(1, size), now),
-                now -> reconfigure(world.plan.rules().maxAttempts(), now));
-            case "grey" -> some(part, from, length, draws, (u, now) -> {
-                u.failing(size);
-                u.slow(Math.max(1, extra), now);
-            }, (u, now) -> {
-                u.failing(0);
-                u.slow(1, now);
-            });
-            case "hot_key" -> during(from, length, now -> world.clients.hot(size, (int) Math.round(extra)),
-                now -> world.clients.hot(0, 1));
+            case "shared_slow" -> some(
+                    1, from, length, draws, (u, now) -> u.slow(size, now), (u, now) -> u.slow(1, now));
+            case "fast_errors" -> some(
+                    part, from, length, draws, (u, now) -> u.failing(size), (u, now) -> u.failing(0));
+            case "garble" -> some(part, from, length, draws, (u, now) -> u.spoiling(size), (u, now) -> u.spoiling(0));
+            case "settings_changed" -> during(
+                    from,
+                    length,
+                    now -> reconfigure((int) Math.max(1, size), now),
+                    now -> reconfigure(world.plan.rules().maxAttempts(), now));
+            case "grey" -> some(
+                    part,
+                    from,
+                    length,
+                    draws,
+                    (u, now) -> {
+                        u.failing(size);
+                        u.slow(Math.max(1, extra), now);
+                    },
+                    (u, now) -> {
+                        u.failing(0);
+                        u.slow(1, now);
+                    });
+            case "hot_key" -> during(
+                    from,
+                    length,
+                    now -> world.clients.hot(size, (int) Math.round(extra)),
+                    now -> world.clients.hot(0, 1));
             case "deploy" -> deploy(from, length, part, size, Math.round(extra * SECOND), draws);
             case "same_address" -> world.simulation.at(from, now -> {
                 for (Upstream u : picked(part, draws)) {
@@ -100,36 +112,42 @@
                 }
             });
             case "rack_lost" -> rackLost(from, length, size > 0, draws);
-            case "death" -> some(part, from, length, draws, (u, now) -> {
-                if (size > 0) {
-                    u.silence(true);
-                    gone(u, true);
-                } else {
-                    end(u, false, now);
-                }
-            }, (u, now) -> {
-                if (u.alive()) {
-                    u.die(now);
-                    world.processes().forEach(b -> b.broken(u));
-                }
-                begin(u, world.freshAddress(), 0, now);
-            });
-            case "restart" -> some(part, from, length, draws, (u, now) -> restart(u, Math.round(extra * SECOND), now),
-                (u, now) -> { });
+            case "death" -> some(
+                    part,
+                    from,
+                    length,
+                    draws,
+                    (u, now) -> {
+                        if (size > 0) {
+                            u.silence(true);
+                            gone(u, true);
+                        } else {
+                            end(u, false, now);
+                        }
+                    },
+                    (u, now) -> {
+                        if (u.alive()) {
+                            u.die(now);
+                            world.processes().forEach(b -> b.broken(u));
+                        }
+                        begin(u, world.freshAddress(), 0, now);
+                    });
+            case "restart" -> some(
+                    part, from, length, draws, (u, now) -> restart(u, Math.round(extra * SECOND), now), (u, now) -> {});
             case "zone_cut" -> zoneCut(from, length, true, draws);
             case "zone_cut_one_way" -> zoneCut(from, length, false, draws);
-            case "register_down" -> during(from, length, now -> world.register.down(true),
-                now -> world.register.down(false));
-            case "register_twice" -> during(from, length, now -> world.register.listsTwice(true),
-                now -> world.register.listsTwice(false));
+            case "register_down" -> during(
+                    from, length, now -> world.register.down(true), now -> world.register.down(false));
+            case "register_twice" -> during(
+                    from, length, now -> world.register.listsTwice(true), now -> world.register.listsTwice(false));
             case "balancers_killed" -> balancersKilled(from, length, part, draws);
             case "balancers_restarted" -> balancersRestarted(from, length, part, Math.round(extra * SECOND), draws);
             case "balancers_upgraded" -> balancersUpgraded(from, length, part, draws);
-            case "retry_storm" -> during(from, length, now -> world.clients.storm((int) Math.round(size)),
-                now -> world.clients.storm(0));
+            case "retry_storm" -> during(
+                    from, length, now -> world.clients.storm((int) Math.round(size)), now -> world.clients.storm(0));
             case "burst" -> during(from, length, now -> world.clients.burst(size), now -> world.clients.burst(1));
-            case "tenant_flood" -> world.simulation.at(from, now -> world.clients.flood((int) Math.round(extra), size,
-                now + length));
+            case "tenant_flood" -> world.simulation.at(
+                    from, now -> world.clients.flood((int) Math.round(extra), size, now + length));
             case "clock_step" -> world.simulation.at(from, now -> {
                 for (Upstream u : picked(part, draws)) {
                     if (u.saidStart() > 0) {
@@ -139,8 +157,8 @@
                 }
             });
             case "taken_out" -> takenOut(from, length, part, draws);
-            case "network_slow" -> during(from, length, now -> world.network.stretch(size),
-                now -> world.network.stretch(1));
+            case "network_slow" -> during(
+                    from, length, now -> world.network.stretch(size), now -> world.network.stretch(1));
             case "loss" -> {
                 double usual = world.network.loss();
                 during(from, length, now -> world.network.loss(size), now -> world.network.loss(usual));
@@ -150,8 +168,10 @@
     }
 
     private void reconfigure(int attempts, long now) {
-        int[] classes = java.util.stream.IntStream.range(0, world.plan.classes().size()).toArray();
-        int[] tenants = java.util.stream.IntStream.range(0, world.plan.tenants().size()).toArray();
+        int[] classes =
+                java.util.stream.IntStream.range(0, world.plan.classes().size()).toArray();
+        int[] tenants =
+                java.util.stream.IntStream.range(0, world.plan.tenants().size()).toArray();
         for (Balancer b : world.processes()) {
             if (b.alive()) {
                 b.policy().reconfigure(now, world.settings(b.rank, b.zone, attempts), classes, tenants);
@@ -171,10 +191,14 @@
     private void some(double part, long from, long length, Draws draws, Change begin, Change end) {
         List<Upstream> chosen = new ArrayList<>();
         String pool = of;
-        during(from, length, now -> {
-            chosen.addAll(picked(part, pool, draws));
-            chosen.forEach(u -> begin.to(u, now));
-        }, now -> chosen.forEach(u -> end.to(u, now)));
+        during(
+                from,
+                length,
+                now -> {
+                    chosen.addAll(picked(part, pool, draws));
+                    chosen.forEach(u -> begin.to(u, now));
+                },
+                now -> chosen.forEach(u -> end.to(u, now)));
     }
 
     // The draw goes by a number for each upstream, not by the order of a list: what else has happened leaves it be.
@@ -185,7 +209,8 @@
     private List<Upstream> picked(double part, String pool, Draws draws) {
         List<Upstream> running = new ArrayList<>();
         for (Upstream u : world.upstreams) {
-            boolean meant = pool == null || world.plan.kinds().get(u.kindNumber).pool().equals(pool);
+            boolean meant =
+                    pool == null || world.plan.kinds().get(u.kindNumber).pool().equals(pool);
             if (meant && u.alive() && !u.draining()) {
                 running.add(u);
             }
@@ -212,8 +237,9 @@
     private void begin(Upstream u, int address, long late, long now) {
         world.simulation.at(now + late, at -> {
             Upstream next = world.start(u.kindNumber, u.rack, address, at);
-            world.register.changed(world.entry(next, Policy.State.UP),
-                Math.round(world.plan.discovery().add().middle()));
+            world.register.changed(
+                    world.entry(next, Policy.State.UP),
+                    Math.round(world.plan.discovery().add().middle()));
         });
     }
 
@@ -225,8 +251,9 @@
         world.processes().forEach(b -> b.broken(u));
         world.simulation.at(now + late, at -> {
             Upstream next = world.again(u, at);
-            world.register.changed(world.entry(next, Policy.State.UP),
-                Math.round(world.plan.discovery().add().middle()));
+            world.register.changed(
+                    world.entry(next, Policy.State.UP),
+                    Math.round(world.plan.discovery().add().middle()));
         });
     }
 
@@ -242,8 +269,9 @@
                         return;
                     }
                     u.drain();
-                    world.register.changed(world.entry(u, Policy.State.DRAINING),
-                        Math.round(world.plan.discovery().notice().middle()));
+                    world.register.changed(
+                            world.entry(u, Policy.State.DRAINING),
+                            Math.round(world.plan.discovery().notice().middle()));
                     world.simulation.at(now + drain, then -> {
                         if (u.alive()) {
                             end(u, false, then);
@@ -258,29 +286,34 @@
     private void rackLost(long from, long length, boolean silently, Draws draws) {
         int number = world.racks.isEmpty() ? 0 : draws.below(world.racks.size());
         List<Upstream> lost = new ArrayList<>();
-        during(from, length, now -> {
-            if (!world.racks.isEmpty()) {
-                lost.addAll(world.racks.get(number).members);
-            }
-            for (Upstream u : lost) {
-                if (silently) {
-                    u.silence(true);
-                    gone(u, true);
-                } else {
-                    end(u, false, now);
-                }
-            }
-        }, now -> {
-            for (Upstream u : lost) {
-                if (u.alive()) {
-                    u.die(now);
-                    world.processes().forEach(b -> b.broken(u));
-                }
-                Upstream next = world.again(u, now);
-                world.register.changed(world.entry(next, Policy.State.UP),
-                    Math.round(world.plan.discovery().add().middle()));
-            }
-        });
+        during(
+                from,
+                length,
+                now -> {
+                    if (!world.racks.isEmpty()) {
+                        lost.addAll(world.racks.get(number).members);
+                    }
+                    for (Upstream u : lost) {
+                        if (silently) {
+                            u.silence(true);
+                            gone(u, true);
+                        } else {
+                            end(u, false, now);
+                        }
+                    }
+                },
+                now -> {
+                    for (Upstream u : lost) {
+                        if (u.alive()) {
+                            u.die(now);
+                            world.processes().forEach(b -> b.broken(u));
+                        }
+                        Upstream next = world.again(u, now);
+                        world.register.changed(
+                                world.entry(next, Policy.State.UP),
+                                Math.round(world.plan.discovery().add().middle()));
+                    }
+                });
     }
 
     private void zoneCut(long from, long length, boolean both, Draws draws) {
@@ -350,7 +383,10 @@
     }
 
     private long longestDeadline() {
-        return world.plan.classes().stream().mapToLong(WorldPlan.RequestKind::deadline).max().orElse(0);
+        return world.plan.classes().stream()
+                .mapToLong(WorldPlan.RequestKind::deadline)
+                .max()
+                .orElse(0);
     }
 
     private void balancersUpgraded(long from, long length, double part, Draws draws) {
@@ -377,20 +413,24 @@
 
     private void takenOut(long from, long length, double part, Draws draws) {
         List<String> out = new ArrayList<>();
-        during(from, length, now -> {
-            for (Upstream u : picked(part, draws)) {
-                out.add(u.id);
-                for (Balancer b : List.copyOf(world.processes())) {
-                    b.operator(u.id, true, now);
-                }
-                world.simulation.at(now + length / 2, at -> restart(u, SECOND / 2, at));
-            }
-        }, now -> {
-            for (String id : out) {
-                for (Balancer b : List.copyOf(world.processes())) {
-                    b.operator(id, false, now);
-                }
-            }
-        });
+        during(
+                from,
+                length,
+                now -> {
+                    for (Upstream u : picked(part, draws)) {
+                        out.add(u.id);
+                        for (Balancer b : List.copyOf(world.processes())) {
+                            b.operator(u.id, true, now);
+                        }
+                        world.simulation.at(now + length / 2, at -> restart(u, SECOND / 2, at));
+                    }
+                },
+                now -> {
+                    for (String id : out) {
+                        for (Balancer b : List.copyOf(world.processes())) {
+                            b.operator(id, false, now);
+                        }
+                    }
+                });
     }
 }
--- a/lab/src/main/java/junctionhead/lab/world/Unobserved.java
+++ b/lab/src/main/java/junctionhead/lab/world/Unobserved.java
@@ -6,25 +6,25 @@
 /** Hears of everything and keeps nothing: for worlds that are judged by somebody else. */
 class Unobserved implements Observer {
     @Override
-    public void taken(Taken request, long now) { }
+    public void taken(Taken request, long now) {}
 
     @Override
-    public void sending(Attempt attempt, long now) { }
+    public void sending(Attempt attempt, long now) {}
 
     @Override
-    public void outcome(Attempt attempt, Policy.Outcome outcome, long now) { }
+    public void outcome(Attempt attempt, Policy.Outcome outcome, long now) {}
 
     @Override
-    public void answered(Taken request, Clients.End end, long retryAfter, long now) { }
+    public void answered(Taken request, Clients.End end, long retryAfter, long now) {}
 
     @Override
-    public void answeredTwice(Taken request, Clients.End end, long now) { }
+    public void answeredTwice(Taken request, Clients.End end, long now) {}
 
     @Override
-    public void overdue(Taken request, long now) { }
+    public void overdue(Taken request, long now) {}
 
     @Override
-    public void told(Balancer balancer, Policy.ListKind kind, List<Policy.Server> servers, long now) { }
+    public void told(Balancer balancer, Policy.ListKind kind, List<Policy.Server> servers, long now) {}
 
     @Override
     public boolean knowsStart(Balancer balancer, Upstream upstream) {
@@ -32,17 +32,17 @@
     }
 
     @Override
-    public void fell(Upstream upstream, double told, long now) { }
+    public void fell(Upstream upstream, double told, long now) {}
 
     @Override
-    public void pressed(Upstream upstream, double part, long now) { }
+    public void pressed(Upstream upstream, double part, long now) {}
 
     @Override
-    public void malformed(Balancer balancer, String what, Taken request, long now) { }
+    public void malformed(Balancer balancer, String what, Taken request, long now) {}
 
     @Override
-    public void asked(ClientRequest request, long now) { }
+    public void asked(ClientRequest request, long now) {}
 
     @Override
-    public void over(ClientRequest request, boolean served, long now) { }
+    public void over(ClientRequest request, boolean served, long now) {}
 }
--- a/lab/src/main/java/junctionhead/lab/world/Upstream.java
+++ b/lab/src/main/java/junctionhead/lab/world/Upstream.java
@@ -17,16 +17,16 @@
  * only the rate changes (Parekh and Gallager's idea for fair queueing). A change costs O(log slots).
  */
 public final class Upstream {
-    private static final long QUICK_FAILURE = 1_000;        // µs that a failing process takes to say so
+    private static final long QUICK_FAILURE = 1_000; // µs that a failing process takes to say so
     private static final long RAMP_STEP = 100_000;
-    private static final double CHANCE_DEVIATIONS = 2;      // of a Poisson count above the cold budget
-    private static final double CHANCE_REQUESTS = 2;        // and so many more
+    private static final double CHANCE_DEVIATIONS = 2; // of a Poisson count above the cold budget
+    private static final double CHANCE_REQUESTS = 2; // and so many more
 
     /** Work of one attempt. */
     private static final class Job {
         final Attempt attempt;
         final double work;
-        double end;                                         // in virtual time
+        double end; // in virtual time
 
         Job(Attempt attempt, double work) {
             this.attempt = attempt;
@@ -35,7 +35,7 @@
     }
 
     /** A send that reached a cold process. */
-    private record Pressure(long at, boolean told) { }
+    private record Pressure(long at, boolean told) {}
 
     final String id;
     final int address;
@@ -54,15 +54,15 @@
     private final double errors;
     private final boolean cancelDrops;
     private final World world;
-    private final PriorityQueue<Job> serving = new PriorityQueue<>((x, y) -> x.end != y.end
-        ? Double.compare(x.end, y.end) : Long.compare(x.attempt.serial, y.attempt.serial));
+    private final PriorityQueue<Job> serving = new PriorityQueue<>(
+            (x, y) -> x.end != y.end ? Double.compare(x.end, y.end) : Long.compare(x.attempt.serial, y.attempt.serial));
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
     private final ArrayDeque<Pressure> pressure = new ArrayDeque<>();
     private final Map<Integer, Long> keys;
     private double virtual;
     private double rate;
     private long settledAt;
-    private double done;                                    // work since the start, for the warm-up
+    private double done; // work since the start, for the warm-up
     private Simulation.Timer next;
     private int connections;
     private int coming;
@@ -86,8 +86,10 @@
         this.kindNumber = kindNumber;
         this.kind = plan.kinds().get(kindNumber);
         this.cores = kind.cores();
-        this.speed = Math.max(0.05, world.kindSpeed[kindNumber]
-            * (1 + kind.speedVariation().draw(draws) * Math.max(-2, Math.min(2, draws.gaussian())) / 2));
+        this.speed = Math.max(
+                0.05,
+                world.kindSpeed[kindNumber]
+                        * (1 + kind.speedVariation().draw(draws) * Math.max(-2, Math.min(2, draws.gaussian())) / 2));
         this.slots = Math.max(cores, (int) Math.round(kind.slotsPerCore().draw(draws) * cores));
         this.room = (int) Math.round(kind.roomPerCore().draw(draws) * cores);
         this.connectionsMost = (int) Math.round(world.connectionsPerCore * cores);
@@ -259,7 +261,7 @@
     /** Nobody waits for that attempt any more: running work goes on, waiting work is dropped at some sites. */
     void abandon(Attempt a) {
         if (cancelDrops) {
-            for (Iterator<Job> i = waiting.iterator(); i.hasNext();) {
+            for (Iterator<Job> i = waiting.iterator(); i.hasNext(); ) {
                 if (i.next().attempt == a) {
                     i.remove();
                     return;
--- a/lab/src/main/java/junctionhead/lab/world/World.java
+++ b/lab/src/main/java/junctionhead/lab/world/World.java
@@ -14,9 +14,9 @@
 
 /** One world, drawn from a plan by a seed, and its day from the first arrival to the last answer. */
 public final class World implements Truth {
-    static final long BEGIN = 60_000_000;                   // µs: start times before the day are positive
+    static final long BEGIN = 60_000_000; // µs: start times before the day are positive
     private static final long SECOND = 1_000_000;
-    private static final long LINGER = 10 * SECOND;         // after the last arrival, at the most
+    private static final long LINGER = 10 * SECOND; // after the last arrival, at the most
     private static final long NEVER = 1L << 60;
 
     final WorldPlan plan;
@@ -40,7 +40,7 @@
     final long notice;
     final List<BalancerSlot> slots = new ArrayList<>();
     final List<Rack> racks = new ArrayList<>();
-    final List<Upstream> upstreams = new ArrayList<>();     // that run or have run, in order of start
+    final List<Upstream> upstreams = new ArrayList<>(); // that run or have run, in order of start
     private final Map<Integer, Upstream> addresses = new HashMap<>();
     private final Map<String, Integer> addressOf = new HashMap<>();
     private final Map<String, Upstream> byId = new HashMap<>();
@@ -58,13 +58,22 @@
     private int nextId;
     private int nextAddress;
     private List<Timeline.Spell> spells = List.of();
-    BiConsumer<Attempt, Outcome> outside;                   // hears of answers where no balancer of this world does
-    private Runnable everySecond = () -> { };
+    BiConsumer<Attempt, Outcome> outside; // hears of answers where no balancer of this world does
+    private Runnable everySecond = () -> {};
 
     /** What the day cost beside what the observer saw; {@code capacity}: what the fleet does, µs of work per µs. */
-    public record Costs(double offeredWork, double wastedWork, long handshakes, long crossings, long probes,
-            long registerCalls, long events, double firstTriesPerSecond, int upstreams, int balancers,
-            double capacity) { }
+    public record Costs(
+            double offeredWork,
+            double wastedWork,
+            long handshakes,
+            long crossings,
+            long probes,
+            long registerCalls,
+            long events,
+            double firstTriesPerSecond,
+            int upstreams,
+            int balancers,
+            double capacity) {}
 
     /** Draws a world; {@code observer} hears of all that happens in it. */
     public World(WorldPlan plan, long seed, PolicyMaker maker, Observer observer) {
@@ -84,12 +93,15 @@
         keyGain = f.keyGain().draw(figures);
         keyMemory = Math.round(f.keyMemory().draw(figures));
         notice = Math.round(plan.clients().notice().draw(figures));
-        kindSpeed = plan.kinds().stream().mapToDouble(k -> k.speed().draw(figures)).toArray();
+        kindSpeed =
+                plan.kinds().stream().mapToDouble(k -> k.speed().draw(figures)).toArray();
         cancelDrops = new boolean[kindSpeed.length];
         for (int i = 0; i < cancelDrops.length; i++) {
             cancelDrops[i] = figures.chance(plan.kinds().get(i).cancelDrops());
         }
-        noises = plan.classes().stream().mapToDouble(k -> k.attemptNoise().draw(figures)).toArray();
+        noises = plan.classes().stream()
+                .mapToDouble(k -> k.attemptNoise().draw(figures))
+                .toArray();
         int balancers = Math.max(1, (int) Math.round(plan.balancers().draw(figures)));
         int many = Math.max(0, (int) Math.round(plan.upstreams().draw(figures)));
         double limitedShare = f.limitedRacks().draw(figures);
@@ -107,7 +119,8 @@
 
     private void build(int many, double limitedShare, double rackLimit) {
         Draws draws = streams.of("fleet", 0, "racks");
-        double[] shares = plan.kinds().stream().mapToDouble(k -> k.share().draw(draws)).toArray();
+        double[] shares =
+                plan.kinds().stream().mapToDouble(k -> k.share().draw(draws)).toArray();
         double all = 0;
         for (double s : shares) {
             all += s;
@@ -116,8 +129,7 @@
         while (made < many) {
             int number = racks.size();
             int size = Math.max(1, (int) Math.round(plan.fleet().rackSize().draw(draws)));
-            Rack rack = new Rack(number, number % plan.zones().size(),
-                draws.chance(limitedShare) ? rackLimit : 1);
+            Rack rack = new Rack(number, number % plan.zones().size(), draws.chance(limitedShare) ? rackLimit : 1);
             racks.add(rack);
             for (int i = 0; i < size && made < many; i++, made++) {
                 // Low discrepancy: a fleet of ten has about the stated share of each kind, not a chance one.
@@ -138,14 +150,21 @@
     Upstream start(int kind, Rack rack, int address, long startedAt) {
         int number = nextId++;
         String id = String.format("u%04x", number * 40503 + 12345 & 0xffff) + (number > 0xffff ? "x" + number : "");
-        return enter(new Upstream(this, id, address, rack.zone, rack, kind, streams.of("upstream", number, "make"),
-            startedAt));
+        return enter(new Upstream(
+                this, id, address, rack.zone, rack, kind, streams.of("upstream", number, "make"), startedAt));
     }
 
     /** The same upstream started again, under its id and at its address. */
     Upstream again(Upstream former, long startedAt) {
-        return enter(new Upstream(this, former.id, former.address, former.zone, former.rack, former.kindNumber,
-            streams.of("upstream again", nextId++, "make"), startedAt));
+        return enter(new Upstream(
+                this,
+                former.id,
+                former.address,
+                former.zone,
+                former.rack,
+                former.kindNumber,
+                streams.of("upstream again", nextId++, "make"),
+                startedAt));
     }
 
     private Upstream enter(Upstream u) {
@@ -199,25 +218,64 @@
     /** The same with another number of attempts, at most the plan's. */
     Policy.Settings settings(int rank, int zone, int attempts) {
         WorldPlan.Rules r = plan.rules();
-        List<Policy.RequestClass> kinds = plan.classes().stream().map(k -> new Policy.RequestClass(k.effect(),
-            Policy.Scope.ALL, 5 * SECOND, k.aim(), k.deadline(), 0, k.worth(), k.lateWorth(), false, false,
-            Set.of(), Set.of())).toList();
+        List<Policy.RequestClass> kinds = plan.classes().stream()
+                .map(k -> new Policy.RequestClass(
+                        k.effect(),
+                        Policy.Scope.ALL,
+                        5 * SECOND,
+                        k.aim(),
+                        k.deadline(),
+                        0,
+                        k.worth(),
+                        k.lateWorth(),
+                        false,
+                        false,
+                        Set.of(),
+                        Set.of()))
+                .toList();
         List<Policy.Tenant> tenants = new ArrayList<>();
         for (double a : clients.allowances) {
             tenants.add(new Policy.Tenant(Math.round(a)));
         }
-        double coldFrom = plan.kinds().stream().mapToDouble(k -> k.coldFrom().least()).min().orElse(1);
-        double ramp = plan.kinds().stream().mapToDouble(k -> k.coldTime().most()).max().orElse(0);
+        double coldFrom = plan.kinds().stream()
+                .mapToDouble(k -> k.coldFrom().least())
+                .min()
+                .orElse(1);
+        double ramp = plan.kinds().stream()
+                .mapToDouble(k -> k.coldTime().most())
+                .max()
+                .orElse(0);
         WorldPlan.Goal g = plan.goal();
-        return new Policy.Settings(slots.size(), rank, zone, kinds, tenants, 0.1,
-            new Policy.Goal(g.whole(), g.worstWindow(), g.worstClass(), g.worstTenant()),
-            new Policy.Prices(plan.prices().crossZone(), plan.prices().handshake()), false,
-            plan.discovery().ask() ? Policy.Discovery.ASK : Policy.Discovery.PUSH, Policy.Reports.NONE,
-            keyGain > 0 && plan.load().keys().most() > 0,
-            new Policy.Limits(Math.min(attempts, r.maxAttempts()), r.secondCopies(), r.cancel(), r.probes(),
-                plan.fleet().connectTimeout(), r.retryAfterMax()),
-            new Policy.Bounds(r.answerSlack(), r.drainGrace(), r.askWithin(), Math.max(0.01, Math.min(1, coldFrom)),
-                Math.round(ramp), r.overloadFactor(), r.fall(), 0), 5_000);
+        return new Policy.Settings(
+                slots.size(),
+                rank,
+                zone,
+                kinds,
+                tenants,
+                0.1,
+                new Policy.Goal(g.whole(), g.worstWindow(), g.worstClass(), g.worstTenant()),
+                new Policy.Prices(plan.prices().crossZone(), plan.prices().handshake()),
+                false,
+                plan.discovery().ask() ? Policy.Discovery.ASK : Policy.Discovery.PUSH,
+                Policy.Reports.NONE,
+                keyGain > 0 && plan.load().keys().most() > 0,
+                new Policy.Limits(
+                        Math.min(attempts, r.maxAttempts()),
+                        r.secondCopies(),
+                        r.cancel(),
+                        r.probes(),
+                        plan.fleet().connectTimeout(),
+                        r.retryAfterMax()),
+                new Policy.Bounds(
+                        r.answerSlack(),
+                        r.drainGrace(),
+                        r.askWithin(),
+                        Math.max(0.01, Math.min(1, coldFrom)),
+                        Math.round(ramp),
+                        r.overloadFactor(),
+                        r.fall(),
+                        0),
+                5_000);
     }
 
     /** Calls {@code what} after each second of the day. */
@@ -247,8 +305,18 @@
                 break;
             }
         }
-        return new Costs(offered, wasted, handshakes, crossings, probes, register.calls(), simulation.fired(),
-            clients.perSecond(), upstreams.size(), slots.size(), nominal);
+        return new Costs(
+                offered,
+                wasted,
+                handshakes,
+                crossings,
+                probes,
+                register.calls(),
+                simulation.fired(),
+                clients.perSecond(),
+                upstreams.size(),
+                slots.size(),
+                nominal);
     }
 
     // ---- balancers
@@ -257,8 +325,8 @@
     Balancer boot(BalancerSlot slot, Map<String, double[]> learnt) {
         int incarnation = slot.nextIncarnation();
         long now = simulation.now();
-        Policy policy = maker.make(settings(slot.rank, slot.zone),
-            streams.seed("balancer", slot.rank * 1000L + incarnation), this);
+        Policy policy = maker.make(
+                settings(slot.rank, slot.zone), streams.seed("balancer", slot.rank * 1000L + incarnation), this);
         Balancer b = new Balancer(this, slot.rank, slot.zone, incarnation, policy);
         processes.removeIf(p -> !p.alive());
         processes.add(b);
@@ -297,8 +365,9 @@
         ClientRequest c = a.taken().client();
         double noise = noises[c.kind];
         double variance = StrictMath.log(1 + noise * noise);
-        double times = noise <= 0 ? 1 : StrictMath.exp(
-            Math.sqrt(variance) * Chance.gaussian(chanceSeed, a.serial, 11) - variance / 2);
+        double times = noise <= 0
+                ? 1
+                : StrictMath.exp(Math.sqrt(variance) * Chance.gaussian(chanceSeed, a.serial, 11) - variance / 2);
         return new RequestWork(c.work * times, c.key);
     }
 
@@ -368,8 +437,8 @@
 
     void remark(int rank, String line) {
         if (remarks.size() < 500) {
-            remarks.add(String.format(java.util.Locale.ROOT, "%.3f s balancer %d: %s",
-                (simulation.now() - BEGIN) / 1e6, rank, line));
+            remarks.add(String.format(
+                    java.util.Locale.ROOT, "%.3f s balancer %d: %s", (simulation.now() - BEGIN) / 1e6, rank, line));
         }
     }
 
@@ -405,7 +474,11 @@
     @Override
     public double answerTime(String upstream, int zone) {
         Upstream u = at(upstream);
-        if (u == null || !u.answers() || u.fallen() || u.draining() || network.cut(zone, u.zone)
+        if (u == null
+                || !u.answers()
+                || u.fallen()
+                || u.draining()
+                || network.cut(zone, u.zone)
                 || network.cut(u.zone, zone)) {
             return NEVER;
         }
--- a/lab/src/main/java/junctionhead/lab/world/WorldPlan.java
+++ b/lab/src/main/java/junctionhead/lab/world/WorldPlan.java
@@ -7,83 +7,191 @@
  * A world as an experiment describes it: ranges from which each seed draws one world. All times are simulated
  * microseconds; capacity and work are in µs of a standard core.
  */
-public record WorldPlan(long length, Range balancers, Range upstreams, List<String> zones, Load load,
-        Network network, Clients clients, Discovery discovery, Rules rules, Goal goal, Prices prices,
-        Fleet fleet, List<Kind> kinds, List<RequestKind> classes, List<Tenant> tenants, List<Trouble> troubles) {
+public record WorldPlan(
+        long length,
+        Range balancers,
+        Range upstreams,
+        List<String> zones,
+        Load load,
+        Network network,
+        Clients clients,
+        Discovery discovery,
+        Rules rules,
+        Goal goal,
+        Prices prices,
+        Fleet fleet,
+        List<Kind> kinds,
+        List<RequestKind> classes,
+        List<Tenant> tenants,
+        List<Trouble> troubles) {
 
     /** How arrivals vary over the day. */
-    public enum Shape { STEADY, RAMP, DAILY, BURSTS }
+    public enum Shape {
+        STEADY,
+        RAMP,
+        DAILY,
+        BURSTS
+    }
 
     /** How a kind of upstream warms up. */
-    public enum WarmBy { TIME, REQUESTS }
+    public enum WarmBy {
+        TIME,
+        REQUESTS
+    }
 
     /** How the work of a class varies. */
-    public enum Spread { EXPONENTIAL, LOGNORMAL, PARETO, FIXED }
+    public enum Spread {
+        EXPONENTIAL,
+        LOGNORMAL,
+        PARETO,
+        FIXED
+    }
 
     /**
      * Demand. {@code level}: first tries' work as a share of the fleet's capacity; {@code swing}: by how much the
      * shape rises and falls; {@code quota}: the tenants' allowances together, as a share of capacity.
      */
-    public record Load(Range level, Shape shape, Range swing, Range zoneSkew, Range keys, Range keyZipf,
-            Range quota) { }
+    public record Load(Range level, Shape shape, Range swing, Range zoneSkew, Range keys, Range keyZipf, Range quota) {}
 
     /** One-way delays in µs; {@code jitter} is the mean of an exponential part, as a share of the delay. */
-    public record Network(Range same, Range cross, Range client, Range jitter, double loss) { }
+    public record Network(Range same, Range cross, Range client, Range jitter, double loss) {}
 
     /**
      * Clients. {@code retries}: further tries; {@code tryShare}: a try's patience as a share of the deadline;
      * {@code notice}: after what time a front notices a dead or new balancer.
      */
-    public record Clients(Range retries, Range tryShare, Range backoff, Range honour, Range impatient,
-            Range notice, boolean marksRetry) { }
+    public record Clients(
+            Range retries,
+            Range tryShare,
+            Range backoff,
+            Range honour,
+            Range impatient,
+            Range notice,
+            boolean marksRetry) {}
 
     /** The register. {@code capacity}: calls per second; {@code callLines}: lines that cost as much as a call. */
-    public record Discovery(boolean ask, Range notice, Range silentNotice, Range add, Range period, Range spread,
-            Range capacity, Range callLines, long timeout) { }
+    public record Discovery(
+            boolean ask,
+            Range notice,
+            Range silentNotice,
+            Range add,
+            Range period,
+            Range spread,
+            Range capacity,
+            Range callLines,
+            long timeout) {}
 
     /** Figures of the rules and limits, as {@link Policy.Bounds} and {@link Policy.Limits} name them. */
-    public record Rules(long answerSlack, long drainGrace, long askWithin, double overloadFactor, long fall,
-            int maxAttempts, boolean secondCopies, boolean cancel, boolean probes, long retryAfterMax) { }
+    public record Rules(
+            long answerSlack,
+            long drainGrace,
+            long askWithin,
+            double overloadFactor,
+            long fall,
+            int maxAttempts,
+            boolean secondCopies,
+            boolean cancel,
+            boolean probes,
+            long retryAfterMax) {}
 
     /** Weights of the parts of G; they add up to 1. */
-    public record Goal(double whole, double worstWindow, double worstClass, double worstTenant) { }
+    public record Goal(double whole, double worstWindow, double worstClass, double worstTenant) {}
 
     /** Points of G for each unit, per first try; {@code waste} per unit of offered work. */
-    public record Prices(double crossZone, double waste, double probe, double lateFail, double handshake) { }
+    public record Prices(double crossZone, double waste, double probe, double lateFail, double handshake) {}
 
     /**
      * What all upstreams have in common: racks, connections, memory for keys. {@code rackLimit}: what a limited
      * rack's upstreams can do together, as a share of their capacity.
      */
-    public record Fleet(Range rackSize, Range limitedRacks, Range rackLimit, Range handshakeRtts,
-            Range handshakeWork, long idle, long connectTimeout, Range connectionsPerCore, Range fullTax,
-            Range keyGain, Range keyMemory, Range keysPerCore) { }
+    public record Fleet(
+            Range rackSize,
+            Range limitedRacks,
+            Range rackLimit,
+            Range handshakeRtts,
+            Range handshakeWork,
+            long idle,
+            long connectTimeout,
+            Range connectionsPerCore,
+            Range fullTax,
+            Range keyGain,
+            Range keyMemory,
+            Range keysPerCore) {}
 
     /**
      * A kind of upstream; {@code cancelDrops}: the chance that a world's upstreams drop cancelled waiting work;
      * {@code pool}: the pool that upstreams of this kind belong to, for variants with a front.
      */
-    public record Kind(String name, Range share, int cores, Range speed, Range speedVariation, Range slotsPerCore,
-            Range roomPerCore, double crowding, Range crowdedAt, Range coldFrom, Range coldTime, WarmBy warmBy,
-            Range errors, double cancelDrops, String pool) {
+    public record Kind(
+            String name,
+            Range share,
+            int cores,
+            Range speed,
+            Range speedVariation,
+            Range slotsPerCore,
+            Range roomPerCore,
+            double crowding,
+            Range crowdedAt,
+            Range coldFrom,
+            Range coldTime,
+            WarmBy warmBy,
+            Range errors,
+            double cancelDrops,
+            String pool) {
         /** The only pool, where there is one. */
         public static final String SITE = "site";
 
         /** A kind of the only pool. */
-        public Kind(String name, Range share, int cores, Range speed, Range speedVariation, Range slotsPerCore,
-                Range roomPerCore, double crowding, Range crowdedAt, Range coldFrom, Range coldTime, WarmBy warmBy,
-                Range errors, double cancelDrops) {
-            this(name, share, cores, speed, speedVariation, slotsPerCore, roomPerCore, crowding, crowdedAt, coldFrom,
-                coldTime, warmBy, errors, cancelDrops, SITE);
+        public Kind(
+                String name,
+                Range share,
+                int cores,
+                Range speed,
+                Range speedVariation,
+                Range slotsPerCore,
+                Range roomPerCore,
+                double crowding,
+                Range crowdedAt,
+                Range coldFrom,
+                Range coldTime,
+                WarmBy warmBy,
+                Range errors,
+                double cancelDrops) {
+            this(
+                    name,
+                    share,
+                    cores,
+                    speed,
+                    speedVariation,
+                    slotsPerCore,
+                    roomPerCore,
+                    crowding,
+                    crowdedAt,
+                    coldFrom,
+                    coldTime,
+                    warmBy,
+                    errors,
+                    cancelDrops,
+                    SITE);
         }
     }
 
     /** A class of requests; {@code work} in µs of a standard core. */
-    public record RequestKind(String name, Range share, Range work, Spread spread, Range variation,
-            Range attemptNoise, long aim, long deadline, double worth, double lateWorth, Policy.Effect effect) { }
+    public record RequestKind(
+            String name,
+            Range share,
+            Range work,
+            Spread spread,
+            Range variation,
+            Range attemptNoise,
+            long aim,
+            long deadline,
+            double worth,
+            double lateWorth,
+            Policy.Effect effect) {}
 
     /** A tenant: its share of the service, and what it brings as a multiple of that. */
-    public record Tenant(String name, double share, Range usage) { }
+    public record Tenant(String name, double share, Range usage) {}
 
     /**
      * Something that goes wrong. {@code at} and {@code length} in µs; what {@code part}, {@code size} and
@@ -99,26 +207,57 @@
 
     /** The same world with other troubles. */
     public WorldPlan with(List<Trouble> others) {
-        return new WorldPlan(length, balancers, upstreams, zones, load, network, clients, discovery, rules, goal,
-            prices, fleet, kinds, classes, tenants, others);
+        return new WorldPlan(
+                length, balancers, upstreams, zones, load, network, clients, discovery, rules, goal, prices, fleet,
+                kinds, classes, tenants, others);
     }
 
     /** The same world at another size. */
     public WorldPlan sized(Range otherBalancers, Range otherUpstreams) {
-        return new WorldPlan(length, otherBalancers, otherUpstreams, zones, load, network, clients, discovery,
-            rules, goal, prices, fleet, kinds, classes, tenants, troubles);
+        return new WorldPlan(
+                length,
+                otherBalancers,
+                otherUpstreams,
+                zones,
+                load,
+                network,
+                clients,
+                discovery,
+                rules,
+                goal,
+                prices,
+                fleet,
+                kinds,
+                classes,
+                tenants,
+                troubles);
     }
 
     /** The same world for another time. */
     public WorldPlan lasting(long other) {
-        return new WorldPlan(other, balancers, upstreams, zones, load, network, clients, discovery, rules, goal,
-            prices, fleet, kinds, classes, tenants, troubles);
+        return new WorldPlan(
+                other, balancers, upstreams, zones, load, network, clients, discovery, rules, goal, prices, fleet,
+                kinds, classes, tenants, troubles);
     }
 
     /** The same world under another load. */
     public WorldPlan loaded(Range level) {
-        return new WorldPlan(length, balancers, upstreams, zones, new Load(level, load.shape, load.swing,
-            load.zoneSkew, load.keys, load.keyZipf, load.quota), network, clients, discovery, rules, goal, prices,
-            fleet, kinds, classes, tenants, troubles);
+        return new WorldPlan(
+                length,
+                balancers,
+                upstreams,
+                zones,
+                new Load(level, load.shape, load.swing, load.zoneSkew, load.keys, load.keyZipf, load.quota),
+                network,
+                clients,
+                discovery,
+                rules,
+                goal,
+                prices,
+                fleet,
+                kinds,
+                classes,
+                tenants,
+                troubles);
     }
 }
--- a/lab/src/main/java/junctionhead/lab/wreck/Fault.java
+++ b/lab/src/main/java/junctionhead/lab/wreck/Fault.java
@@ -24,18 +24,37 @@
  * @param amount of what takes one: bytes of a piece, µs of a delay, bytes a second, the share of a garble
  * @param seed of a garble
  */
-public record Fault(int from, int to, boolean up, What what, int message, Point point, long offset, double amount,
-        long seed) {
+public record Fault(
+        int from, int to, boolean up, What what, int message, Point point, long offset, double amount, long seed) {
 
     /** What a fault does at its place; all but the last five end the bytes of their direction there. */
-    public enum What { CUT, HALF_CLOSE, RESET, SILENCE, REFUSE, MUTE, PAUSE, TWICE, GARBLE, PIECES, DELAY, RATE }
+    public enum What {
+        CUT,
+        HALF_CLOSE,
+        RESET,
+        SILENCE,
+        REFUSE,
+        MUTE,
+        PAUSE,
+        TWICE,
+        GARBLE,
+        PIECES,
+        DELAY,
+        RATE
+    }
 
     /** A place in a message; the fault comes before the byte it names, {@code END} after the last. */
-    public enum Point { HEAD, HEAD_LAST, BODY_FIRST, BODY_LAST, END }
+    public enum Point {
+        HEAD,
+        HEAD_LAST,
+        BODY_FIRST,
+        BODY_LAST,
+        END
+    }
 
     private static final Pattern LINE = Pattern.compile("on\\s+(\\*|\\d+(?:-\\d*)?)(?:\\s+(up|down))?\\s+([a-z-]+)"
-        + "(?:\\s+([0-9.]+)([A-Za-z/]*))?(?:\\s+seed\\s+(\\d+))?"
-        + "(?:\\s+at\\s+(?:(?:#(\\d+)\\s+)?([a-z-]+)?([+]?\\d+)?))?");
+            + "(?:\\s+([0-9.]+)([A-Za-z/]*))?(?:\\s+seed\\s+(\\d+))?"
+            + "(?:\\s+at\\s+(?:(?:#(\\d+)\\s+)?([a-z-]+)?([+]?\\d+)?))?");
 
     /** A script: its lines in order, faults as read; {@code #} at the beginning of a word begins a comment. */
     public static List<Fault> script(String name, String text) {
@@ -68,14 +87,16 @@
     public static Fault of(String line) {
         Matcher m = LINE.matcher(line);
         if (!m.matches()) {
-            throw new IllegalArgumentException("\"" + line + "\" can't be read: such as"
-                + " \"on 2 up cut at body-first+3\"");
+            throw new IllegalArgumentException(
+                    "\"" + line + "\" can't be read: such as" + " \"on 2 up cut at body-first+3\"");
         }
         What what = word(What.class, m.group(3), "fault");
         boolean whole = what == What.REFUSE || what == What.MUTE;
         if (whole != (m.group(2) == null)) {
-            throw new IllegalArgumentException("\"" + line + "\": " + (whole ? m.group(3) + " has no direction"
-                : "a direction is missing, up (towards the server) or down"));
+            throw new IllegalArgumentException("\"" + line + "\": "
+                    + (whole
+                            ? m.group(3) + " has no direction"
+                            : "a direction is missing, up (towards the server) or down"));
         }
         int from = 1;
         int to = Integer.MAX_VALUE;
@@ -93,36 +114,48 @@
             throw new IllegalArgumentException("\"" + line + "\": '" + off + "' from which point?");
         }
         long offset = off == null ? 0 : Long.parseLong(off.startsWith("+") ? off.substring(1) : off);
-        return new Fault(from, to, "up".equals(m.group(2)), what, m.group(7) == null ? 1 : Integer.parseInt(m.group(7)),
-            point, offset, amount(line, what, m.group(4), m.group(5)), m.group(6) == null ? 0
-            : Long.parseLong(m.group(6)));
+        return new Fault(
+                from,
+                to,
+                "up".equals(m.group(2)),
+                what,
+                m.group(7) == null ? 1 : Integer.parseInt(m.group(7)),
+                point,
+                offset,
+                amount(line, what, m.group(4), m.group(5)),
+                m.group(6) == null ? 0 : Long.parseLong(m.group(6)));
     }
 
     private static double amount(String line, What what, String figure, String unit) {
-        String wanted = switch (what) {
-            case PIECES -> "bytes of a piece, such as 1";
-            case GARBLE -> "a share of bytes, such as 0.01";
-            case DELAY -> "a time with its unit, such as 20ms";
-            case RATE -> "bytes a second with their unit, such as 64KiB/s";
-            default -> null;
-        };
+        String wanted =
+                switch (what) {
+                    case PIECES -> "bytes of a piece, such as 1";
+                    case GARBLE -> "a share of bytes, such as 0.01";
+                    case DELAY -> "a time with its unit, such as 20ms";
+                    case RATE -> "bytes a second with their unit, such as 64KiB/s";
+                    default -> null;
+                };
         if (wanted == null) {
             if (figure != null) {
-                throw new IllegalArgumentException("\"" + line + "\": " + what.name().toLowerCase(Locale.ROOT)
-                    + " takes no figure");
+                throw new IllegalArgumentException(
+                        "\"" + line + "\": " + what.name().toLowerCase(Locale.ROOT) + " takes no figure");
             }
             return 0;
         }
-        Double scale = figure == null ? null : switch (what.name() + " " + unit) {
-            case "PIECES ", "GARBLE ", "DELAY us", "RATE B/s" -> Double.valueOf(1);
-            case "DELAY ms" -> Double.valueOf(1e3);
-            case "DELAY s" -> Double.valueOf(1e6);
-            case "RATE KiB/s" -> Double.valueOf(1024);
-            case "RATE MiB/s" -> Double.valueOf(1048576);
-            default -> null;
-        };
+        Double scale = figure == null
+                ? null
+                : switch (what.name() + " " + unit) {
+                    case "PIECES ", "GARBLE ", "DELAY us", "RATE B/s" -> Double.valueOf(1);
+                    case "DELAY ms" -> Double.valueOf(1e3);
+                    case "DELAY s" -> Double.valueOf(1e6);
+                    case "RATE KiB/s" -> Double.valueOf(1024);
+                    case "RATE MiB/s" -> Double.valueOf(1048576);
+                    default -> null;
+                };
         double value = scale == null ? 0 : Double.parseDouble(figure) * scale;
-        if (scale == null || value <= 0 || what == What.GARBLE && value > 1
+        if (scale == null
+                || value <= 0
+                || what == What.GARBLE && value > 1
                 || what == What.PIECES && value != Math.rint(value)) {
             throw new IllegalArgumentException("\"" + line + "\": " + wanted + " is wanted");
         }
--- a/lab/src/main/java/junctionhead/lab/wreck/Framing.java
+++ b/lab/src/main/java/junctionhead/lab/wreck/Framing.java
@@ -8,7 +8,15 @@
  * What can't be framed is one body without an end.
  */
 final class Framing {
-    private enum In { HEAD, BODY, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILER, ENDLESS }
+    private enum In {
+        HEAD,
+        BODY,
+        CHUNK_SIZE,
+        CHUNK,
+        CHUNK_END,
+        TRAILER,
+        ENDLESS
+    }
 
     private static final int HEAD_MOST = 64 * 1024;
 
@@ -28,7 +36,7 @@
     }
 
     /** Where a byte is. */
-    record Place(int message, boolean headFirst, boolean headLast, boolean bodyFirst, boolean messageLast) { }
+    record Place(int message, boolean headFirst, boolean headLast, boolean bodyFirst, boolean messageLast) {}
 
     /** The place of the next byte, which is {@code b}. */
     Place next(byte b) {
--- a/lab/src/main/java/junctionhead/lab/wreck/Lane.java
+++ b/lab/src/main/java/junctionhead/lab/wreck/Lane.java
@@ -16,13 +16,13 @@
     private static final long GOLDEN = 0x9e3779b97f4a7c15L;
 
     /** What is to be done next. */
-    public sealed interface Step permits Pass, Do { }
+    public sealed interface Step permits Pass, Do {}
 
     /** Bytes to be passed on. */
-    public record Pass(byte[] bytes) implements Step { }
+    public record Pass(byte[] bytes) implements Step {}
 
     /** Something to be done before what follows; after all but {@code PAUSE} nothing follows. */
-    public record Do(What what) implements Step { }
+    public record Do(What what) implements Step {}
 
     private final List<Fault> pending;
     private final Framing framing;
@@ -30,7 +30,7 @@
     private final List<String> trace = new ArrayList<>();
     private final ByteArrayOutputStream answer = new ByteArrayOutputStream();
     private final Fault twice;
-    private final Map<Fault, Long> starts = new HashMap<>();        // where faults behind a point that came are due
+    private final Map<Fault, Long> starts = new HashMap<>(); // where faults behind a point that came are due
     private long offset;
     private boolean over;
 
@@ -38,9 +38,15 @@
     public Lane(int connection, boolean up, List<Fault> faults) {
         this.name = connection + (up ? " up" : " down");
         this.framing = new Framing(!up);
-        this.pending = new ArrayList<>(faults.stream().filter(f -> f.concerns(connection) && f.up() == up
-            && f.what().compareTo(What.PIECES) < 0 && f.what() != What.REFUSE && f.what() != What.MUTE).toList());
-        this.twice = pending.stream().filter(f -> f.what() == What.TWICE).findFirst().orElse(null);
+        this.pending = new ArrayList<>(faults.stream()
+                .filter(f -> f.concerns(connection)
+                        && f.up() == up
+                        && f.what().compareTo(What.PIECES) < 0
+                        && f.what() != What.REFUSE
+                        && f.what() != What.MUTE)
+                .toList());
+        this.twice =
+                pending.stream().filter(f -> f.what() == What.TWICE).findFirst().orElse(null);
         pending.remove(twice);
     }
 
@@ -104,13 +110,14 @@
                 }
                 continue;
             }
-            boolean here = place.message() == f.message() && switch (f.point()) {
-                case HEAD -> !after && place.headFirst();
-                case HEAD_LAST -> !after && place.headLast();
-                case BODY_FIRST -> !after && place.bodyFirst();
-                case BODY_LAST -> !after && place.messageLast();
-                case END -> after && place.messageLast();
-            };
+            boolean here = place.message() == f.message()
+                    && switch (f.point()) {
+                        case HEAD -> !after && place.headFirst();
+                        case HEAD_LAST -> !after && place.headLast();
+                        case BODY_FIRST -> !after && place.bodyFirst();
+                        case BODY_LAST -> !after && place.messageLast();
+                        case END -> after && place.messageLast();
+                    };
             if (here && f.offset() == 0) {
                 due.add(f);
             } else if (here) {
--- a/lab/src/test/java/junctionhead/lab/LayersTest.java
+++ b/lab/src/test/java/junctionhead/lab/LayersTest.java
@@ -11,7 +11,8 @@
 /** Which part of the laboratory may know which. */
 class LayersTest {
     private static final JavaClasses LAB = new ClassFileImporter()
-        .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("junctionhead.lab");
+            .withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages("junctionhead.lab");
 
     @Test
     void packagesFormNoCycles() {
@@ -20,16 +21,32 @@
 
     @Test
     void worldsKnowPoliciesByTheirInterfaceOnlyAndNeverTheBalancer() {
-        noClasses().that().resideInAnyPackage("..lab.sim..", "..lab.world..", "..lab.judge..").should()
-            .dependOnClassesThat().haveFullyQualifiedName("junctionhead.policy.Balance").check(LAB);
-        noClasses().should().dependOnClassesThat().resideInAnyPackage("junctionhead.net..", "junctionhead.wire..")
-            .check(LAB);
+        noClasses()
+                .that()
+                .resideInAnyPackage("..lab.sim..", "..lab.world..", "..lab.judge..")
+                .should()
+                .dependOnClassesThat()
+                .haveFullyQualifiedName("junctionhead.policy.Balance")
+                .check(LAB);
+        noClasses()
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("junctionhead.net..", "junctionhead.wire..")
+                .check(LAB);
     }
 
     @Test
     void simulatedTimeIsTheOnlyClock() {
-        noClasses().that().resideInAnyPackage("..lab.sim..", "..lab.world..", "..lab.variants..", "..lab.policies..")
-            .should().callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis")
-            .orShould().dependOnClassesThat().belongToAnyOf(java.util.Random.class, Thread.class).check(LAB);
+        noClasses()
+                .that()
+                .resideInAnyPackage("..lab.sim..", "..lab.world..", "..lab.variants..", "..lab.policies..")
+                .should()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .callMethod(System.class, "currentTimeMillis")
+                .orShould()
+                .dependOnClassesThat()
+                .belongToAnyOf(java.util.Random.class, Thread.class)
+                .check(LAB);
     }
 }
--- a/lab/src/test/java/junctionhead/lab/cli/FleetCommandTest.java
+++ b/lab/src/test/java/junctionhead/lab/cli/FleetCommandTest.java
@@ -17,8 +17,15 @@
 
     private int run(String file, Path json) throws IOException {
         Path at = Files.writeString(folder.resolve("f.toml"), file);
-        return Lab.run("fleet", at.toString(), "--json", json.toString(), "--html", folder.resolve("f.html").toString(),
-            "--commit", "0123abc");
+        return Lab.run(
+                "fleet",
+                at.toString(),
+                "--json",
+                json.toString(),
+                "--html",
+                folder.resolve("f.html").toString(),
+                "--commit",
+                "0123abc");
     }
 
     @Test
@@ -34,8 +41,12 @@
     @Test
     void whatTheMachineCantBearIsRefusedBeforeItStartsAndTheRestRuns() throws IOException {
         Path json = folder.resolve("f.json");
-        assertEquals(1, run("[fleet]\nupstreams = 20\nidle = \"100ms\"\nlength = \"500ms\"\n"
-            + "[[axis]]\nname = \"balancers\"\nsizes = [2, 9000000]\n", json));
+        assertEquals(
+                1,
+                run(
+                        "[fleet]\nupstreams = 20\nidle = \"100ms\"\nlength = \"500ms\"\n"
+                                + "[[axis]]\nname = \"balancers\"\nsizes = [2, 9000000]\n",
+                        json));
         JsonNode node = new ObjectMapper().readTree(json.toFile());
         assertEquals(1, node.get("axes").get("balancers").get("points").size());
         assertEquals("0123abc", node.get("commit").asText());
--- a/lab/src/test/java/junctionhead/lab/cli/LabTest.java
+++ b/lab/src/test/java/junctionhead/lab/cli/LabTest.java
@@ -23,9 +23,15 @@
     private Path folder;
 
     private String experiment(String expect) throws IOException {
-        return Files.writeString(folder.resolve("e.toml"), "include = \""
-            + EXPERIMENTS.resolve("booking-day.toml").toAbsolutePath().normalize() + "\"\n"
-            + "[experiment]\nseeds = 2\nexpect = [\"" + expect + "\"]\n[world]\nlength = \"8s\"\n").toString();
+        return Files.writeString(
+                        folder.resolve("e.toml"),
+                        "include = \""
+                                + EXPERIMENTS
+                                        .resolve("booking-day.toml")
+                                        .toAbsolutePath()
+                                        .normalize() + "\"\n"
+                                + "[experiment]\nseeds = 2\nexpect = [\"" + expect + "\"]\n[world]\nlength = \"8s\"\n")
+                .toString();
     }
 
     @Test
@@ -54,9 +60,32 @@
     @Test
     void theQueueCommandWritesTheFiguresThatChecksNeed() throws IOException {
         Path json = folder.resolve("q.json");
-        assertEquals(0, Lab.run("queue", "--policy", "jsq-das", "--servers", "100", "--lambda", "0.8", "--fast-share",
-            "0.3", "--fast-rate", "1.95", "--slow-rate", "0.6", "-d", "4", "-a", "2", "--jobs", "100000", "--seed", "3",
-            "--json", json.toString()));
+        assertEquals(
+                0,
+                Lab.run(
+                        "queue",
+                        "--policy",
+                        "jsq-das",
+                        "--servers",
+                        "100",
+                        "--lambda",
+                        "0.8",
+                        "--fast-share",
+                        "0.3",
+                        "--fast-rate",
+                        "1.95",
+                        "--slow-rate",
+                        "0.6",
+                        "-d",
+                        "4",
+                        "-a",
+                        "2",
+                        "--jobs",
+                        "100000",
+                        "--seed",
+                        "3",
+                        "--json",
+                        json.toString()));
         JsonNode node = new ObjectMapper().readTree(json.toFile());
         for (String name : List.of("mean_response", "ci95", "fast_identified", "warm_up_jobs")) {
             assertTrue(node.get(name).isNumber(), name);
@@ -77,7 +106,7 @@
     @Test
     void theBookingDayKeepsItsPromises() throws IOException {
         Experiment e = ExperimentReader.read(EXPERIMENTS.resolve("booking-day.toml"));
-        var results = Runner.run(e, 4, (done, all) -> { });
+        var results = Runner.run(e, 4, (done, all) -> {});
         results.verdicts().forEach(v -> assertTrue(v.holds(), v.toString()));
     }
 }
--- a/lab/src/test/java/junctionhead/lab/experiment/ExperimentReaderTest.java
+++ b/lab/src/test/java/junctionhead/lab/experiment/ExperimentReaderTest.java
@@ -14,7 +14,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class ExperimentReaderTest {
-    private static final String SOUND = """
+    private static final String SOUND =
+            """
         [experiment]
         seeds = 2
         expect = ["G > 0"]
@@ -58,31 +59,39 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "length = \"5s\" | length = 5 | bad.toml:5: 'length' is 5: a time with its unit, such as \"200ms\" is wanted",
-        "length = \"5s\" | lenght = \"5s\" | bad.toml:4: 'length' is missing in [world]: a time with its unit",
-        "balancers = 1 | balancers = 0 | bad.toml:6: 'balancers' is 0: a whole number of 1 or more is wanted",
-        "balancers = 1 | balancers = [1, 2, 3] | bad.toml:6: 'balancers' has 3 values; one, or two for a range",
-        "level = 0.5 | levle = 0.5 | bad.toml:9: unknown key 'levle' in [load]; did you mean 'level'?",
-        "part = 0.5 | part = 1.5 | bad.toml:23: 'part' is 1.5: a share from 0 to 1 is wanted",
-        "kind = \"slow\" | kind = \"slw\" | did you mean 'slow'?",
-        "deadline = \"500ms\" | deadline = \"50ms\" | bad.toml:19: 'deadline' is before the aim",
-        "expect = [\"G > 0\"] | expect = [\"H > 0\"] | bad.toml:3: expectation \"H > 0\": no figure 'H'",
-        "expect = [\"G > 0\"] | expect = [\"diff(G, balanse, random) > 0\"] | did you mean 'balance'?",
-        "expect = [\"G > 0\"] | expect = [\"G is good\"] | expectation \"G is good\" can't be read",
-        "seeds = 2 | seeds = = | bad.toml:2: ",
-        "seeds = 2 | seeds = 2.5 | bad.toml:2: 'seeds' is 2.5: a whole number of 1 or more is wanted",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "length = \"5s\" | length = 5 | bad.toml:5: 'length' is 5: a time with its unit, such as"
+                        + " \"200ms\" is wanted",
+                "length = \"5s\" | lenght = \"5s\" | bad.toml:4: 'length' is missing in [world]: a time with its unit",
+                "balancers = 1 | balancers = 0 | bad.toml:6: 'balancers' is 0: a whole number of 1 or more is wanted",
+                "balancers = 1 | balancers = [1, 2, 3] | bad.toml:6: 'balancers' has 3 values; one, or two for a range",
+                "level = 0.5 | levle = 0.5 | bad.toml:9: unknown key 'levle' in [load]; did you mean 'level'?",
+                "part = 0.5 | part = 1.5 | bad.toml:23: 'part' is 1.5: a share from 0 to 1 is wanted",
+                "kind = \"slow\" | kind = \"slw\" | did you mean 'slow'?",
+                "deadline = \"500ms\" | deadline = \"50ms\" | bad.toml:19: 'deadline' is before the aim",
+                "expect = [\"G > 0\"] | expect = [\"H > 0\"] | bad.toml:3: expectation \"H > 0\": no figure 'H'",
+                "expect = [\"G > 0\"] | expect = [\"diff(G, balanse, random) > 0\"] | did you mean 'balance'?",
+                "expect = [\"G > 0\"] | expect = [\"G is good\"] | expectation \"G is good\" can't be read",
+                "seeds = 2 | seeds = = | bad.toml:2: ",
+                "seeds = 2 | seeds = 2.5 | bad.toml:2: 'seeds' is 2.5: a whole number of 1 or more is wanted",
+            })
     void eachFaultIsNamedWithItsFileAndLine(String was, String is, String complaint) throws IOException {
         Path bad = file("bad.toml", SOUND.replace(was, is));
-        String said = assertThrows(Faults.class, () -> ExperimentReader.read(bad)).getMessage();
+        String said =
+                assertThrows(Faults.class, () -> ExperimentReader.read(bad)).getMessage();
         assertTrue(said.contains(complaint), said);
     }
 
     @Test
     void allFaultsAreNamedAtOnceInTheOrderOfTheirLines() throws IOException {
         Path bad = file("bad.toml", SOUND.replace("level = 0.5", "level = -1").replace("size = 3", "sise = 3"));
-        assertEquals(2, assertThrows(Faults.class, () -> ExperimentReader.read(bad)).lines().size());
+        assertEquals(
+                2,
+                assertThrows(Faults.class, () -> ExperimentReader.read(bad))
+                        .lines()
+                        .size());
     }
 
     @Test
@@ -93,7 +102,8 @@
         assertEquals(9_000_000, e.plan().length());
         assertEquals(0.25, e.plan().load().level().from());
         file("base.toml", SOUND.replace("level = 0.5", "level = true"));
-        String said = assertThrows(Faults.class, () -> ExperimentReader.read(over)).getMessage();
+        String said =
+                assertThrows(Faults.class, () -> ExperimentReader.read(over)).getMessage();
         assertTrue(said.startsWith("base.toml:9: 'level' is true"), said);
     }
 
@@ -106,16 +116,19 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "limit = \"fixed\" | limit = \"fixd\" | there are fixed, aimd, vegas, gradient; did you mean 'fixed'?",
-        "to = [\"site\"] | to = [\"sight\"] | no pool 'sight'",
-        "to = [\"site\"] | to = [] | route 'all' leads to no pool",
-        "name = \"site\" | name = \"cite\" | no [[kind]] is of pool 'cite'; did you mean 'site'?",
-        "[\"limits\"] | [\"limit\"] | there are limits, quotas, retries, spill, steps; did you mean 'limits'?",
-        "spill_most = 0.5 | spill_most = 5 | 'spill_most' is 5: a share from 0 to 1 is wanted",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "limit = \"fixed\" | limit = \"fixd\" | there are fixed, aimd, vegas, gradient; did you mean 'fixed'?",
+                "to = [\"site\"] | to = [\"sight\"] | no pool 'sight'",
+                "to = [\"site\"] | to = [] | route 'all' leads to no pool",
+                "name = \"site\" | name = \"cite\" | no [[kind]] is of pool 'cite'; did you mean 'site'?",
+                "[\"limits\"] | [\"limit\"] | there are limits, quotas, retries, spill, steps; did you mean 'limits'?",
+                "spill_most = 0.5 | spill_most = 5 | 'spill_most' is 5: a share from 0 to 1 is wanted",
+            })
     void faultsOfAFrontAreNamed(String from, String to, String fault) throws IOException {
-        String sound = SOUND + """
+        String sound = SOUND
+                + """
 
             [front]
             [[front.pool]]
@@ -135,6 +148,8 @@
         assertEquals("fronted", ExperimentReader.read(file).variants().get(0).name());
         Files.writeString(file, sound.replace(from, to));
         Faults faults = assertThrows(Faults.class, () -> ExperimentReader.read(file));
-        assertTrue(faults.lines().stream().anyMatch(l -> l.endsWith(fault)), faults.lines().toString());
+        assertTrue(
+                faults.lines().stream().anyMatch(l -> l.endsWith(fault)),
+                faults.lines().toString());
     }
 }
--- a/lab/src/test/java/junctionhead/lab/experiment/OverloadedFleetTest.java
+++ b/lab/src/test/java/junctionhead/lab/experiment/OverloadedFleetTest.java
@@ -34,7 +34,7 @@
     /** Queues that had gone long ago were answered for by refusing 97 of 100 requests, for six seconds. */
     @Test
     void aFleetWhoseUpstreamsTurnSlowerGoesOnServingAndIsNormalSoonAfter() throws IOException {
-        Score.Series day = play("slowed-100", 2);       // slower from 8 s to 17 s
+        Score.Series day = play("slowed-100", 2); // slower from 8 s to 17 s
         for (int second = 8; second < 17; second++) {
             double sent = day.attempts()[second] / (double) day.arrivals()[second];
             assertTrue(sent > 0.5, "sent in second " + second + ", of what arrived: " + sent);
@@ -50,7 +50,7 @@
     @ParameterizedTest
     @CsvSource({"1", "2", "5"})
     void aFleetThatIsReplacedWithinSecondsServesOn(long seed) throws IOException {
-        Score.Series day = play("replaced-100", seed);  // from 6 s to 13 s
+        Score.Series day = play("replaced-100", seed); // from 6 s to 13 s
         for (int third = 0; third < 3; third++) {
             double worth = worth(day, 10 * third, 10 * third + 10);
             assertTrue(worth > 0.92, "of the worth in third " + third + ": " + worth);
--- a/lab/src/test/java/junctionhead/lab/fleet/ChurnTest.java
+++ b/lab/src/test/java/junctionhead/lab/fleet/ChurnTest.java
@@ -38,11 +38,16 @@
         for (int i = 1; i < all.size(); i++) {
             assertTrue(all.get(i - 1).at() <= all.get(i).at());
         }
-        long configurations = all.stream().filter(e -> e.what() == Churn.What.CONFIGURATION).count();
-        long racks = all.stream().filter(e -> e.what() == Churn.What.RACK && e.state().equals("terminating")).count();
+        long configurations =
+                all.stream().filter(e -> e.what() == Churn.What.CONFIGURATION).count();
+        long racks = all.stream()
+                .filter(e -> e.what() == Churn.What.RACK && e.state().equals("terminating"))
+                .count();
         assertTrue(configurations > 280 && configurations <= 420, "0.1 a second for an hour: " + configurations);
         assertTrue(racks > 5 && racks < 40, "0.005 a second for an hour: " + racks);
-        long faster = events(3, 4).stream().filter(e -> e.what() == Churn.What.CONFIGURATION).count();
+        long faster = events(3, 4).stream()
+                .filter(e -> e.what() == Churn.What.CONFIGURATION)
+                .count();
         assertTrue(faster > 3 * configurations, "four times the speed: " + faster);
     }
 
@@ -57,12 +62,12 @@
                     assertEquals("in_service", before);
                     continue;
                 }
-                String expected = before.equals("in_service") ? "terminating"
-                    : before.equals("terminating") ? "terminated" : "in_service";
+                String expected = before.equals("in_service")
+                        ? "terminating"
+                        : before.equals("terminating") ? "terminated" : "in_service";
                 assertEquals(expected, e.state());
                 if (!e.state().equals("terminating")) {
-                    assertEquals(e.state().equals("terminated") ? 2_000_000L : 1_000_000L,
-                        e.at() - since.get(machine));
+                    assertEquals(e.state().equals("terminated") ? 2_000_000L : 1_000_000L, e.at() - since.get(machine));
                 }
                 state.put(machine, e.state());
                 since.put(machine, e.at());
@@ -73,11 +78,11 @@
 
     @Test
     void racksAndZonesAreHitWhole() {
-        List<Churn.Event> racks = new Churn(machines(60), new Churn.Rates(0, 0.01, 0, 0, 1, 1_000, 1_000), 5)
-            .events(LENGTH);
+        List<Churn.Event> racks =
+                new Churn(machines(60), new Churn.Rates(0, 0.01, 0, 0, 1, 1_000, 1_000), 5).events(LENGTH);
         assertTrue(!racks.isEmpty() && racks.stream().allMatch(e -> e.machines().size() == 4), racks.toString());
-        List<Churn.Event> zones = new Churn(machines(60), new Churn.Rates(0, 0, 0.01, 0, 1, 1_000, 1_000), 5)
-            .events(LENGTH);
+        List<Churn.Event> zones =
+                new Churn(machines(60), new Churn.Rates(0, 0, 0.01, 0, 1, 1_000, 1_000), 5).events(LENGTH);
         assertTrue(!zones.isEmpty() && zones.stream().allMatch(e -> e.machines().size() == 20), zones.toString());
         Machines m = machines(10);
         assertEquals(3, m.racks());
@@ -92,7 +97,7 @@
         String back = json(churn, new Churn.Event(0, Churn.What.MACHINE, List.of(2), "in_service", 1, true), 1_234);
         assertTrue(back.contains("\"boot_ms\":1234"), back);
         String changed =
-            json(churn, new Churn.Event(1, Churn.What.CONFIGURATION, List.of(2), "in_service", 0.75, false), 5_678);
+                json(churn, new Churn.Event(1, Churn.What.CONFIGURATION, List.of(2), "in_service", 0.75, false), 5_678);
         assertTrue(changed.contains("\"boot_ms\":1234") && changed.contains("\"capacity_hint\":0.75"), changed);
     }
 
--- a/lab/src/test/java/junctionhead/lab/fleet/FleetReaderTest.java
+++ b/lab/src/test/java/junctionhead/lab/fleet/FleetReaderTest.java
@@ -30,51 +30,76 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = ';', value = {
-        "[0, 10]; 'sizes' holds 0: whole numbers from 1 to 10000000 are wanted",
-        "[-5]; 'sizes' holds -5: whole numbers from 1 to 10000000 are wanted",
-        "[10, 20.5]; 'sizes' holds 20.5: whole numbers from 1 to 10000000 are wanted",
-        "[10, \"many\"]; 'sizes' holds many: whole numbers from 1 to 10000000 are wanted",
-        "[99999999]; 'sizes' holds 99999999: whole numbers from 1 to 10000000 are wanted",
-        "[100, 10]; 'sizes' holds 10 behind 100: each must be larger than the one before",
-        "[100, 100]; 'sizes' holds 100 behind 100: each must be larger than the one before",
-        "[]; 'sizes' is missing or empty: whole numbers from 1 to 10000000 are wanted"})
+    @CsvSource(
+            delimiter = ';',
+            value = {
+                "[0, 10]; 'sizes' holds 0: whole numbers from 1 to 10000000 are wanted",
+                "[-5]; 'sizes' holds -5: whole numbers from 1 to 10000000 are wanted",
+                "[10, 20.5]; 'sizes' holds 20.5: whole numbers from 1 to 10000000 are wanted",
+                "[10, \"many\"]; 'sizes' holds many: whole numbers from 1 to 10000000 are wanted",
+                "[99999999]; 'sizes' holds 99999999: whole numbers from 1 to 10000000 are wanted",
+                "[100, 10]; 'sizes' holds 10 behind 100: each must be larger than the one before",
+                "[100, 100]; 'sizes' holds 100 behind 100: each must be larger than the one before",
+                "[]; 'sizes' is missing or empty: whole numbers from 1 to 10000000 are wanted"
+            })
     void unusableSizesAreNamed(String sizes, String message) throws IOException {
         assertEquals(List.of("bad.toml:3: " + message), faults("[[axis]]", "name = \"balancers\"", "sizes = " + sizes));
     }
 
     @Test
     void sizesThatAreNoListOrMissingAreNamed() throws IOException {
-        assertEquals("bad.toml:3: 'sizes' is 10: a list of texts is wanted",
-            faults("[[axis]]", "name = \"balancers\"", "sizes = 10").get(0));
-        assertEquals(List.of("bad.toml:1: 'sizes' is missing or empty: whole numbers from 1 to 10000000 are wanted"),
-            faults("[[axis]]", "name = \"balancers\""));
+        assertEquals(
+                "bad.toml:3: 'sizes' is 10: a list of texts is wanted",
+                faults("[[axis]]", "name = \"balancers\"", "sizes = 10").get(0));
+        assertEquals(
+                List.of("bad.toml:1: 'sizes' is missing or empty: whole numbers from 1 to 10000000 are wanted"),
+                faults("[[axis]]", "name = \"balancers\""));
     }
 
     @Test
     void axesThatThereAreNotOrTwiceAreNamed() throws IOException {
         String there = String.join(", ", Axes.names());
-        assertEquals(List.of("bad.toml:2: no axis 'balancer'; there are " + there + "; did you mean 'balancers'?"),
-            faults("[[axis]]", "name = \"balancer\"", "sizes = [1]"));
-        assertEquals(List.of("bad.toml:5: the axis 'upstreams' is there already"),
-            faults("[[axis]]", "name = \"upstreams\"", "sizes = [1]", "[[axis]]", "name = \"upstreams\"",
-                "sizes = [2]"));
-        assertEquals(List.of("bad.toml:1: no [[axis]]: one at least is wanted, with its name and sizes"),
-            faults("[fleet]", "upstreams = 5"));
+        assertEquals(
+                List.of("bad.toml:2: no axis 'balancer'; there are " + there + "; did you mean 'balancers'?"),
+                faults("[[axis]]", "name = \"balancer\"", "sizes = [1]"));
+        assertEquals(
+                List.of("bad.toml:5: the axis 'upstreams' is there already"),
+                faults(
+                        "[[axis]]",
+                        "name = \"upstreams\"",
+                        "sizes = [1]",
+                        "[[axis]]",
+                        "name = \"upstreams\"",
+                        "sizes = [2]"));
+        assertEquals(
+                List.of("bad.toml:1: no [[axis]]: one at least is wanted, with its name and sizes"),
+                faults("[fleet]", "upstreams = 5"));
     }
 
     @Test
     void allElseThatIsWrongIsNamedAtOnce() throws IOException {
-        assertEquals(List.of(
-            "bad.toml:2: 'mode' is \"pull\"; there are ask, push",
-            "bad.toml:3: 'balancers' is 0: a whole number of 1 or more is wanted",
-            "bad.toml:4: 'real' is 1.5: a whole number is wanted",
-            "bad.toml:5: 'zones' is empty: one at least is wanted",
-            "bad.toml:6: unknown key 'balancer' in [fleet]; did you mean 'balancers'?",
-            "bad.toml:8: 'kind' is \"gone\"; there are down, cut_off, slow",
-            "bad.toml:9: 'length' is 5: a time with its unit, such as \"200ms\" is wanted"),
-            faults("[fleet]", "mode = \"pull\"", "balancers = 0", "real = 1.5", "zones = []", "balancer = 3",
-                "[outage]", "kind = \"gone\"", "length = 5", "[[axis]]", "name = \"balancers\"", "sizes = [1]"));
+        assertEquals(
+                List.of(
+                        "bad.toml:2: 'mode' is \"pull\"; there are ask, push",
+                        "bad.toml:3: 'balancers' is 0: a whole number of 1 or more is wanted",
+                        "bad.toml:4: 'real' is 1.5: a whole number is wanted",
+                        "bad.toml:5: 'zones' is empty: one at least is wanted",
+                        "bad.toml:6: unknown key 'balancer' in [fleet]; did you mean 'balancers'?",
+                        "bad.toml:8: 'kind' is \"gone\"; there are down, cut_off, slow",
+                        "bad.toml:9: 'length' is 5: a time with its unit, such as \"200ms\" is wanted"),
+                faults(
+                        "[fleet]",
+                        "mode = \"pull\"",
+                        "balancers = 0",
+                        "real = 1.5",
+                        "zones = []",
+                        "balancer = 3",
+                        "[outage]",
+                        "kind = \"gone\"",
+                        "length = 5",
+                        "[[axis]]",
+                        "name = \"balancers\"",
+                        "sizes = [1]"));
     }
 
     @Test
@@ -86,7 +111,7 @@
         assertEquals(null, plan.restart());
         assertEquals(null, plan.outage());
         assertNotNull(FleetReader.read(file("[restart]", "[[axis]]", "name = \"upstreams\"", "sizes = [10]"))
-            .restart());
+                .restart());
     }
 
     @Test
--- a/lab/src/test/java/junctionhead/lab/fleet/FleetResultsTest.java
+++ b/lab/src/test/java/junctionhead/lab/fleet/FleetResultsTest.java
@@ -20,12 +20,16 @@
     private Path folder;
 
     private FleetResults results(int sizes) throws IOException {
-        FleetPlan plan = FleetReader.read(Files.writeString(folder.resolve("r.toml"),
-            "[experiment]\nquestion = \"a < b?\"\n[[axis]]\nname = \"balancers\"\nsizes = [1]\n"));
+        FleetPlan plan = FleetReader.read(Files.writeString(
+                folder.resolve("r.toml"),
+                "[experiment]\nquestion = \"a < b?\"\n[[axis]]\nname = \"balancers\"\nsizes = [1]\n"));
         List<ScalePoint> points = new ArrayList<>();
         for (int i = 1; i <= sizes; i++) {
-            points.add(new ScalePoint("balancers", i * 10, Map.of("x_bytes", 5.0 + 20 * i, "none_count", 0.0),
-                i == 2 ? List.of("it was late") : List.of()));
+            points.add(new ScalePoint(
+                    "balancers",
+                    i * 10,
+                    Map.of("x_bytes", 5.0 + 20 * i, "none_count", 0.0),
+                    i == 2 ? List.of("it was late") : List.of()));
         }
         return new FleetResults(plan, Host.here(), "abc", points, List.of("balancers 9: needs 1 MB"));
     }
--- a/lab/src/test/java/junctionhead/lab/fleet/FleetShortTest.java
+++ b/lab/src/test/java/junctionhead/lab/fleet/FleetShortTest.java
@@ -20,7 +20,9 @@
     private Path folder;
 
     private FleetPlan plan(String mode, String more) throws IOException {
-        return FleetReader.read(Files.writeString(folder.resolve("short.toml"), """
+        return FleetReader.read(Files.writeString(
+                folder.resolve("short.toml"),
+                """
             [fleet]
             mode = "%s"
             upstreams = %d
@@ -39,19 +41,25 @@
             [[axis]]
             name = "balancers"
             sizes = [1]
-            """.formatted(mode, UPSTREAMS, more)));
+            """
+                        .formatted(mode, UPSTREAMS, more)));
     }
 
     private static Map<String, Double> figures(FleetPlan plan, long size) throws IOException, InterruptedException {
-        ScalePoint point = Axes.of("balancers", new Axes.Setup(plan, Path.of(".."))).measure(size);
+        ScalePoint point =
+                Axes.of("balancers", new Axes.Setup(plan, Path.of(".."))).measure(size);
         assertEquals(List.of(), point.missed());
         return point.figures();
     }
 
     // What the seed gives, worked out apart from the run.
     private static List<Churn.Event> events(FleetPlan plan) {
-        return new Churn(new Machines(UPSTREAMS, plan.fleet().zones(), plan.fleet().rackSize(), List.of("127.0.0.1:9")),
-            plan.churn(), plan.seed()).events(LENGTH);
+        return new Churn(
+                        new Machines(
+                                UPSTREAMS, plan.fleet().zones(), plan.fleet().rackSize(), List.of("127.0.0.1:9")),
+                        plan.churn(),
+                        plan.seed())
+                .events(LENGTH);
     }
 
     private static void assertEachChangeReachedEachBalancerOnce(FleetPlan plan, int size, Map<String, Double> f) {
@@ -62,7 +70,8 @@
         assertEquals(changes, f.get("changes_count"));
         assertEquals((double) changes * size, f.get("in_force_pairs_count"));
         // An entry takes under 200 bytes, a line 120 around them with its chunk; the rest is empty lines.
-        double entries = events(plan).stream().mapToInt(e -> e.machines().size()).sum();
+        double entries =
+                events(plan).stream().mapToInt(e -> e.machines().size()).sum();
         assertEquals(entries, f.get("changed_entries_count"));
         assertTrue(f.get("line_per_change_bytes") <= 120 + 200 * entries / changes, f.toString());
         assertTrue(f.get("list_bytes") <= 200.0 * UPSTREAMS, f.toString());
@@ -70,8 +79,9 @@
     }
 
     private static void assertBetween(double least, double most, String figure, Map<String, Double> f) {
-        assertTrue(f.get(figure) >= least && f.get(figure) <= most, figure + " between " + least + " and " + most
-            + ": " + f);
+        assertTrue(
+                f.get(figure) >= least && f.get(figure) <= most,
+                figure + " between " + least + " and " + most + ": " + f);
     }
 
     // A call may be made twice where a machine is so busy that the first one times out.
@@ -108,8 +118,8 @@
     @Test
     void beforeASlowDiscoveryChangesComeOverTheWatchesThatAreOpen() throws IOException, InterruptedException {
         int size = 8;
-        Map<String, Double> f = figures(plan("ask",
-            "[outage]\nkind = \"slow\"\nlength = \"1s\"\ncall_time = \"50ms\""), size);
+        Map<String, Double> f =
+                figures(plan("ask", "[outage]\nkind = \"slow\"\nlength = \"1s\"\ncall_time = \"50ms\""), size);
         assertBetween(0, 2 * size, "outage_during_calls_count", f);
         assertTrue(f.containsKey("outage_after_all_listed_ms"), f.toString());
     }
--- a/lab/src/test/java/junctionhead/lab/fleet/HostTest.java
+++ b/lab/src/test/java/junctionhead/lab/fleet/HostTest.java
@@ -17,13 +17,13 @@
 
     @Test
     void aRefusalNamesTheFigureThatWouldBeNeeded() {
-        assertEquals(List.of("needs 501 MB of memory, half of this machine's is 500 MB"),
-            HOST.lacks(new Need(501 * MB, 0, 10)));
-        assertEquals(List.of("needs -Xmx450m, 400m may be used now (LAB_JAVA_OPTS)"),
-            HOST.lacks(new Need(300 * MB, 0, 10)));
+        assertEquals(
+                List.of("needs 501 MB of memory, half of this machine's is 500 MB"),
+                HOST.lacks(new Need(501 * MB, 0, 10)));
+        assertEquals(
+                List.of("needs -Xmx450m, 400m may be used now (LAB_JAVA_OPTS)"), HOST.lacks(new Need(300 * MB, 0, 10)));
         assertEquals(List.of("needs 201 processes, 200 are allowed"), HOST.lacks(new Need(1, 201, 10)));
-        assertEquals(List.of("needs 2000 descriptors, this process may hold 1024"),
-            HOST.lacks(new Need(1, 0, 2_000)));
+        assertEquals(List.of("needs 2000 descriptors, this process may hold 1024"), HOST.lacks(new Need(1, 0, 2_000)));
     }
 
     @Test
--- a/lab/src/test/java/junctionhead/lab/fleet/StandInDiscoveryTest.java
+++ b/lab/src/test/java/junctionhead/lab/fleet/StandInDiscoveryTest.java
@@ -31,10 +31,11 @@
         private final StringBuilder text = new StringBuilder();
 
         Asked(StandInDiscovery discovery, String uri) throws IOException {
-            socket = new Socket(InetAddress.getLoopbackAddress(), discovery.address().getPort());
+            socket = new Socket(
+                    InetAddress.getLoopbackAddress(), discovery.address().getPort());
             socket.setSoTimeout(WAIT_MS);
-            socket.getOutputStream().write(("GET " + uri + " HTTP/1.1\r\nHost: h\r\n\r\n")
-                .getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write(("GET " + uri + " HTTP/1.1\r\nHost: h\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
         }
 
         /** Reads until that text has come; what came up to then. */
@@ -64,7 +65,7 @@
             } catch (java.net.SocketTimeoutException e) {
                 return false;
             } catch (IOException e) {
-                return true;                            // reset
+                return true; // reset
             }
         }
 
@@ -142,7 +143,7 @@
         String change = watch.line();
         assertTrue(change.startsWith("{\"rev\":2,\"all\":false,"), change);
         assertEquals(List.of(machines.uid(0)), uids(change));
-        watch.until("1\r\n\n\r\n");                     // a chunk that holds an empty line
+        watch.until("1\r\n\n\r\n"); // a chunk that holds an empty line
         assertTrue(d.counts().beats() >= 1);
         assertEquals(1, d.watches());
         watch.close();
@@ -204,7 +205,7 @@
         try (Asked call = new Asked(d, "/api/targets")) {
             ended = call.ends();
         } catch (IOException e) {
-            ended = true;                               // reset before the call was written
+            ended = true; // reset before the call was written
         }
         assertTrue(ended);
         await(() -> d.counts().refused() == 1);
--- a/lab/src/test/java/junctionhead/lab/hunt/HuntTest.java
+++ b/lab/src/test/java/junctionhead/lab/hunt/HuntTest.java
@@ -21,33 +21,41 @@
     private Path folder;
 
     private static Experiment experiment(String policy) {
-        return new Experiment("hunted", "", Worlds.small(0.6, 6, Policy.Effect.SAFE), 1, 1,
-            List.of(Worlds.variant(policy)), List.of());
+        return new Experiment(
+                "hunted",
+                "",
+                Worlds.small(0.6, 6, Policy.Effect.SAFE),
+                1,
+                1,
+                List.of(Worlds.variant(policy)),
+                List.of());
     }
 
     /** Least in flight by itself pushes a cold successor over in some worlds: that is found, and shrinks. */
     @Test
     void aFindIsShrunkAndWrittenAsAnExperimentThatStillShowsIt() throws IOException {
         Experiment site = ExperimentReader.read(Path.of("../experiments/booking-day.toml"))
-            .under(List.of(Worlds.variant("least-in-flight")));
+                .under(List.of(Worlds.variant("least-in-flight")));
         Hunt hunt = new Hunt(site, 3, 4);
-        List<Hunt.Find> finds = hunt.search(60, (done, all) -> { });
+        List<Hunt.Find> finds = hunt.search(60, (done, all) -> {});
         assertTrue(finds.size() > 0, "something is found in 60 rough worlds");
         Hunt.Find small = hunt.shrink(finds.get(0));
-        assertTrue(small.plan().troubles().size() <= finds.get(0).plan().troubles().size());
+        assertTrue(
+                small.plan().troubles().size() <= finds.get(0).plan().troubles().size());
         assertEquals(finds.get(0).what(), small.what());
         Path file = Files.writeString(folder.resolve("find.toml"), ExperimentWriter.write(small));
         Experiment read = ExperimentReader.read(file);
         assertEquals(small.plan(), read.plan(), "what is written reads as the same world");
-        Day day = Day.play(read.plan(), read.firstSeed(), Variants.maker(read.variants().get(0)));
+        Day day = Day.play(
+                read.plan(), read.firstSeed(), Variants.maker(read.variants().get(0)));
         Day direct = Day.play(small.plan(), small.seed(), Variants.maker(small.variant()));
         assertEquals(direct.figures(), day.figures());
     }
 
     @Test
     void theSameSeedHuntsTheSameWorlds() {
-        List<Hunt.Find> once = new Hunt(experiment("random"), 5, 1).search(6, (done, all) -> { });
-        List<Hunt.Find> again = new Hunt(experiment("random"), 5, 3).search(6, (done, all) -> { });
+        List<Hunt.Find> once = new Hunt(experiment("random"), 5, 1).search(6, (done, all) -> {});
+        List<Hunt.Find> again = new Hunt(experiment("random"), 5, 3).search(6, (done, all) -> {});
         assertEquals(once, again);
     }
 }
--- a/lab/src/test/java/junctionhead/lab/judge/JudgeTest.java
+++ b/lab/src/test/java/junctionhead/lab/judge/JudgeTest.java
@@ -51,13 +51,22 @@
             if (rule == Rule.COLD && cold != null) {
                 return cold.id();
             }
-            List<Server> warm = up.values().stream().filter(s -> s.startedAt() == 0).toList();
+            List<Server> warm =
+                    up.values().stream().filter(s -> s.startedAt() == 0).toList();
             return warm.isEmpty() ? null : warm.get(next++ % warm.size()).id();
         }
 
         @Override
-        public void request(long now, String id, int kind, int tenant, String key, long timeLeft, long work,
-                boolean resubmission, Actions out) {
+        public void request(
+                long now,
+                String id,
+                int kind,
+                int tenant,
+                String key,
+                long timeLeft,
+                long work,
+                boolean resubmission,
+                Actions out) {
             open.put(id, false);
             String server = pick(now);
             if (rule == Rule.LOST && next % 50 == 0) {
@@ -77,7 +86,14 @@
         }
 
         @Override
-        public void outcome(long now, String id, int attempt, Outcome outcome, long latency, boolean closed, Load load,
+        public void outcome(
+                long now,
+                String id,
+                int attempt,
+                Outcome outcome,
+                long latency,
+                boolean closed,
+                Load load,
                 Actions out) {
             if (closed || !open.containsKey(id)) {
                 return;
@@ -106,19 +122,23 @@
         }
 
         @Override
-        public void streamStarted(long now, String id, int attempt, Actions out) { }
+        public void streamStarted(long now, String id, int attempt, Actions out) {}
 
         @Override
-        public void probed(long now, String server, Outcome outcome, long latency, Load load, Actions out) { }
+        public void probed(long now, String server, Outcome outcome, long latency, Load load, Actions out) {}
 
         @Override
-        public void wake(long now, Actions out) { }
+        public void wake(long now, Actions out) {}
     }
 
     private static Day play(Rule rule) {
-        boolean twoMayRun = rule == Rule.TWO_AT_ONCE;       // else the second copy would be a duplicate as well
-        WorldPlan plan = Worlds.small(0.3, 8, twoMayRun ? Policy.Effect.SAFE : Policy.Effect.UNSAFE,
-            Worlds.trouble("fast_errors", 1, 10, 0.25, 0.5, 0), Worlds.trouble("deploy", 2, 3, 0.25, 0.25, 4));
+        boolean twoMayRun = rule == Rule.TWO_AT_ONCE; // else the second copy would be a duplicate as well
+        WorldPlan plan = Worlds.small(
+                0.3,
+                8,
+                twoMayRun ? Policy.Effect.SAFE : Policy.Effect.UNSAFE,
+                Worlds.trouble("fast_errors", 1, 10, 0.25, 0.5, 0),
+                Worlds.trouble("deploy", 2, 3, 0.25, 0.25, 4));
         return Day.play(plan, 6, (settings, seed, truth) -> new Planted(rule));
     }
 
--- a/lab/src/test/java/junctionhead/lab/queue/TheoryTest.java
+++ b/lab/src/test/java/junctionhead/lab/queue/TheoryTest.java
@@ -16,18 +16,31 @@
  */
 class TheoryTest {
     private static final int SEEDS = 6;
-    private static final double WIDER = 5.89 / 2.571;       // Student's t for 5 degrees: 99.8% over 95%
+    private static final double WIDER = 5.89 / 2.571; // Student's t for 5 degrees: 99.8% over 95%
 
-    private static Interval mean(String policy, int servers, int cores, double lambda, double fastShare, int d,
-            long jobs) {
-        return Interval.of(IntStream.rangeClosed(1, SEEDS).mapToDouble(seed -> QueueModel.run(new QueueModel.Setting(
-            policy, servers, cores, lambda, fastShare, fastShare < 1 ? 1.95 : 1, fastShare < 1 ? 0.6 : 1, d, d / 2,
-            jobs, seed)).meanResponse()).toArray());
+    private static Interval mean(
+            String policy, int servers, int cores, double lambda, double fastShare, int d, long jobs) {
+        return Interval.of(IntStream.rangeClosed(1, SEEDS)
+                .mapToDouble(seed -> QueueModel.run(new QueueModel.Setting(
+                                policy,
+                                servers,
+                                cores,
+                                lambda,
+                                fastShare,
+                                fastShare < 1 ? 1.95 : 1,
+                                fastShare < 1 ? 0.6 : 1,
+                                d,
+                                d / 2,
+                                jobs,
+                                seed))
+                        .meanResponse())
+                .toArray());
     }
 
     private static void holds(Interval found, double theory, double bias) {
-        assertTrue(Math.abs(found.mean() - theory) <= WIDER * found.halfWidth() + bias * theory,
-            found + " against " + theory);
+        assertTrue(
+                Math.abs(found.mean() - theory) <= WIDER * found.halfWidth() + bias * theory,
+                found + " against " + theory);
     }
 
     @ParameterizedTest
@@ -48,8 +61,10 @@
     @ParameterizedTest
     @CsvSource({"0.5", "0.7", "0.8"})
     void fastFirstTendsToTheFixedPointOfThePaperWithAJobsOwnServiceCounted(double lambda) {
-        holds(mean("jsq-dfds", 1000, 1, lambda, 0.3, 4, 400_000),
-            Theory.jsqDfDs(2, 2, lambda, 0.3, 1.95, 0.6, false), 0.01);
+        holds(
+                mean("jsq-dfds", 1000, 1, lambda, 0.3, 4, 400_000),
+                Theory.jsqDfDs(2, 2, lambda, 0.3, 1.95, 0.6, false),
+                0.01);
     }
 
     private static QueueModel.Result run(String policy, int servers, double lambda, long jobs) {
@@ -64,8 +79,8 @@
 
     @Test
     void accomplishmentFindsTheFastServersAtHighLoad() {
-        QueueModel.Result r = QueueModel.run(new QueueModel.Setting("jsq-das", 300, 1, 0.9, 0.3, 1.95, 0.6, 4, 2,
-            900_000, 5));
+        QueueModel.Result r =
+                QueueModel.run(new QueueModel.Setting("jsq-das", 300, 1, 0.9, 0.3, 1.95, 0.6, 4, 2, 900_000, 5));
         assertTrue(r.fastIdentified() > 0.99, "found " + r.fastIdentified());
     }
 
--- a/lab/src/test/java/junctionhead/lab/sim/SimulationTest.java
+++ b/lab/src/test/java/junctionhead/lab/sim/SimulationTest.java
@@ -15,11 +15,12 @@
 import org.junit.jupiter.api.Test;
 
 class SimulationTest {
-    private record Planned(int time, int order) { }
+    private record Planned(int time, int order) {}
 
     /** Whatever is scheduled and called off, the rest happens by time, and by order of scheduling within one. */
     @Property(tries = 200, seed = "11")
-    void whatIsLeftHappensInOrder(@ForAll @Size(max = 3000) List<@IntRange(max = 200) Integer> times,
+    void whatIsLeftHappensInOrder(
+            @ForAll @Size(max = 3000) List<@IntRange(max = 200) Integer> times,
             @ForAll @IntRange(min = 1, max = 7) int each) {
         Simulation s = new Simulation();
         List<Planned> expected = new ArrayList<>();
@@ -62,13 +63,13 @@
         Simulation s = new Simulation();
         Simulation.Timer[] own = new Simulation.Timer[1];
         own[0] = s.timer(3, now -> own[0].cancel());
-        Simulation.Timer other = s.timer(4, now -> { });
+        Simulation.Timer other = s.timer(4, now -> {});
         s.runUntil(3);
         assertFalse(own[0].pending());
         other.cancel();
         other.cancel();
         for (int i = 0; i < 5000; i++) {
-            s.timer(10, now -> { }).cancel();
+            s.timer(10, now -> {}).cancel();
         }
         assertTrue(s.waiting() < 2500, "called-off timers are swept: " + s.waiting());
         s.runUntil(20);
@@ -79,7 +80,7 @@
     void thePastCannotBeScheduled() {
         Simulation s = new Simulation();
         s.runUntil(10);
-        assertThrows(IllegalArgumentException.class, () -> s.at(9, now -> { }));
+        assertThrows(IllegalArgumentException.class, () -> s.at(9, now -> {}));
     }
 
     @Test
@@ -89,9 +90,13 @@
         for (int i = 0; i < 100; i++) {
             again.of("client", 1, "work").uniform();
         }
-        assertEquals(once.of("client", 2, "work").bits(), again.of("client", 2, "work").bits());
-        assertFalse(once.of("client", 2, "work").bits() == once.of("client", 2, "key").bits());
-        assertFalse(once.of("client", 2, "work").bits() == new Streams(8).of("client", 2, "work").bits());
+        assertEquals(
+                once.of("client", 2, "work").bits(),
+                again.of("client", 2, "work").bits());
+        assertFalse(once.of("client", 2, "work").bits()
+                == once.of("client", 2, "key").bits());
+        assertFalse(once.of("client", 2, "work").bits()
+                == new Streams(8).of("client", 2, "work").bits());
     }
 
     @Test
--- a/lab/src/test/java/junctionhead/lab/sockets/LiveSiteTest.java
+++ b/lab/src/test/java/junctionhead/lab/sockets/LiveSiteTest.java
@@ -40,9 +40,12 @@
         try (LiveSite site = new LiveSite(plan(), 3)) {
             for (Map<String, Object> t : targets(site)) {
                 String request = "POST /api/k1 HTTP/1.1\r\nHost: h\r\nReq-Id: " + t.get("uid")
-                    + "\r\nReq-Kind: read\r\nContent-Length: 2\r\n\r\nhi";
+                        + "\r\nReq-Kind: read\r\nContent-Length: 2\r\n\r\nhi";
                 assertEquals(200, Exchange.of(at(t), request, 20_000).status());
-                assertEquals(200, Exchange.of(at(t), "GET /-/healthy HTTP/1.1\r\nHost: h\r\n\r\n", 20_000).status());
+                assertEquals(
+                        200,
+                        Exchange.of(at(t), "GET /-/healthy HTTP/1.1\r\nHost: h\r\n\r\n", 20_000)
+                                .status());
                 assertEquals(1, site.ledger().get(String.valueOf(t.get("uid"))));
             }
             assertEquals(3, site.ledger().size(), "health is no request");
@@ -52,13 +55,15 @@
     @Test
     void theRegisterTellsWhoeverWatchesOfADeath() throws IOException, InterruptedException {
         try (LiveSite site = new LiveSite(plan(Worlds.trouble("death", 1, 1, 0.34, 0, 0)), 3);
-                Socket watch = new Socket(site.register().getAddress(), site.register().getPort())) {
+                Socket watch =
+                        new Socket(site.register().getAddress(), site.register().getPort())) {
             targets(site);
             watch.setSoTimeout(20_000);
-            watch.getOutputStream().write("GET /api/targets?watch=1&from=0 HTTP/1.1\r\nHost: h\r\n\r\n"
-                .getBytes(StandardCharsets.US_ASCII));
-            BufferedReader in = new BufferedReader(new InputStreamReader(watch.getInputStream(),
-                StandardCharsets.UTF_8));
+            watch.getOutputStream()
+                    .write("GET /api/targets?watch=1&from=0 HTTP/1.1\r\nHost: h\r\n\r\n"
+                            .getBytes(StandardCharsets.US_ASCII));
+            BufferedReader in =
+                    new BufferedReader(new InputStreamReader(watch.getInputStream(), StandardCharsets.UTF_8));
             StringBuilder seen = new StringBuilder();
             while (seen.indexOf("terminated") < 0) {
                 String line = in.readLine();
@@ -73,9 +78,10 @@
     void anOpenLoopCountsFromTheIntendedStartAndReachesEveryRequestsEnd() throws IOException, InterruptedException {
         WorldPlan plan = plan();
         try (LiveSite site = new LiveSite(plan, 3)) {
-            List<InetSocketAddress> straight = targets(site).stream().map(LiveSiteTest::at).toList();
+            List<InetSocketAddress> straight =
+                    targets(site).stream().map(LiveSiteTest::at).toList();
             try (Load load = new Load(new Load.Plan(straight, 100, 2_000_000, 2, 20, 5), plan.classes())) {
-                load.run(() -> { });
+                load.run(() -> {});
                 assertTrue(load.outcomes().size() > 120, load.outcomes().size() + " requests");
                 assertEquals(List.of(), new DemoPage(plan, load, site.ledger()).broken());
                 for (Load.Outcome o : load.outcomes()) {
--- a/lab/src/test/java/junctionhead/lab/sockets/WreckServerTest.java
+++ b/lab/src/test/java/junctionhead/lab/sockets/WreckServerTest.java
@@ -43,32 +43,34 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "# nothing | answer | 1",
-        "on 1 up half-close at body-first+3 | closed | 0",
-        "on 1 up cut at body-last | closed | 0",
-        "on 1 up reset at head-last | reset | 0",
-        "on 1 up cut at end | closed | 1",
-        "on 1 down cut at 0 | closed | 1",
-        "on 1 down cut at body-first+2 | partial | 1",
-        "on 1 down reset at body-last | partial | 1",
-        "on 1 down half-close at body-last | partial | 1",
-        "on 1 down silence at 0 | silent | 1",
-        "on 1 up silence at 4 | silent | 0",
-        "on 1 refuse | reset | 0",
-        "on 1 mute | silent | 0",
-        "on 1 up pieces 1 | answer | 1",
-        "on 1 down pieces 3 | answer | 1",
-        "on 1 down rate 64KiB/s | answer | 1",
-        "on 1 up delay 2ms | answer | 1",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "# nothing | answer | 1",
+                "on 1 up half-close at body-first+3 | closed | 0",
+                "on 1 up cut at body-last | closed | 0",
+                "on 1 up reset at head-last | reset | 0",
+                "on 1 up cut at end | closed | 1",
+                "on 1 down cut at 0 | closed | 1",
+                "on 1 down cut at body-first+2 | partial | 1",
+                "on 1 down reset at body-last | partial | 1",
+                "on 1 down half-close at body-last | partial | 1",
+                "on 1 down silence at 0 | silent | 1",
+                "on 1 up silence at 4 | silent | 0",
+                "on 1 refuse | reset | 0",
+                "on 1 mute | silent | 0",
+                "on 1 up pieces 1 | answer | 1",
+                "on 1 down pieces 3 | answer | 1",
+                "on 1 down rate 64KiB/s | answer | 1",
+                "on 1 up delay 2ms | answer | 1",
+            })
     void aFaultIsFeltByBothSides(String script, String end, int ran) throws InterruptedException {
         wreck.script(Fault.script("s", script));
         Exchange seen = Exchange.of(at, BOOK, end.equals("silent") ? 300 : 20_000);
         assertEquals(end.strip(), seen.end(), seen.toString());
         long until = System.nanoTime() + 20_000_000_000L;
         while (box.ran("r1") < ran && System.nanoTime() < until) {
-            Thread.sleep(1);                                // a client that was cut off may be ahead of the box
+            Thread.sleep(1); // a client that was cut off may be ahead of the box
         }
         assertEquals(ran, box.ran("r1"));
     }
@@ -76,8 +78,10 @@
     @Test
     void theSameScriptGivesTheSameTraceTwentyTimes() {
         Set<List<String>> traces = new HashSet<>();
-        List<Fault> script = Fault.script("s", "on 1 up pieces 7\non 1 down garble 0.2 seed 5\non 2 up cut at 40\n"
-            + "on 3 down twice\non 4 down half-close at body-first+1\non 5 refuse\n");
+        List<Fault> script = Fault.script(
+                "s",
+                "on 1 up pieces 7\non 1 down garble 0.2 seed 5\non 2 up cut at 40\n"
+                        + "on 3 down twice\non 4 down half-close at body-first+1\non 5 refuse\n");
         for (int i = 0; i < 20; i++) {
             WreckServer once = new WreckServer(group.next(), box.address(), script);
             try {
@@ -101,11 +105,13 @@
     void nothingRunsTwiceWhereverAConnectionBreaks() throws IOException {
         Path jar = Path.of("../balancer/target/junctionhead.jar");
         Assumptions.assumeTrue(Files.isReadable(jar), "the balancer is built in the same run");
-        List<KillMatrix.Result> results = new KillMatrix(jar, 40).run(2, (done, all) -> { });
+        List<KillMatrix.Result> results = new KillMatrix(jar, 40).run(2, (done, all) -> {});
         List<KillMatrix.Result> wrong = results.stream()
-            .filter(r -> r.wrong() != null && !r.wrong().startsWith("answered after")).toList();
+                .filter(r -> r.wrong() != null && !r.wrong().startsWith("answered after"))
+                .toList();
         assertEquals(List.of(), wrong);
-        assertTrue(results.stream().filter(KillMatrix.Result::struck).count() > results.size() * 0.9,
-            results.stream().filter(r -> !r.struck()).toList().toString());
+        assertTrue(
+                results.stream().filter(KillMatrix.Result::struck).count() > results.size() * 0.9,
+                results.stream().filter(r -> !r.struck()).toList().toString());
     }
 }
--- a/lab/src/test/java/junctionhead/lab/world/HardCasesTest.java
+++ b/lab/src/test/java/junctionhead/lab/world/HardCasesTest.java
@@ -42,23 +42,49 @@
         Day day = own(plan);
         assertEquals("", rules(day));
         assertTrue(day.figures().get("refused") > 0.3, day.figures().toString());
-        assertEquals(0.0, own(Worlds.small(0.4, 0, Policy.Effect.SAFE)).figures().get("rules.broken"));
+        assertEquals(
+                0.0, own(Worlds.small(0.4, 0, Policy.Effect.SAFE)).figures().get("rules.broken"));
     }
 
     /** Each trouble alone, with requests that may be repeated and with those that must not run twice. */
     @ParameterizedTest
-    @ValueSource(strings = {"slow", "fast_errors", "garble", "grey", "settings_changed", "hot_key", "deploy",
-        "same_address", "shared_slow",
-        "rack_lost", "death", "restart", "zone_cut", "zone_cut_one_way", "register_down", "register_twice",
-        "balancers_killed", "balancers_restarted", "balancers_upgraded", "retry_storm", "burst", "clock_step",
-        "taken_out", "network_slow", "loss", "tenant_flood"})
+    @ValueSource(
+            strings = {
+                "slow",
+                "fast_errors",
+                "garble",
+                "grey",
+                "settings_changed",
+                "hot_key",
+                "deploy",
+                "same_address",
+                "shared_slow",
+                "rack_lost",
+                "death",
+                "restart",
+                "zone_cut",
+                "zone_cut_one_way",
+                "register_down",
+                "register_twice",
+                "balancers_killed",
+                "balancers_restarted",
+                "balancers_upgraded",
+                "retry_storm",
+                "burst",
+                "clock_step",
+                "taken_out",
+                "network_slow",
+                "loss",
+                "tenant_flood"
+            })
     void theModuleKeepsTheRulesThroughEachTrouble(String kind) {
         assertTrue(Timeline.KINDS.containsKey(kind));
-        double size = switch (kind) {
-            case "fast_errors", "garble", "grey", "hot_key", "deploy" -> 0.3;
-            case "loss" -> 0.02;
-            default -> 2;
-        };
+        double size =
+                switch (kind) {
+                    case "fast_errors", "garble", "grey", "hot_key", "deploy" -> 0.3;
+                    case "loss" -> 0.02;
+                    default -> 2;
+                };
         for (Policy.Effect effect : List.of(Policy.Effect.SAFE, Policy.Effect.UNSAFE)) {
             Day day = own(Worlds.small(0.5, 9, effect, Worlds.trouble(kind, 3, 4, 0.34, size, 1.5)));
             assertEquals("", rules(day), kind + " " + effect);
@@ -68,19 +94,37 @@
     }
 
     private static final FrontSpec FRONT = new FrontSpec(
-        List.of(new FrontSpec.Pool("site", ConcurrencyLimit.Kind.GRADIENT, 8, 1, 100, 0)),
-        List.of(new FrontSpec.Way("all", Set.of(), List.of("site"), List.of(1.0), List.of(), 1, 1.2, 0.05, 0.1, true,
-            0, 0, 1)), 1, 1.5, 1, 0.1);
+            List.of(new FrontSpec.Pool("site", ConcurrencyLimit.Kind.GRADIENT, 8, 1, 100, 0)),
+            List.of(new FrontSpec.Way(
+                    "all", Set.of(), List.of("site"), List.of(1.0), List.of(), 1, 1.2, 0.05, 0.1, true, 0, 0, 1)),
+            1,
+            1.5,
+            1,
+            0.1);
 
     private static Day fronted(WorldPlan plan) {
-        Variants.Variant v = new Variants.Variant("front", "balance", new Choosers.Figures(4, 2, 0.5),
-            new FrontSpec.Use(FRONT, null, Set.of(), 1, 0), false);
+        Variants.Variant v = new Variants.Variant(
+                "front",
+                "balance",
+                new Choosers.Figures(4, 2, 0.5),
+                new FrontSpec.Use(FRONT, null, Set.of(), 1, 0),
+                false);
         return Day.play(plan, 4, Variants.maker(v, plan));
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"deploy", "death", "balancers_killed", "balancers_upgraded", "retry_storm", "taken_out",
-        "settings_changed", "tenant_flood", "register_down"})
+    @ValueSource(
+            strings = {
+                "deploy",
+                "death",
+                "balancers_killed",
+                "balancers_upgraded",
+                "retry_storm",
+                "taken_out",
+                "settings_changed",
+                "tenant_flood",
+                "register_down"
+            })
     void aFrontKeepsTheRulesAsWellAndTheSameSeedTheSameDay(String kind) {
         WorldPlan plan = Worlds.small(0.7, 9, Policy.Effect.UNSAFE, Worlds.trouble(kind, 3, 4, 0.34, 2, 1.5));
         Day day = fronted(plan);
@@ -93,11 +137,32 @@
     void whereListsArePushedADeathIsHeardOf() {
         WorldPlan asked = Worlds.small(0.4, 6, Policy.Effect.SAFE, Worlds.trouble("death", 3, 4, 0.34, 0, 0));
         WorldPlan.Discovery d = asked.discovery();
-        WorldPlan pushed = new WorldPlan(asked.length(), asked.balancers(), asked.upstreams(), asked.zones(),
-            asked.load(), asked.network(), asked.clients(),
-            new WorldPlan.Discovery(false, d.notice(), d.silentNotice(), d.add(),
-                d.period(), d.spread(), d.capacity(), d.callLines(), d.timeout()), asked.rules(), asked.goal(),
-            asked.prices(), asked.fleet(), asked.kinds(), asked.classes(), asked.tenants(), asked.troubles());
+        WorldPlan pushed = new WorldPlan(
+                asked.length(),
+                asked.balancers(),
+                asked.upstreams(),
+                asked.zones(),
+                asked.load(),
+                asked.network(),
+                asked.clients(),
+                new WorldPlan.Discovery(
+                        false,
+                        d.notice(),
+                        d.silentNotice(),
+                        d.add(),
+                        d.period(),
+                        d.spread(),
+                        d.capacity(),
+                        d.callLines(),
+                        d.timeout()),
+                asked.rules(),
+                asked.goal(),
+                asked.prices(),
+                asked.fleet(),
+                asked.kinds(),
+                asked.classes(),
+                asked.tenants(),
+                asked.troubles());
         Day day = own(pushed);
         assertEquals("", rules(day));
         assertTrue(day.figures().get("lists") >= 9, "the start, what ended and what came: " + day.figures());
@@ -105,8 +170,12 @@
 
     @Test
     void theSameSeedGivesTheSameDayToTheBit() {
-        WorldPlan plan = Worlds.small(0.8, 6, Policy.Effect.SAFE, Worlds.trouble("deploy", 2, 5, 0.6, 0.2, 1.5),
-            Worlds.trouble("balancers_killed", 4, 2, 0.3, 0, 0));
+        WorldPlan plan = Worlds.small(
+                0.8,
+                6,
+                Policy.Effect.SAFE,
+                Worlds.trouble("deploy", 2, 5, 0.6, 0.2, 1.5),
+                Worlds.trouble("balancers_killed", 4, 2, 0.3, 0, 0));
         assertEquals(own(plan).figures(), own(plan).figures());
     }
 
@@ -114,8 +183,9 @@
     void anotherPolicyMeetsTheSameArrivals() {
         WorldPlan plan = Worlds.small(0.7, 6, Policy.Effect.SAFE, Worlds.trouble("slow", 2, 5, 0.3, 4, 0));
         Day other = Day.play(plan, 4, Variants.maker(Worlds.variant("random")));
-        assertEquals(List.of(own(plan).series().arrivals()[3], own(plan).series().arrivals()[9]),
-            List.of(other.series().arrivals()[3], other.series().arrivals()[9]));
+        assertEquals(
+                List.of(own(plan).series().arrivals()[3], own(plan).series().arrivals()[9]),
+                List.of(other.series().arrivals()[3], other.series().arrivals()[9]));
     }
 
     /** A balancer killed between a send and its outcome: nobody hears of the outcome, its clients come again. */
@@ -148,8 +218,11 @@
 
     @Test
     void aDayDoesNotKeepWhatIsOver() {
-        World world = new World(Worlds.small(0.7, 6, Policy.Effect.SAFE), 2,
-            (settings, seed, truth) -> new Balance(settings, seed), new Recorder());
+        World world = new World(
+                Worlds.small(0.7, 6, Policy.Effect.SAFE),
+                2,
+                (settings, seed, truth) -> new Balance(settings, seed),
+                new Recorder());
         world.run();
         for (Balancer b : world.processes()) {
             assertEquals(0, b.open());
@@ -168,8 +241,12 @@
                 }
             }
         };
-        new World(Worlds.small(0.5, 4, Policy.Effect.SAFE, Worlds.trouble("same_address", 3, 1, 0.5, 0, 0)), 3,
-            (settings, seed, truth) -> new Balance(settings, seed), recorder).run();
+        new World(
+                        Worlds.small(0.5, 4, Policy.Effect.SAFE, Worlds.trouble("same_address", 3, 1, 0.5, 0, 0)),
+                        3,
+                        (settings, seed, truth) -> new Balance(settings, seed),
+                        recorder)
+                .run();
         assertTrue(targets.size() > 0, "until the register tells, the old id leads to the new process");
     }
 
--- a/lab/src/test/java/junctionhead/lab/world/RandomWorldsTest.java
+++ b/lab/src/test/java/junctionhead/lab/world/RandomWorldsTest.java
@@ -17,33 +17,41 @@
 
 /** What holds of every world, whatever goes wrong in it and whoever decides. */
 class RandomWorldsTest {
-    private static final List<String> KINDS = Timeline.KINDS.keySet().stream().sorted().toList();
+    private static final List<String> KINDS =
+            Timeline.KINDS.keySet().stream().sorted().toList();
     private static final List<String> POLICIES = List.of("balance", "random", "jsq-das", "least-in-flight", "seer");
 
     private static WorldPlan plan(int one, int other, int upstreams, int load) {
         List<WorldPlan.Trouble> troubles = new ArrayList<>();
         for (int kind : new int[] {one, other}) {
             String name = KINDS.get(kind % KINDS.size());
-            boolean share = List.of("loss", "hot_key", "fast_errors", "garble", "grey", "deploy").contains(name);
+            boolean share = List.of("loss", "hot_key", "fast_errors", "garble", "grey", "deploy")
+                    .contains(name);
             double size = share ? 0.2 : 2;
             troubles.add(Worlds.trouble(name, 1 + kind % 3, 2, 0.4, size, 1.2));
         }
         return Worlds.small(load / 10.0, upstreams, one % 2 == 0 ? Policy.Effect.SAFE : Policy.Effect.UNSAFE)
-            .lasting(6 * Worlds.SECOND).with(troubles);
+                .lasting(6 * Worlds.SECOND)
+                .with(troubles);
     }
 
     @Property(tries = 120, seed = "21")
-    void theBooksBalance(@ForAll @IntRange(max = 49) int one, @ForAll @IntRange(max = 49) int other,
-            @ForAll @IntRange(max = 9) int upstreams, @ForAll @IntRange(min = 1, max = 15) int load,
-            @ForAll @IntRange(max = 4) int policy, @ForAll @LongRange(min = 1, max = 1000) long seed) {
-        Day day = Day.play(plan(one, other, upstreams, load), seed,
-            Variants.maker(Worlds.variant(POLICIES.get(policy))));
+    void theBooksBalance(
+            @ForAll @IntRange(max = 49) int one,
+            @ForAll @IntRange(max = 49) int other,
+            @ForAll @IntRange(max = 9) int upstreams,
+            @ForAll @IntRange(min = 1, max = 15) int load,
+            @ForAll @IntRange(max = 4) int policy,
+            @ForAll @LongRange(min = 1, max = 1000) long seed) {
+        Day day =
+                Day.play(plan(one, other, upstreams, load), seed, Variants.maker(Worlds.variant(POLICIES.get(policy))));
         Map<String, Double> f = day.figures();
         double outcomes = 0;
         for (Policy.Outcome o : Policy.Outcome.values()) {
             outcomes += f.get("attempts." + o.name().toLowerCase(java.util.Locale.ROOT));
         }
-        boolean killed = plan(one, other, 1, 1).troubles().stream().anyMatch(t -> t.kind().startsWith("balancers"));
+        boolean killed = plan(one, other, 1, 1).troubles().stream()
+                .anyMatch(t -> t.kind().startsWith("balancers"));
         if (f.get("attempts") > 0 && !killed) {
             assertEquals(1, outcomes, 1e-9, "each attempt has one outcome: " + f);
         }
--- a/toml/src/main/java/junctionhead/toml/Section.java
+++ b/toml/src/main/java/junctionhead/toml/Section.java
@@ -19,8 +19,10 @@
 
     /** What a figure measures: how it is written, and what is possible. */
     public enum Measure {
-        SHARE("a share from 0 to 1", 0, 1), NUMBER("a number of 0 or more", 0, 1e12),
-        SIGNED("a number", -1e12, 1e12), TIME("a time with its unit, such as \"200ms\"", 0, 1e12),
+        SHARE("a share from 0 to 1", 0, 1),
+        NUMBER("a number of 0 or more", 0, 1e12),
+        SIGNED("a number", -1e12, 1e12),
+        TIME("a time with its unit, such as \"200ms\"", 0, 1e12),
         COUNT("a whole number of 1 or more", 1, 1e9);
 
         private final String form;
@@ -38,8 +40,8 @@
     private final ObjectNode node;
     private final String path;
     private final Set<String> used = new HashSet<>();
-    private final Set<String> known = new HashSet<>();      // asked for, whether there or not
-    private final boolean silent;                           // it stands for what is at fault already
+    private final Set<String> known = new HashSet<>(); // asked for, whether there or not
+    private final boolean silent; // it stands for what is at fault already
 
     /** The table {@code node}, which stands at {@code path} in the file. */
     public Section(Source source, ObjectNode node, String path) {
@@ -116,13 +118,14 @@
                 fault(key, "'" + key + "' is " + value + ": " + measure.form + " is wanted");
                 return 1;
             }
-            read = Double.parseDouble(m.group(1)) * switch (m.group(2)) {
-                case "us" -> 1;
-                case "ms" -> 1e3;
-                case "s" -> 1e6;
-                case "m" -> 60e6;
-                default -> 3600e6;
-            };
+            read = Double.parseDouble(m.group(1))
+                    * switch (m.group(2)) {
+                        case "us" -> 1;
+                        case "ms" -> 1e3;
+                        case "s" -> 1e6;
+                        case "m" -> 60e6;
+                        default -> 3600e6;
+                    };
         } else if (value.isNumber()) {
             read = value.asDouble();
         } else {
@@ -294,11 +297,13 @@
 
     /** Names keys that nobody asked for. */
     public void done() {
-        for (Iterator<String> names = node.fieldNames(); names.hasNext();) {
+        for (Iterator<String> names = node.fieldNames(); names.hasNext(); ) {
             String name = names.next();
             if (!used.contains(name)) {
-                fault(name, "unknown key '" + name + "'" + (path.isEmpty() ? "" : " in [" + path + "]")
-                    + meant(name, known));
+                fault(
+                        name,
+                        "unknown key '" + name + "'" + (path.isEmpty() ? "" : " in [" + path + "]")
+                                + meant(name, known));
             }
         }
     }
@@ -317,7 +322,7 @@
         return best == null ? "" : "; did you mean '" + best + "'?";
     }
 
-    private static int distance(String a, String b) {       // Levenshtein's
+    private static int distance(String a, String b) { // Levenshtein's
         int[] row = new int[b.length() + 1];
         for (int j = 0; j < row.length; j++) {
             row[j] = j;
--- a/toml/src/main/java/junctionhead/toml/Source.java
+++ b/toml/src/main/java/junctionhead/toml/Source.java
@@ -55,7 +55,7 @@
         Path path = from.toAbsolutePath().normalize();
         if (chain.contains(path)) {
             throw new Faults(List.of(chain.get(chain.size() - 1).getFileName() + ":1: include of " + from.getFileName()
-                + " loops: a file that is being read includes itself"));
+                    + " loops: a file that is being read includes itself"));
         }
         if (!Files.isReadable(from)) {
             throw new Faults(List.of(from + ":1: no such file can be read"));
@@ -146,7 +146,8 @@
         if (!faults.isEmpty()) {
             TreeMap<Integer, List<String>> sorted = new TreeMap<>();
             for (String f : faults) {
-                sorted.computeIfAbsent(Integer.valueOf(f.split(":")[1]), n -> new ArrayList<>()).add(f);
+                sorted.computeIfAbsent(Integer.valueOf(f.split(":")[1]), n -> new ArrayList<>())
+                        .add(f);
             }
             throw new Faults(sorted.values().stream().flatMap(List::stream).toList());
         }
--- a/toml/src/main/java/junctionhead/toml/Units.java
+++ b/toml/src/main/java/junctionhead/toml/Units.java
@@ -10,8 +10,9 @@
     /** Requests per second: {@code "20/s"}, {@code "90/min"}. */
     RATE("a rate with its unit, such as \"200/s\"", Map.of("/s", 1.0, "/min", 1 / 60.0, "/h", 1 / 3600.0)),
     /** Bytes: {@code "64KiB"}, {@code "2MiB"}. */
-    SIZE("a size with its unit, such as \"2MiB\"", Map.of("B", 1.0, "KiB", 1024.0, "MiB", 1048576.0,
-        "GiB", 1073741824.0)),
+    SIZE(
+            "a size with its unit, such as \"2MiB\"",
+            Map.of("B", 1.0, "KiB", 1024.0, "MiB", 1048576.0, "GiB", 1073741824.0)),
     /** Time, in µs: {@code "20ms"}. */
     TIME("a time with its unit, such as \"200ms\"", Map.of("us", 1.0, "ms", 1e3, "s", 1e6, "m", 60e6, "h", 3600e6));
 
@@ -48,8 +49,10 @@
             boolean shorter = best == null || text.length() < best.length();
             best = shorter || text.length() == best.length() && text.compareTo(best) < 0 ? text : best;
         }
-        Map.Entry<String, Double> base = units.entrySet().stream().filter(u -> u.getValue() == 1).findFirst()
-            .orElseThrow();
+        Map.Entry<String, Double> base = units.entrySet().stream()
+                .filter(u -> u.getValue() == 1)
+                .findFirst()
+                .orElseThrow();
         return best != null ? best : String.format(Locale.ROOT, "%.3f%s", figure / base.getValue(), base.getKey());
     }
 }
