--- a/balancer/src/main/java/junctionhead/Main.java
+++ b/balancer/src/main/java/loadbalancer/Main.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 import java.io.BufferedOutputStream;
 import java.io.BufferedReader;
@@ -9,11 +9,11 @@
 import java.io.InputStreamReader;
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
-import junctionhead.cli.Commands;
-import junctionhead.net.Node;
-import junctionhead.policy.Balance;
-import junctionhead.wire.Adapter;
-import junctionhead.wire.WireException;
+import loadbalancer.cli.Commands;
+import loadbalancer.net.Node;
+import loadbalancer.policy.Balance;
+import loadbalancer.wire.Adapter;
+import loadbalancer.wire.WireException;
 
 /** Starts a real balancer, the adapter on standard input and output, or a tool. */
 public final class Main {
@@ -32,7 +32,7 @@
                 OutputStream out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16)) {
             new Adapter(Balance::new, in, out).run();
         } catch (WireException | IOException e) {
-            System.err.println("junctionhead: " + e.getMessage());
+            System.err.println("load-balancer: " + e.getMessage());
             System.exit(1);
         }
     }
--- a/balancer/src/main/java/junctionhead/admin/AdminListener.java
+++ b/balancer/src/main/java/loadbalancer/admin/AdminListener.java
@@ -1,4 +1,4 @@
-package junctionhead.admin;
+package loadbalancer.admin;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
--- a/balancer/src/main/java/junctionhead/admin/Call.java
+++ b/balancer/src/main/java/loadbalancer/admin/Call.java
@@ -1,4 +1,4 @@
-package junctionhead.admin;
+package loadbalancer.admin;
 
 import java.util.Arrays;
 import java.util.List;
--- a/balancer/src/main/java/junctionhead/admin/Operations.java
+++ b/balancer/src/main/java/loadbalancer/admin/Operations.java
@@ -1,4 +1,4 @@
-package junctionhead.admin;
+package loadbalancer.admin;
 
 /** What operators may ask of a running balancer. Each call takes effect before it returns. */
 public interface Operations {
--- a/balancer/src/main/java/junctionhead/cli/Commands.java
+++ b/balancer/src/main/java/loadbalancer/cli/Commands.java
@@ -1,4 +1,4 @@
-package junctionhead.cli;
+package loadbalancer.cli;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -8,15 +8,15 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import junctionhead.front.Front;
-import junctionhead.front.FrontPlan;
-import junctionhead.net.OperatorFile;
-import junctionhead.operator.Operator;
-import junctionhead.operator.OperatorReader;
-import junctionhead.operator.Words;
-import junctionhead.routes.PathTemplate;
-import junctionhead.routes.Route;
-import junctionhead.toml.Faults;
+import loadbalancer.front.Front;
+import loadbalancer.front.FrontPlan;
+import loadbalancer.net.OperatorFile;
+import loadbalancer.operator.Operator;
+import loadbalancer.operator.OperatorReader;
+import loadbalancer.operator.Words;
+import loadbalancer.routes.PathTemplate;
+import loadbalancer.routes.Route;
+import loadbalancer.toml.Faults;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -26,9 +26,9 @@
 
 /** All commands beside {@code serve} and {@code wirehost}, which start without any of this. */
 @Command(
-        name = "junctionhead",
+        name = "load-balancer",
         mixinStandardHelpOptions = true,
-        version = "junctionhead 0.1.0",
+        version = "load-balancer 0.1.0",
         description = "A balancer, and the tools for its operator file.",
         footer = {
             "",
@@ -113,7 +113,7 @@
             footer = {
                 "",
                 "Example:",
-                "  junctionhead explain deploy/operator.toml"
+                "  load-balancer explain deploy/operator.toml"
                         + " --request \"POST /api/k1\" --header \"X-Channel: counter\" --tenant t1"
             })
     static final class Explain extends OnFile {
--- a/balancer/src/main/java/junctionhead/cli/package-info.java
+++ b/balancer/src/main/java/loadbalancer/cli/package-info.java
@@ -1,2 +1,2 @@
 /** The operators' command line: checks, explains and compares operator files. Not loaded by a balancer that serves. */
-package junctionhead.cli;
+package loadbalancer.cli;
--- a/balancer/src/main/java/junctionhead/handover/InheritedListener.java
+++ b/balancer/src/main/java/loadbalancer/handover/InheritedListener.java
@@ -1,4 +1,4 @@
-package junctionhead.handover;
+package loadbalancer.handover;
 
 import java.io.IOException;
 import java.nio.channels.Channel;
--- a/balancer/src/main/java/junctionhead/handover/PeerLink.java
+++ b/balancer/src/main/java/loadbalancer/handover/PeerLink.java
@@ -1,4 +1,4 @@
-package junctionhead.handover;
+package loadbalancer.handover;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import io.netty.bootstrap.Bootstrap;
--- a/balancer/src/main/java/junctionhead/logs/Log.java
+++ b/balancer/src/main/java/loadbalancer/logs/Log.java
@@ -1,4 +1,4 @@
-package junctionhead.logs;
+package loadbalancer.logs;
 
 import org.slf4j.Logger;
 import org.slf4j.event.Level;
--- a/balancer/src/main/java/junctionhead/logs/Provider.java
+++ b/balancer/src/main/java/loadbalancer/logs/Provider.java
@@ -1,4 +1,4 @@
-package junctionhead.logs;
+package loadbalancer.logs;
 
 import java.util.List;
 import org.slf4j.ILoggerFactory;
@@ -20,7 +20,7 @@
  * Logback by measured start time, see docs/design/routes-and-limits.md.
  */
 public final class Provider implements SLF4JServiceProvider {
-    private static final Sink SINK = new Sink(System.err, "junctionhead: ");
+    private static final Sink SINK = new Sink(System.err, "load-balancer: ");
     private final IMarkerFactory markers = new BasicMarkerFactory();
     private final MDCAdapter context = new NOPMDCAdapter();
 
--- a/balancer/src/main/java/junctionhead/logs/Sink.java
+++ b/balancer/src/main/java/loadbalancer/logs/Sink.java
@@ -1,4 +1,4 @@
-package junctionhead.logs;
+package loadbalancer.logs;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import java.io.IOException;
--- a/balancer/src/main/java/junctionhead/logs/package-info.java
+++ b/balancer/src/main/java/loadbalancer/logs/package-info.java
@@ -2,4 +2,4 @@
  * One SLF4J logger for all: text or JSON lines, written behind a bounded queue that drops and counts rather than keep
  * the event loop waiting.
  */
-package junctionhead.logs;
+package loadbalancer.logs;
--- a/balancer/src/main/java/junctionhead/net/Budget.java
+++ b/balancer/src/main/java/loadbalancer/net/Budget.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 /** What connections to upstreams are counted against. */
 interface Budget {
--- a/balancer/src/main/java/junctionhead/net/ClientServer.java
+++ b/balancer/src/main/java/loadbalancer/net/ClientServer.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -27,7 +27,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import junctionhead.settings.SettingsReader;
+import loadbalancer.settings.SettingsReader;
 
 /** The side to the clients: takes connections, hands requests over, and words each one's final answer. */
 final class ClientServer {
--- a/balancer/src/main/java/junctionhead/net/Config.java
+++ b/balancer/src/main/java/loadbalancer/net/Config.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -20,11 +20,11 @@
 import java.util.TreeSet;
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
-import junctionhead.discovery.Holding;
-import junctionhead.discovery.ListReader;
-import junctionhead.discovery.Targets;
-import junctionhead.settings.Endpoints;
-import junctionhead.settings.SettingsReader;
+import loadbalancer.discovery.Holding;
+import loadbalancer.discovery.ListReader;
+import loadbalancer.discovery.Targets;
+import loadbalancer.settings.Endpoints;
+import loadbalancer.settings.SettingsReader;
 
 /** What a balancer is told at its start, by its environment and its configuration file. */
 record Config(
--- a/balancer/src/main/java/junctionhead/net/Descriptors.java
+++ b/balancer/src/main/java/loadbalancer/net/Descriptors.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 /**
  * Counts the sockets of this process against its limit on descriptors. Guards against accepts and connects
--- a/balancer/src/main/java/junctionhead/net/Desk.java
+++ b/balancer/src/main/java/loadbalancer/net/Desk.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 /** Where clients' requests are handed over, for one final answer each. */
 interface Desk {
--- a/balancer/src/main/java/junctionhead/net/Dispatcher.java
+++ b/balancer/src/main/java/loadbalancer/net/Dispatcher.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.HttpResponseStatus;
@@ -12,12 +12,12 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongConsumer;
-import junctionhead.discovery.DiscoveryClient;
-import junctionhead.discovery.Holding;
-import junctionhead.discovery.Targets;
-import junctionhead.logs.Log;
-import junctionhead.policy.Policy;
-import junctionhead.settings.SettingsReader;
+import loadbalancer.discovery.DiscoveryClient;
+import loadbalancer.discovery.Holding;
+import loadbalancer.discovery.Targets;
+import loadbalancer.logs.Log;
+import loadbalancer.policy.Policy;
+import loadbalancer.settings.SettingsReader;
 
 /**
  * Stands between the sockets and the module: owns the module, its clock and the table of requests and
--- a/balancer/src/main/java/junctionhead/net/DryRun.java
+++ b/balancer/src/main/java/loadbalancer/net/DryRun.java
@@ -1,11 +1,11 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import junctionhead.policy.Balance;
+import loadbalancer.policy.Balance;
 
 /**
  * Starts a balancer, lets it rehearse and ends it: the build does so once, for the JVM to archive the classes
--- a/balancer/src/main/java/junctionhead/net/Gateway.java
+++ b/balancer/src/main/java/loadbalancer/net/Gateway.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.HttpResponseStatus;
@@ -14,15 +14,15 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
-import junctionhead.discovery.Membership;
-import junctionhead.front.Front;
-import junctionhead.logs.Log;
-import junctionhead.operator.Operator;
-import junctionhead.operator.PoolSpec;
-import junctionhead.policy.Policy;
-import junctionhead.routes.PathTemplate;
-import junctionhead.routes.Route;
-import junctionhead.settings.SettingsReader;
+import loadbalancer.discovery.Membership;
+import loadbalancer.front.Front;
+import loadbalancer.logs.Log;
+import loadbalancer.operator.Operator;
+import loadbalancer.operator.PoolSpec;
+import loadbalancer.policy.Policy;
+import loadbalancer.routes.PathTemplate;
+import loadbalancer.routes.Route;
+import loadbalancer.settings.SettingsReader;
 
 /**
  * The front on sockets: hands each request to the dispatcher of the pool that {@link Front} names, and refuses what
--- a/balancer/src/main/java/junctionhead/net/Inheritance.java
+++ b/balancer/src/main/java/loadbalancer/net/Inheritance.java
@@ -1,12 +1,12 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import junctionhead.discovery.Targets;
-import junctionhead.settings.SettingsReader;
+import loadbalancer.discovery.Targets;
+import loadbalancer.settings.SettingsReader;
 
 /** What a process tells the one that goes on in its place, of one pool: read strictly, or not at all. */
 record Inheritance(Set<String> out, Map<String, Long> back, Targets list, Map<String, double[]> learnt) {
--- a/balancer/src/main/java/junctionhead/net/Node.java
+++ b/balancer/src/main/java/loadbalancer/net/Node.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
@@ -19,22 +19,22 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiFunction;
 import java.util.function.Supplier;
-import junctionhead.admin.AdminListener;
-import junctionhead.admin.Operations;
-import junctionhead.discovery.DiscoveryClient;
-import junctionhead.discovery.Holding;
-import junctionhead.discovery.Membership;
-import junctionhead.discovery.PartialListRetry;
-import junctionhead.discovery.Targets;
-import junctionhead.drain.TakenOut;
-import junctionhead.handover.InheritedListener;
-import junctionhead.handover.PeerLink;
-import junctionhead.logs.Log;
-import junctionhead.logs.Provider;
-import junctionhead.operator.Operator;
-import junctionhead.policy.Balance;
-import junctionhead.policy.Policy;
-import junctionhead.settings.SettingsReader;
+import loadbalancer.admin.AdminListener;
+import loadbalancer.admin.Operations;
+import loadbalancer.discovery.DiscoveryClient;
+import loadbalancer.discovery.Holding;
+import loadbalancer.discovery.Membership;
+import loadbalancer.discovery.PartialListRetry;
+import loadbalancer.discovery.Targets;
+import loadbalancer.drain.TakenOut;
+import loadbalancer.handover.InheritedListener;
+import loadbalancer.handover.PeerLink;
+import loadbalancer.logs.Log;
+import loadbalancer.logs.Provider;
+import loadbalancer.operator.Operator;
+import loadbalancer.policy.Balance;
+import loadbalancer.policy.Policy;
+import loadbalancer.settings.SettingsReader;
 import org.slf4j.LoggerFactory;
 
 /** One real balancer: its start, its readiness and its orderly stop. */
@@ -256,7 +256,7 @@
     public static int serve(Map<String, String> environment) {
         ReloadSignal reloadSignal = ReloadSignal.take(); // first of all: until then it ends the process
         Provider.install();
-        Log log = Log.to(LoggerFactory.getLogger("junctionhead"));
+        Log log = Log.to(LoggerFactory.getLogger("load-balancer"));
         int code = serve(environment, reloadSignal, log);
         Provider.sink().drain(SAY_MS);
         return code;
--- a/balancer/src/main/java/junctionhead/net/OperatorFile.java
+++ b/balancer/src/main/java/loadbalancer/net/OperatorFile.java
@@ -1,12 +1,12 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Map;
-import junctionhead.operator.Operator;
-import junctionhead.operator.OperatorReader;
-import junctionhead.settings.SettingsReader;
-import junctionhead.toml.Faults;
+import loadbalancer.operator.Operator;
+import loadbalancer.operator.OperatorReader;
+import loadbalancer.settings.SettingsReader;
+import loadbalancer.toml.Faults;
 
 /** Reads the operator file against the platform's configuration. Loaded only where there is such a file. */
 public final class OperatorFile {
--- a/balancer/src/main/java/junctionhead/net/Order.java
+++ b/balancer/src/main/java/loadbalancer/net/Order.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
--- a/balancer/src/main/java/junctionhead/net/Polls.java
+++ b/balancer/src/main/java/loadbalancer/net/Polls.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 import io.netty.channel.SelectStrategy;
 import io.netty.channel.SelectStrategyFactory;
--- a/balancer/src/main/java/junctionhead/net/Pool.java
+++ b/balancer/src/main/java/loadbalancer/net/Pool.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
@@ -7,17 +7,17 @@
 import java.util.Map;
 import java.util.function.BiFunction;
 import java.util.function.BooleanSupplier;
-import junctionhead.discovery.DiscoveryClient;
-import junctionhead.discovery.Holding;
-import junctionhead.discovery.Membership;
-import junctionhead.discovery.PartialListRetry;
-import junctionhead.discovery.Targets;
-import junctionhead.drain.TakenOut;
-import junctionhead.logs.Log;
-import junctionhead.operator.PoolSpec;
-import junctionhead.policy.Policy;
-import junctionhead.policy.Policy.ListKind;
-import junctionhead.settings.SettingsReader;
+import loadbalancer.discovery.DiscoveryClient;
+import loadbalancer.discovery.Holding;
+import loadbalancer.discovery.Membership;
+import loadbalancer.discovery.PartialListRetry;
+import loadbalancer.discovery.Targets;
+import loadbalancer.drain.TakenOut;
+import loadbalancer.logs.Log;
+import loadbalancer.operator.PoolSpec;
+import loadbalancer.policy.Policy;
+import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.settings.SettingsReader;
 
 /** One pool beside the platform's: a module of its own with its list, its connections and its budgets. */
 final class Pool {
@@ -46,7 +46,7 @@
         this.budget = budget;
         boot = boot(site, spec);
         Log log = line -> ground.log.accept("pool " + spec.name() + ": " + line);
-        long seed = ground.seed ^ junctionhead.routes.Split.hash(spec.name());
+        long seed = ground.seed ^ loadbalancer.routes.Split.hash(spec.name());
         dispatcher = new Dispatcher(ground.loop, boot, ground.module.apply(boot.settings(), seed), log);
         upstreams = new Upstreams(ground.loop, boot, budget, dispatcher::now);
         upstreams.shedBy(() -> upstreams.shedIdle() || ground.shedClients.getAsBoolean());
--- a/balancer/src/main/java/junctionhead/net/PoolBudget.java
+++ b/balancer/src/main/java/loadbalancer/net/PoolBudget.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 /**
  * A pool's part of the connections, and of the bytes held for requests. Guards against a pool whose upstreams hang:
--- a/balancer/src/main/java/junctionhead/net/Reads.java
+++ b/balancer/src/main/java/loadbalancer/net/Reads.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
 import io.netty.channel.RecvByteBufAllocator;
--- a/balancer/src/main/java/junctionhead/net/Rehearsal.java
+++ b/balancer/src/main/java/loadbalancer/net/Rehearsal.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
@@ -10,10 +10,10 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import junctionhead.discovery.Targets;
-import junctionhead.policy.Balance;
-import junctionhead.policy.Policy;
-import junctionhead.settings.SettingsReader;
+import loadbalancer.discovery.Targets;
+import loadbalancer.policy.Balance;
+import loadbalancer.policy.Policy;
+import loadbalancer.settings.SettingsReader;
 
 /**
  * Takes requests of its own through the whole path, over this node's own address, before clients come. Guards
--- a/balancer/src/main/java/junctionhead/net/ReloadSignal.java
+++ b/balancer/src/main/java/loadbalancer/net/ReloadSignal.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 import java.lang.reflect.InvocationHandler;
 import java.lang.reflect.Proxy;
--- a/balancer/src/main/java/junctionhead/net/RequestDecoder.java
+++ b/balancer/src/main/java/loadbalancer/net/RequestDecoder.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpMessage;
--- a/balancer/src/main/java/junctionhead/net/RequestReader.java
+++ b/balancer/src/main/java/loadbalancer/net/RequestReader.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
--- a/balancer/src/main/java/junctionhead/net/RequestRules.java
+++ b/balancer/src/main/java/loadbalancer/net/RequestRules.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpHeaderNames;
@@ -13,8 +13,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Stream;
-import junctionhead.policy.Policy;
-import junctionhead.settings.SettingsReader;
+import loadbalancer.policy.Policy;
+import loadbalancer.settings.SettingsReader;
 
 /** What a request must be like to be taken, and what goes on of it. */
 final class RequestRules {
--- a/balancer/src/main/java/junctionhead/net/Room.java
+++ b/balancer/src/main/java/loadbalancer/net/Room.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 /**
  * The memory that clients' bodies may take together, while they come in and until they are answered. Guards
--- a/balancer/src/main/java/junctionhead/net/Upstreams.java
+++ b/balancer/src/main/java/loadbalancer/net/Upstreams.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -36,11 +36,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
-import junctionhead.discovery.Targets;
-import junctionhead.policy.Policy;
-import junctionhead.policy.Policy.Outcome;
-import junctionhead.settings.SettingsReader;
-import junctionhead.wire.LoadReport;
+import loadbalancer.discovery.Targets;
+import loadbalancer.policy.Policy;
+import loadbalancer.policy.Policy.Outcome;
+import loadbalancer.settings.SettingsReader;
+import loadbalancer.wire.LoadReport;
 
 /** The connections to the upstreams, one request at a time on each, and what becomes of each request. */
 final class Upstreams {
--- a/balancer/src/main/java/junctionhead/operator/Operator.java
+++ b/balancer/src/main/java/loadbalancer/operator/Operator.java
@@ -1,7 +1,7 @@
-package junctionhead.operator;
+package loadbalancer.operator;
 
 import java.util.List;
-import junctionhead.front.FrontPlan;
+import loadbalancer.front.FrontPlan;
 
 /**
  * All that an operator file sets.
--- a/balancer/src/main/java/junctionhead/operator/OperatorReader.java
+++ b/balancer/src/main/java/loadbalancer/operator/OperatorReader.java
@@ -1,4 +1,4 @@
-package junctionhead.operator;
+package loadbalancer.operator;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -11,17 +11,17 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.regex.Pattern;
-import junctionhead.front.FrontPlan;
-import junctionhead.limits.ConcurrencyLimit;
-import junctionhead.limits.TokenTree.Rate;
-import junctionhead.routes.PathTemplate;
-import junctionhead.routes.Route;
-import junctionhead.settings.Endpoints;
-import junctionhead.toml.Faults;
-import junctionhead.toml.Section;
-import junctionhead.toml.Section.Measure;
-import junctionhead.toml.Source;
-import junctionhead.toml.Units;
+import loadbalancer.front.FrontPlan;
+import loadbalancer.limits.ConcurrencyLimit;
+import loadbalancer.limits.TokenTree.Rate;
+import loadbalancer.routes.PathTemplate;
+import loadbalancer.routes.Route;
+import loadbalancer.settings.Endpoints;
+import loadbalancer.toml.Faults;
+import loadbalancer.toml.Section;
+import loadbalancer.toml.Section.Measure;
+import loadbalancer.toml.Source;
+import loadbalancer.toml.Units;
 
 /** Reads operator files, strictly: all faults are listed, and a file with any binds nothing. */
 public final class OperatorReader {
--- a/balancer/src/main/java/junctionhead/operator/PoolSpec.java
+++ b/balancer/src/main/java/loadbalancer/operator/PoolSpec.java
@@ -1,4 +1,4 @@
-package junctionhead.operator;
+package loadbalancer.operator;
 
 import java.net.InetSocketAddress;
 import java.util.List;
--- a/balancer/src/main/java/junctionhead/operator/Words.java
+++ b/balancer/src/main/java/loadbalancer/operator/Words.java
@@ -1,4 +1,4 @@
-package junctionhead.operator;
+package loadbalancer.operator;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -8,13 +8,13 @@
 import java.util.Objects;
 import java.util.TreeSet;
 import java.util.stream.Collectors;
-import junctionhead.front.FrontPlan;
-import junctionhead.front.FrontPlan.RoutePlan;
-import junctionhead.front.FrontPlan.Way;
-import junctionhead.limits.ConcurrencyLimit;
-import junctionhead.limits.TokenTree.Rate;
-import junctionhead.routes.Route;
-import junctionhead.toml.Units;
+import loadbalancer.front.FrontPlan;
+import loadbalancer.front.FrontPlan.RoutePlan;
+import loadbalancer.front.FrontPlan.Way;
+import loadbalancer.limits.ConcurrencyLimit;
+import loadbalancer.limits.TokenTree.Rate;
+import loadbalancer.routes.Route;
+import loadbalancer.toml.Units;
 
 /** Says in words what an operator file sets, and what another one would change in service. */
 public final class Words {
--- a/balancer/src/main/java/junctionhead/operator/package-info.java
+++ b/balancer/src/main/java/loadbalancer/operator/package-info.java
@@ -1,2 +1,2 @@
 /** The operator file: routes, pools and limits, read strictly before any of it binds. */
-package junctionhead.operator;
+package loadbalancer.operator;
--- a/balancer/src/main/java/junctionhead/wire/Adapter.java
+++ b/balancer/src/main/java/loadbalancer/wire/Adapter.java
@@ -1,4 +1,4 @@
-package junctionhead.wire;
+package loadbalancer.wire;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -9,8 +9,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import junctionhead.policy.Policy;
-import junctionhead.settings.SettingsReader;
+import loadbalancer.policy.Policy;
+import loadbalancer.settings.SettingsReader;
 
 /** Hosts many instances of the module and translates between them and the wire. It decides nothing. */
 public final class Adapter {
--- a/balancer/src/main/java/junctionhead/wire/Frame.java
+++ b/balancer/src/main/java/loadbalancer/wire/Frame.java
@@ -1,4 +1,4 @@
-package junctionhead.wire;
+package loadbalancer.wire;
 
 import java.util.Base64;
 
--- a/balancer/src/main/java/junctionhead/wire/LoadReport.java
+++ b/balancer/src/main/java/loadbalancer/wire/LoadReport.java
@@ -1,8 +1,8 @@
-package junctionhead.wire;
+package loadbalancer.wire;
 
 import java.util.Arrays;
 import java.util.List;
-import junctionhead.policy.Policy;
+import loadbalancer.policy.Policy;
 
 /** The values of a server's load report, under the names of the wire and of the protocol on sockets. */
 public final class LoadReport {
--- a/balancer/src/main/java/junctionhead/wire/WireException.java
+++ b/balancer/src/main/java/loadbalancer/wire/WireException.java
@@ -1,4 +1,4 @@
-package junctionhead.wire;
+package loadbalancer.wire;
 
 /** What is wrong with the input, in one line that names the place. */
 public final class WireException extends RuntimeException {
--- a/balancer/src/main/java/junctionhead/wire/WireSettings.java
+++ b/balancer/src/main/java/loadbalancer/wire/WireSettings.java
@@ -1,8 +1,8 @@
-package junctionhead.wire;
+package loadbalancer.wire;
 
 import java.util.HashMap;
 import java.util.Map;
-import junctionhead.settings.SettingsReader;
+import loadbalancer.settings.SettingsReader;
 
 /** Turns the path=value pairs of an ENLIST line into what an instance is started with. */
 final class WireSettings {
--- a/balancer/src/test/java/junctionhead/DirectionsTest.java
+++ b/balancer/src/test/java/loadbalancer/DirectionsTest.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 
@@ -11,21 +11,21 @@
 class DirectionsTest {
     private static final JavaClasses ALL = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
-            .importPackages("junctionhead");
+            .importPackages("loadbalancer");
 
     @Test
     void decisionsKnowNothingOfTheBalancer() {
         noClasses()
                 .that()
-                .resideInAPackage("junctionhead.policy..")
+                .resideInAPackage("loadbalancer.policy..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
-                        "junctionhead.net..",
-                        "junctionhead.wire..",
-                        "junctionhead.admin..",
-                        "junctionhead.drain..",
-                        "junctionhead.handover..")
+                        "loadbalancer.net..",
+                        "loadbalancer.wire..",
+                        "loadbalancer.admin..",
+                        "loadbalancer.drain..",
+                        "loadbalancer.handover..")
                 .check(ALL);
     }
 
@@ -34,7 +34,7 @@
         noClasses()
                 .should()
                 .dependOnClassesThat()
-                .resideInAPackage("junctionhead.lab..")
+                .resideInAPackage("loadbalancer.lab..")
                 .check(ALL);
     }
 
@@ -43,18 +43,18 @@
         noClasses()
                 .that()
                 .resideInAnyPackage(
-                        "junctionhead.admin..",
-                        "junctionhead.drain..",
-                        "junctionhead.handover..",
-                        "junctionhead.wire..",
-                        "junctionhead.operator..",
-                        "junctionhead.logs..",
-                        "junctionhead.toml..",
-                        "junctionhead.discovery..",
-                        "junctionhead.settings..")
+                        "loadbalancer.admin..",
+                        "loadbalancer.drain..",
+                        "loadbalancer.handover..",
+                        "loadbalancer.wire..",
+                        "loadbalancer.operator..",
+                        "loadbalancer.logs..",
+                        "loadbalancer.toml..",
+                        "loadbalancer.discovery..",
+                        "loadbalancer.settings..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAPackage("junctionhead.net..")
+                .resideInAPackage("loadbalancer.net..")
                 .check(ALL);
     }
 }
--- a/balancer/src/test/java/junctionhead/MainTest.java
+++ b/balancer/src/test/java/loadbalancer/MainTest.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -43,11 +43,11 @@
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
                 System.getProperty("java.class.path"),
-                "junctionhead.Main"));
+                "loadbalancer.Main"));
         command.addAll(List.of(arguments));
-        Path in = Files.createTempFile("junctionhead", ".in");
-        Path out = Files.createTempFile("junctionhead", ".out");
-        Path err = Files.createTempFile("junctionhead", ".err");
+        Path in = Files.createTempFile("load-balancer", ".in");
+        Path out = Files.createTempFile("load-balancer", ".out");
+        Path err = Files.createTempFile("load-balancer", ".err");
         Files.writeString(in, input);
         int exit = new ProcessBuilder(command)
                 .redirectInput(in.toFile())
@@ -68,7 +68,7 @@
     void wrongArgumentsGetAUsageLine(String arguments) throws IOException, InterruptedException {
         Run run = run("", arguments.isEmpty() ? new String[0] : arguments.split(" "));
         assertEquals(2, run.exit());
-        assertTrue(run.err().contains(arguments.isEmpty() ? "Usage: junctionhead" : "Unmatched argument"), run.err());
+        assertTrue(run.err().contains(arguments.isEmpty() ? "Usage: load-balancer" : "Unmatched argument"), run.err());
     }
 
     @Test
@@ -87,7 +87,7 @@
         String input = words.strip().replace(" NOISE", "\nNOISE").replace("TICK 1", "TICK\t1") + "\n";
         Run run = run(input, "wirehost");
         assertEquals(1, run.exit());
-        assertTrue(run.err().equals("junctionhead: " + complaint.strip() + "\n"), run.err());
+        assertTrue(run.err().equals("load-balancer: " + complaint.strip() + "\n"), run.err());
         assertEquals("", run.out());
     }
 
@@ -103,7 +103,7 @@
         Process process = serve(file);
         String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(1, process.waitFor());
-        assertTrue(err.startsWith("junctionhead: " + complaint), err);
+        assertTrue(err.startsWith("load-balancer: " + complaint), err);
         assertEquals(1, err.lines().count(), err);
     }
 
@@ -114,7 +114,7 @@
             Process process = serve(config.toString());
             String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
             assertEquals(1, process.waitFor());
-            assertTrue(err.startsWith("junctionhead: can't listen on "), err);
+            assertTrue(err.startsWith("load-balancer: can't listen on "), err);
             assertEquals(1, err.lines().count(), err);
             Files.delete(config);
         }
@@ -126,7 +126,7 @@
         Process process = serve(config.toString());
         try (BufferedReader err = process.errorReader(StandardCharsets.UTF_8)) {
             String line = err.readLine();
-            assertTrue(line.startsWith("junctionhead: listening on 127.0.0.1:"), line);
+            assertTrue(line.startsWith("load-balancer: listening on 127.0.0.1:"), line);
             process.destroy(); // SIGTERM
             assertEquals(0, process.waitFor());
         }
@@ -143,11 +143,11 @@
             Files.writeString(config, Files.readString(config).replace("127.0.0.1:9\"", "127.0.0.1:7\""));
             hangup(process);
             assertEquals(
-                    "junctionhead: configuration taken over: discovery at 127.0.0.1:7", nextWith("configuration", err));
+                    "load-balancer: configuration taken over: discovery at 127.0.0.1:7", nextWith("configuration", err));
             Files.writeString(config, "{");
             hangup(process);
             String line = nextWith("configuration", err);
-            assertTrue(line.startsWith("junctionhead: configuration not taken over: can't read"), line);
+            assertTrue(line.startsWith("load-balancer: configuration not taken over: can't read"), line);
             process.destroy();
             assertEquals(0, process.waitFor());
         }
@@ -172,7 +172,7 @@
             process.onExit().thenRun(() -> drainTo(file));
             Files.writeString(file, text.replace("127.0.0.1:9\"", "127.0.0.1:7\""));
             assertEquals(
-                    "junctionhead: configuration taken over: discovery at 127.0.0.1:7", nextWith("configuration", err));
+                    "load-balancer: configuration taken over: discovery at 127.0.0.1:7", nextWith("configuration", err));
             process.destroy();
             assertEquals(0, process.waitFor());
         }
@@ -191,12 +191,12 @@
                 JAVA,
                 "-cp",
                 System.getProperty("java.class.path"),
-                "junctionhead.Main",
+                "loadbalancer.Main",
                 "serve");
         try (BufferedReader err = process.errorReader(StandardCharsets.UTF_8)) {
             String line = err.readLine();
-            assertTrue(line.startsWith("junctionhead: SIGHUP is ignored here, as under nohup: "), line);
-            assertTrue(err.readLine().startsWith("junctionhead: listening on "));
+            assertTrue(line.startsWith("load-balancer: SIGHUP is ignored here, as under nohup: "), line);
+            assertTrue(err.readLine().startsWith("load-balancer: listening on "));
             Files.writeString(config, Files.readString(config).replace("127.0.0.1:9\"", "127.0.0.1:7\""));
             hangup(process);
             signal("TERM", process); // Process.destroy would close the stream as well
@@ -216,16 +216,16 @@
                 .split("\"")[1];
         String here = run.replaceFirst("-XX:SharedArchiveFile=\\S+", "")
                 .replaceFirst(" java ", " '" + JAVA + "' ")
-                .replaceFirst("-jar \\S+", "-cp '" + System.getProperty("java.class.path") + "' junctionhead.Main");
+                .replaceFirst("-jar \\S+", "-cp '" + System.getProperty("java.class.path") + "' loadbalancer.Main");
         Path config = config("127.0.0.1:0");
         Process process = start(config.toString(), "sh", "-c", "trap '' HUP; " + here);
         try (BufferedReader err = process.errorReader(StandardCharsets.UTF_8)) {
-            String line = nextWith("junctionhead", err);
-            assertTrue(line.startsWith("junctionhead: listening on "), line);
+            String line = nextWith("load-balancer", err);
+            assertTrue(line.startsWith("load-balancer: listening on "), line);
             Files.writeString(config, Files.readString(config).replace("127.0.0.1:9\"", "127.0.0.1:7\""));
             hangup(process);
             assertEquals(
-                    "junctionhead: configuration taken over: discovery at 127.0.0.1:7", nextWith("configuration", err));
+                    "load-balancer: configuration taken over: discovery at 127.0.0.1:7", nextWith("configuration", err));
             process.destroy();
             assertEquals(0, process.waitFor());
         }
@@ -276,7 +276,7 @@
     }
 
     private static Path config(String listen) throws IOException {
-        Path config = Files.createTempFile("junctionhead", ".json");
+        Path config = Files.createTempFile("load-balancer", ".json");
         return Files.writeString(
                 config,
                 """
@@ -315,11 +315,11 @@
                 "-XX:+ExitOnOutOfMemoryError",
                 "-cp",
                 System.getProperty("java.class.path"),
-                "junctionhead.Main",
+                "loadbalancer.Main",
                 "serve");
         try (BufferedReader err = process.errorReader(StandardCharsets.UTF_8)) {
             String line = nextWith("holds", err);
-            assertTrue(String.valueOf(line).startsWith("junctionhead: holds one part in 32 of a list"), line);
+            assertTrue(String.valueOf(line).startsWith("load-balancer: holds one part in 32 of a list"), line);
             process.destroy();
             assertEquals(0, process.waitFor());
         }
@@ -327,7 +327,7 @@
     }
 
     private static Process serve(String config) throws IOException {
-        return start(config, JAVA, "-cp", System.getProperty("java.class.path"), "junctionhead.Main", "serve");
+        return start(config, JAVA, "-cp", System.getProperty("java.class.path"), "loadbalancer.Main", "serve");
     }
 
     private static Process start(String config, String... command) throws IOException {
@@ -344,13 +344,13 @@
 
     @Test
     void aBalancerWithoutAnOperatorFileLoadsNothingOfIt() throws IOException, InterruptedException {
-        Path loaded = Files.createTempFile("junctionhead", ".loaded");
+        Path loaded = Files.createTempFile("load-balancer", ".loaded");
         int exit = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-Xlog:class+load:file=" + loaded,
                         "-cp",
                         System.getProperty("java.class.path"),
-                        "junctionhead.net.DryRun")
+                        "loadbalancer.net.DryRun")
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .start()
@@ -358,19 +358,19 @@
         assertEquals(0, exit);
         String all = Files.readString(loaded);
         Files.delete(loaded);
-        assertTrue(all.contains("junctionhead.net.Node"));
+        assertTrue(all.contains("loadbalancer.net.Node"));
         for (String part : List.of(
-                "junctionhead.operator",
-                "junctionhead.front",
-                "junctionhead.routes",
-                "junctionhead.limits",
-                "junctionhead.toml",
-                "junctionhead.cli",
-                "junctionhead.net.Gateway",
+                "loadbalancer.operator",
+                "loadbalancer.front",
+                "loadbalancer.routes",
+                "loadbalancer.limits",
+                "loadbalancer.toml",
+                "loadbalancer.cli",
+                "loadbalancer.net.Gateway",
                 "com.fasterxml.jackson.databind",
                 "picocli")) {
             assertTrue(!all.contains(" " + part + "."), part);
         }
-        assertTrue(!all.contains("junctionhead.net.Gateway") && !all.contains("junctionhead.net.Pool "));
+        assertTrue(!all.contains("loadbalancer.net.Gateway") && !all.contains("loadbalancer.net.Pool "));
     }
 }
--- a/balancer/src/test/java/junctionhead/cli/CommandsTest.java
+++ b/balancer/src/test/java/loadbalancer/cli/CommandsTest.java
@@ -1,4 +1,4 @@
-package junctionhead.cli;
+package loadbalancer.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/balancer/src/test/java/junctionhead/logs/LogsTest.java
+++ b/balancer/src/test/java/loadbalancer/logs/LogsTest.java
@@ -1,4 +1,4 @@
-package junctionhead.logs;
+package loadbalancer.logs;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -22,11 +22,11 @@
 
     @Test
     void textReadsAsItAlwaysDidAndJsonHoldsTheFigures() throws IOException {
-        Sink sink = new Sink(written, "junctionhead: ");
-        Log log = Log.to(Provider.logger("junctionhead", sink));
+        Sink sink = new Sink(written, "load-balancer: ");
+        Log log = Log.to(Provider.logger("load-balancer", sink));
         log.event("set-down s1", "call", "set-down", "known", true);
         sink.drain(20_000);
-        assertEquals(List.of("junctionhead: set-down s1"), lines());
+        assertEquals(List.of("load-balancer: set-down s1"), lines());
         written.reset();
         sink.configure(true, 100);
         log.warn("a \"quoted\"\nline", "count", 3, "pool", "a b");
--- a/balancer/src/test/java/junctionhead/net/ClientsTest.java
+++ b/balancer/src/test/java/loadbalancer/net/ClientsTest.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/balancer/src/test/java/junctionhead/net/FakeUpstream.java
+++ b/balancer/src/test/java/loadbalancer/net/FakeUpstream.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
--- a/balancer/src/test/java/junctionhead/net/GatewayTest.java
+++ b/balancer/src/test/java/loadbalancer/net/GatewayTest.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -18,7 +18,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
-import junctionhead.policy.Balance;
+import loadbalancer.policy.Balance;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
--- a/balancer/src/test/java/junctionhead/net/HandoverTest.java
+++ b/balancer/src/test/java/loadbalancer/net/HandoverTest.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -15,8 +15,8 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import junctionhead.handover.InheritedListener;
-import junctionhead.policy.Balance;
+import loadbalancer.handover.InheritedListener;
+import loadbalancer.policy.Balance;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
--- a/balancer/src/test/java/junctionhead/net/NodeFixture.java
+++ b/balancer/src/test/java/loadbalancer/net/NodeFixture.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -18,7 +18,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import junctionhead.policy.Policy;
+import loadbalancer.policy.Policy;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
--- a/balancer/src/test/java/junctionhead/net/OperatorsTest.java
+++ b/balancer/src/test/java/loadbalancer/net/OperatorsTest.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -16,8 +16,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import junctionhead.discovery.Targets;
-import junctionhead.policy.Policy.ListKind;
+import loadbalancer.discovery.Targets;
+import loadbalancer.policy.Policy.ListKind;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/balancer/src/test/java/junctionhead/net/ShortOfDescriptorsTest.java
+++ b/balancer/src/test/java/loadbalancer/net/ShortOfDescriptorsTest.java
@@ -1,4 +1,4 @@
-package junctionhead.net;
+package loadbalancer.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -35,7 +35,7 @@
     void open() throws IOException {
         upstream = new FakeUpstream();
         discovery = new FakeUpstream();
-        config = Files.createTempFile("junctionhead", ".json");
+        config = Files.createTempFile("load-balancer", ".json");
     }
 
     @AfterEach
@@ -66,7 +66,7 @@
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
                 System.getProperty("java.class.path"),
-                "junctionhead.Main",
+                "loadbalancer.Main",
                 "serve");
         builder.environment().keySet().removeIf(name -> name.startsWith("ROUTER_"));
         builder.environment().put("ROUTER_CONFIG", config.toString());
--- a/balancer/src/test/java/junctionhead/operator/OperatorReaderTest.java
+++ b/balancer/src/test/java/loadbalancer/operator/OperatorReaderTest.java
@@ -1,4 +1,4 @@
-package junctionhead.operator;
+package loadbalancer.operator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,7 +9,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import junctionhead.toml.Faults;
+import loadbalancer.toml.Faults;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
--- a/balancer/src/test/java/junctionhead/wire/AdapterTest.java
+++ b/balancer/src/test/java/loadbalancer/wire/AdapterTest.java
@@ -1,4 +1,4 @@
-package junctionhead.wire;
+package loadbalancer.wire;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -11,7 +11,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import junctionhead.policy.Balance;
+import loadbalancer.policy.Balance;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/bench/src/main/java/junctionhead/bench/FrontBench.java
+++ b/bench/src/main/java/loadbalancer/bench/FrontBench.java
@@ -1,16 +1,16 @@
-package junctionhead.bench;
+package loadbalancer.bench;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import junctionhead.front.Front;
-import junctionhead.front.FrontPlan;
-import junctionhead.limits.ConcurrencyLimit;
-import junctionhead.limits.TokenTree;
-import junctionhead.routes.PathTemplate;
-import junctionhead.routes.Route;
+import loadbalancer.front.Front;
+import loadbalancer.front.FrontPlan;
+import loadbalancer.limits.ConcurrencyLimit;
+import loadbalancer.limits.TokenTree;
+import loadbalancer.routes.PathTemplate;
+import loadbalancer.routes.Route;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
--- a/core/src/main/java/junctionhead/front/Front.java
+++ b/core/src/main/java/loadbalancer/front/Front.java
@@ -1,4 +1,4 @@
-package junctionhead.front;
+package loadbalancer.front;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,15 +6,15 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import junctionhead.limits.ConcurrencyLimit;
-import junctionhead.limits.RetryBudget;
-import junctionhead.limits.TokenTree;
-import junctionhead.limits.TokenTree.Rate;
-import junctionhead.routes.Overflow;
-import junctionhead.routes.PoolHealth;
-import junctionhead.routes.Route;
-import junctionhead.routes.RouteTable;
-import junctionhead.routes.Split;
+import loadbalancer.limits.ConcurrencyLimit;
+import loadbalancer.limits.RetryBudget;
+import loadbalancer.limits.TokenTree;
+import loadbalancer.limits.TokenTree.Rate;
+import loadbalancer.routes.Overflow;
+import loadbalancer.routes.PoolHealth;
+import loadbalancer.routes.Route;
+import loadbalancer.routes.RouteTable;
+import loadbalancer.routes.Split;
 
 /**
  * Decides which pool takes a request, or that none does. What is refused here is refused at once, before any attempt;
--- a/core/src/main/java/junctionhead/front/FrontPlan.java
+++ b/core/src/main/java/loadbalancer/front/FrontPlan.java
@@ -1,12 +1,12 @@
-package junctionhead.front;
+package loadbalancer.front;
 
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import junctionhead.limits.ConcurrencyLimit;
-import junctionhead.limits.TokenTree.Rate;
-import junctionhead.routes.Route;
+import loadbalancer.limits.ConcurrencyLimit;
+import loadbalancer.limits.TokenTree.Rate;
+import loadbalancer.routes.Route;
 
 /**
  * All that a front goes by. Immutable; names are checked when it is made.
@@ -47,13 +47,13 @@
         }
     }
 
-    /** Retry budget of a route: as {@link junctionhead.limits.RetryBudget} has it. */
+    /** Retry budget of a route: as {@link loadbalancer.limits.RetryBudget} has it. */
     public record Retries(double share, double leastPerSecond, long window, boolean countClients) {}
 
     /**
      * A route and what it does.
      *
-     * @param spare as {@link junctionhead.routes.Overflow} has it
+     * @param spare as {@link loadbalancer.routes.Overflow} has it
      * @param returnPerSecond the same
      * @param retries null: no budget
      * @param rate the route's own limit for the whole site; null: none
--- a/core/src/main/java/junctionhead/limits/AimdLimit.java
+++ b/core/src/main/java/loadbalancer/limits/AimdLimit.java
@@ -1,4 +1,4 @@
-package junctionhead.limits;
+package loadbalancer.limits;
 
 /**
  * Additive increase, multiplicative decrease, as TCP Reno (Jacobson, "Congestion avoidance and control", 1988): one
--- a/core/src/main/java/junctionhead/limits/BaseLatency.java
+++ b/core/src/main/java/loadbalancer/limits/BaseLatency.java
@@ -1,4 +1,4 @@
-package junctionhead.limits;
+package loadbalancer.limits;
 
 /**
  * Gathers latencies in windows, and knows what a request takes where nothing waits. That base can't be seen while a
--- a/core/src/main/java/junctionhead/limits/ConcurrencyLimit.java
+++ b/core/src/main/java/loadbalancer/limits/ConcurrencyLimit.java
@@ -1,4 +1,4 @@
-package junctionhead.limits;
+package loadbalancer.limits;
 
 /**
  * How many requests may be open at once at a pool. An implementation learns from how requests end; it is pure, and
--- a/core/src/main/java/junctionhead/limits/FixedLimit.java
+++ b/core/src/main/java/loadbalancer/limits/FixedLimit.java
@@ -1,4 +1,4 @@
-package junctionhead.limits;
+package loadbalancer.limits;
 
 /** A limit that stays as it was set. */
 final class FixedLimit implements ConcurrencyLimit {
--- a/core/src/main/java/junctionhead/limits/GradientLimit.java
+++ b/core/src/main/java/loadbalancer/limits/GradientLimit.java
@@ -1,4 +1,4 @@
-package junctionhead.limits;
+package loadbalancer.limits;
 
 /**
  * Moves the limit by the ratio of base to present latency, plus the square root of the limit as room for bursts (as
--- a/core/src/main/java/junctionhead/limits/RetryBudget.java
+++ b/core/src/main/java/loadbalancer/limits/RetryBudget.java
@@ -1,4 +1,4 @@
-package junctionhead.limits;
+package loadbalancer.limits;
 
 /**
  * How many further tries a route may make: a share of its first tries over a sliding time, and a few per second for
--- a/core/src/main/java/junctionhead/limits/TokenTree.java
+++ b/core/src/main/java/loadbalancer/limits/TokenTree.java
@@ -1,4 +1,4 @@
-package junctionhead.limits;
+package loadbalancer.limits;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/core/src/main/java/junctionhead/limits/VegasLimit.java
+++ b/core/src/main/java/loadbalancer/limits/VegasLimit.java
@@ -1,4 +1,4 @@
-package junctionhead.limits;
+package loadbalancer.limits;
 
 /**
  * Holds the number of requests that wait between two small bounds, as TCP Vegas (Brakmo and Peterson, 1995) and
--- a/core/src/main/java/junctionhead/policy/Balance.java
+++ b/core/src/main/java/loadbalancer/policy/Balance.java
@@ -1,4 +1,4 @@
-package junctionhead.policy;
+package loadbalancer.policy;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -11,10 +11,10 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.stream.DoubleStream;
-import junctionhead.policy.BalanceState.Attempt;
-import junctionhead.policy.BalanceState.Node;
-import junctionhead.policy.BalanceState.Request;
-import junctionhead.policy.BalanceState.Turn;
+import loadbalancer.policy.BalanceState.Attempt;
+import loadbalancer.policy.BalanceState.Node;
+import loadbalancer.policy.BalanceState.Request;
+import loadbalancer.policy.BalanceState.Turn;
 
 /**
  * Every decision of one balancer. The module's interface, its events, actions and types, is Policy.java;
--- a/core/src/main/java/junctionhead/policy/BalanceState.java
+++ b/core/src/main/java/loadbalancer/policy/BalanceState.java
@@ -1,10 +1,10 @@
-package junctionhead.policy;
+package loadbalancer.policy;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import junctionhead.policy.Policy.RequestClass;
-import junctionhead.policy.Policy.Server;
+import loadbalancer.policy.Policy.RequestClass;
+import loadbalancer.policy.Policy.Server;
 
 /** What a balancer writes down of servers, requests and attempts: plain data, for Balance only. */
 final class BalanceState {
--- a/core/src/main/java/junctionhead/policy/HashRing.java
+++ b/core/src/main/java/loadbalancer/policy/HashRing.java
@@ -1,10 +1,10 @@
-package junctionhead.policy;
+package loadbalancer.policy;
 
 import java.util.Arrays;
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.TreeMap;
-import junctionhead.policy.BalanceState.Node;
+import loadbalancer.policy.BalanceState.Node;
 
 /**
  * A ring of consistent hashing: each server stands at points that follow from its id alone, so that all balancers have
--- a/core/src/main/java/junctionhead/policy/Hashing.java
+++ b/core/src/main/java/loadbalancer/policy/Hashing.java
@@ -1,4 +1,4 @@
-package junctionhead.policy;
+package loadbalancer.policy;
 
 /** Hash functions that give the same values on every machine and in every run. */
 final class Hashing {
--- a/core/src/main/java/junctionhead/policy/Policy.java
+++ b/core/src/main/java/loadbalancer/policy/Policy.java
@@ -1,4 +1,4 @@
-package junctionhead.policy;
+package loadbalancer.policy;
 
 import java.util.List;
 import java.util.Map;
@@ -303,7 +303,7 @@
     /** The time asked for with {@link Actions#wake} has come. */
     void wake(long now, Actions out);
 
-    /** A message from another balancer; junctionhead sends none and reads none. */
+    /** A message from another balancer; this one sends none and reads none. */
     default void peerMessage(long now, int from, byte[] data, Actions out) {}
 
     /**
--- a/core/src/main/java/junctionhead/routes/PoolHealth.java
+++ b/core/src/main/java/loadbalancer/routes/PoolHealth.java
@@ -1,4 +1,4 @@
-package junctionhead.routes;
+package loadbalancer.routes;
 
 /**
  * What part of its usual work a pool can do: the listed upstreams against its full strength, and the requests that
--- a/core/src/main/java/junctionhead/routes/RouteTable.java
+++ b/core/src/main/java/loadbalancer/routes/RouteTable.java
@@ -1,4 +1,4 @@
-package junctionhead.routes;
+package loadbalancer.routes;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/core/src/main/java/junctionhead/staleness/Staleness.java
+++ b/core/src/main/java/loadbalancer/staleness/Staleness.java
@@ -1,4 +1,4 @@
-package junctionhead.staleness;
+package loadbalancer.staleness;
 
 /**
  * When what discovery has to say counts as told, whether or not it has come, and how long a source that says nothing
--- a/core/src/main/java/junctionhead/subset/AdaptiveSample.java
+++ b/core/src/main/java/loadbalancer/subset/AdaptiveSample.java
@@ -1,4 +1,4 @@
-package junctionhead.subset;
+package loadbalancer.subset;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/core/src/main/java/junctionhead/subset/Subset.java
+++ b/core/src/main/java/loadbalancer/subset/Subset.java
@@ -1,4 +1,4 @@
-package junctionhead.subset;
+package loadbalancer.subset;
 
 /**
  * The part of a list of upstreams that one balancer holds where the list is longer than it can hold: the upstreams are
--- a/core/src/main/java/junctionhead/subset/package-info.java
+++ b/core/src/main/java/loadbalancer/subset/package-info.java
@@ -1,2 +1,2 @@
 /** Which part of a long list of upstreams one balancer holds: see docs/design/subset.md. Pure. */
-package junctionhead.subset;
+package loadbalancer.subset;
--- a/core/src/test/java/junctionhead/limits/ConcurrencyLimitTest.java
+++ b/core/src/test/java/loadbalancer/limits/ConcurrencyLimitTest.java
@@ -1,4 +1,4 @@
-package junctionhead.limits;
+package loadbalancer.limits;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -7,8 +7,8 @@
 import java.util.ArrayDeque;
 import java.util.PriorityQueue;
 import java.util.Random;
-import junctionhead.limits.ConcurrencyLimit.Kind;
-import junctionhead.limits.ConcurrencyLimit.Plan;
+import loadbalancer.limits.ConcurrencyLimit.Kind;
+import loadbalancer.limits.ConcurrencyLimit.Plan;
 import org.junit.jupiter.api.Test;
 
 /** The limits before a station of so many servers, first come first served, with a waiting room. */
--- a/core/src/test/java/junctionhead/limits/LimitsTest.java
+++ b/core/src/test/java/loadbalancer/limits/LimitsTest.java
@@ -1,4 +1,4 @@
-package junctionhead.limits;
+package loadbalancer.limits;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import junctionhead.limits.TokenTree.Rate;
+import loadbalancer.limits.TokenTree.Rate;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
--- a/core/src/test/java/junctionhead/policy/AdmissionTest.java
+++ b/core/src/test/java/loadbalancer/policy/AdmissionTest.java
@@ -1,4 +1,4 @@
-package junctionhead.policy;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/core/src/test/java/junctionhead/policy/AskAgainTest.java
+++ b/core/src/test/java/loadbalancer/policy/AskAgainTest.java
@@ -1,13 +1,13 @@
-package junctionhead.policy;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import java.util.TreeSet;
-import junctionhead.policy.Policy.Discovery;
-import junctionhead.policy.Policy.Effect;
-import junctionhead.policy.Policy.ListKind;
-import junctionhead.policy.Policy.Scope;
+import loadbalancer.policy.Policy.Discovery;
+import loadbalancer.policy.Policy.Effect;
+import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.policy.Policy.Scope;
 import org.junit.jupiter.api.Test;
 
 /** When discovery is asked again after calls that failed: by the standing terms, however often it has failed. */
--- a/core/src/test/java/junctionhead/policy/DispatchTest.java
+++ b/core/src/test/java/loadbalancer/policy/DispatchTest.java
@@ -1,4 +1,4 @@
-package junctionhead.policy;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -10,12 +10,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import junctionhead.policy.Policy.Effect;
-import junctionhead.policy.Policy.ListKind;
-import junctionhead.policy.Policy.Outcome;
-import junctionhead.policy.Policy.Scope;
-import junctionhead.policy.Policy.Server;
-import junctionhead.policy.Policy.State;
+import loadbalancer.policy.Policy.Effect;
+import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.policy.Policy.Outcome;
+import loadbalancer.policy.Policy.Scope;
+import loadbalancer.policy.Policy.Server;
+import loadbalancer.policy.Policy.State;
 import org.junit.jupiter.api.Test;
 
 /** The ordinary path is JSQ-DAS. */
--- a/core/src/test/java/junctionhead/policy/Example.java
+++ b/core/src/test/java/loadbalancer/policy/Example.java
@@ -1,4 +1,4 @@
-package junctionhead.policy;
+package loadbalancer.policy;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/core/src/test/java/junctionhead/policy/FleetColdTest.java
+++ b/core/src/test/java/loadbalancer/policy/FleetColdTest.java
@@ -1,4 +1,4 @@
-package junctionhead.policy;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,13 +11,13 @@
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
 import java.util.stream.LongStream;
-import junctionhead.policy.Policy.Discovery;
-import junctionhead.policy.Policy.Effect;
-import junctionhead.policy.Policy.ListKind;
-import junctionhead.policy.Policy.Outcome;
-import junctionhead.policy.Policy.Scope;
-import junctionhead.policy.Policy.Server;
-import junctionhead.policy.Policy.State;
+import loadbalancer.policy.Policy.Discovery;
+import loadbalancer.policy.Policy.Effect;
+import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.policy.Policy.Outcome;
+import loadbalancer.policy.Policy.Scope;
+import loadbalancer.policy.Policy.Server;
+import loadbalancer.policy.Policy.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/core/src/test/java/junctionhead/policy/Harness.java
+++ b/core/src/test/java/loadbalancer/policy/Harness.java
@@ -1,15 +1,15 @@
-package junctionhead.policy;
+package loadbalancer.policy;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import junctionhead.policy.Policy.Effect;
-import junctionhead.policy.Policy.ListKind;
-import junctionhead.policy.Policy.Outcome;
-import junctionhead.policy.Policy.Scope;
-import junctionhead.policy.Policy.Server;
-import junctionhead.policy.Policy.State;
+import loadbalancer.policy.Policy.Effect;
+import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.policy.Policy.Outcome;
+import loadbalancer.policy.Policy.Scope;
+import loadbalancer.policy.Policy.Server;
+import loadbalancer.policy.Policy.State;
 
 /** Drives one module by hand and writes down what it asks for. */
 final class Harness implements Policy.Actions {
--- a/core/src/test/java/junctionhead/policy/HashRingTest.java
+++ b/core/src/test/java/loadbalancer/policy/HashRingTest.java
@@ -1,4 +1,4 @@
-package junctionhead.policy;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,7 +7,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import junctionhead.policy.BalanceState.Node;
+import loadbalancer.policy.BalanceState.Node;
 import org.junit.jupiter.api.Test;
 
 class HashRingTest {
--- a/core/src/test/java/junctionhead/policy/LibraryTest.java
+++ b/core/src/test/java/loadbalancer/policy/LibraryTest.java
@@ -1,4 +1,4 @@
-package junctionhead.policy;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -11,13 +11,13 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
-import junctionhead.policy.Policy.Effect;
-import junctionhead.policy.Policy.ListKind;
-import junctionhead.policy.Policy.Outcome;
-import junctionhead.policy.Policy.RequestClass;
-import junctionhead.policy.Policy.Scope;
-import junctionhead.policy.Policy.Server;
-import junctionhead.policy.Policy.State;
+import loadbalancer.policy.Policy.Effect;
+import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.policy.Policy.Outcome;
+import loadbalancer.policy.Policy.RequestClass;
+import loadbalancer.policy.Policy.Scope;
+import loadbalancer.policy.Policy.Server;
+import loadbalancer.policy.Policy.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -29,7 +29,7 @@
     @Test
     void theExampleOfTheReadmeRuns() throws IOException {
         String readme = Files.readString(Path.of("../README.md"));
-        String example = Files.readString(Path.of("src/test/java/junctionhead/policy/Example.java"));
+        String example = Files.readString(Path.of("src/test/java/loadbalancer/policy/Example.java"));
         int from = readme.indexOf("```java\n") + 8;
         String shown = readme.substring(from, readme.indexOf("```\n", from));
         assertTrue(example.contains(shown.strip()), "the README shows the code of Example.java");
@@ -163,7 +163,7 @@
 
     @Test
     void theReadmeQuotesLogLinesThatTheModuleWrites() throws IOException {
-        String rules = Files.readString(Path.of("src/main/java/junctionhead/policy/Balance.java"));
+        String rules = Files.readString(Path.of("src/main/java/loadbalancer/policy/Balance.java"));
         String page = Files.readString(Path.of("../README.md"));
         for (String line : List.of(
                 "overload: refusing, level ",
--- a/core/src/test/java/junctionhead/policy/PolicyPackagesTest.java
+++ b/core/src/test/java/loadbalancer/policy/PolicyPackagesTest.java
@@ -1,4 +1,4 @@
-package junctionhead.policy;
+package loadbalancer.policy;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -28,7 +28,7 @@
     private static final String SOURCES = "core/src/main/java/";
     private static final JavaClasses CORE = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
-            .importPackages("junctionhead");
+            .importPackages("loadbalancer");
 
     @Test
     void allThatTheBalancersDecisionsRestOnLiesInThePackagesOfTheDeployFile() throws IOException {
@@ -95,7 +95,7 @@
         Deque<JavaClass> next = new ArrayDeque<>(Set.of(start));
         while (!next.isEmpty()) {
             JavaClass c = next.pop();
-            if (c.getName().startsWith("junctionhead.") && found.add(c)) {
+            if (c.getName().startsWith("loadbalancer.") && found.add(c)) {
                 c.getDirectDependenciesFromSelf().stream()
                         .map(Dependency::getTargetClass)
                         .forEach(next::push);
--- a/core/src/test/java/junctionhead/policy/PurityTest.java
+++ b/core/src/test/java/loadbalancer/policy/PurityTest.java
@@ -1,4 +1,4 @@
-package junctionhead.policy;
+package loadbalancer.policy;
 
 import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAPackage;
 import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAnyPackage;
@@ -14,7 +14,7 @@
 class PurityTest {
     private static final JavaClasses CORE = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
-            .importPackages("junctionhead");
+            .importPackages("loadbalancer");
 
     @Test
     void nothingReachesSocketsFilesOrThreads() {
@@ -56,19 +56,19 @@
         noClasses()
                 .should()
                 .dependOnClassesThat()
-                .resideOutsideOfPackages("java..", "junctionhead..")
+                .resideOutsideOfPackages("java..", "loadbalancer..")
                 .check(CORE);
     }
 
     @Test
     void thePartsOfCoreDontKnowEachOther() {
         SlicesRuleDefinition.slices()
-                .matching("junctionhead.(*)..")
+                .matching("loadbalancer.(*)..")
                 .should()
                 .notDependOnEachOther()
                 .ignoreDependency(
-                        resideInAPackage("junctionhead.front"),
-                        resideInAnyPackage("junctionhead.routes", "junctionhead.limits"))
+                        resideInAPackage("loadbalancer.front"),
+                        resideInAnyPackage("loadbalancer.routes", "loadbalancer.limits"))
                 .check(CORE);
     }
 }
--- a/core/src/test/java/junctionhead/policy/ReconfigureTest.java
+++ b/core/src/test/java/loadbalancer/policy/ReconfigureTest.java
@@ -1,10 +1,10 @@
-package junctionhead.policy;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.Map;
-import junctionhead.policy.Policy.ListKind;
+import loadbalancer.policy.Policy.ListKind;
 import org.junit.jupiter.api.Test;
 
 /** What a module has learnt: over a change of settings, and in a successor. */
--- a/core/src/test/java/junctionhead/routes/PoolHealthTest.java
+++ b/core/src/test/java/loadbalancer/routes/PoolHealthTest.java
@@ -1,4 +1,4 @@
-package junctionhead.routes;
+package loadbalancer.routes;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/core/src/test/java/junctionhead/staleness/StalenessTest.java
+++ b/core/src/test/java/loadbalancer/staleness/StalenessTest.java
@@ -1,4 +1,4 @@
-package junctionhead.staleness;
+package loadbalancer.staleness;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/core/src/test/java/junctionhead/subset/SubsetTest.java
+++ b/core/src/test/java/loadbalancer/subset/SubsetTest.java
@@ -1,4 +1,4 @@
-package junctionhead.subset;
+package loadbalancer.subset;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/discovery/src/main/java/junctionhead/discovery/DiscoveryClient.java
+++ b/discovery/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -1,4 +1,4 @@
-package junctionhead.discovery;
+package loadbalancer.discovery;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
@@ -29,10 +29,10 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import junctionhead.policy.Policy;
-import junctionhead.policy.Policy.ListKind;
-import junctionhead.settings.SettingsReader;
-import junctionhead.staleness.Staleness;
+import loadbalancer.policy.Policy;
+import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.settings.SettingsReader;
+import loadbalancer.staleness.Staleness;
 
 /**
  * Asks discovery for the list and watches its changes: where discovery is asked, only as the module wishes;
--- a/discovery/src/main/java/junctionhead/discovery/Holding.java
+++ b/discovery/src/main/java/loadbalancer/discovery/Holding.java
@@ -1,9 +1,9 @@
-package junctionhead.discovery;
+package loadbalancer.discovery;
 
 import java.util.List;
 import java.util.function.Consumer;
-import junctionhead.subset.AdaptiveSample;
-import junctionhead.subset.Subset;
+import loadbalancer.subset.AdaptiveSample;
+import loadbalancer.subset.Subset;
 
 /**
  * How many upstreams of one list a process holds at most, and which part of a longer list it holds now. Shared by what
--- a/discovery/src/main/java/junctionhead/discovery/ListReader.java
+++ b/discovery/src/main/java/loadbalancer/discovery/ListReader.java
@@ -1,4 +1,4 @@
-package junctionhead.discovery;
+package loadbalancer.discovery;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -14,9 +14,9 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import junctionhead.settings.SettingsReader;
-import junctionhead.subset.AdaptiveSample;
-import junctionhead.subset.Subset;
+import loadbalancer.settings.SettingsReader;
+import loadbalancer.subset.AdaptiveSample;
+import loadbalancer.subset.Subset;
 
 /**
  * Reads lists from bytes that come in pieces, wherever these and the lists' lines end. What can't be JSON is found out
--- a/discovery/src/main/java/junctionhead/discovery/Membership.java
+++ b/discovery/src/main/java/loadbalancer/discovery/Membership.java
@@ -1,4 +1,4 @@
-package junctionhead.discovery;
+package loadbalancer.discovery;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -10,11 +10,11 @@
 import java.util.function.BiConsumer;
 import java.util.function.LongSupplier;
 import java.util.stream.Collectors;
-import junctionhead.drain.TakenOut;
-import junctionhead.policy.Policy;
-import junctionhead.policy.Policy.ListKind;
-import junctionhead.settings.SettingsReader;
-import junctionhead.subset.Subset;
+import loadbalancer.drain.TakenOut;
+import loadbalancer.policy.Policy;
+import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.settings.SettingsReader;
+import loadbalancer.subset.Subset;
 
 /**
  * Which upstreams there are for this balancer: what discovery has told, and over it what operators have taken
--- a/discovery/src/main/java/junctionhead/discovery/PartialListRetry.java
+++ b/discovery/src/main/java/loadbalancer/discovery/PartialListRetry.java
@@ -1,4 +1,4 @@
-package junctionhead.discovery;
+package loadbalancer.discovery;
 
 import io.netty.channel.EventLoop;
 import java.util.concurrent.Future;
--- a/discovery/src/main/java/junctionhead/discovery/Targets.java
+++ b/discovery/src/main/java/loadbalancer/discovery/Targets.java
@@ -1,14 +1,14 @@
-package junctionhead.discovery;
+package loadbalancer.discovery;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import junctionhead.policy.Policy;
-import junctionhead.settings.Endpoints;
-import junctionhead.settings.SettingsReader;
-import junctionhead.subset.Subset;
+import loadbalancer.policy.Policy;
+import loadbalancer.settings.Endpoints;
+import loadbalancer.settings.SettingsReader;
+import loadbalancer.subset.Subset;
 
 /**
  * A list of upstreams in discovery's form: all of them, or those that changed. {@code toldAt} is when its news counts
--- a/discovery/src/main/java/junctionhead/drain/TakenOut.java
+++ b/discovery/src/main/java/loadbalancer/drain/TakenOut.java
@@ -1,10 +1,10 @@
-package junctionhead.drain;
+package loadbalancer.drain;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import junctionhead.policy.Policy;
+import loadbalancer.policy.Policy;
 
 /**
  * The upstreams that operators have taken out, and when those that came back did. A set, not a count: one
--- a/discovery/src/main/java/junctionhead/settings/Endpoints.java
+++ b/discovery/src/main/java/loadbalancer/settings/Endpoints.java
@@ -1,4 +1,4 @@
-package junctionhead.settings;
+package loadbalancer.settings;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/discovery/src/main/java/junctionhead/settings/SettingsReader.java
+++ b/discovery/src/main/java/loadbalancer/settings/SettingsReader.java
@@ -1,4 +1,4 @@
-package junctionhead.settings;
+package loadbalancer.settings;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,8 +8,8 @@
 import java.util.TreeSet;
 import java.util.function.BiFunction;
 import java.util.stream.Collectors;
-import junctionhead.policy.Policy;
-import junctionhead.policy.Policy.Settings;
+import loadbalancer.policy.Policy;
+import loadbalancer.policy.Policy.Settings;
 
 /**
  * Reads the settings of a balancer from path=value pairs, whether they come from the simulator's wire or from
--- a/discovery/src/test/java/junctionhead/discovery/ListReaderTest.java
+++ b/discovery/src/test/java/loadbalancer/discovery/ListReaderTest.java
@@ -1,4 +1,4 @@
-package junctionhead.discovery;
+package loadbalancer.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -9,7 +9,7 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
-import junctionhead.policy.Policy;
+import loadbalancer.policy.Policy;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -40,7 +40,7 @@
         assertEquals(40_000, list.part().named());
         assertTrue(list.list().stream().allMatch(t -> list.part()
                 .subset()
-                .holds(junctionhead.subset.Subset.hash(t.server().id()))));
+                .holds(loadbalancer.subset.Subset.hash(t.server().id()))));
         assertEquals(0, holding.subset().level(), "the reader decides nothing: whoever keeps the list does");
     }
 
--- a/discovery/src/test/java/junctionhead/discovery/Lists.java
+++ b/discovery/src/test/java/loadbalancer/discovery/Lists.java
@@ -1,4 +1,4 @@
-package junctionhead.discovery;
+package loadbalancer.discovery;
 
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import junctionhead.settings.SettingsReader;
+import loadbalancer.settings.SettingsReader;
 
 /** Lists and settings for tests. */
 final class Lists {
--- a/discovery/src/test/java/junctionhead/discovery/MembershipTest.java
+++ b/discovery/src/test/java/loadbalancer/discovery/MembershipTest.java
@@ -1,4 +1,4 @@
-package junctionhead.discovery;
+package loadbalancer.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,9 +13,9 @@
 import java.util.TreeSet;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import junctionhead.drain.TakenOut;
-import junctionhead.policy.Policy;
-import junctionhead.policy.Policy.ListKind;
+import loadbalancer.drain.TakenOut;
+import loadbalancer.policy.Policy;
+import loadbalancer.policy.Policy.ListKind;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
--- a/lab/src/main/java/junctionhead/lab/cli/Bar.java
+++ b/lab/src/main/java/loadbalancer/lab/cli/Bar.java
@@ -1,6 +1,6 @@
-package junctionhead.lab.cli;
+package loadbalancer.lab.cli;
 
-import junctionhead.lab.experiment.Runner;
+import loadbalancer.lab.experiment.Runner;
 
 /** A progress bar, on a terminal only. */
 final class Bar implements Runner.Progress {
--- a/lab/src/main/java/junctionhead/lab/cli/CompareCommand.java
+++ b/lab/src/main/java/loadbalancer/lab/cli/CompareCommand.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.cli;
+package loadbalancer.lab.cli;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -8,7 +8,7 @@
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import java.util.stream.StreamSupport;
-import junctionhead.lab.stats.Interval;
+import loadbalancer.lab.stats.Interval;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
--- a/lab/src/main/java/junctionhead/lab/cli/DemoCommand.java
+++ b/lab/src/main/java/loadbalancer/lab/cli/DemoCommand.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.cli;
+package loadbalancer.lab.cli;
 
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import java.io.IOException;
@@ -10,14 +10,14 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import junctionhead.lab.experiment.Experiment;
-import junctionhead.lab.experiment.ExperimentReader;
-import junctionhead.lab.sockets.BalancerProcess;
-import junctionhead.lab.sockets.DemoPage;
-import junctionhead.lab.sockets.LiveSite;
-import junctionhead.lab.sockets.Load;
-import junctionhead.lab.sockets.SiteSettings;
-import junctionhead.lab.world.WorldPlan;
+import loadbalancer.lab.experiment.Experiment;
+import loadbalancer.lab.experiment.ExperimentReader;
+import loadbalancer.lab.sockets.BalancerProcess;
+import loadbalancer.lab.sockets.DemoPage;
+import loadbalancer.lab.sockets.LiveSite;
+import loadbalancer.lab.sockets.Load;
+import loadbalancer.lab.sockets.SiteSettings;
+import loadbalancer.lab.world.WorldPlan;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
--- a/lab/src/main/java/junctionhead/lab/cli/FleetCommand.java
+++ b/lab/src/main/java/loadbalancer/lab/cli/FleetCommand.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.cli;
+package loadbalancer.lab.cli;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -7,13 +7,13 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.Callable;
-import junctionhead.lab.fleet.Axes;
-import junctionhead.lab.fleet.Axis;
-import junctionhead.lab.fleet.FleetPlan;
-import junctionhead.lab.fleet.FleetReader;
-import junctionhead.lab.fleet.FleetResults;
-import junctionhead.lab.fleet.Host;
-import junctionhead.lab.fleet.ScalePoint;
+import loadbalancer.lab.fleet.Axes;
+import loadbalancer.lab.fleet.Axis;
+import loadbalancer.lab.fleet.FleetPlan;
+import loadbalancer.lab.fleet.FleetReader;
+import loadbalancer.lab.fleet.FleetResults;
+import loadbalancer.lab.fleet.Host;
+import loadbalancer.lab.fleet.ScalePoint;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
--- a/lab/src/main/java/junctionhead/lab/cli/HuntCommand.java
+++ b/lab/src/main/java/loadbalancer/lab/cli/HuntCommand.java
@@ -1,14 +1,14 @@
-package junctionhead.lab.cli;
+package loadbalancer.lab.cli;
 
 import java.io.File;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.util.Locale;
 import java.util.concurrent.Callable;
-import junctionhead.lab.experiment.Experiment;
-import junctionhead.lab.experiment.ExperimentReader;
-import junctionhead.lab.hunt.ExperimentWriter;
-import junctionhead.lab.hunt.Hunt;
+import loadbalancer.lab.experiment.Experiment;
+import loadbalancer.lab.experiment.ExperimentReader;
+import loadbalancer.lab.hunt.ExperimentWriter;
+import loadbalancer.lab.hunt.Hunt;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
--- a/lab/src/main/java/junctionhead/lab/cli/Lab.java
+++ b/lab/src/main/java/loadbalancer/lab/cli/Lab.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.cli;
+package loadbalancer.lab.cli;
 
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -9,7 +9,7 @@
 @Command(
         name = "lab",
         mixinStandardHelpOptions = true,
-        version = "junctionhead laboratory 0.1.0",
+        version = "load-balancer laboratory 0.1.0",
         subcommands = {
             DemoCommand.class,
             MatrixCommand.class,
--- a/lab/src/main/java/junctionhead/lab/cli/LabLog.java
+++ b/lab/src/main/java/loadbalancer/lab/cli/LabLog.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.cli;
+package loadbalancer.lab.cli;
 
 import ch.qos.logback.classic.LoggerContext;
 import ch.qos.logback.classic.encoder.JsonEncoder;
--- a/lab/src/main/java/junctionhead/lab/cli/ListCommand.java
+++ b/lab/src/main/java/loadbalancer/lab/cli/ListCommand.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.cli;
+package loadbalancer.lab.cli;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import java.util.stream.Stream;
-import junctionhead.lab.experiment.Experiment;
-import junctionhead.lab.experiment.ExperimentReader;
-import junctionhead.lab.judge.Score;
-import junctionhead.lab.variants.Variants;
-import junctionhead.lab.world.Timeline;
-import junctionhead.toml.Faults;
+import loadbalancer.lab.experiment.Experiment;
+import loadbalancer.lab.experiment.ExperimentReader;
+import loadbalancer.lab.judge.Score;
+import loadbalancer.lab.variants.Variants;
+import loadbalancer.lab.world.Timeline;
+import loadbalancer.toml.Faults;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
--- a/lab/src/main/java/junctionhead/lab/cli/MatrixCommand.java
+++ b/lab/src/main/java/loadbalancer/lab/cli/MatrixCommand.java
@@ -1,12 +1,12 @@
-package junctionhead.lab.cli;
+package loadbalancer.lab.cli;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
-import junctionhead.lab.sockets.KillMatrix;
-import junctionhead.lab.sockets.MatrixPage;
+import loadbalancer.lab.sockets.KillMatrix;
+import loadbalancer.lab.sockets.MatrixPage;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -18,7 +18,7 @@
                 + " balancer at every byte, and counts how often each ran and what its client got.",
         footer = {"", "Examples:", "  bin/lab matrix", "  bin/lab matrix --every 20 --workers 2"})
 final class MatrixCommand implements Callable<Integer> {
-    @Option(names = "--jar", defaultValue = "balancer/target/junctionhead.jar", description = "the balancer's jar")
+    @Option(names = "--jar", defaultValue = "balancer/target/load-balancer.jar", description = "the balancer's jar")
     private Path jar;
 
     @Option(names = "--every", defaultValue = "1", description = "each so many bytes only")
--- a/lab/src/main/java/junctionhead/lab/cli/QueueCommand.java
+++ b/lab/src/main/java/loadbalancer/lab/cli/QueueCommand.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.cli;
+package loadbalancer.lab.cli;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -6,7 +6,7 @@
 import java.io.IOException;
 import java.util.Locale;
 import java.util.concurrent.Callable;
-import junctionhead.lab.queue.QueueModel;
+import loadbalancer.lab.queue.QueueModel;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
--- a/lab/src/main/java/junctionhead/lab/cli/ReportCommand.java
+++ b/lab/src/main/java/loadbalancer/lab/cli/ReportCommand.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.cli;
+package loadbalancer.lab.cli;
 
 import java.io.File;
 import java.io.IOException;
@@ -8,12 +8,12 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import java.util.stream.Stream;
-import junctionhead.lab.experiment.Experiment;
-import junctionhead.lab.experiment.ExperimentReader;
-import junctionhead.lab.experiment.Results;
-import junctionhead.lab.report.HtmlReport;
-import junctionhead.lab.report.IndexPage;
-import junctionhead.lab.report.JsonReport;
+import loadbalancer.lab.experiment.Experiment;
+import loadbalancer.lab.experiment.ExperimentReader;
+import loadbalancer.lab.experiment.Results;
+import loadbalancer.lab.report.HtmlReport;
+import loadbalancer.lab.report.IndexPage;
+import loadbalancer.lab.report.JsonReport;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
--- a/lab/src/main/java/junctionhead/lab/cli/RunCommand.java
+++ b/lab/src/main/java/loadbalancer/lab/cli/RunCommand.java
@@ -1,15 +1,15 @@
-package junctionhead.lab.cli;
+package loadbalancer.lab.cli;
 
 import java.io.File;
 import java.io.IOException;
 import java.util.concurrent.Callable;
-import junctionhead.lab.experiment.Experiment;
-import junctionhead.lab.experiment.ExperimentReader;
-import junctionhead.lab.experiment.Results;
-import junctionhead.lab.experiment.Runner;
-import junctionhead.lab.report.HtmlReport;
-import junctionhead.lab.report.JsonReport;
-import junctionhead.lab.report.Table;
+import loadbalancer.lab.experiment.Experiment;
+import loadbalancer.lab.experiment.ExperimentReader;
+import loadbalancer.lab.experiment.Results;
+import loadbalancer.lab.experiment.Runner;
+import loadbalancer.lab.report.HtmlReport;
+import loadbalancer.lab.report.JsonReport;
+import loadbalancer.lab.report.Table;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
--- a/lab/src/main/java/junctionhead/lab/cli/TheoryCommand.java
+++ b/lab/src/main/java/loadbalancer/lab/cli/TheoryCommand.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.cli;
+package loadbalancer.lab.cli;
 
 import java.io.File;
 import java.io.IOException;
@@ -8,11 +8,11 @@
 import java.util.concurrent.Callable;
 import java.util.function.DoubleUnaryOperator;
 import java.util.stream.IntStream;
-import junctionhead.lab.queue.QueueModel;
-import junctionhead.lab.queue.QueueModel.Setting;
-import junctionhead.lab.queue.Theory;
-import junctionhead.lab.report.FigurePlot;
-import junctionhead.lab.stats.Interval;
+import loadbalancer.lab.queue.QueueModel;
+import loadbalancer.lab.queue.QueueModel.Setting;
+import loadbalancer.lab.queue.Theory;
+import loadbalancer.lab.report.FigurePlot;
+import loadbalancer.lab.stats.Interval;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
--- a/lab/src/main/java/junctionhead/lab/experiment/Expectation.java
+++ b/lab/src/main/java/loadbalancer/lab/experiment/Expectation.java
@@ -1,10 +1,10 @@
-package junctionhead.lab.experiment;
+package loadbalancer.lab.experiment;
 
 import java.util.List;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import junctionhead.lab.stats.Interval;
-import junctionhead.toml.Section;
+import loadbalancer.lab.stats.Interval;
+import loadbalancer.toml.Section;
 
 /**
  * What an experiment is expected to show: {@code figure}, {@code figure[variant]}, {@code max(figure, variant)},
--- a/lab/src/main/java/junctionhead/lab/experiment/Experiment.java
+++ b/lab/src/main/java/loadbalancer/lab/experiment/Experiment.java
@@ -1,8 +1,8 @@
-package junctionhead.lab.experiment;
+package loadbalancer.lab.experiment;
 
 import java.util.List;
-import junctionhead.lab.variants.Variants.Variant;
-import junctionhead.lab.world.WorldPlan;
+import loadbalancer.lab.variants.Variants.Variant;
+import loadbalancer.lab.world.WorldPlan;
 
 /**
  * A question to the laboratory: a world with its troubles, the variants to play it under, on which seeds, and
--- a/lab/src/main/java/junctionhead/lab/experiment/ExperimentReader.java
+++ b/lab/src/main/java/loadbalancer/lab/experiment/ExperimentReader.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.experiment;
+package loadbalancer.lab.experiment;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -7,19 +7,19 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import junctionhead.lab.judge.Score;
-import junctionhead.lab.policies.Choosers;
-import junctionhead.lab.variants.FrontSpec;
-import junctionhead.lab.variants.Variants;
-import junctionhead.lab.variants.Variants.Variant;
-import junctionhead.lab.world.Range;
-import junctionhead.lab.world.Timeline;
-import junctionhead.lab.world.WorldPlan;
-import junctionhead.policy.Policy;
-import junctionhead.toml.Faults;
-import junctionhead.toml.Section;
-import junctionhead.toml.Section.Measure;
-import junctionhead.toml.Source;
+import loadbalancer.lab.judge.Score;
+import loadbalancer.lab.policies.Choosers;
+import loadbalancer.lab.variants.FrontSpec;
+import loadbalancer.lab.variants.Variants;
+import loadbalancer.lab.variants.Variants.Variant;
+import loadbalancer.lab.world.Range;
+import loadbalancer.lab.world.Timeline;
+import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.policy.Policy;
+import loadbalancer.toml.Faults;
+import loadbalancer.toml.Section;
+import loadbalancer.toml.Section.Measure;
+import loadbalancer.toml.Source;
 
 /** Reads experiments, strictly: every fault is named, with file and line, before anything runs. */
 public final class ExperimentReader {
--- a/lab/src/main/java/junctionhead/lab/experiment/FrontReader.java
+++ b/lab/src/main/java/loadbalancer/lab/experiment/FrontReader.java
@@ -1,14 +1,14 @@
-package junctionhead.lab.experiment;
+package loadbalancer.lab.experiment;
 
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import junctionhead.lab.variants.FrontSpec;
-import junctionhead.lab.world.WorldPlan;
-import junctionhead.limits.ConcurrencyLimit;
-import junctionhead.toml.Section;
-import junctionhead.toml.Section.Measure;
+import loadbalancer.lab.variants.FrontSpec;
+import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.limits.ConcurrencyLimit;
+import loadbalancer.toml.Section;
+import loadbalancer.toml.Section.Measure;
 
 /** Reads the front of an experiment, and how each variant uses it. */
 final class FrontReader {
--- a/lab/src/main/java/junctionhead/lab/experiment/Results.java
+++ b/lab/src/main/java/loadbalancer/lab/experiment/Results.java
@@ -1,12 +1,12 @@
-package junctionhead.lab.experiment;
+package loadbalancer.lab.experiment;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import junctionhead.lab.judge.Broken;
-import junctionhead.lab.judge.Day;
-import junctionhead.lab.stats.Interval;
+import loadbalancer.lab.judge.Broken;
+import loadbalancer.lab.judge.Day;
+import loadbalancer.lab.stats.Interval;
 
 /** What the variants of an experiment came to: for each its days, in the order of the seeds. */
 public record Results(Experiment experiment, Map<String, List<Day>> days) {
--- a/lab/src/main/java/junctionhead/lab/fleet/Axes.java
+++ b/lab/src/main/java/loadbalancer/lab/fleet/Axes.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.fleet;
+package loadbalancer.lab.fleet;
 
 import java.io.IOException;
 import java.nio.file.Path;
--- a/lab/src/main/java/junctionhead/lab/fleet/Churn.java
+++ b/lab/src/main/java/loadbalancer/lab/fleet/Churn.java
@@ -1,12 +1,12 @@
-package junctionhead.lab.fleet;
+package loadbalancer.lab.fleet;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.stream.IntStream;
-import junctionhead.lab.sim.Draws;
-import junctionhead.lab.sim.Streams;
+import loadbalancer.lab.sim.Draws;
+import loadbalancer.lab.sim.Streams;
 
 /**
  * What changes, and when: machines, racks and zones that restart, and configurations that change. The same seed gives
--- a/lab/src/main/java/junctionhead/lab/fleet/FleetPlan.java
+++ b/lab/src/main/java/loadbalancer/lab/fleet/FleetPlan.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.fleet;
+package loadbalancer.lab.fleet;
 
 import java.util.List;
 
--- a/lab/src/main/java/junctionhead/lab/fleet/FleetReader.java
+++ b/lab/src/main/java/loadbalancer/lab/fleet/FleetReader.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.fleet;
+package loadbalancer.lab.fleet;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -6,11 +6,11 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import junctionhead.discovery.Holding;
-import junctionhead.toml.Faults;
-import junctionhead.toml.Section;
-import junctionhead.toml.Section.Measure;
-import junctionhead.toml.Source;
+import loadbalancer.discovery.Holding;
+import loadbalancer.toml.Faults;
+import loadbalancer.toml.Section;
+import loadbalancer.toml.Section.Measure;
+import loadbalancer.toml.Source;
 
 /** Reads the files of scale runs, strictly: every fault is named, with file and line, before anything runs. */
 public final class FleetReader {
--- a/lab/src/main/java/junctionhead/lab/fleet/FleetResults.java
+++ b/lab/src/main/java/loadbalancer/lab/fleet/FleetResults.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.fleet;
+package loadbalancer.lab.fleet;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
--- a/lab/src/main/java/junctionhead/lab/fleet/FleetRun.java
+++ b/lab/src/main/java/loadbalancer/lab/fleet/FleetRun.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.fleet;
+package loadbalancer.lab.fleet;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -16,8 +16,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
-import junctionhead.lab.sockets.BalancerProcess;
-import junctionhead.lab.sockets.Load;
+import loadbalancer.lab.sockets.BalancerProcess;
+import loadbalancer.lab.sockets.Load;
 import org.HdrHistogram.Histogram;
 
 /**
--- a/lab/src/main/java/junctionhead/lab/fleet/HollowBalancer.java
+++ b/lab/src/main/java/loadbalancer/lab/fleet/HollowBalancer.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.fleet;
+package loadbalancer.lab.fleet;
 
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
@@ -8,15 +8,15 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongConsumer;
-import junctionhead.discovery.DiscoveryClient;
-import junctionhead.discovery.Holding;
-import junctionhead.discovery.Membership;
-import junctionhead.discovery.PartialListRetry;
-import junctionhead.discovery.Targets;
-import junctionhead.drain.TakenOut;
-import junctionhead.policy.Balance;
-import junctionhead.policy.Policy;
-import junctionhead.settings.SettingsReader;
+import loadbalancer.discovery.DiscoveryClient;
+import loadbalancer.discovery.Holding;
+import loadbalancer.discovery.Membership;
+import loadbalancer.discovery.PartialListRetry;
+import loadbalancer.discovery.Targets;
+import loadbalancer.drain.TakenOut;
+import loadbalancer.policy.Balance;
+import loadbalancer.policy.Policy;
+import loadbalancer.settings.SettingsReader;
 
 /**
  * A balancer without listener and upstreams: the client of discovery, the membership and the module are the real ones,
--- a/lab/src/main/java/junctionhead/lab/fleet/HollowFleet.java
+++ b/lab/src/main/java/loadbalancer/lab/fleet/HollowFleet.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.fleet;
+package loadbalancer.lab.fleet;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
@@ -8,8 +8,8 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import junctionhead.discovery.Targets;
-import junctionhead.lab.sim.Streams;
+import loadbalancer.discovery.Targets;
+import loadbalancer.lab.sim.Streams;
 
 /** Many hollow balancers on a few event loops. Not thread-safe: for the thread of the run. */
 final class HollowFleet implements AutoCloseable {
--- a/lab/src/main/java/junctionhead/lab/fleet/Host.java
+++ b/lab/src/main/java/loadbalancer/lab/fleet/Host.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.fleet;
+package loadbalancer.lab.fleet;
 
 import com.sun.management.OperatingSystemMXBean;
 import com.sun.management.UnixOperatingSystemMXBean;
--- a/lab/src/main/java/junctionhead/lab/fleet/RoutesAxis.java
+++ b/lab/src/main/java/loadbalancer/lab/fleet/RoutesAxis.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.fleet;
+package loadbalancer.lab.fleet;
 
 import java.io.IOException;
 import java.io.Writer;
@@ -9,12 +9,12 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import junctionhead.front.Front;
-import junctionhead.front.FrontPlan;
-import junctionhead.limits.ConcurrencyLimit;
-import junctionhead.routes.PathTemplate;
-import junctionhead.routes.Route;
-import junctionhead.routes.RouteTable;
+import loadbalancer.front.Front;
+import loadbalancer.front.FrontPlan;
+import loadbalancer.limits.ConcurrencyLimit;
+import loadbalancer.routes.PathTemplate;
+import loadbalancer.routes.Route;
+import loadbalancer.routes.RouteTable;
 
 /**
  * The routes of an operator file: what the table keeps, what a look-up and a change of the file cost (the front is made
--- a/lab/src/main/java/junctionhead/lab/fleet/Site.java
+++ b/lab/src/main/java/loadbalancer/lab/fleet/Site.java
@@ -1,14 +1,14 @@
-package junctionhead.lab.fleet;
+package loadbalancer.lab.fleet;
 
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import junctionhead.lab.world.Range;
-import junctionhead.lab.world.WorldPlan;
-import junctionhead.policy.Policy;
-import junctionhead.settings.SettingsReader;
+import loadbalancer.lab.world.Range;
+import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.policy.Policy;
+import loadbalancer.settings.SettingsReader;
 
 /** The settings that hollow and real balancers of a scale run are given: the same for both but for the rank. */
 final class Site {
--- a/lab/src/main/java/junctionhead/lab/fleet/StandInDiscovery.java
+++ b/lab/src/main/java/loadbalancer/lab/fleet/StandInDiscovery.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.fleet;
+package loadbalancer.lab.fleet;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
--- a/lab/src/main/java/junctionhead/lab/fleet/TenantsAxis.java
+++ b/lab/src/main/java/loadbalancer/lab/fleet/TenantsAxis.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.fleet;
+package loadbalancer.lab.fleet;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -7,11 +7,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.IntStream;
-import junctionhead.lab.policies.Quiet;
-import junctionhead.limits.TokenTree;
-import junctionhead.policy.Balance;
-import junctionhead.policy.Policy;
-import junctionhead.settings.SettingsReader;
+import loadbalancer.lab.policies.Quiet;
+import loadbalancer.limits.TokenTree;
+import loadbalancer.policy.Balance;
+import loadbalancer.policy.Policy;
+import loadbalancer.settings.SettingsReader;
 
 /**
  * Tenants in the settings and in quotas: what reading them, the module's books and the token buckets keep and cost, and
--- a/lab/src/main/java/junctionhead/lab/fleet/package-info.java
+++ b/lab/src/main/java/loadbalancer/lab/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
  * Scale runs: how each cost of the program grows with the number of balancers, upstreams, routes and tenants, one
- * {@link junctionhead.lab.fleet.Axis} at a time. What they give backs {@code docs/CAPACITY.md}.
+ * {@link loadbalancer.lab.fleet.Axis} at a time. What they give backs {@code docs/CAPACITY.md}.
  */
-package junctionhead.lab.fleet;
+package loadbalancer.lab.fleet;
--- a/lab/src/main/java/junctionhead/lab/hunt/ExperimentWriter.java
+++ b/lab/src/main/java/loadbalancer/lab/hunt/ExperimentWriter.java
@@ -1,9 +1,9 @@
-package junctionhead.lab.hunt;
+package loadbalancer.lab.hunt;
 
 import java.util.Locale;
 import java.util.stream.Collectors;
-import junctionhead.lab.world.Range;
-import junctionhead.lab.world.WorldPlan;
+import loadbalancer.lab.world.Range;
+import loadbalancer.lab.world.WorldPlan;
 
 /** Writes a find as an experiment that stands by itself: reading it gives the same world again. */
 public final class ExperimentWriter {
--- a/lab/src/main/java/junctionhead/lab/hunt/Hunt.java
+++ b/lab/src/main/java/loadbalancer/lab/hunt/Hunt.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.hunt;
+package loadbalancer.lab.hunt;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,18 +6,18 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import junctionhead.lab.experiment.Experiment;
-import junctionhead.lab.experiment.Runner;
-import junctionhead.lab.judge.Day;
-import junctionhead.lab.sim.Draws;
-import junctionhead.lab.sim.Streams;
-import junctionhead.lab.variants.Variants;
-import junctionhead.lab.variants.Variants.Variant;
-import junctionhead.lab.world.PolicyMaker;
-import junctionhead.lab.world.Range;
-import junctionhead.lab.world.Timeline;
-import junctionhead.lab.world.WorldPlan;
-import junctionhead.lab.world.WorldPlan.Trouble;
+import loadbalancer.lab.experiment.Experiment;
+import loadbalancer.lab.experiment.Runner;
+import loadbalancer.lab.judge.Day;
+import loadbalancer.lab.sim.Draws;
+import loadbalancer.lab.sim.Streams;
+import loadbalancer.lab.variants.Variants;
+import loadbalancer.lab.variants.Variants.Variant;
+import loadbalancer.lab.world.PolicyMaker;
+import loadbalancer.lab.world.Range;
+import loadbalancer.lab.world.Timeline;
+import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.lab.world.WorldPlan.Trouble;
 
 /**
  * Draws worlds with random troubles, plays them, and keeps those in which a rule breaks or a collapse stays when
--- a/lab/src/main/java/junctionhead/lab/judge/Broken.java
+++ b/lab/src/main/java/loadbalancer/lab/judge/Broken.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.judge;
+package loadbalancer.lab.judge;
 
 import java.util.List;
 
--- a/lab/src/main/java/junctionhead/lab/judge/Day.java
+++ b/lab/src/main/java/loadbalancer/lab/judge/Day.java
@@ -1,10 +1,10 @@
-package junctionhead.lab.judge;
+package loadbalancer.lab.judge;
 
 import java.util.List;
 import java.util.Map;
-import junctionhead.lab.world.PolicyMaker;
-import junctionhead.lab.world.World;
-import junctionhead.lab.world.WorldPlan;
+import loadbalancer.lab.world.PolicyMaker;
+import loadbalancer.lab.world.World;
+import loadbalancer.lab.world.WorldPlan;
 
 /** One day of one world under one policy, and what it came to. */
 public record Day(
--- a/lab/src/main/java/junctionhead/lab/judge/Judge.java
+++ b/lab/src/main/java/loadbalancer/lab/judge/Judge.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.judge;
+package loadbalancer.lab.judge;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,17 +7,17 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import junctionhead.lab.judge.Broken.Rule;
-import junctionhead.lab.world.Attempt;
-import junctionhead.lab.world.Balancer;
-import junctionhead.lab.world.ClientRequest;
-import junctionhead.lab.world.Clients;
-import junctionhead.lab.world.Observer;
-import junctionhead.lab.world.Taken;
-import junctionhead.lab.world.Upstream;
-import junctionhead.lab.world.World;
-import junctionhead.lab.world.WorldPlan;
-import junctionhead.policy.Policy;
+import loadbalancer.lab.judge.Broken.Rule;
+import loadbalancer.lab.world.Attempt;
+import loadbalancer.lab.world.Balancer;
+import loadbalancer.lab.world.ClientRequest;
+import loadbalancer.lab.world.Clients;
+import loadbalancer.lab.world.Observer;
+import loadbalancer.lab.world.Taken;
+import loadbalancer.lab.world.Upstream;
+import loadbalancer.lab.world.World;
+import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.policy.Policy;
 
 /** Holds every event of a day against the rules. It sees all of them, not samples. */
 public final class Judge implements Observer {
--- a/lab/src/main/java/junctionhead/lab/judge/Score.java
+++ b/lab/src/main/java/loadbalancer/lab/judge/Score.java
@@ -1,15 +1,15 @@
-package junctionhead.lab.judge;
+package loadbalancer.lab.judge;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import junctionhead.lab.world.ClientRequest;
-import junctionhead.lab.world.Clients;
-import junctionhead.lab.world.Timeline;
-import junctionhead.lab.world.World;
-import junctionhead.lab.world.WorldPlan;
-import junctionhead.policy.Policy;
+import loadbalancer.lab.world.ClientRequest;
+import loadbalancer.lab.world.Clients;
+import loadbalancer.lab.world.Timeline;
+import loadbalancer.lab.world.World;
+import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.policy.Policy;
 import org.HdrHistogram.Histogram;
 
 /**
--- a/lab/src/main/java/junctionhead/lab/policies/Chooser.java
+++ b/lab/src/main/java/loadbalancer/lab/policies/Chooser.java
@@ -1,6 +1,6 @@
-package junctionhead.lab.policies;
+package loadbalancer.lab.policies;
 
-import junctionhead.lab.sim.Draws;
+import loadbalancer.lab.sim.Draws;
 
 /** A textbook policy: which server gets the next job. */
 public interface Chooser {
--- a/lab/src/main/java/junctionhead/lab/policies/Choosers.java
+++ b/lab/src/main/java/loadbalancer/lab/policies/Choosers.java
@@ -1,8 +1,8 @@
-package junctionhead.lab.policies;
+package loadbalancer.lab.policies;
 
 import java.util.List;
 import java.util.stream.IntStream;
-import junctionhead.lab.sim.Draws;
+import loadbalancer.lab.sim.Draws;
 
 /** The textbook policies by name. */
 public final class Choosers {
--- a/lab/src/main/java/junctionhead/lab/policies/Quiet.java
+++ b/lab/src/main/java/loadbalancer/lab/policies/Quiet.java
@@ -1,6 +1,6 @@
-package junctionhead.lab.policies;
+package loadbalancer.lab.policies;
 
-import junctionhead.policy.Policy;
+import loadbalancer.policy.Policy;
 
 /** Takes what a module asks for and does nothing: callers override what they care for. */
 public class Quiet implements Policy.Actions {
--- a/lab/src/main/java/junctionhead/lab/policies/Ranking.java
+++ b/lab/src/main/java/loadbalancer/lab/policies/Ranking.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.policies;
+package loadbalancer.lab.policies;
 
 import java.util.Arrays;
 import java.util.stream.IntStream;
--- a/lab/src/main/java/junctionhead/lab/policies/ServerView.java
+++ b/lab/src/main/java/loadbalancer/lab/policies/ServerView.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.policies;
+package loadbalancer.lab.policies;
 
 /** What a textbook policy may see of the servers it chooses from, numbered from 0. */
 public interface ServerView {
--- a/lab/src/main/java/junctionhead/lab/queue/QueueModel.java
+++ b/lab/src/main/java/loadbalancer/lab/queue/QueueModel.java
@@ -1,18 +1,18 @@
-package junctionhead.lab.queue;
+package loadbalancer.lab.queue;
 
 import java.util.List;
 import java.util.stream.IntStream;
-import junctionhead.lab.policies.Chooser;
-import junctionhead.lab.policies.Choosers;
-import junctionhead.lab.policies.Quiet;
-import junctionhead.lab.policies.ServerView;
-import junctionhead.lab.sim.Draws;
-import junctionhead.lab.sim.Event;
-import junctionhead.lab.sim.Simulation;
-import junctionhead.lab.sim.Streams;
-import junctionhead.lab.stats.BatchMeans;
-import junctionhead.policy.Balance;
-import junctionhead.policy.Policy;
+import loadbalancer.lab.policies.Chooser;
+import loadbalancer.lab.policies.Choosers;
+import loadbalancer.lab.policies.Quiet;
+import loadbalancer.lab.policies.ServerView;
+import loadbalancer.lab.sim.Draws;
+import loadbalancer.lab.sim.Event;
+import loadbalancer.lab.sim.Simulation;
+import loadbalancer.lab.sim.Streams;
+import loadbalancer.lab.stats.BatchMeans;
+import loadbalancer.policy.Balance;
+import loadbalancer.policy.Policy;
 
 /**
  * The paper's bare model: Poisson arrivals, exponential service, first come first served at each server, one
--- a/lab/src/main/java/junctionhead/lab/report/FigurePlot.java
+++ b/lab/src/main/java/loadbalancer/lab/report/FigurePlot.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.report;
+package loadbalancer.lab.report;
 
 import java.io.ByteArrayOutputStream;
 import java.io.File;
--- a/lab/src/main/java/junctionhead/lab/report/HtmlReport.java
+++ b/lab/src/main/java/loadbalancer/lab/report/HtmlReport.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.report;
+package loadbalancer.lab.report;
 
 import java.awt.Color;
 import java.io.ByteArrayOutputStream;
@@ -10,12 +10,12 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.stream.IntStream;
-import junctionhead.lab.experiment.Expectation;
-import junctionhead.lab.experiment.Results;
-import junctionhead.lab.judge.Broken;
-import junctionhead.lab.judge.Score;
-import junctionhead.lab.stats.Interval;
-import junctionhead.lab.world.Timeline;
+import loadbalancer.lab.experiment.Expectation;
+import loadbalancer.lab.experiment.Results;
+import loadbalancer.lab.judge.Broken;
+import loadbalancer.lab.judge.Score;
+import loadbalancer.lab.stats.Interval;
+import loadbalancer.lab.world.Timeline;
 import org.knowm.xchart.VectorGraphicsEncoder;
 import org.knowm.xchart.VectorGraphicsEncoder.VectorGraphicsFormat;
 import org.knowm.xchart.XYChart;
--- a/lab/src/main/java/junctionhead/lab/report/JsonReport.java
+++ b/lab/src/main/java/loadbalancer/lab/report/JsonReport.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.report;
+package loadbalancer.lab.report;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -9,12 +9,12 @@
 import java.util.stream.DoubleStream;
 import java.util.stream.IntStream;
 import java.util.stream.LongStream;
-import junctionhead.lab.experiment.Expectation;
-import junctionhead.lab.experiment.Results;
-import junctionhead.lab.judge.Broken;
-import junctionhead.lab.judge.Day;
-import junctionhead.lab.judge.Score;
-import junctionhead.lab.stats.Interval;
+import loadbalancer.lab.experiment.Expectation;
+import loadbalancer.lab.experiment.Results;
+import loadbalancer.lab.judge.Broken;
+import loadbalancer.lab.judge.Day;
+import loadbalancer.lab.judge.Score;
+import loadbalancer.lab.stats.Interval;
 
 /** Results as JSON: nothing in it depends on the machine, the time of day or the number of threads. */
 public final class JsonReport {
--- a/lab/src/main/java/junctionhead/lab/report/Table.java
+++ b/lab/src/main/java/loadbalancer/lab/report/Table.java
@@ -1,11 +1,11 @@
-package junctionhead.lab.report;
+package loadbalancer.lab.report;
 
 import java.util.List;
 import java.util.Locale;
-import junctionhead.lab.experiment.Expectation;
-import junctionhead.lab.experiment.Results;
-import junctionhead.lab.judge.Broken;
-import junctionhead.lab.stats.Interval;
+import loadbalancer.lab.experiment.Expectation;
+import loadbalancer.lab.experiment.Results;
+import loadbalancer.lab.judge.Broken;
+import loadbalancer.lab.stats.Interval;
 
 /** Results as lines for a terminal. */
 public final class Table {
--- a/lab/src/main/java/junctionhead/lab/sim/Event.java
+++ b/lab/src/main/java/loadbalancer/lab/sim/Event.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.sim;
+package loadbalancer.lab.sim;
 
 /** Something that happens at an instant of simulated time. */
 @FunctionalInterface
--- a/lab/src/main/java/junctionhead/lab/sim/Streams.java
+++ b/lab/src/main/java/loadbalancer/lab/sim/Streams.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.sim;
+package loadbalancer.lab.sim;
 
 import org.apache.commons.rng.simple.RandomSource;
 
--- a/lab/src/main/java/junctionhead/lab/sockets/BalancerProcess.java
+++ b/lab/src/main/java/loadbalancer/lab/sockets/BalancerProcess.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.sockets;
+package loadbalancer.lab.sockets;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.BufferedReader;
--- a/lab/src/main/java/junctionhead/lab/sockets/DemoPage.java
+++ b/lab/src/main/java/loadbalancer/lab/sockets/DemoPage.java
@@ -1,11 +1,11 @@
-package junctionhead.lab.sockets;
+package loadbalancer.lab.sockets;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import junctionhead.lab.world.WorldPlan;
-import junctionhead.policy.Policy;
+import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.policy.Policy;
 import org.HdrHistogram.Histogram;
 
 /** What a day on sockets came to: a table, rules held against the ledger, and a page by itself. */
--- a/lab/src/main/java/junctionhead/lab/sockets/Exchange.java
+++ b/lab/src/main/java/loadbalancer/lab/sockets/Exchange.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.sockets;
+package loadbalancer.lab.sockets;
 
 import java.io.BufferedInputStream;
 import java.io.IOException;
--- a/lab/src/main/java/junctionhead/lab/sockets/LiveSite.java
+++ b/lab/src/main/java/loadbalancer/lab/sockets/LiveSite.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.sockets;
+package loadbalancer.lab.sockets;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.bootstrap.ServerBootstrap;
@@ -36,10 +36,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import junctionhead.lab.world.LiveFleet;
-import junctionhead.lab.world.WorldPlan;
-import junctionhead.policy.Policy;
-import junctionhead.policy.Policy.Outcome;
+import loadbalancer.lab.world.LiveFleet;
+import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.policy.Policy;
+import loadbalancer.policy.Policy.Outcome;
 
 /**
  * A site on loopback: every upstream of a world behind a port of its own, with the simulated model and its troubles,
@@ -326,7 +326,7 @@
                     "boot_ms",
                     s.startedAt() <= 0
                             ? 0
-                            : (unixBegan + s.startedAt() - junctionhead.lab.world.World.began()) / 1000.0);
+                            : (unixBegan + s.startedAt() - loadbalancer.lab.world.World.began()) / 1000.0);
             e.put("capacity_hint", s.weight());
             e.put("pod_group", s.cell());
             e.put("az", plan.zones().get(s.zone()));
--- a/lab/src/main/java/junctionhead/lab/sockets/Load.java
+++ b/lab/src/main/java/loadbalancer/lab/sockets/Load.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.sockets;
+package loadbalancer.lab.sockets;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
@@ -27,10 +27,10 @@
 import java.util.TreeMap;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import junctionhead.lab.sim.Draws;
-import junctionhead.lab.sim.Streams;
-import junctionhead.lab.world.WorldPlan;
-import junctionhead.policy.Policy;
+import loadbalancer.lab.sim.Draws;
+import loadbalancer.lab.sim.Streams;
+import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.policy.Policy;
 import org.HdrHistogram.Histogram;
 
 /**
--- a/lab/src/main/java/junctionhead/lab/sockets/MatrixPage.java
+++ b/lab/src/main/java/loadbalancer/lab/sockets/MatrixPage.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.sockets;
+package loadbalancer.lab.sockets;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/lab/src/main/java/junctionhead/lab/sockets/SiteSettings.java
+++ b/lab/src/main/java/loadbalancer/lab/sockets/SiteSettings.java
@@ -1,10 +1,10 @@
-package junctionhead.lab.sockets;
+package loadbalancer.lab.sockets;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import junctionhead.lab.world.WorldPlan;
+import loadbalancer.lab.world.WorldPlan;
 
 /** A balancer's configuration for a world, in the form that the deployment gives it. */
 public final class SiteSettings {
--- a/lab/src/main/java/junctionhead/lab/stats/BatchMeans.java
+++ b/lab/src/main/java/loadbalancer/lab/stats/BatchMeans.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.stats;
+package loadbalancer.lab.stats;
 
 import java.util.Arrays;
 
--- a/lab/src/main/java/junctionhead/lab/variants/FrontSpec.java
+++ b/lab/src/main/java/loadbalancer/lab/variants/FrontSpec.java
@@ -1,16 +1,16 @@
-package junctionhead.lab.variants;
+package loadbalancer.lab.variants;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import junctionhead.front.FrontPlan;
-import junctionhead.limits.ConcurrencyLimit;
-import junctionhead.limits.TokenTree.Rate;
-import junctionhead.policy.Policy;
-import junctionhead.routes.PathTemplate;
-import junctionhead.routes.Route;
+import loadbalancer.front.FrontPlan;
+import loadbalancer.limits.ConcurrencyLimit;
+import loadbalancer.limits.TokenTree.Rate;
+import loadbalancer.policy.Policy;
+import loadbalancer.routes.PathTemplate;
+import loadbalancer.routes.Route;
 
 /**
  * A front before the pools of a world, in figures that go with the world's size. Rates are multiples of the tenants'
--- a/lab/src/main/java/junctionhead/lab/variants/FrontedPolicy.java
+++ b/lab/src/main/java/loadbalancer/lab/variants/FrontedPolicy.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.variants;
+package loadbalancer.lab.variants;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
-import junctionhead.front.Front;
-import junctionhead.front.Front.End;
-import junctionhead.lab.sim.Draws;
-import junctionhead.policy.Policy;
-import junctionhead.routes.Route;
+import loadbalancer.front.Front;
+import loadbalancer.front.Front.End;
+import loadbalancer.lab.sim.Draws;
+import loadbalancer.policy.Policy;
+import loadbalancer.routes.Route;
 
 /**
  * A front before several pools, each with a module of its own, played as one module: what the balancer does on
@@ -217,7 +217,7 @@
         settle();
     }
 
-    private junctionhead.front.FrontPlan plan(long now) {
+    private loadbalancer.front.FrontPlan plan(long now) {
         Map<String, Integer> sizes = new HashMap<>();
         states.forEach((pool, known) -> sizes.put(pool, known.size()));
         step = use.spec().step(now - begin);
--- a/lab/src/main/java/junctionhead/lab/variants/Metered.java
+++ b/lab/src/main/java/loadbalancer/lab/variants/Metered.java
@@ -1,8 +1,8 @@
-package junctionhead.lab.variants;
+package loadbalancer.lab.variants;
 
 import java.util.List;
 import java.util.function.LongSupplier;
-import junctionhead.policy.Policy;
+import loadbalancer.policy.Policy;
 
 /** A module with a meter: how long its calls took, by a clock that the caller brings. */
 public final class Metered implements Policy {
--- a/lab/src/main/java/junctionhead/lab/variants/TextbookPolicy.java
+++ b/lab/src/main/java/loadbalancer/lab/variants/TextbookPolicy.java
@@ -1,15 +1,15 @@
-package junctionhead.lab.variants;
+package loadbalancer.lab.variants;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import junctionhead.lab.policies.Chooser;
-import junctionhead.lab.policies.ServerView;
-import junctionhead.lab.sim.Draws;
-import junctionhead.lab.world.Truth;
-import junctionhead.policy.Policy;
+import loadbalancer.lab.policies.Chooser;
+import loadbalancer.lab.policies.ServerView;
+import loadbalancer.lab.sim.Draws;
+import loadbalancer.lab.world.Truth;
+import loadbalancer.policy.Policy;
 
 /**
  * A textbook policy made into a whole module: the chooser picks among the listed servers by this balancer's own
--- a/lab/src/main/java/junctionhead/lab/variants/Variants.java
+++ b/lab/src/main/java/loadbalancer/lab/variants/Variants.java
@@ -1,17 +1,17 @@
-package junctionhead.lab.variants;
+package loadbalancer.lab.variants;
 
 import java.util.ArrayList;
 import java.util.List;
-import junctionhead.lab.policies.Chooser;
-import junctionhead.lab.policies.Choosers;
-import junctionhead.lab.policies.ServerView;
-import junctionhead.lab.sim.Draws;
-import junctionhead.lab.sim.Streams;
-import junctionhead.lab.world.PolicyMaker;
-import junctionhead.lab.world.Truth;
-import junctionhead.lab.world.World;
-import junctionhead.lab.world.WorldPlan;
-import junctionhead.policy.Balance;
+import loadbalancer.lab.policies.Chooser;
+import loadbalancer.lab.policies.Choosers;
+import loadbalancer.lab.policies.ServerView;
+import loadbalancer.lab.sim.Draws;
+import loadbalancer.lab.sim.Streams;
+import loadbalancer.lab.world.PolicyMaker;
+import loadbalancer.lab.world.Truth;
+import loadbalancer.lab.world.World;
+import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.policy.Balance;
 
 /** The policies that worlds can be played under, by name. */
 public final class Variants {
--- a/lab/src/main/java/junctionhead/lab/world/Attempt.java
+++ b/lab/src/main/java/loadbalancer/lab/world/Attempt.java
@@ -1,7 +1,7 @@
-package junctionhead.lab.world;
+package loadbalancer.lab.world;
 
-import junctionhead.lab.sim.Simulation;
-import junctionhead.policy.Policy;
+import loadbalancer.lab.sim.Simulation;
+import loadbalancer.policy.Policy;
 
 /** One send of a request to an upstream. */
 public final class Attempt {
--- a/lab/src/main/java/junctionhead/lab/world/Balancer.java
+++ b/lab/src/main/java/loadbalancer/lab/world/Balancer.java
@@ -1,12 +1,12 @@
-package junctionhead.lab.world;
+package loadbalancer.lab.world;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import junctionhead.policy.Policy;
-import junctionhead.policy.Policy.Outcome;
+import loadbalancer.policy.Policy;
+import loadbalancer.policy.Policy.Outcome;
 
 /**
  * One process of a balancer: carries out what its module asks for, on the simulated network. It decides nothing.
--- a/lab/src/main/java/junctionhead/lab/world/BalancerSlot.java
+++ b/lab/src/main/java/loadbalancer/lab/world/BalancerSlot.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.world;
+package loadbalancer.lab.world;
 
 /** A balancer's name and address, whatever process serves there. */
 final class BalancerSlot {
--- a/lab/src/main/java/junctionhead/lab/world/Chance.java
+++ b/lab/src/main/java/loadbalancer/lab/world/Chance.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.world;
+package loadbalancer.lab.world;
 
 /**
  * Random numbers by counter: a pure function of a seed and the numbers of what is drawn for. Where the order of
--- a/lab/src/main/java/junctionhead/lab/world/ClientRequest.java
+++ b/lab/src/main/java/loadbalancer/lab/world/ClientRequest.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.world;
+package loadbalancer.lab.world;
 
 /** What a client wants once, over all its tries. */
 public final class ClientRequest {
--- a/lab/src/main/java/junctionhead/lab/world/Clients.java
+++ b/lab/src/main/java/loadbalancer/lab/world/Clients.java
@@ -1,10 +1,10 @@
-package junctionhead.lab.world;
+package loadbalancer.lab.world;
 
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import junctionhead.lab.sim.Draws;
-import junctionhead.policy.Policy;
+import loadbalancer.lab.sim.Draws;
+import loadbalancer.policy.Policy;
 
 /** Clients: open-loop arrivals, keys, tenants, tries given up, retries; and the front that spreads them. */
 public final class Clients {
--- a/lab/src/main/java/junctionhead/lab/world/Links.java
+++ b/lab/src/main/java/loadbalancer/lab/world/Links.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.world;
+package loadbalancer.lab.world;
 
 import java.util.Arrays;
 
--- a/lab/src/main/java/junctionhead/lab/world/LiveFleet.java
+++ b/lab/src/main/java/loadbalancer/lab/world/LiveFleet.java
@@ -1,11 +1,11 @@
-package junctionhead.lab.world;
+package loadbalancer.lab.world;
 
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import junctionhead.lab.sim.Draws;
-import junctionhead.policy.Policy;
-import junctionhead.policy.Policy.Outcome;
+import loadbalancer.lab.sim.Draws;
+import loadbalancer.policy.Policy;
+import loadbalancer.policy.Policy.Outcome;
 
 /**
  * The upstreams of a world with its timeline, played by somebody else's clock: what answers behind real sockets is the
--- a/lab/src/main/java/junctionhead/lab/world/Network.java
+++ b/lab/src/main/java/loadbalancer/lab/world/Network.java
@@ -1,6 +1,6 @@
-package junctionhead.lab.world;
+package loadbalancer.lab.world;
 
-import junctionhead.lab.sim.Draws;
+import loadbalancer.lab.sim.Draws;
 
 /** Delays between zones, loss, and partitions one way or both. */
 final class Network {
--- a/lab/src/main/java/junctionhead/lab/world/Observer.java
+++ b/lab/src/main/java/loadbalancer/lab/world/Observer.java
@@ -1,7 +1,7 @@
-package junctionhead.lab.world;
+package loadbalancer.lab.world;
 
 import java.util.List;
-import junctionhead.policy.Policy;
+import loadbalancer.policy.Policy;
 
 /** Hears of every event of a world as it happens: whoever judges or measures. It changes nothing. */
 public interface Observer {
--- a/lab/src/main/java/junctionhead/lab/world/PolicyMaker.java
+++ b/lab/src/main/java/loadbalancer/lab/world/PolicyMaker.java
@@ -1,6 +1,6 @@
-package junctionhead.lab.world;
+package loadbalancer.lab.world;
 
-import junctionhead.policy.Policy;
+import loadbalancer.policy.Policy;
 
 /** Makes the module of a balancer that starts. */
 @FunctionalInterface
--- a/lab/src/main/java/junctionhead/lab/world/Range.java
+++ b/lab/src/main/java/loadbalancer/lab/world/Range.java
@@ -1,6 +1,6 @@
-package junctionhead.lab.world;
+package loadbalancer.lab.world;
 
-import junctionhead.lab.sim.Draws;
+import loadbalancer.lab.sim.Draws;
 
 /** A figure that each world draws anew, uniformly between two ends; the first end is the mildest. */
 public record Range(double from, double to) {
--- a/lab/src/main/java/junctionhead/lab/world/Register.java
+++ b/lab/src/main/java/loadbalancer/lab/world/Register.java
@@ -1,13 +1,13 @@
-package junctionhead.lab.world;
+package loadbalancer.lab.world;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import junctionhead.lab.sim.Draws;
-import junctionhead.policy.Policy;
-import junctionhead.policy.Policy.ListKind;
+import loadbalancer.lab.sim.Draws;
+import loadbalancer.policy.Policy;
+import loadbalancer.policy.Policy.ListKind;
 
 /**
  * Discovery: knows late and only of processes that run, drain or are gone, and handles one call after another.
--- a/lab/src/main/java/junctionhead/lab/world/Taken.java
+++ b/lab/src/main/java/loadbalancer/lab/world/Taken.java
@@ -1,8 +1,8 @@
-package junctionhead.lab.world;
+package loadbalancer.lab.world;
 
 import java.util.ArrayList;
 import java.util.List;
-import junctionhead.lab.sim.Simulation;
+import loadbalancer.lab.sim.Simulation;
 
 /** A client's try, as a balancer holds it: it owes exactly one final answer by the deadline. */
 public final class Taken {
--- a/lab/src/main/java/junctionhead/lab/world/Timeline.java
+++ b/lab/src/main/java/loadbalancer/lab/world/Timeline.java
@@ -1,12 +1,12 @@
-package junctionhead.lab.world;
+package loadbalancer.lab.world;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongConsumer;
-import junctionhead.lab.sim.Draws;
-import junctionhead.policy.Policy;
+import loadbalancer.lab.sim.Draws;
+import loadbalancer.policy.Policy;
 
 /** Turns a plan's troubles into events. What each kind's figures mean stands beside its name. */
 public final class Timeline {
--- a/lab/src/main/java/junctionhead/lab/world/Truth.java
+++ b/lab/src/main/java/loadbalancer/lab/world/Truth.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.world;
+package loadbalancer.lab.world;
 
 /** What no real balancer can see: for the policy that others are measured against. */
 public interface Truth {
--- a/lab/src/main/java/junctionhead/lab/world/Unobserved.java
+++ b/lab/src/main/java/loadbalancer/lab/world/Unobserved.java
@@ -1,7 +1,7 @@
-package junctionhead.lab.world;
+package loadbalancer.lab.world;
 
 import java.util.List;
-import junctionhead.policy.Policy;
+import loadbalancer.policy.Policy;
 
 /** Hears of everything and keeps nothing: for worlds that are judged by somebody else. */
 class Unobserved implements Observer {
--- a/lab/src/main/java/junctionhead/lab/world/Upstream.java
+++ b/lab/src/main/java/loadbalancer/lab/world/Upstream.java
@@ -1,13 +1,13 @@
-package junctionhead.lab.world;
+package loadbalancer.lab.world;
 
 import java.util.ArrayDeque;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.PriorityQueue;
-import junctionhead.lab.sim.Draws;
-import junctionhead.lab.sim.Simulation;
-import junctionhead.policy.Policy;
+import loadbalancer.lab.sim.Draws;
+import loadbalancer.lab.sim.Simulation;
+import loadbalancer.policy.Policy;
 
 /**
  * One process that serves requests. Those in its slots share its cores evenly; others wait their turn in a room of
--- a/lab/src/main/java/junctionhead/lab/world/World.java
+++ b/lab/src/main/java/loadbalancer/lab/world/World.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.world;
+package loadbalancer.lab.world;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,11 +6,11 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BiConsumer;
-import junctionhead.lab.sim.Draws;
-import junctionhead.lab.sim.Simulation;
-import junctionhead.lab.sim.Streams;
-import junctionhead.policy.Policy;
-import junctionhead.policy.Policy.Outcome;
+import loadbalancer.lab.sim.Draws;
+import loadbalancer.lab.sim.Simulation;
+import loadbalancer.lab.sim.Streams;
+import loadbalancer.policy.Policy;
+import loadbalancer.policy.Policy.Outcome;
 
 /** One world, drawn from a plan by a seed, and its day from the first arrival to the last answer. */
 public final class World implements Truth {
--- a/lab/src/main/java/junctionhead/lab/world/WorldPlan.java
+++ b/lab/src/main/java/loadbalancer/lab/world/WorldPlan.java
@@ -1,7 +1,7 @@
-package junctionhead.lab.world;
+package loadbalancer.lab.world;
 
 import java.util.List;
-import junctionhead.policy.Policy;
+import loadbalancer.policy.Policy;
 
 /**
  * A world as an experiment describes it: ranges from which each seed draws one world. All times are simulated
--- a/lab/src/main/java/junctionhead/lab/wreck/Framing.java
+++ b/lab/src/main/java/loadbalancer/lab/wreck/Framing.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.wreck;
+package loadbalancer.lab.wreck;
 
 import java.util.Locale;
 
--- a/lab/src/test/java/junctionhead/lab/LayersTest.java
+++ b/lab/src/test/java/loadbalancer/lab/LayersTest.java
@@ -1,4 +1,4 @@
-package junctionhead.lab;
+package loadbalancer.lab;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
@@ -12,11 +12,11 @@
 class LayersTest {
     private static final JavaClasses LAB = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
-            .importPackages("junctionhead.lab");
+            .importPackages("loadbalancer.lab");
 
     @Test
     void packagesFormNoCycles() {
-        slices().matching("junctionhead.lab.(*)..").should().beFreeOfCycles().check(LAB);
+        slices().matching("loadbalancer.lab.(*)..").should().beFreeOfCycles().check(LAB);
     }
 
     @Test
@@ -26,12 +26,12 @@
                 .resideInAnyPackage("..lab.sim..", "..lab.world..", "..lab.judge..")
                 .should()
                 .dependOnClassesThat()
-                .haveFullyQualifiedName("junctionhead.policy.Balance")
+                .haveFullyQualifiedName("loadbalancer.policy.Balance")
                 .check(LAB);
         noClasses()
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage("junctionhead.net..", "junctionhead.wire..")
+                .resideInAnyPackage("loadbalancer.net..", "loadbalancer.wire..")
                 .check(LAB);
     }
 
--- a/lab/src/test/java/junctionhead/lab/cli/FleetCommandTest.java
+++ b/lab/src/test/java/loadbalancer/lab/cli/FleetCommandTest.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.cli;
+package loadbalancer.lab.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/lab/src/test/java/junctionhead/lab/cli/LabTest.java
+++ b/lab/src/test/java/loadbalancer/lab/cli/LabTest.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.cli;
+package loadbalancer.lab.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,9 +10,9 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.stream.Stream;
-import junctionhead.lab.experiment.Experiment;
-import junctionhead.lab.experiment.ExperimentReader;
-import junctionhead.lab.experiment.Runner;
+import loadbalancer.lab.experiment.Experiment;
+import loadbalancer.lab.experiment.ExperimentReader;
+import loadbalancer.lab.experiment.Runner;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
--- a/lab/src/test/java/junctionhead/lab/experiment/ExperimentReaderTest.java
+++ b/lab/src/test/java/loadbalancer/lab/experiment/ExperimentReaderTest.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.experiment;
+package loadbalancer.lab.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -7,7 +7,7 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import junctionhead.toml.Faults;
+import loadbalancer.toml.Faults;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/lab/src/test/java/junctionhead/lab/experiment/OverloadedFleetTest.java
+++ b/lab/src/test/java/loadbalancer/lab/experiment/OverloadedFleetTest.java
@@ -1,13 +1,13 @@
-package junctionhead.lab.experiment;
+package loadbalancer.lab.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.nio.file.Path;
-import junctionhead.lab.judge.Day;
-import junctionhead.lab.judge.Score;
-import junctionhead.lab.variants.Variants;
+import loadbalancer.lab.judge.Day;
+import loadbalancer.lab.judge.Score;
+import loadbalancer.lab.variants.Variants;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/lab/src/test/java/junctionhead/lab/fleet/FleetReaderTest.java
+++ b/lab/src/test/java/loadbalancer/lab/fleet/FleetReaderTest.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.fleet;
+package loadbalancer.lab.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -10,7 +10,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.stream.Stream;
-import junctionhead.toml.Faults;
+import loadbalancer.toml.Faults;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/lab/src/test/java/junctionhead/lab/fleet/HostTest.java
+++ b/lab/src/test/java/loadbalancer/lab/fleet/HostTest.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.fleet;
+package loadbalancer.lab.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/lab/src/test/java/junctionhead/lab/hunt/HuntTest.java
+++ b/lab/src/test/java/loadbalancer/lab/hunt/HuntTest.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.hunt;
+package loadbalancer.lab.hunt;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,12 +7,12 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import junctionhead.lab.experiment.Experiment;
-import junctionhead.lab.experiment.ExperimentReader;
-import junctionhead.lab.judge.Day;
-import junctionhead.lab.variants.Variants;
-import junctionhead.lab.world.Worlds;
-import junctionhead.policy.Policy;
+import loadbalancer.lab.experiment.Experiment;
+import loadbalancer.lab.experiment.ExperimentReader;
+import loadbalancer.lab.judge.Day;
+import loadbalancer.lab.variants.Variants;
+import loadbalancer.lab.world.Worlds;
+import loadbalancer.policy.Policy;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
--- a/lab/src/test/java/junctionhead/lab/judge/JudgeTest.java
+++ b/lab/src/test/java/loadbalancer/lab/judge/JudgeTest.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.judge;
+package loadbalancer.lab.judge;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,10 +10,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import junctionhead.lab.judge.Broken.Rule;
-import junctionhead.lab.world.WorldPlan;
-import junctionhead.lab.world.Worlds;
-import junctionhead.policy.Policy;
+import loadbalancer.lab.judge.Broken.Rule;
+import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.lab.world.Worlds;
+import loadbalancer.policy.Policy;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
--- a/lab/src/test/java/junctionhead/lab/sim/SimulationTest.java
+++ b/lab/src/test/java/loadbalancer/lab/sim/SimulationTest.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.sim;
+package loadbalancer.lab.sim;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/lab/src/test/java/junctionhead/lab/sockets/LiveSiteTest.java
+++ b/lab/src/test/java/loadbalancer/lab/sockets/LiveSiteTest.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.sockets;
+package loadbalancer.lab.sockets;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,9 +11,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
-import junctionhead.lab.world.WorldPlan;
-import junctionhead.lab.world.Worlds;
-import junctionhead.policy.Policy;
+import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.lab.world.Worlds;
+import loadbalancer.policy.Policy;
 import org.junit.jupiter.api.Test;
 
 class LiveSiteTest {
--- a/lab/src/test/java/junctionhead/lab/sockets/WreckServerTest.java
+++ b/lab/src/test/java/loadbalancer/lab/sockets/WreckServerTest.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.sockets;
+package loadbalancer.lab.sockets;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,7 +12,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import junctionhead.lab.wreck.Fault;
+import loadbalancer.lab.wreck.Fault;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Assumptions;
 import org.junit.jupiter.api.BeforeEach;
@@ -103,7 +103,7 @@
     /** A sample of the whole matrix, which is a command of its own; the jar is built before this module. */
     @Test
     void nothingRunsTwiceWhereverAConnectionBreaks() throws IOException {
-        Path jar = Path.of("../balancer/target/junctionhead.jar");
+        Path jar = Path.of("../balancer/target/load-balancer.jar");
         Assumptions.assumeTrue(Files.isReadable(jar), "the balancer is built in the same run");
         List<KillMatrix.Result> results = new KillMatrix(jar, 40).run(2, (done, all) -> {});
         List<KillMatrix.Result> wrong = results.stream()
--- a/lab/src/test/java/junctionhead/lab/world/HardCasesTest.java
+++ b/lab/src/test/java/loadbalancer/lab/world/HardCasesTest.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.world;
+package loadbalancer.lab.world;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,14 +6,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import junctionhead.lab.judge.Broken;
-import junctionhead.lab.judge.Day;
-import junctionhead.lab.policies.Choosers;
-import junctionhead.lab.variants.FrontSpec;
-import junctionhead.lab.variants.Variants;
-import junctionhead.limits.ConcurrencyLimit;
-import junctionhead.policy.Balance;
-import junctionhead.policy.Policy;
+import loadbalancer.lab.judge.Broken;
+import loadbalancer.lab.judge.Day;
+import loadbalancer.lab.policies.Choosers;
+import loadbalancer.lab.variants.FrontSpec;
+import loadbalancer.lab.variants.Variants;
+import loadbalancer.limits.ConcurrencyLimit;
+import loadbalancer.policy.Balance;
+import loadbalancer.policy.Policy;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/lab/src/test/java/junctionhead/lab/world/RandomWorldsTest.java
+++ b/lab/src/test/java/loadbalancer/lab/world/RandomWorldsTest.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.world;
+package loadbalancer.lab.world;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,10 +6,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import junctionhead.lab.judge.Broken;
-import junctionhead.lab.judge.Day;
-import junctionhead.lab.variants.Variants;
-import junctionhead.policy.Policy;
+import loadbalancer.lab.judge.Broken;
+import loadbalancer.lab.judge.Day;
+import loadbalancer.lab.variants.Variants;
+import loadbalancer.policy.Policy;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
--- a/lab/src/test/java/junctionhead/lab/world/Worlds.java
+++ b/lab/src/test/java/loadbalancer/lab/world/Worlds.java
@@ -1,9 +1,9 @@
-package junctionhead.lab.world;
+package loadbalancer.lab.world;
 
 import java.util.List;
-import junctionhead.lab.policies.Choosers;
-import junctionhead.lab.variants.Variants;
-import junctionhead.policy.Policy;
+import loadbalancer.lab.policies.Choosers;
+import loadbalancer.lab.variants.Variants;
+import loadbalancer.policy.Policy;
 
 /** Small worlds for tests, without chance where it isn't wanted. */
 public final class Worlds {
--- a/lab/src/test/java/junctionhead/lab/wreck/LaneTest.java
+++ b/lab/src/test/java/loadbalancer/lab/wreck/LaneTest.java
@@ -1,4 +1,4 @@
-package junctionhead.lab.wreck;
+package loadbalancer.lab.wreck;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/toml/src/main/java/junctionhead/toml/Section.java
+++ b/toml/src/main/java/loadbalancer/toml/Section.java
@@ -1,4 +1,4 @@
-package junctionhead.toml;
+package loadbalancer.toml;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
--- a/toml/src/main/java/junctionhead/toml/Source.java
+++ b/toml/src/main/java/loadbalancer/toml/Source.java
@@ -1,4 +1,4 @@
-package junctionhead.toml;
+package loadbalancer.toml;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
--- a/toml/src/main/java/junctionhead/toml/Units.java
+++ b/toml/src/main/java/loadbalancer/toml/Units.java
@@ -1,4 +1,4 @@
-package junctionhead.toml;
+package loadbalancer.toml;
 
 import java.util.Locale;
 import java.util.Map;
--- a/toml/src/main/java/junctionhead/toml/package-info.java
+++ b/toml/src/main/java/loadbalancer/toml/package-info.java
@@ -1,2 +1,2 @@
 /** Reads TOML files strictly: every fault is named, with file, line and what was meant, before anything binds. */
-package junctionhead.toml;
+package loadbalancer.toml;
