--- a/balancer/src/test/java/loadbalancer/DirectionsTest.java
+++ b/balancer/src/test/java/loadbalancer/DirectionsTest.java
@@ -34,7 +34,7 @@
         noClasses()
                 .should()
                 .dependOnClassesThat()
-                .resideInAPackage("loadbalancer.lab..")
+                .resideInAPackage("loadbalancer.simulator..")
                 .check(ALL);
     }
 
--- a/lab/src/main/java/loadbalancer/lab/cli/Bar.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/Bar.java
@@ -1,6 +1,6 @@
-package loadbalancer.lab.cli;
+package loadbalancer.simulator.cli;
 
-import loadbalancer.lab.experiment.Runner;
+import loadbalancer.simulator.experiment.Runner;
 
 /** A progress bar, on a terminal only. */
 final class Bar implements Runner.Progress {
--- a/lab/src/main/java/loadbalancer/lab/cli/CompareCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/CompareCommand.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.cli;
+package loadbalancer.simulator.cli;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -8,19 +8,19 @@
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import java.util.stream.StreamSupport;
-import loadbalancer.lab.stats.Interval;
+import loadbalancer.simulator.stats.Interval;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code lab compare}: two results of {@code run --json}, before and after a change, paired by seed. */
+/** {@code simulator compare}: two results of {@code run --json}, before and after a change, paired by seed. */
 @Command(
         name = "compare",
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description = "Compares two results of 'run --json' on the same seeds: where the second is better, by how much"
                 + " and how sure.",
-        footer = {"", "Example:", "  bin/lab compare before.json after.json --figure G --figure refused"})
+        footer = {"", "Example:", "  bin/simulator compare before.json after.json --figure G --figure refused"})
 final class CompareCommand implements Callable<Integer> {
     @Parameters(index = "0", paramLabel = "A", description = "JSON of the first run.")
     private File first;
--- a/lab/src/main/java/loadbalancer/lab/cli/DemoCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/DemoCommand.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.cli;
+package loadbalancer.simulator.cli;
 
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import java.io.IOException;
@@ -10,14 +10,14 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import loadbalancer.lab.experiment.Experiment;
-import loadbalancer.lab.experiment.ExperimentReader;
-import loadbalancer.lab.sockets.BalancerProcess;
-import loadbalancer.lab.sockets.DemoPage;
-import loadbalancer.lab.sockets.LiveSite;
-import loadbalancer.lab.sockets.Load;
-import loadbalancer.lab.sockets.SiteSettings;
-import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.simulator.experiment.Experiment;
+import loadbalancer.simulator.experiment.ExperimentReader;
+import loadbalancer.simulator.sockets.BalancerProcess;
+import loadbalancer.simulator.sockets.DemoPage;
+import loadbalancer.simulator.sockets.LiveSite;
+import loadbalancer.simulator.sockets.Load;
+import loadbalancer.simulator.sockets.SiteSettings;
+import loadbalancer.simulator.world.WorldPlan;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -28,7 +28,7 @@
         mixinStandardHelpOptions = true,
         description = "Starts a register, emulated upstreams and real"
                 + " balancers on loopback, plays load with the experiment's troubles, and ends all of it.",
-        footer = {"", "Example:", "  bin/lab demo experiments/demo.toml"})
+        footer = {"", "Example:", "  bin/simulator demo experiments/demo.toml"})
 final class DemoCommand implements Callable<Integer> {
     @Parameters(arity = "0..1", defaultValue = "experiments/demo.toml", paramLabel = "FILE")
     private Path file;
@@ -36,7 +36,7 @@
     @Option(names = "--root", defaultValue = ".", description = "the project's root, where the run line starts")
     private Path root;
 
-    @Option(names = "--html", defaultValue = "lab/target/demo.html", description = "where the page goes")
+    @Option(names = "--html", defaultValue = "simulator/target/demo.html", description = "where the page goes")
     private Path html;
 
     private final List<BalancerProcess> balancers = new ArrayList<>();
--- a/lab/src/main/java/loadbalancer/lab/cli/FleetCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/FleetCommand.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.cli;
+package loadbalancer.simulator.cli;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -7,13 +7,13 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.Callable;
-import loadbalancer.lab.fleet.Axes;
-import loadbalancer.lab.fleet.Axis;
-import loadbalancer.lab.fleet.FleetPlan;
-import loadbalancer.lab.fleet.FleetReader;
-import loadbalancer.lab.fleet.FleetResults;
-import loadbalancer.lab.fleet.Host;
-import loadbalancer.lab.fleet.ScalePoint;
+import loadbalancer.simulator.fleet.Axes;
+import loadbalancer.simulator.fleet.Axis;
+import loadbalancer.simulator.fleet.FleetPlan;
+import loadbalancer.simulator.fleet.FleetReader;
+import loadbalancer.simulator.fleet.FleetResults;
+import loadbalancer.simulator.fleet.Host;
+import loadbalancer.simulator.fleet.ScalePoint;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -34,8 +34,8 @@
             "Exit codes: 0 all sizes ran, 1 one was refused or could not reach something, 2 unusable input.",
             "",
             "Examples:",
-            "  bin/lab fleet experiments/fleet/fleet-balancers.toml",
-            "  LAB_JAVA_OPTS=-Xmx10g bin/lab fleet experiments/fleet/fleet-upstreams.toml --json out.json",
+            "  bin/simulator fleet experiments/fleet/fleet-balancers.toml",
+            "  LAB_JAVA_OPTS=-Xmx10g bin/simulator fleet experiments/fleet/fleet-upstreams.toml --json out.json",
             "",
             "See docs/fleet-runs.md."
         })
@@ -49,7 +49,7 @@
     @Option(names = "--json", description = "where the figures go as JSON")
     private Path json;
 
-    @Option(names = "--html", defaultValue = "lab/target/fleet.html", description = "where the page goes")
+    @Option(names = "--html", defaultValue = "simulator/target/fleet.html", description = "where the page goes")
     private Path html;
 
     @Option(names = "--commit", defaultValue = "", description = "of what runs, for the table and the JSON")
--- a/lab/src/main/java/loadbalancer/lab/cli/HuntCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/HuntCommand.java
@@ -1,19 +1,19 @@
-package loadbalancer.lab.cli;
+package loadbalancer.simulator.cli;
 
 import java.io.File;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.util.Locale;
 import java.util.concurrent.Callable;
-import loadbalancer.lab.experiment.Experiment;
-import loadbalancer.lab.experiment.ExperimentReader;
-import loadbalancer.lab.hunt.ExperimentWriter;
-import loadbalancer.lab.hunt.Hunt;
+import loadbalancer.simulator.experiment.Experiment;
+import loadbalancer.simulator.experiment.ExperimentReader;
+import loadbalancer.simulator.hunt.ExperimentWriter;
+import loadbalancer.simulator.hunt.Hunt;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code lab hunt}: looks for worlds in which a rule breaks, or a collapse outlives its cause. */
+/** {@code simulator hunt}: looks for worlds in which a rule breaks, or a collapse outlives its cause. */
 @Command(
         name = "hunt",
         mixinStandardHelpOptions = true,
@@ -21,7 +21,7 @@
         description = "Draws random worlds within an experiment's ranges, with random troubles, and looks for a broken"
                 + " rule or a collapse that does not end when its cause does. What it finds is shrunk and written as an"
                 + " experiment. Exit code 1 where something was found.",
-        footer = {"", "Example:", "  bin/lab hunt --seed 7 --worlds 200 experiments/booking-day.toml"})
+        footer = {"", "Example:", "  bin/simulator hunt --seed 7 --worlds 200 experiments/booking-day.toml"})
 final class HuntCommand implements Callable<Integer> {
     @Parameters(
             paramLabel = "FILE",
--- a/lab/src/main/java/loadbalancer/lab/cli/Lab.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/Lab.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.cli;
+package loadbalancer.simulator.cli;
 
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -7,9 +7,9 @@
 
 /** The laboratory's command line. Exit codes: 0 all expectations hold, 1 one doesn't, 2 unusable input. */
 @Command(
-        name = "lab",
+        name = "simulator",
         mixinStandardHelpOptions = true,
-        version = "load-balancer laboratory 0.1.0",
+        version = "load-balancer simulator 0.1.0",
         subcommands = {
             DemoCommand.class,
             MatrixCommand.class,
--- a/lab/src/main/java/loadbalancer/lab/cli/LabLog.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/LabLog.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.cli;
+package loadbalancer.simulator.cli;
 
 import ch.qos.logback.classic.LoggerContext;
 import ch.qos.logback.classic.encoder.JsonEncoder;
--- a/lab/src/main/java/loadbalancer/lab/cli/ListCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/ListCommand.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.cli;
+package loadbalancer.simulator.cli;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -6,16 +6,16 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import java.util.stream.Stream;
-import loadbalancer.lab.experiment.Experiment;
-import loadbalancer.lab.experiment.ExperimentReader;
-import loadbalancer.lab.judge.Score;
-import loadbalancer.lab.variants.Variants;
-import loadbalancer.lab.world.Timeline;
+import loadbalancer.simulator.experiment.Experiment;
+import loadbalancer.simulator.experiment.ExperimentReader;
+import loadbalancer.simulator.judge.Score;
+import loadbalancer.simulator.variants.Variants;
+import loadbalancer.simulator.world.Timeline;
 import loadbalancer.toml.Faults;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** {@code lab list}: experiments, policies, troubles and figures that there are; checks the experiments too. */
+/** {@code simulator list}: experiments, policies, troubles and figures that there are; checks the experiments too. */
 @Command(
         name = "list",
         mixinStandardHelpOptions = true,
--- a/lab/src/main/java/loadbalancer/lab/cli/MatrixCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/MatrixCommand.java
@@ -1,12 +1,12 @@
-package loadbalancer.lab.cli;
+package loadbalancer.simulator.cli;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
-import loadbalancer.lab.sockets.KillMatrix;
-import loadbalancer.lab.sockets.MatrixPage;
+import loadbalancer.simulator.sockets.KillMatrix;
+import loadbalancer.simulator.sockets.MatrixPage;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -16,7 +16,7 @@
         mixinStandardHelpOptions = true,
         description = "Breaks the connections of requests to a real"
                 + " balancer at every byte, and counts how often each ran and what its client got.",
-        footer = {"", "Examples:", "  bin/lab matrix", "  bin/lab matrix --every 20 --workers 2"})
+        footer = {"", "Examples:", "  bin/simulator matrix", "  bin/simulator matrix --every 20 --workers 2"})
 final class MatrixCommand implements Callable<Integer> {
     @Option(names = "--jar", defaultValue = "balancer/target/load-balancer.jar", description = "the balancer's jar")
     private Path jar;
@@ -27,7 +27,7 @@
     @Option(names = "--workers", defaultValue = "4", description = "balancers that are tried at a time")
     private int workers;
 
-    @Option(names = "--html", defaultValue = "lab/target/matrix.html", description = "where the page goes")
+    @Option(names = "--html", defaultValue = "simulator/target/matrix.html", description = "where the page goes")
     private Path html;
 
     @Override
--- a/lab/src/main/java/loadbalancer/lab/cli/QueueCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/QueueCommand.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.cli;
+package loadbalancer.simulator.cli;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -6,11 +6,11 @@
 import java.io.IOException;
 import java.util.Locale;
 import java.util.concurrent.Callable;
-import loadbalancer.lab.queue.QueueModel;
+import loadbalancer.simulator.queue.QueueModel;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code lab queue}: the bare model, for checks against theory. */
+/** {@code simulator queue}: the bare model, for checks against theory. */
 @Command(
         name = "queue",
         mixinStandardHelpOptions = true,
@@ -19,7 +19,7 @@
         footer = {
             "",
             "Example, the paper's setting:",
-            "  bin/lab queue --policy jsq-das --servers 1000 --lambda 0.9 --fast-share 0.3 --fast-rate 1.95"
+            "  bin/simulator queue --policy jsq-das --servers 1000 --lambda 0.9 --fast-share 0.3 --fast-rate 1.95"
                     + " --slow-rate 0.6 -d 4 -a 2 --jobs 3000000 --seed 1 --json out.json"
         })
 final class QueueCommand implements Callable<Integer> {
--- a/lab/src/main/java/loadbalancer/lab/cli/ReportCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/ReportCommand.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.cli;
+package loadbalancer.simulator.cli;
 
 import java.io.File;
 import java.io.IOException;
@@ -8,25 +8,25 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import java.util.stream.Stream;
-import loadbalancer.lab.experiment.Experiment;
-import loadbalancer.lab.experiment.ExperimentReader;
-import loadbalancer.lab.experiment.Results;
-import loadbalancer.lab.report.HtmlReport;
-import loadbalancer.lab.report.IndexPage;
-import loadbalancer.lab.report.JsonReport;
+import loadbalancer.simulator.experiment.Experiment;
+import loadbalancer.simulator.experiment.ExperimentReader;
+import loadbalancer.simulator.experiment.Results;
+import loadbalancer.simulator.report.HtmlReport;
+import loadbalancer.simulator.report.IndexPage;
+import loadbalancer.simulator.report.JsonReport;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code lab report}: all experiments of a folder, with a page for each and one that leads to them. */
+/** {@code simulator report}: all experiments of a folder, with a page for each and one that leads to them. */
 @Command(
         name = "report",
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description = "Plays all experiments of a folder; writes a page and a JSON for each, and an index. Exit code 1"
                 + " where an expectation doesn't hold.",
-        footer = {"", "Example:", "  bin/lab report --seeds 20 --out before"})
+        footer = {"", "Example:", "  bin/simulator report --seeds 20 --out before"})
 final class ReportCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FOLDER", defaultValue = "experiments", description = "Where experiments are.")
     private Path folder;
@@ -34,7 +34,7 @@
     @Mixin
     private RunCommand.Playing playing;
 
-    @Option(names = "--out", defaultValue = "lab/target/reports", description = "Folder for pages; lab/target/reports.")
+    @Option(names = "--out", defaultValue = "simulator/target/reports", description = "Folder for pages; simulator/target/reports.")
     private Path out;
 
     @Override
--- a/lab/src/main/java/loadbalancer/lab/cli/RunCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/RunCommand.java
@@ -1,21 +1,21 @@
-package loadbalancer.lab.cli;
+package loadbalancer.simulator.cli;
 
 import java.io.File;
 import java.io.IOException;
 import java.util.concurrent.Callable;
-import loadbalancer.lab.experiment.Experiment;
-import loadbalancer.lab.experiment.ExperimentReader;
-import loadbalancer.lab.experiment.Results;
-import loadbalancer.lab.experiment.Runner;
-import loadbalancer.lab.report.HtmlReport;
-import loadbalancer.lab.report.JsonReport;
-import loadbalancer.lab.report.Table;
+import loadbalancer.simulator.experiment.Experiment;
+import loadbalancer.simulator.experiment.ExperimentReader;
+import loadbalancer.simulator.experiment.Results;
+import loadbalancer.simulator.experiment.Runner;
+import loadbalancer.simulator.report.HtmlReport;
+import loadbalancer.simulator.report.JsonReport;
+import loadbalancer.simulator.report.Table;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code lab run}: plays an experiment and says whether what it expects holds. */
+/** {@code simulator run}: plays an experiment and says whether what it expects holds. */
 @Command(
         name = "run",
         mixinStandardHelpOptions = true,
@@ -24,8 +24,8 @@
         footer = {
             "",
             "Examples:",
-            "  bin/lab run experiments/booking-day.toml",
-            "  bin/lab run experiments/taken-out.toml --seeds 20 --json out.json --html out.html"
+            "  bin/simulator run experiments/booking-day.toml",
+            "  bin/simulator run experiments/taken-out.toml --seeds 20 --json out.json --html out.html"
         })
 final class RunCommand implements Callable<Integer> {
     /** What all commands that play experiments take. */
@@ -67,7 +67,7 @@
     @Option(
             names = "--html",
             paramLabel = "FILE",
-            description = "Writes the page there; lab/target/reports/NAME.html unless given.")
+            description = "Writes the page there; simulator/target/reports/NAME.html unless given.")
     private File html;
 
     @Override
@@ -78,7 +78,7 @@
         if (json != null) {
             JsonReport.write(results, json);
         }
-        File page = html == null ? new File("lab/target/reports", e.name() + ".html") : html;
+        File page = html == null ? new File("simulator/target/reports", e.name() + ".html") : html;
         if (page.getAbsoluteFile().getParentFile().mkdirs()) {
             LabLog.of(RunCommand.class).debug("made the folder of {}", page);
         }
--- a/lab/src/main/java/loadbalancer/lab/cli/ScaleCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/ScaleCommand.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.cli;
+package loadbalancer.simulator.cli;
 
 import java.io.File;
 import java.io.IOException;
@@ -7,22 +7,22 @@
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import java.util.stream.IntStream;
-import loadbalancer.lab.experiment.Experiment;
-import loadbalancer.lab.experiment.ExperimentReader;
-import loadbalancer.lab.judge.Day;
-import loadbalancer.lab.policies.Quiet;
-import loadbalancer.lab.variants.Metered;
-import loadbalancer.lab.variants.Variants;
-import loadbalancer.lab.variants.Variants.Variant;
-import loadbalancer.lab.world.PolicyMaker;
-import loadbalancer.lab.world.Range;
-import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.simulator.experiment.Experiment;
+import loadbalancer.simulator.experiment.ExperimentReader;
+import loadbalancer.simulator.judge.Day;
+import loadbalancer.simulator.policies.Quiet;
+import loadbalancer.simulator.variants.Metered;
+import loadbalancer.simulator.variants.Variants;
+import loadbalancer.simulator.variants.Variants.Variant;
+import loadbalancer.simulator.world.PolicyMaker;
+import loadbalancer.simulator.world.Range;
+import loadbalancer.simulator.world.WorldPlan;
 import loadbalancer.policy.Policy;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code lab scale}: how a policy grows with the number of balancers and upstreams. */
+/** {@code simulator scale}: how a policy grows with the number of balancers and upstreams. */
 @Command(
         name = "scale",
         mixinStandardHelpOptions = true,
@@ -30,7 +30,7 @@
         description =
                 "Plays an experiment's world at several sizes, one day each on one thread: worth, rules, cost of a"
                         + " decision, memory of a module. What grows faster than the fleet shows here.",
-        footer = {"", "Example:", "  bin/lab scale experiments/booking-day.toml --size 3x10 --size 48x1000"})
+        footer = {"", "Example:", "  bin/simulator scale experiments/booking-day.toml --size 3x10 --size 48x1000"})
 final class ScaleCommand implements Callable<Integer> {
     private static final int MODULES = 10;
 
--- a/lab/src/main/java/loadbalancer/lab/cli/TheoryCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/TheoryCommand.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.cli;
+package loadbalancer.simulator.cli;
 
 import java.io.File;
 import java.io.IOException;
@@ -8,15 +8,15 @@
 import java.util.concurrent.Callable;
 import java.util.function.DoubleUnaryOperator;
 import java.util.stream.IntStream;
-import loadbalancer.lab.queue.QueueModel;
-import loadbalancer.lab.queue.QueueModel.Setting;
-import loadbalancer.lab.queue.Theory;
-import loadbalancer.lab.report.FigurePlot;
-import loadbalancer.lab.stats.Interval;
+import loadbalancer.simulator.queue.QueueModel;
+import loadbalancer.simulator.queue.QueueModel.Setting;
+import loadbalancer.simulator.queue.Theory;
+import loadbalancer.simulator.report.FigurePlot;
+import loadbalancer.simulator.stats.Interval;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code lab theory}: the engine against what theory says, and the paper's Figure 2 drawn anew. */
+/** {@code simulator theory}: the engine against what theory says, and the paper's Figure 2 drawn anew. */
 @Command(
         name = "theory",
         mixinStandardHelpOptions = true,
@@ -24,7 +24,7 @@
         description =
                 "Holds the bare model against theory: M/M/1, M/M/c, Mitzenmacher's limit, the paper's fixed point;"
                         + " then draws the paper's Figure 2 anew.",
-        footer = {"", "Example:", "  bin/lab theory --jobs 3000000 --html figure2.html"})
+        footer = {"", "Example:", "  bin/simulator theory --jobs 3000000 --html figure2.html"})
 final class TheoryCommand implements Callable<Integer> {
     private static final double SHARE = 0.3;
     private static final double FAST = 1.95;
--- a/lab/src/main/java/loadbalancer/lab/cli/WreckCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/WreckCommand.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.cli;
+package loadbalancer.simulator.cli;
 
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.BufferedReader;
@@ -15,8 +15,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
-import loadbalancer.lab.sockets.WreckServer;
-import loadbalancer.lab.wreck.Fault;
+import loadbalancer.simulator.sockets.WreckServer;
+import loadbalancer.simulator.wreck.Fault;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
--- a/lab/src/main/java/loadbalancer/lab/experiment/Expectation.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/Expectation.java
@@ -1,9 +1,9 @@
-package loadbalancer.lab.experiment;
+package loadbalancer.simulator.experiment;
 
 import java.util.List;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import loadbalancer.lab.stats.Interval;
+import loadbalancer.simulator.stats.Interval;
 import loadbalancer.toml.Section;
 
 /**
--- a/lab/src/main/java/loadbalancer/lab/experiment/Experiment.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/Experiment.java
@@ -1,8 +1,8 @@
-package loadbalancer.lab.experiment;
+package loadbalancer.simulator.experiment;
 
 import java.util.List;
-import loadbalancer.lab.variants.Variants.Variant;
-import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.simulator.variants.Variants.Variant;
+import loadbalancer.simulator.world.WorldPlan;
 
 /**
  * A question to the laboratory: a world with its troubles, the variants to play it under, on which seeds, and
--- a/lab/src/main/java/loadbalancer/lab/experiment/ExperimentReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/ExperimentReader.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.experiment;
+package loadbalancer.simulator.experiment;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -7,14 +7,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import loadbalancer.lab.judge.Score;
-import loadbalancer.lab.policies.Choosers;
-import loadbalancer.lab.variants.FrontSpec;
-import loadbalancer.lab.variants.Variants;
-import loadbalancer.lab.variants.Variants.Variant;
-import loadbalancer.lab.world.Range;
-import loadbalancer.lab.world.Timeline;
-import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.simulator.judge.Score;
+import loadbalancer.simulator.policies.Choosers;
+import loadbalancer.simulator.variants.FrontSpec;
+import loadbalancer.simulator.variants.Variants;
+import loadbalancer.simulator.variants.Variants.Variant;
+import loadbalancer.simulator.world.Range;
+import loadbalancer.simulator.world.Timeline;
+import loadbalancer.simulator.world.WorldPlan;
 import loadbalancer.policy.Policy;
 import loadbalancer.toml.Faults;
 import loadbalancer.toml.Section;
--- a/lab/src/main/java/loadbalancer/lab/experiment/FrontReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/FrontReader.java
@@ -1,11 +1,11 @@
-package loadbalancer.lab.experiment;
+package loadbalancer.simulator.experiment;
 
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import loadbalancer.lab.variants.FrontSpec;
-import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.simulator.variants.FrontSpec;
+import loadbalancer.simulator.world.WorldPlan;
 import loadbalancer.limits.ConcurrencyLimit;
 import loadbalancer.toml.Section;
 import loadbalancer.toml.Section.Measure;
--- a/lab/src/main/java/loadbalancer/lab/experiment/Results.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/Results.java
@@ -1,12 +1,12 @@
-package loadbalancer.lab.experiment;
+package loadbalancer.simulator.experiment;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.lab.judge.Broken;
-import loadbalancer.lab.judge.Day;
-import loadbalancer.lab.stats.Interval;
+import loadbalancer.simulator.judge.Broken;
+import loadbalancer.simulator.judge.Day;
+import loadbalancer.simulator.stats.Interval;
 
 /** What the variants of an experiment came to: for each its days, in the order of the seeds. */
 public record Results(Experiment experiment, Map<String, List<Day>> days) {
--- a/lab/src/main/java/loadbalancer/lab/experiment/Runner.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/Runner.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.experiment;
+package loadbalancer.simulator.experiment;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -8,9 +8,9 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import loadbalancer.lab.judge.Day;
-import loadbalancer.lab.variants.Variants;
-import loadbalancer.lab.variants.Variants.Variant;
+import loadbalancer.simulator.judge.Day;
+import loadbalancer.simulator.variants.Variants;
+import loadbalancer.simulator.variants.Variants.Variant;
 
 /** Plays an experiment's days on several threads. Each day is a world of its own, so their number changes nothing. */
 public final class Runner {
--- a/lab/src/main/java/loadbalancer/lab/fleet/Churn.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/Churn.java
@@ -1,12 +1,12 @@
-package loadbalancer.lab.fleet;
+package loadbalancer.simulator.fleet;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.stream.IntStream;
-import loadbalancer.lab.sim.Draws;
-import loadbalancer.lab.sim.Streams;
+import loadbalancer.simulator.sim.Draws;
+import loadbalancer.simulator.sim.Streams;
 
 /**
  * What changes, and when: machines, racks and zones that restart, and configurations that change. The same seed gives
--- a/lab/src/main/java/loadbalancer/lab/fleet/FleetResults.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/FleetResults.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.fleet;
+package loadbalancer.simulator.fleet;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
--- a/lab/src/main/java/loadbalancer/lab/fleet/FleetRun.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/FleetRun.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.fleet;
+package loadbalancer.simulator.fleet;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -16,8 +16,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
-import loadbalancer.lab.sockets.BalancerProcess;
-import loadbalancer.lab.sockets.Load;
+import loadbalancer.simulator.sockets.BalancerProcess;
+import loadbalancer.simulator.sockets.Load;
 import org.HdrHistogram.Histogram;
 
 /**
--- a/lab/src/main/java/loadbalancer/lab/fleet/HollowFleet.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/HollowFleet.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.fleet;
+package loadbalancer.simulator.fleet;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
@@ -9,7 +9,7 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.discovery.Targets;
-import loadbalancer.lab.sim.Streams;
+import loadbalancer.simulator.sim.Streams;
 
 /** Many hollow balancers on a few event loops. Not thread-safe: for the thread of the run. */
 final class HollowFleet implements AutoCloseable {
--- a/lab/src/main/java/loadbalancer/lab/fleet/Host.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/Host.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.fleet;
+package loadbalancer.simulator.fleet;
 
 import com.sun.management.OperatingSystemMXBean;
 import com.sun.management.UnixOperatingSystemMXBean;
--- a/lab/src/main/java/loadbalancer/lab/fleet/Machines.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/Machines.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.fleet;
+package loadbalancer.simulator.fleet;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/lab/src/main/java/loadbalancer/lab/fleet/QuickUpstream.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/QuickUpstream.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.fleet;
+package loadbalancer.simulator.fleet;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
--- a/lab/src/main/java/loadbalancer/lab/fleet/RealBalancers.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/RealBalancers.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.fleet;
+package loadbalancer.simulator.fleet;
 
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import java.io.IOException;
@@ -10,7 +10,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.locks.LockSupport;
-import loadbalancer.lab.sockets.BalancerProcess;
+import loadbalancer.simulator.sockets.BalancerProcess;
 
 /** Balancers by the deployment's {@code run} line, each in a process of its own. */
 final class RealBalancers implements AutoCloseable {
--- a/lab/src/main/java/loadbalancer/lab/fleet/RealUpstreamsAxis.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/RealUpstreamsAxis.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.fleet;
+package loadbalancer.simulator.fleet;
 
 import java.io.IOException;
 import java.util.ArrayList;
--- a/lab/src/main/java/loadbalancer/lab/fleet/Site.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/Site.java
@@ -1,12 +1,12 @@
-package loadbalancer.lab.fleet;
+package loadbalancer.simulator.fleet;
 
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import loadbalancer.lab.world.Range;
-import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.simulator.world.Range;
+import loadbalancer.simulator.world.WorldPlan;
 import loadbalancer.policy.Policy;
 import loadbalancer.settings.SettingsReader;
 
--- a/lab/src/main/java/loadbalancer/lab/fleet/TenantsAxis.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/TenantsAxis.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.fleet;
+package loadbalancer.simulator.fleet;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.IntStream;
-import loadbalancer.lab.policies.Quiet;
+import loadbalancer.simulator.policies.Quiet;
 import loadbalancer.limits.TokenTree;
 import loadbalancer.policy.Balance;
 import loadbalancer.policy.Policy;
--- a/lab/src/main/java/loadbalancer/lab/hunt/ExperimentWriter.java
+++ b/simulator/src/main/java/loadbalancer/simulator/hunt/ExperimentWriter.java
@@ -1,9 +1,9 @@
-package loadbalancer.lab.hunt;
+package loadbalancer.simulator.hunt;
 
 import java.util.Locale;
 import java.util.stream.Collectors;
-import loadbalancer.lab.world.Range;
-import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.simulator.world.Range;
+import loadbalancer.simulator.world.WorldPlan;
 
 /** Writes a find as an experiment that stands by itself: reading it gives the same world again. */
 public final class ExperimentWriter {
--- a/lab/src/main/java/loadbalancer/lab/hunt/Hunt.java
+++ b/simulator/src/main/java/loadbalancer/simulator/hunt/Hunt.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.hunt;
+package loadbalancer.simulator.hunt;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,18 +6,18 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import loadbalancer.lab.experiment.Experiment;
-import loadbalancer.lab.experiment.Runner;
-import loadbalancer.lab.judge.Day;
-import loadbalancer.lab.sim.Draws;
-import loadbalancer.lab.sim.Streams;
-import loadbalancer.lab.variants.Variants;
-import loadbalancer.lab.variants.Variants.Variant;
-import loadbalancer.lab.world.PolicyMaker;
-import loadbalancer.lab.world.Range;
-import loadbalancer.lab.world.Timeline;
-import loadbalancer.lab.world.WorldPlan;
-import loadbalancer.lab.world.WorldPlan.Trouble;
+import loadbalancer.simulator.experiment.Experiment;
+import loadbalancer.simulator.experiment.Runner;
+import loadbalancer.simulator.judge.Day;
+import loadbalancer.simulator.sim.Draws;
+import loadbalancer.simulator.sim.Streams;
+import loadbalancer.simulator.variants.Variants;
+import loadbalancer.simulator.variants.Variants.Variant;
+import loadbalancer.simulator.world.PolicyMaker;
+import loadbalancer.simulator.world.Range;
+import loadbalancer.simulator.world.Timeline;
+import loadbalancer.simulator.world.WorldPlan;
+import loadbalancer.simulator.world.WorldPlan.Trouble;
 
 /**
  * Draws worlds with random troubles, plays them, and keeps those in which a rule breaks or a collapse stays when
--- a/lab/src/main/java/loadbalancer/lab/judge/Broken.java
+++ b/simulator/src/main/java/loadbalancer/simulator/judge/Broken.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.judge;
+package loadbalancer.simulator.judge;
 
 import java.util.List;
 
--- a/lab/src/main/java/loadbalancer/lab/judge/Day.java
+++ b/simulator/src/main/java/loadbalancer/simulator/judge/Day.java
@@ -1,10 +1,10 @@
-package loadbalancer.lab.judge;
+package loadbalancer.simulator.judge;
 
 import java.util.List;
 import java.util.Map;
-import loadbalancer.lab.world.PolicyMaker;
-import loadbalancer.lab.world.World;
-import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.simulator.world.PolicyMaker;
+import loadbalancer.simulator.world.World;
+import loadbalancer.simulator.world.WorldPlan;
 
 /** One day of one world under one policy, and what it came to. */
 public record Day(
--- a/lab/src/main/java/loadbalancer/lab/judge/Judge.java
+++ b/simulator/src/main/java/loadbalancer/simulator/judge/Judge.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.judge;
+package loadbalancer.simulator.judge;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,16 +7,16 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import loadbalancer.lab.judge.Broken.Rule;
-import loadbalancer.lab.world.Attempt;
-import loadbalancer.lab.world.Balancer;
-import loadbalancer.lab.world.ClientRequest;
-import loadbalancer.lab.world.Clients;
-import loadbalancer.lab.world.Observer;
-import loadbalancer.lab.world.Taken;
-import loadbalancer.lab.world.Upstream;
-import loadbalancer.lab.world.World;
-import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.simulator.judge.Broken.Rule;
+import loadbalancer.simulator.world.Attempt;
+import loadbalancer.simulator.world.Balancer;
+import loadbalancer.simulator.world.ClientRequest;
+import loadbalancer.simulator.world.Clients;
+import loadbalancer.simulator.world.Observer;
+import loadbalancer.simulator.world.Taken;
+import loadbalancer.simulator.world.Upstream;
+import loadbalancer.simulator.world.World;
+import loadbalancer.simulator.world.WorldPlan;
 import loadbalancer.policy.Policy;
 
 /** Holds every event of a day against the rules. It sees all of them, not samples. */
--- a/lab/src/main/java/loadbalancer/lab/judge/Score.java
+++ b/simulator/src/main/java/loadbalancer/simulator/judge/Score.java
@@ -1,14 +1,14 @@
-package loadbalancer.lab.judge;
+package loadbalancer.simulator.judge;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.lab.world.ClientRequest;
-import loadbalancer.lab.world.Clients;
-import loadbalancer.lab.world.Timeline;
-import loadbalancer.lab.world.World;
-import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.simulator.world.ClientRequest;
+import loadbalancer.simulator.world.Clients;
+import loadbalancer.simulator.world.Timeline;
+import loadbalancer.simulator.world.World;
+import loadbalancer.simulator.world.WorldPlan;
 import loadbalancer.policy.Policy;
 import org.HdrHistogram.Histogram;
 
--- a/lab/src/main/java/loadbalancer/lab/policies/Chooser.java
+++ b/simulator/src/main/java/loadbalancer/simulator/policies/Chooser.java
@@ -1,6 +1,6 @@
-package loadbalancer.lab.policies;
+package loadbalancer.simulator.policies;
 
-import loadbalancer.lab.sim.Draws;
+import loadbalancer.simulator.sim.Draws;
 
 /** A textbook policy: which server gets the next job. */
 public interface Chooser {
--- a/lab/src/main/java/loadbalancer/lab/policies/Choosers.java
+++ b/simulator/src/main/java/loadbalancer/simulator/policies/Choosers.java
@@ -1,8 +1,8 @@
-package loadbalancer.lab.policies;
+package loadbalancer.simulator.policies;
 
 import java.util.List;
 import java.util.stream.IntStream;
-import loadbalancer.lab.sim.Draws;
+import loadbalancer.simulator.sim.Draws;
 
 /** The textbook policies by name. */
 public final class Choosers {
--- a/lab/src/main/java/loadbalancer/lab/policies/Quiet.java
+++ b/simulator/src/main/java/loadbalancer/simulator/policies/Quiet.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.policies;
+package loadbalancer.simulator.policies;
 
 import loadbalancer.policy.Policy;
 
--- a/lab/src/main/java/loadbalancer/lab/policies/Ranking.java
+++ b/simulator/src/main/java/loadbalancer/simulator/policies/Ranking.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.policies;
+package loadbalancer.simulator.policies;
 
 import java.util.Arrays;
 import java.util.stream.IntStream;
--- a/lab/src/main/java/loadbalancer/lab/policies/ServerView.java
+++ b/simulator/src/main/java/loadbalancer/simulator/policies/ServerView.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.policies;
+package loadbalancer.simulator.policies;
 
 /** What a textbook policy may see of the servers it chooses from, numbered from 0. */
 public interface ServerView {
--- a/lab/src/main/java/loadbalancer/lab/queue/QueueModel.java
+++ b/simulator/src/main/java/loadbalancer/simulator/queue/QueueModel.java
@@ -1,16 +1,16 @@
-package loadbalancer.lab.queue;
+package loadbalancer.simulator.queue;
 
 import java.util.List;
 import java.util.stream.IntStream;
-import loadbalancer.lab.policies.Chooser;
-import loadbalancer.lab.policies.Choosers;
-import loadbalancer.lab.policies.Quiet;
-import loadbalancer.lab.policies.ServerView;
-import loadbalancer.lab.sim.Draws;
-import loadbalancer.lab.sim.Event;
-import loadbalancer.lab.sim.Simulation;
-import loadbalancer.lab.sim.Streams;
-import loadbalancer.lab.stats.BatchMeans;
+import loadbalancer.simulator.policies.Chooser;
+import loadbalancer.simulator.policies.Choosers;
+import loadbalancer.simulator.policies.Quiet;
+import loadbalancer.simulator.policies.ServerView;
+import loadbalancer.simulator.sim.Draws;
+import loadbalancer.simulator.sim.Event;
+import loadbalancer.simulator.sim.Simulation;
+import loadbalancer.simulator.sim.Streams;
+import loadbalancer.simulator.stats.BatchMeans;
 import loadbalancer.policy.Balance;
 import loadbalancer.policy.Policy;
 
--- a/lab/src/main/java/loadbalancer/lab/queue/Theory.java
+++ b/simulator/src/main/java/loadbalancer/simulator/queue/Theory.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.queue;
+package loadbalancer.simulator.queue;
 
 /** Mean response times that theory gives for the bare model, in units of mean service time unless said. */
 public final class Theory {
--- a/lab/src/main/java/loadbalancer/lab/report/FigurePlot.java
+++ b/simulator/src/main/java/loadbalancer/simulator/report/FigurePlot.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.report;
+package loadbalancer.simulator.report;
 
 import java.io.ByteArrayOutputStream;
 import java.io.File;
--- a/lab/src/main/java/loadbalancer/lab/report/HtmlReport.java
+++ b/simulator/src/main/java/loadbalancer/simulator/report/HtmlReport.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.report;
+package loadbalancer.simulator.report;
 
 import java.awt.Color;
 import java.io.ByteArrayOutputStream;
@@ -10,12 +10,12 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.stream.IntStream;
-import loadbalancer.lab.experiment.Expectation;
-import loadbalancer.lab.experiment.Results;
-import loadbalancer.lab.judge.Broken;
-import loadbalancer.lab.judge.Score;
-import loadbalancer.lab.stats.Interval;
-import loadbalancer.lab.world.Timeline;
+import loadbalancer.simulator.experiment.Expectation;
+import loadbalancer.simulator.experiment.Results;
+import loadbalancer.simulator.judge.Broken;
+import loadbalancer.simulator.judge.Score;
+import loadbalancer.simulator.stats.Interval;
+import loadbalancer.simulator.world.Timeline;
 import org.knowm.xchart.VectorGraphicsEncoder;
 import org.knowm.xchart.VectorGraphicsEncoder.VectorGraphicsFormat;
 import org.knowm.xchart.XYChart;
--- a/lab/src/main/java/loadbalancer/lab/report/IndexPage.java
+++ b/simulator/src/main/java/loadbalancer/simulator/report/IndexPage.java
@@ -1,11 +1,11 @@
-package loadbalancer.lab.report;
+package loadbalancer.simulator.report;
 
 import java.io.File;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.util.List;
 import java.util.Locale;
-import loadbalancer.lab.experiment.Results;
+import loadbalancer.simulator.experiment.Results;
 
 /** The page that leads to those of many experiments: for each what was asked, G of each variant, what fails. */
 public final class IndexPage {
--- a/lab/src/main/java/loadbalancer/lab/report/JsonReport.java
+++ b/simulator/src/main/java/loadbalancer/simulator/report/JsonReport.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.report;
+package loadbalancer.simulator.report;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -9,12 +9,12 @@
 import java.util.stream.DoubleStream;
 import java.util.stream.IntStream;
 import java.util.stream.LongStream;
-import loadbalancer.lab.experiment.Expectation;
-import loadbalancer.lab.experiment.Results;
-import loadbalancer.lab.judge.Broken;
-import loadbalancer.lab.judge.Day;
-import loadbalancer.lab.judge.Score;
-import loadbalancer.lab.stats.Interval;
+import loadbalancer.simulator.experiment.Expectation;
+import loadbalancer.simulator.experiment.Results;
+import loadbalancer.simulator.judge.Broken;
+import loadbalancer.simulator.judge.Day;
+import loadbalancer.simulator.judge.Score;
+import loadbalancer.simulator.stats.Interval;
 
 /** Results as JSON: nothing in it depends on the machine, the time of day or the number of threads. */
 public final class JsonReport {
--- a/lab/src/main/java/loadbalancer/lab/report/Table.java
+++ b/simulator/src/main/java/loadbalancer/simulator/report/Table.java
@@ -1,11 +1,11 @@
-package loadbalancer.lab.report;
+package loadbalancer.simulator.report;
 
 import java.util.List;
 import java.util.Locale;
-import loadbalancer.lab.experiment.Expectation;
-import loadbalancer.lab.experiment.Results;
-import loadbalancer.lab.judge.Broken;
-import loadbalancer.lab.stats.Interval;
+import loadbalancer.simulator.experiment.Expectation;
+import loadbalancer.simulator.experiment.Results;
+import loadbalancer.simulator.judge.Broken;
+import loadbalancer.simulator.stats.Interval;
 
 /** Results as lines for a terminal. */
 public final class Table {
--- a/lab/src/main/java/loadbalancer/lab/sim/Event.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sim/Event.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.sim;
+package loadbalancer.simulator.sim;
 
 /** Something that happens at an instant of simulated time. */
 @FunctionalInterface
--- a/lab/src/main/java/loadbalancer/lab/sim/Simulation.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sim/Simulation.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.sim;
+package loadbalancer.simulator.sim;
 
 import java.util.Arrays;
 
--- a/lab/src/main/java/loadbalancer/lab/sim/Streams.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sim/Streams.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.sim;
+package loadbalancer.simulator.sim;
 
 import org.apache.commons.rng.simple.RandomSource;
 
--- a/lab/src/main/java/loadbalancer/lab/sockets/BalancerProcess.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/BalancerProcess.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.sockets;
+package loadbalancer.simulator.sockets;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.BufferedReader;
--- a/lab/src/main/java/loadbalancer/lab/sockets/Box.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/Box.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.sockets;
+package loadbalancer.simulator.sockets;
 
 import java.io.BufferedInputStream;
 import java.io.Closeable;
--- a/lab/src/main/java/loadbalancer/lab/sockets/DemoPage.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/DemoPage.java
@@ -1,10 +1,10 @@
-package loadbalancer.lab.sockets;
+package loadbalancer.simulator.sockets;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.simulator.world.WorldPlan;
 import loadbalancer.policy.Policy;
 import org.HdrHistogram.Histogram;
 
--- a/lab/src/main/java/loadbalancer/lab/sockets/KillMatrix.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/KillMatrix.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.sockets;
+package loadbalancer.simulator.sockets;
 
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
@@ -15,9 +15,9 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import loadbalancer.lab.wreck.Fault;
-import loadbalancer.lab.wreck.Fault.Point;
-import loadbalancer.lab.wreck.Fault.What;
+import loadbalancer.simulator.wreck.Fault;
+import loadbalancer.simulator.wreck.Fault.Point;
+import loadbalancer.simulator.wreck.Fault.What;
 
 /**
  * Breaks the connection of one request after another at every byte, on the side of the client or of the upstream, and
--- a/lab/src/main/java/loadbalancer/lab/sockets/LiveSite.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/LiveSite.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.sockets;
+package loadbalancer.simulator.sockets;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.bootstrap.ServerBootstrap;
@@ -36,8 +36,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.lab.world.LiveFleet;
-import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.simulator.world.LiveFleet;
+import loadbalancer.simulator.world.WorldPlan;
 import loadbalancer.policy.Policy;
 import loadbalancer.policy.Policy.Outcome;
 
@@ -326,7 +326,7 @@
                     "boot_ms",
                     s.startedAt() <= 0
                             ? 0
-                            : (unixBegan + s.startedAt() - loadbalancer.lab.world.World.began()) / 1000.0);
+                            : (unixBegan + s.startedAt() - loadbalancer.simulator.world.World.began()) / 1000.0);
             e.put("capacity_hint", s.weight());
             e.put("pod_group", s.cell());
             e.put("az", plan.zones().get(s.zone()));
--- a/lab/src/main/java/loadbalancer/lab/sockets/Load.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/Load.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.sockets;
+package loadbalancer.simulator.sockets;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
@@ -27,9 +27,9 @@
 import java.util.TreeMap;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.lab.sim.Draws;
-import loadbalancer.lab.sim.Streams;
-import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.simulator.sim.Draws;
+import loadbalancer.simulator.sim.Streams;
+import loadbalancer.simulator.world.WorldPlan;
 import loadbalancer.policy.Policy;
 import org.HdrHistogram.Histogram;
 
--- a/lab/src/main/java/loadbalancer/lab/sockets/SiteSettings.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/SiteSettings.java
@@ -1,10 +1,10 @@
-package loadbalancer.lab.sockets;
+package loadbalancer.simulator.sockets;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.simulator.world.WorldPlan;
 
 /** A balancer's configuration for a world, in the form that the deployment gives it. */
 public final class SiteSettings {
--- a/lab/src/main/java/loadbalancer/lab/sockets/WreckServer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/WreckServer.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.sockets;
+package loadbalancer.simulator.sockets;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -24,9 +24,9 @@
 import java.util.List;
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.lab.wreck.Fault;
-import loadbalancer.lab.wreck.Fault.What;
-import loadbalancer.lab.wreck.Lane;
+import loadbalancer.simulator.wreck.Fault;
+import loadbalancer.simulator.wreck.Fault.What;
+import loadbalancer.simulator.wreck.Lane;
 
 /**
  * Stands between clients and a server, and does to their connections what a script says. One event loop; connections
--- a/lab/src/main/java/loadbalancer/lab/stats/BatchMeans.java
+++ b/simulator/src/main/java/loadbalancer/simulator/stats/BatchMeans.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.stats;
+package loadbalancer.simulator.stats;
 
 import java.util.Arrays;
 
--- a/lab/src/main/java/loadbalancer/lab/variants/FrontSpec.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/FrontSpec.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.variants;
+package loadbalancer.simulator.variants;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/lab/src/main/java/loadbalancer/lab/variants/FrontedPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/FrontedPolicy.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.variants;
+package loadbalancer.simulator.variants;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -10,7 +10,7 @@
 import java.util.function.Function;
 import loadbalancer.front.Front;
 import loadbalancer.front.Front.End;
-import loadbalancer.lab.sim.Draws;
+import loadbalancer.simulator.sim.Draws;
 import loadbalancer.policy.Policy;
 import loadbalancer.routes.Route;
 
--- a/lab/src/main/java/loadbalancer/lab/variants/Metered.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/Metered.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.variants;
+package loadbalancer.simulator.variants;
 
 import java.util.List;
 import java.util.function.LongSupplier;
--- a/lab/src/main/java/loadbalancer/lab/variants/TextbookPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/TextbookPolicy.java
@@ -1,14 +1,14 @@
-package loadbalancer.lab.variants;
+package loadbalancer.simulator.variants;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.lab.policies.Chooser;
-import loadbalancer.lab.policies.ServerView;
-import loadbalancer.lab.sim.Draws;
-import loadbalancer.lab.world.Truth;
+import loadbalancer.simulator.policies.Chooser;
+import loadbalancer.simulator.policies.ServerView;
+import loadbalancer.simulator.sim.Draws;
+import loadbalancer.simulator.world.Truth;
 import loadbalancer.policy.Policy;
 
 /**
--- a/lab/src/main/java/loadbalancer/lab/variants/Variants.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/Variants.java
@@ -1,16 +1,16 @@
-package loadbalancer.lab.variants;
+package loadbalancer.simulator.variants;
 
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.lab.policies.Chooser;
-import loadbalancer.lab.policies.Choosers;
-import loadbalancer.lab.policies.ServerView;
-import loadbalancer.lab.sim.Draws;
-import loadbalancer.lab.sim.Streams;
-import loadbalancer.lab.world.PolicyMaker;
-import loadbalancer.lab.world.Truth;
-import loadbalancer.lab.world.World;
-import loadbalancer.lab.world.WorldPlan;
+import loadbalancer.simulator.policies.Chooser;
+import loadbalancer.simulator.policies.Choosers;
+import loadbalancer.simulator.policies.ServerView;
+import loadbalancer.simulator.sim.Draws;
+import loadbalancer.simulator.sim.Streams;
+import loadbalancer.simulator.world.PolicyMaker;
+import loadbalancer.simulator.world.Truth;
+import loadbalancer.simulator.world.World;
+import loadbalancer.simulator.world.WorldPlan;
 import loadbalancer.policy.Balance;
 
 /** The policies that worlds can be played under, by name. */
--- a/lab/src/main/java/loadbalancer/lab/world/Attempt.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Attempt.java
@@ -1,6 +1,6 @@
-package loadbalancer.lab.world;
+package loadbalancer.simulator.world;
 
-import loadbalancer.lab.sim.Simulation;
+import loadbalancer.simulator.sim.Simulation;
 import loadbalancer.policy.Policy;
 
 /** One send of a request to an upstream. */
--- a/lab/src/main/java/loadbalancer/lab/world/BalancerSlot.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/BalancerSlot.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.world;
+package loadbalancer.simulator.world;
 
 /** A balancer's name and address, whatever process serves there. */
 final class BalancerSlot {
--- a/lab/src/main/java/loadbalancer/lab/world/Chance.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Chance.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.world;
+package loadbalancer.simulator.world;
 
 /**
  * Random numbers by counter: a pure function of a seed and the numbers of what is drawn for. Where the order of
--- a/lab/src/main/java/loadbalancer/lab/world/ClientRequest.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/ClientRequest.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.world;
+package loadbalancer.simulator.world;
 
 /** What a client wants once, over all its tries. */
 public final class ClientRequest {
--- a/lab/src/main/java/loadbalancer/lab/world/Clients.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Clients.java
@@ -1,9 +1,9 @@
-package loadbalancer.lab.world;
+package loadbalancer.simulator.world;
 
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import loadbalancer.lab.sim.Draws;
+import loadbalancer.simulator.sim.Draws;
 import loadbalancer.policy.Policy;
 
 /** Clients: open-loop arrivals, keys, tenants, tries given up, retries; and the front that spreads them. */
--- a/lab/src/main/java/loadbalancer/lab/world/LiveFleet.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/LiveFleet.java
@@ -1,9 +1,9 @@
-package loadbalancer.lab.world;
+package loadbalancer.simulator.world;
 
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.lab.sim.Draws;
+import loadbalancer.simulator.sim.Draws;
 import loadbalancer.policy.Policy;
 import loadbalancer.policy.Policy.Outcome;
 
--- a/lab/src/main/java/loadbalancer/lab/world/Network.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Network.java
@@ -1,6 +1,6 @@
-package loadbalancer.lab.world;
+package loadbalancer.simulator.world;
 
-import loadbalancer.lab.sim.Draws;
+import loadbalancer.simulator.sim.Draws;
 
 /** Delays between zones, loss, and partitions one way or both. */
 final class Network {
--- a/lab/src/main/java/loadbalancer/lab/world/PolicyMaker.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/PolicyMaker.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.world;
+package loadbalancer.simulator.world;
 
 import loadbalancer.policy.Policy;
 
--- a/lab/src/main/java/loadbalancer/lab/world/Rack.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Rack.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.world;
+package loadbalancer.simulator.world;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/lab/src/main/java/loadbalancer/lab/world/Range.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Range.java
@@ -1,6 +1,6 @@
-package loadbalancer.lab.world;
+package loadbalancer.simulator.world;
 
-import loadbalancer.lab.sim.Draws;
+import loadbalancer.simulator.sim.Draws;
 
 /** A figure that each world draws anew, uniformly between two ends; the first end is the mildest. */
 public record Range(double from, double to) {
--- a/lab/src/main/java/loadbalancer/lab/world/Register.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Register.java
@@ -1,11 +1,11 @@
-package loadbalancer.lab.world;
+package loadbalancer.simulator.world;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import loadbalancer.lab.sim.Draws;
+import loadbalancer.simulator.sim.Draws;
 import loadbalancer.policy.Policy;
 import loadbalancer.policy.Policy.ListKind;
 
--- a/lab/src/main/java/loadbalancer/lab/world/Taken.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Taken.java
@@ -1,8 +1,8 @@
-package loadbalancer.lab.world;
+package loadbalancer.simulator.world;
 
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.lab.sim.Simulation;
+import loadbalancer.simulator.sim.Simulation;
 
 /** A client's try, as a balancer holds it: it owes exactly one final answer by the deadline. */
 public final class Taken {
--- a/lab/src/main/java/loadbalancer/lab/world/Timeline.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Timeline.java
@@ -1,11 +1,11 @@
-package loadbalancer.lab.world;
+package loadbalancer.simulator.world;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongConsumer;
-import loadbalancer.lab.sim.Draws;
+import loadbalancer.simulator.sim.Draws;
 import loadbalancer.policy.Policy;
 
 /** Turns a plan's troubles into events. What each kind's figures mean stands beside its name. */
--- a/lab/src/main/java/loadbalancer/lab/world/Truth.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Truth.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.world;
+package loadbalancer.simulator.world;
 
 /** What no real balancer can see: for the policy that others are measured against. */
 public interface Truth {
--- a/lab/src/main/java/loadbalancer/lab/world/Upstream.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Upstream.java
@@ -1,12 +1,12 @@
-package loadbalancer.lab.world;
+package loadbalancer.simulator.world;
 
 import java.util.ArrayDeque;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.PriorityQueue;
-import loadbalancer.lab.sim.Draws;
-import loadbalancer.lab.sim.Simulation;
+import loadbalancer.simulator.sim.Draws;
+import loadbalancer.simulator.sim.Simulation;
 import loadbalancer.policy.Policy;
 
 /**
--- a/lab/src/main/java/loadbalancer/lab/world/World.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/World.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.world;
+package loadbalancer.simulator.world;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BiConsumer;
-import loadbalancer.lab.sim.Draws;
-import loadbalancer.lab.sim.Simulation;
-import loadbalancer.lab.sim.Streams;
+import loadbalancer.simulator.sim.Draws;
+import loadbalancer.simulator.sim.Simulation;
+import loadbalancer.simulator.sim.Streams;
 import loadbalancer.policy.Policy;
 import loadbalancer.policy.Policy.Outcome;
 
--- a/lab/src/main/java/loadbalancer/lab/wreck/Fault.java
+++ b/simulator/src/main/java/loadbalancer/simulator/wreck/Fault.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.wreck;
+package loadbalancer.simulator.wreck;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/lab/src/main/java/loadbalancer/lab/wreck/Lane.java
+++ b/simulator/src/main/java/loadbalancer/simulator/wreck/Lane.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.wreck;
+package loadbalancer.simulator.wreck;
 
 import java.io.ByteArrayOutputStream;
 import java.util.ArrayList;
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import loadbalancer.lab.wreck.Fault.What;
+import loadbalancer.simulator.wreck.Fault.What;
 
 /**
  * One direction of one connection under its faults: takes bytes, gives what is to be done with them, in order. What it
--- a/lab/src/test/java/loadbalancer/lab/LayersTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/LayersTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab;
+package loadbalancer.simulator;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
@@ -12,11 +12,11 @@
 class LayersTest {
     private static final JavaClasses LAB = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
-            .importPackages("loadbalancer.lab");
+            .importPackages("loadbalancer.simulator");
 
     @Test
     void packagesFormNoCycles() {
-        slices().matching("loadbalancer.lab.(*)..").should().beFreeOfCycles().check(LAB);
+        slices().matching("loadbalancer.simulator.(*)..").should().beFreeOfCycles().check(LAB);
     }
 
     @Test
--- a/lab/src/test/java/loadbalancer/lab/cli/FleetCommandTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/cli/FleetCommandTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.cli;
+package loadbalancer.simulator.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/lab/src/test/java/loadbalancer/lab/cli/LabTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/cli/LabTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.cli;
+package loadbalancer.simulator.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,9 +10,9 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.stream.Stream;
-import loadbalancer.lab.experiment.Experiment;
-import loadbalancer.lab.experiment.ExperimentReader;
-import loadbalancer.lab.experiment.Runner;
+import loadbalancer.simulator.experiment.Experiment;
+import loadbalancer.simulator.experiment.ExperimentReader;
+import loadbalancer.simulator.experiment.Runner;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
--- a/lab/src/test/java/loadbalancer/lab/experiment/ExperimentReaderTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/experiment/ExperimentReaderTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.experiment;
+package loadbalancer.simulator.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/lab/src/test/java/loadbalancer/lab/experiment/OverloadedFleetTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/experiment/OverloadedFleetTest.java
@@ -1,13 +1,13 @@
-package loadbalancer.lab.experiment;
+package loadbalancer.simulator.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.nio.file.Path;
-import loadbalancer.lab.judge.Day;
-import loadbalancer.lab.judge.Score;
-import loadbalancer.lab.variants.Variants;
+import loadbalancer.simulator.judge.Day;
+import loadbalancer.simulator.judge.Score;
+import loadbalancer.simulator.variants.Variants;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/lab/src/test/java/loadbalancer/lab/fleet/FleetReaderTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/fleet/FleetReaderTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.fleet;
+package loadbalancer.simulator.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
--- a/lab/src/test/java/loadbalancer/lab/hunt/HuntTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/hunt/HuntTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.hunt;
+package loadbalancer.simulator.hunt;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,11 +7,11 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import loadbalancer.lab.experiment.Experiment;
-import loadbalancer.lab.experiment.ExperimentReader;
-import loadbalancer.lab.judge.Day;
-import loadbalancer.lab.variants.Variants;
-import loadbalancer.lab.world.Worlds;
+import loadbalancer.simulator.experiment.Experiment;
+import loadbalancer.simulator.experiment.ExperimentReader;
+import loadbalancer.simulator.judge.Day;
+import loadbalancer.simulator.variants.Variants;
+import loadbalancer.simulator.world.Worlds;
 import loadbalancer.policy.Policy;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
--- a/lab/src/test/java/loadbalancer/lab/judge/JudgeTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/judge/JudgeTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.judge;
+package loadbalancer.simulator.judge;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import loadbalancer.lab.judge.Broken.Rule;
-import loadbalancer.lab.world.WorldPlan;
-import loadbalancer.lab.world.Worlds;
+import loadbalancer.simulator.judge.Broken.Rule;
+import loadbalancer.simulator.world.WorldPlan;
+import loadbalancer.simulator.world.Worlds;
 import loadbalancer.policy.Policy;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/lab/src/test/java/loadbalancer/lab/queue/TheoryTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/queue/TheoryTest.java
@@ -1,11 +1,11 @@
-package loadbalancer.lab.queue;
+package loadbalancer.simulator.queue;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.stream.IntStream;
-import loadbalancer.lab.stats.Interval;
+import loadbalancer.simulator.stats.Interval;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/lab/src/test/java/loadbalancer/lab/sim/SimulationTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/sim/SimulationTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.sim;
+package loadbalancer.simulator.sim;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/lab/src/test/java/loadbalancer/lab/sockets/LiveSiteTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/sockets/LiveSiteTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.sockets;
+package loadbalancer.simulator.sockets;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,8 +11,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.lab.world.WorldPlan;
-import loadbalancer.lab.world.Worlds;
+import loadbalancer.simulator.world.WorldPlan;
+import loadbalancer.simulator.world.Worlds;
 import loadbalancer.policy.Policy;
 import org.junit.jupiter.api.Test;
 
--- a/lab/src/test/java/loadbalancer/lab/sockets/WreckServerTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/sockets/WreckServerTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.sockets;
+package loadbalancer.simulator.sockets;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,7 +12,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import loadbalancer.lab.wreck.Fault;
+import loadbalancer.simulator.wreck.Fault;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Assumptions;
 import org.junit.jupiter.api.BeforeEach;
--- a/lab/src/test/java/loadbalancer/lab/world/HardCasesTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/world/HardCasesTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.world;
+package loadbalancer.simulator.world;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,11 +6,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import loadbalancer.lab.judge.Broken;
-import loadbalancer.lab.judge.Day;
-import loadbalancer.lab.policies.Choosers;
-import loadbalancer.lab.variants.FrontSpec;
-import loadbalancer.lab.variants.Variants;
+import loadbalancer.simulator.judge.Broken;
+import loadbalancer.simulator.judge.Day;
+import loadbalancer.simulator.policies.Choosers;
+import loadbalancer.simulator.variants.FrontSpec;
+import loadbalancer.simulator.variants.Variants;
 import loadbalancer.limits.ConcurrencyLimit;
 import loadbalancer.policy.Balance;
 import loadbalancer.policy.Policy;
--- a/lab/src/test/java/loadbalancer/lab/world/RandomWorldsTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/world/RandomWorldsTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.world;
+package loadbalancer.simulator.world;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,9 +6,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.lab.judge.Broken;
-import loadbalancer.lab.judge.Day;
-import loadbalancer.lab.variants.Variants;
+import loadbalancer.simulator.judge.Broken;
+import loadbalancer.simulator.judge.Day;
+import loadbalancer.simulator.variants.Variants;
 import loadbalancer.policy.Policy;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
--- a/lab/src/test/java/loadbalancer/lab/world/Worlds.java
+++ b/simulator/src/test/java/loadbalancer/simulator/world/Worlds.java
@@ -1,8 +1,8 @@
-package loadbalancer.lab.world;
+package loadbalancer.simulator.world;
 
 import java.util.List;
-import loadbalancer.lab.policies.Choosers;
-import loadbalancer.lab.variants.Variants;
+import loadbalancer.simulator.policies.Choosers;
+import loadbalancer.simulator.variants.Variants;
 import loadbalancer.policy.Policy;
 
 /** Small worlds for tests, without chance where it isn't wanted. */
--- a/lab/src/test/java/loadbalancer/lab/wreck/LaneTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/wreck/LaneTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.lab.wreck;
+package loadbalancer.simulator.wreck;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
