--- a/balancer/src/main/java/loadbalancer/net/Dispatcher.java
+++ b/balancer/src/main/java/loadbalancer/net/Dispatcher.java
@@ -16,6 +16,10 @@
 import loadbalancer.discovery.Holding;
 import loadbalancer.discovery.Targets;
 import loadbalancer.logs.Log;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.LoadReport;
+import loadbalancer.policy.LoadReporting;
 import loadbalancer.policy.Policy;
 import loadbalancer.settings.SettingsReader;
 
@@ -209,7 +213,7 @@
             // Where the module may not cancel: what has not begun to leave is not sent for nobody.
             for (Attempt a : x.attempts) {
                 if (!a.ended && a.call != null && a.call.waits()) {
-                    giveUp(a, Policy.Outcome.CANCELLED);
+                    giveUp(a, AttemptOutcome.CANCELLED);
                 }
             }
             forget(x);
@@ -255,7 +259,7 @@
         }
     }
 
-    private void ended(Attempt a, Policy.Outcome outcome, AnswerReader.Answer answer, Policy.Load load) {
+    private void ended(Attempt a, AttemptOutcome outcome, AnswerReader.Answer answer, LoadReport load) {
         if (a.ended) {
             return;
         }
@@ -266,7 +270,7 @@
         Exchange x = a.exchange;
         x.out--;
         long latency = Math.max(0, now() - Math.max(a.at, x.wholeAt));
-        if (outcome == Policy.Outcome.OK && !x.closed) {
+        if (outcome == AttemptOutcome.OK && !x.closed) {
             close(x);
             x.reply.serve(answer);
         }
@@ -275,15 +279,15 @@
     }
 
     // Before the request's last byte is written nothing can have run.
-    private void giveUp(Attempt a, Policy.Outcome ifWritten) {
+    private void giveUp(Attempt a, AttemptOutcome ifWritten) {
         if (!a.ended) {
             boolean written = a.call != null && a.call.giveUp();
-            ended(a, written ? ifWritten : Policy.Outcome.NOT_SENT, null, null);
+            ended(a, written ? ifWritten : AttemptOutcome.NOT_SENT, null, null);
         }
     }
 
     /** News of the list of upstreams; null: the call or the watch has failed. */
-    void listed(Policy.ListKind kind, Targets targets) {
+    void listed(EndpointListKind kind, Targets targets) {
         if (targets != null) {
             upstreams.listed(targets, now());
         }
@@ -395,13 +399,13 @@
             }
             a.call = upstreams.send(server, x.order, wait, (outcome, answer, load) -> ended(a, outcome, answer, load));
         } else {
-            ended(a, Policy.Outcome.NOT_SENT, null, null);
+            ended(a, AttemptOutcome.NOT_SENT, null, null);
         }
     }
 
     private void limit(Attempt a, long wait) {
         if (!a.ended) {
-            a.timer = loop.schedule(() -> giveUp(a, Policy.Outcome.TIMEOUT), wait, TimeUnit.MICROSECONDS);
+            a.timer = loop.schedule(() -> giveUp(a, AttemptOutcome.TIMEOUT), wait, TimeUnit.MICROSECONDS);
         }
     }
 
@@ -429,14 +433,14 @@
     public void cancel(String request, int attempt) {
         Exchange x = table.get(request);
         if (x != null && attempt < x.attempts.size()) {
-            giveUp(x.attempts.get(attempt), Policy.Outcome.CANCELLED);
+            giveUp(x.attempts.get(attempt), AttemptOutcome.CANCELLED);
         }
     }
 
     @Override
     public void probe(String server) {
         long sent = now();
-        boolean reports = boot.settings().reports() != Policy.Reports.NONE;
+        boolean reports = boot.settings().reports() != LoadReporting.NONE;
         upstreams.probe(
                 server,
                 reports,
--- a/balancer/src/main/java/loadbalancer/net/Gateway.java
+++ b/balancer/src/main/java/loadbalancer/net/Gateway.java
@@ -19,7 +19,7 @@
 import loadbalancer.logs.Log;
 import loadbalancer.operator.Operator;
 import loadbalancer.operator.PoolSpec;
-import loadbalancer.policy.Policy;
+import loadbalancer.policy.RequestClass;
 import loadbalancer.routes.PathTemplate;
 import loadbalancer.routes.Route;
 import loadbalancer.settings.SettingsReader;
@@ -129,11 +129,9 @@
     }
 
     private void rank() {
-        List<Policy.RequestClass> classes = boot.settings().classes();
-        double least =
-                classes.stream().mapToDouble(Policy.RequestClass::worth).min().orElse(0);
-        double most =
-                classes.stream().mapToDouble(Policy.RequestClass::worth).max().orElse(0);
+        List<RequestClass> classes = boot.settings().classes();
+        double least = classes.stream().mapToDouble(RequestClass::worth).min().orElse(0);
+        double most = classes.stream().mapToDouble(RequestClass::worth).max().orElse(0);
         ranks = classes.stream()
                 .mapToDouble(c -> most > least ? (c.worth() - least) / (most - least) : 1)
                 .toArray();
--- a/balancer/src/main/java/loadbalancer/net/Node.java
+++ b/balancer/src/main/java/loadbalancer/net/Node.java
@@ -33,7 +33,11 @@
 import loadbalancer.logs.Provider;
 import loadbalancer.operator.Operator;
 import loadbalancer.policy.Balance;
+import loadbalancer.policy.DiscoveryMode;
+import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.EndpointState;
 import loadbalancer.policy.Policy;
+import loadbalancer.policy.PolicySettings;
 import loadbalancer.settings.SettingsReader;
 import org.slf4j.LoggerFactory;
 
@@ -67,7 +71,7 @@
     private volatile Config config;
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final CountDownLatch readied = new CountDownLatch(1);
-    private final BiFunction<Policy.Settings, Long, Policy> module;
+    private final BiFunction<PolicySettings, Long, Policy> module;
     private Gateway gateway; // only where there is an operator file; the loop's
     private boolean hasList;
     private boolean patient = true; // a stop waits for clients
@@ -82,16 +86,11 @@
     record Platform(ServerSocketChannel listener, Path folder) {}
 
     /** A node that is ready without a rehearsal, where {@code rehearse} is false. */
-    Node(Config config, BiFunction<Policy.Settings, Long, Policy> module, boolean rehearse, Log log) {
+    Node(Config config, BiFunction<PolicySettings, Long, Policy> module, boolean rehearse, Log log) {
         this(config, new Platform(null, null), module, rehearse, log);
     }
 
-    Node(
-            Config config,
-            Platform platform,
-            BiFunction<Policy.Settings, Long, Policy> module,
-            boolean rehearse,
-            Log log) {
+    Node(Config config, Platform platform, BiFunction<PolicySettings, Long, Policy> module, boolean rehearse, Log log) {
         this.platform = platform;
         this.rehearsed = !rehearse;
         this.config = config;
@@ -185,7 +184,7 @@
                 if (gateway != null && state.get("pools") instanceof Map<?, ?> pools) {
                     gateway.inherit(pools);
                 }
-                hasList |= site.list().list().stream().anyMatch(t -> t.server().state() == Policy.State.UP);
+                hasList |= site.list().list().stream().anyMatch(t -> t.server().state() == EndpointState.UP);
                 log.accept("took over from the process before: "
                         + site.list().list().size() + " upstreams, "
                         + site.out().size() + " out");
@@ -356,11 +355,11 @@
     // would go to upstreams that have left. An agent that is down is not waited for without end. Long before that the
     // process is ready: what comes meanwhile waits in the module, or is refused in time, as where no upstream is free.
     private void begin() {
-        if (config.boot().settings().discovery() == Policy.Discovery.ASK) {
-            listed(Policy.ListKind.PERSISTED, config.known());
+        if (config.boot().settings().discovery() == DiscoveryMode.ASK) {
+            listed(EndpointListKind.PERSISTED, config.known());
             return;
         }
-        membership.listed(Policy.ListKind.PERSISTED, new Targets(config.known().rev(), true, List.of()));
+        membership.listed(EndpointListKind.PERSISTED, new Targets(config.known().rev(), true, List.of()));
         membership.hold(config.known());
         loop.schedule(
                 () -> {
@@ -503,9 +502,9 @@
     }
 
     // Ready once an upstream may be sent to: what was known from before will do until discovery answers.
-    void listed(Policy.ListKind kind, Targets targets) {
+    void listed(EndpointListKind kind, Targets targets) {
         membership.listed(kind, targets);
-        boolean usable = kind == Policy.ListKind.COMPLETE || targets != null && membership.anyUp();
+        boolean usable = kind == EndpointListKind.COMPLETE || targets != null && membership.anyUp();
         if (usable) {
             hasList = true;
             readyIfSo();
--- a/balancer/src/main/java/loadbalancer/net/Pool.java
+++ b/balancer/src/main/java/loadbalancer/net/Pool.java
@@ -15,8 +15,13 @@
 import loadbalancer.drain.TakenOut;
 import loadbalancer.logs.Log;
 import loadbalancer.operator.PoolSpec;
+import loadbalancer.policy.DiscoveryMode;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.EndpointState;
 import loadbalancer.policy.Policy;
-import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.policy.PolicySettings;
+import loadbalancer.policy.SiteLimits;
 import loadbalancer.settings.SettingsReader;
 
 /** One pool beside the platform's: a module of its own with its list, its connections and its budgets. */
@@ -24,7 +29,7 @@
     /** What all pools of a process share. */
     record Ground(
             EventLoop loop,
-            BiFunction<Policy.Settings, Long, Policy> module,
+            BiFunction<PolicySettings, Long, Policy> module,
             long seed,
             int upstreams,
             Budget connections,
@@ -72,9 +77,9 @@
 
     /** Begins to learn its list; on the loop's thread. */
     void start() {
-        membership.listed(ListKind.PERSISTED, discovery == null ? fixed() : new Targets(0, true, List.of()));
+        membership.listed(EndpointListKind.PERSISTED, discovery == null ? fixed() : new Targets(0, true, List.of()));
         if (discovery == null) {
-            membership.listed(ListKind.COMPLETE, fixed());
+            membership.listed(EndpointListKind.COMPLETE, fixed());
         } else {
             discovery.start();
         }
@@ -85,8 +90,8 @@
         for (InetSocketAddress a : spec.upstreams()) {
             String id = spec.name() + "/" + a.getAddress().getHostAddress() + ":" + a.getPort();
             list.add(new Targets.Target(
-                    new Policy.Server(
-                            id, Policy.State.UP, 0, 1, -1, -1, boot.settings().zone()),
+                    new Endpoint(
+                            id, EndpointState.UP, 0, 1, -1, -1, boot.settings().zone()),
                     a));
         }
         return new Targets(0, true, list);
@@ -94,17 +99,17 @@
 
     // The platform's settings with what the pool's own say; a list in the file is never asked for.
     private static SettingsReader.Boot boot(SettingsReader.Boot site, PoolSpec spec) {
-        Policy.Settings s = site.settings();
-        Policy.Limits l = s.limits();
+        PolicySettings s = site.settings();
+        SiteLimits l = s.limits();
         PoolSpec.Overrides o = spec.settings();
-        Policy.Limits limits = new Policy.Limits(
+        SiteLimits limits = new SiteLimits(
                 o.maxAttempts() == null ? l.maxAttempts() : o.maxAttempts(),
                 l.mayDuplicate(),
                 l.mayCancel(),
                 o.probes() == null ? l.mayProbe() : o.probes(),
                 o.connectTimeout() == null ? l.connectTimeout() : o.connectTimeout(),
                 l.retryAfterMax());
-        Policy.Settings own = new Policy.Settings(
+        PolicySettings own = new PolicySettings(
                 s.balancers(),
                 s.rank(),
                 s.zone(),
@@ -114,7 +119,7 @@
                 s.goal(),
                 s.prices(),
                 s.worthByWork(),
-                spec.discovery() == null ? Policy.Discovery.PUSH : s.discovery(),
+                spec.discovery() == null ? DiscoveryMode.PUSH : s.discovery(),
                 s.reports(),
                 s.warmKeys(),
                 limits,
@@ -153,7 +158,7 @@
         if (discovery != null) {
             discovery.moveTo(next.discovery());
         } else if (!before.sameSource(next)) {
-            membership.listed(ListKind.COMPLETE, fixed());
+            membership.listed(EndpointListKind.COMPLETE, fixed());
         }
     }
 
--- a/balancer/src/main/java/loadbalancer/net/Rehearsal.java
+++ b/balancer/src/main/java/loadbalancer/net/Rehearsal.java
@@ -12,6 +12,10 @@
 import java.util.concurrent.TimeUnit;
 import loadbalancer.discovery.Targets;
 import loadbalancer.policy.Balance;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.EndpointState;
+import loadbalancer.policy.Idempotency;
 import loadbalancer.policy.Policy;
 import loadbalancer.settings.SettingsReader;
 
@@ -83,9 +87,9 @@
     void start(InetSocketAddress self) {
         List<Targets.Target> targets = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
-            Policy.Server server = new Policy.Server(
+            Endpoint server = new Endpoint(
                     "rehearsal-" + i,
-                    Policy.State.UP,
+                    EndpointState.UP,
                     0,
                     1,
                     0,
@@ -95,7 +99,7 @@
         }
         Targets all = new Targets(0, true, targets);
         front.listed(all, dispatcher.now());
-        dispatcher.listed(Policy.ListKind.PERSISTED, all);
+        dispatcher.listed(EndpointListKind.PERSISTED, all);
         loop.schedule(this::end, MOST_MS, TimeUnit.MILLISECONDS);
         for (int i = 0; i < AT_ONCE; i++) {
             next();
@@ -113,17 +117,17 @@
             return;
         }
         int number = begun++ % boot.classes().size();
-        Policy.Effect effect = boot.settings().classes().get(number).effect();
+        Idempotency effect = boot.settings().classes().get(number).effect();
         HttpHeaders headers = new DefaultHttpHeaders()
                 .set(TOKEN, token)
                 .set("Req-Id", "rehearsal-" + begun)
                 .set("Req-Kind", boot.classes().get(number))
                 .set("Req-Cost", Integer.toString(begun));
-        if (effect == Policy.Effect.KEYED) {
+        if (effect == Idempotency.KEYED) {
             headers.set("Idempotency-Key", "rehearsal-" + begun);
         }
-        HttpMethod method = effect == Policy.Effect.SAFE ? HttpMethod.GET : HttpMethod.POST;
-        byte[] body = new byte[effect == Policy.Effect.SAFE ? 0 : 200];
+        HttpMethod method = effect == Idempotency.SAFE ? HttpMethod.GET : HttpMethod.POST;
+        byte[] body = new byte[effect == Idempotency.SAFE ? 0 : 200];
         Order order =
                 new Order("rehearsal-" + begun, method, PATH, headers, body, null, number, 0, null, WAIT, -1, false);
         front.send("rehearsal-0", order, WAIT, (outcome, answer, load) -> {
--- a/balancer/src/main/java/loadbalancer/net/RequestRules.java
+++ b/balancer/src/main/java/loadbalancer/net/RequestRules.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Stream;
-import loadbalancer.policy.Policy;
+import loadbalancer.policy.Idempotency;
 import loadbalancer.settings.SettingsReader;
 
 /** What a request must be like to be taken, and what goes on of it. */
@@ -97,11 +97,11 @@
         if (number < 0) {
             throw new IllegalArgumentException("unknown Req-Kind");
         }
-        Policy.Effect effect = boot.settings().classes().get(number).effect();
-        HttpMethod method = effect == Policy.Effect.SAFE ? HttpMethod.GET : HttpMethod.POST;
+        Idempotency effect = boot.settings().classes().get(number).effect();
+        HttpMethod method = effect == Idempotency.SAFE ? HttpMethod.GET : HttpMethod.POST;
         String repeat = headers.get("Idempotency-Key");
         if (!request.method().equals(method)
-                || (repeat != null) != (effect == Policy.Effect.KEYED)
+                || (repeat != null) != (effect == Idempotency.KEYED)
                 || repeat != null && !named(repeat)) {
             throw new IllegalArgumentException("method or Idempotency-Key contradicts the Req-Kind");
         }
--- a/balancer/src/main/java/loadbalancer/net/Upstreams.java
+++ b/balancer/src/main/java/loadbalancer/net/Upstreams.java
@@ -37,10 +37,11 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
 import loadbalancer.discovery.Targets;
-import loadbalancer.policy.Policy;
-import loadbalancer.policy.Policy.Outcome;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.EndpointState;
+import loadbalancer.policy.LoadReport;
 import loadbalancer.settings.SettingsReader;
-import loadbalancer.wire.LoadReport;
+import loadbalancer.wire.LoadReportParser;
 
 /** The connections to the upstreams, one request at a time on each, and what becomes of each request. */
 final class Upstreams {
@@ -52,7 +53,7 @@
 
     /** How a request to an upstream ended; {@code answer} is null where none came. */
     interface Listener {
-        void ended(Outcome outcome, AnswerReader.Answer answer, Policy.Load load);
+        void ended(AttemptOutcome outcome, AnswerReader.Answer answer, LoadReport load);
     }
 
     private static final class Upstream {
@@ -136,7 +137,7 @@
                 closeIdle(u);
                 u.endpoint = t.endpoint();
             }
-            if (t.server().state() == Policy.State.UP) {
+            if (t.server().state() == EndpointState.UP) {
                 u.stopAt = Long.MAX_VALUE;
             } else {
                 stop(u, now);
@@ -179,7 +180,7 @@
         call.timer = loop.schedule(
                 () -> {
                     boolean asked = call.giveUp();
-                    listener.ended(asked ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED, null, null);
+                    listener.ended(asked ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED, null, null);
                 },
                 connectMillis(),
                 TimeUnit.MILLISECONDS);
@@ -189,7 +190,7 @@
     private Call start(String server, Call call) {
         Upstream u = upstreams.get(server);
         if (u == null || u.endpoint == null || clock.getAsLong() >= u.stopAt) {
-            call.end(Outcome.NOT_SENT, null, null);
+            call.end(AttemptOutcome.NOT_SENT, null, null);
             return call;
         }
         Connection ready = idle(u);
@@ -227,7 +228,7 @@
 
     private void dial(Upstream u, Call call) {
         if (descriptors.full() && !shed.getAsBoolean()) {
-            call.end(Outcome.CONNECT_FAILED, null, null);
+            call.end(AttemptOutcome.CONNECT_FAILED, null, null);
             return;
         }
         Connection connection = new Connection(u);
@@ -253,13 +254,13 @@
         if (!connection.channel.isRegistered()) {
             // The system has no descriptor left, whatever is counted here. It has no loop to tell of its end.
             descriptors.closed();
-            call.end(Outcome.CONNECT_FAILED, null, null);
+            call.end(AttemptOutcome.CONNECT_FAILED, null, null);
             return;
         }
         connection.channel.closeFuture().addListener(closed -> connection.closed());
         connected.addListener(done -> {
             if (!done.isSuccess()) {
-                connection.finish(Outcome.CONNECT_FAILED, null, null);
+                connection.finish(AttemptOutcome.CONNECT_FAILED, null, null);
                 connection.channel.close();
             } else {
                 connection.begin();
@@ -362,7 +363,7 @@
             return mayHaveRun;
         }
 
-        private void end(Outcome outcome, AnswerReader.Answer answer, Policy.Load load) {
+        private void end(AttemptOutcome outcome, AnswerReader.Answer answer, LoadReport load) {
             if (timer != null) {
                 timer.cancel(false);
             }
@@ -441,7 +442,7 @@
                 rest(); // it was given up meanwhile: the handshake is paid for
             } else if (clock.getAsLong() >= upstream.stopAt) {
                 // Rule 3: the list changed while it waited.
-                finish(Outcome.NOT_SENT, null, null);
+                finish(AttemptOutcome.NOT_SENT, null, null);
                 close();
             } else {
                 write(call);
@@ -466,7 +467,7 @@
             if (call == sent) {
                 written = whole;
                 if (!whole) {
-                    finish(Outcome.CONNECT_FAILED, null, null);
+                    finish(AttemptOutcome.CONNECT_FAILED, null, null);
                     close();
                 }
             }
@@ -543,7 +544,7 @@
             }
         }
 
-        void finish(Outcome outcome, AnswerReader.Answer answer, Policy.Load load) {
+        void finish(AttemptOutcome outcome, AnswerReader.Answer answer, LoadReport load) {
             Call ending = call;
             call = null;
             if (ending != null) {
@@ -572,7 +573,7 @@
             if (report == null && answered.waitMillis == 0) {
                 report = new String(answer.body(), StandardCharsets.UTF_8); // of a probe
             }
-            answered.end(classify(answer), answer, LoadReport.parse(report));
+            answered.end(classify(answer), answer, LoadReportParser.parse(report));
         }
 
         @Override
@@ -591,9 +592,9 @@
             }
             if (answered != null) {
                 answered.end(
-                        written ? Outcome.OK : Outcome.RESET,
+                        written ? AttemptOutcome.OK : AttemptOutcome.RESET,
                         written ? answer : null,
-                        LoadReport.parse(answer.headers().get("Srv-Load")));
+                        LoadReportParser.parse(answer.headers().get("Srv-Load")));
             }
         }
 
@@ -635,17 +636,17 @@
                 dial(upstream, waiting);
                 return;
             }
-            finish(written ? Outcome.RESET : Outcome.CONNECT_FAILED, null, null);
+            finish(written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED, null, null);
         }
     }
 
     // Turned away unseen only where the upstream says so itself; any other failure may have run.
-    private static Outcome classify(AnswerReader.Answer answer) {
+    private static AttemptOutcome classify(AnswerReader.Answer answer) {
         int status = answer.status();
         if (status == 200) {
-            return Outcome.OK;
+            return AttemptOutcome.OK;
         }
         boolean declined = "1".equals(answer.headers().get("Srv-Declined"));
-        return declined && (status == 503 || status == 504) ? Outcome.FULL : Outcome.ERROR;
+        return declined && (status == 503 || status == 504) ? AttemptOutcome.FULL : AttemptOutcome.ERROR;
     }
 }
--- a/balancer/src/main/java/loadbalancer/wire/Adapter.java
+++ b/balancer/src/main/java/loadbalancer/wire/Adapter.java
@@ -9,7 +9,13 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.EndpointState;
+import loadbalancer.policy.LoadReport;
 import loadbalancer.policy.Policy;
+import loadbalancer.policy.PolicySettings;
 import loadbalancer.settings.SettingsReader;
 
 /** Hosts many instances of the module and translates between them and the wire. It decides nothing. */
@@ -19,7 +25,7 @@
 
     /** Makes the module of a new instance. */
     public interface Factory {
-        Policy make(Policy.Settings settings, long seed);
+        Policy make(PolicySettings settings, long seed);
     }
 
     private record Instance(String name, Policy policy, SettingsReader.Boot boot) {}
@@ -28,7 +34,7 @@
     private final BufferedReader in;
     private final OutputStream out;
     private final Map<String, Instance> instances = new HashMap<>();
-    private final List<List<Policy.Server>> buffers = new ArrayList<>();
+    private final List<List<Endpoint>> buffers = new ArrayList<>();
     private long line;
 
     /** Reads batches from {@code in} and writes replies to {@code out}; {@code factory} makes the modules. */
@@ -120,17 +126,17 @@
         switch (f.name()) {
             case "SYNC" -> {
                 f.expect("How", "SeqNo", "Buffer");
-                Policy.ListKind kind =
+                EndpointListKind kind =
                         switch (f.text(1, "How")) {
-                            case "Persisted" -> Policy.ListKind.PERSISTED;
-                            case "Complete" -> Policy.ListKind.COMPLETE;
-                            case "Partial" -> Policy.ListKind.PARTIAL;
-                            case "Error" -> Policy.ListKind.FAILED;
+                            case "Persisted" -> EndpointListKind.PERSISTED;
+                            case "Complete" -> EndpointListKind.COMPLETE;
+                            case "Partial" -> EndpointListKind.PARTIAL;
+                            case "Error" -> EndpointListKind.FAILED;
                             default -> throw f.bad("How", "unknown word: '" + f.raw(1, "How") + "'");
                         };
                 f.number(2, "SeqNo", 0);
-                List<Policy.Server> list = List.of();
-                if (kind != Policy.ListKind.FAILED) {
+                List<Endpoint> list = List.of();
+                if (kind != EndpointListKind.FAILED) {
                     list = buffers.get(f.index(3, "Buffer", BUFFERS));
                     if (list == null) {
                         throw f.bad("Buffer", "no LIST has that number: " + f.raw(3, "Buffer"));
@@ -140,7 +146,7 @@
             }
             case "INBOUND" -> {
                 f.expect("Req", "Priority", "Account", "NameKey", "Ttl", "Hint", "Options");
-                Policy.Settings settings = instance.boot.settings();
+                PolicySettings settings = instance.boot.settings();
                 long options = f.number(7, "Options", 0);
                 policy.request(
                         now,
@@ -198,7 +204,7 @@
     private void readList(Frame head) throws IOException {
         int number = head.expect("Buffer", "Entries").index(1, "Buffer", BUFFERS);
         int size = head.index(2, "Entries", Integer.MAX_VALUE);
-        List<Policy.Server> list = new ArrayList<>();
+        List<Endpoint> list = new ArrayList<>();
         for (int i = 0; i < size; i++) {
             Frame f = next();
             if (f == null || !f.name().equals("ITEM")) {
@@ -206,14 +212,14 @@
                         "line " + line + ": LIST: field Entries: " + size + " ITEM lines announced, " + i + " found");
             }
             f.expect("StartTime", "Upstream", "StageState", "Heft", "Group", "GenerationHw", "Locality");
-            Policy.State state =
+            EndpointState state =
                     switch (f.text(3, "StageState")) {
-                        case "U" -> Policy.State.UP;
-                        case "L" -> Policy.State.DRAINING;
-                        case "D" -> Policy.State.GONE;
+                        case "U" -> EndpointState.UP;
+                        case "L" -> EndpointState.DRAINING;
+                        case "D" -> EndpointState.GONE;
                         default -> throw f.bad("StageState", "unknown word: '" + f.raw(3, "StageState") + "'");
                     };
-            list.add(new Policy.Server(
+            list.add(new Endpoint(
                     f.text(2, "Upstream"),
                     state,
                     f.number(1, "StartTime", 0),
@@ -225,21 +231,21 @@
         buffers.set(number, List.copyOf(list));
     }
 
-    private static Policy.Outcome outcome(Frame f, int at) {
+    private static AttemptOutcome outcome(Frame f, int at) {
         return switch (f.text(at, "Rc")) {
-            case "200" -> Policy.Outcome.OK;
-            case "502" -> Policy.Outcome.ERROR;
-            case "429" -> Policy.Outcome.FULL;
-            case "408" -> Policy.Outcome.TIMEOUT;
-            case "521" -> Policy.Outcome.CONNECT_FAILED;
-            case "520" -> Policy.Outcome.RESET;
-            case "444" -> Policy.Outcome.CANCELLED;
-            case "409" -> Policy.Outcome.NOT_SENT;
+            case "200" -> AttemptOutcome.OK;
+            case "502" -> AttemptOutcome.ERROR;
+            case "429" -> AttemptOutcome.FULL;
+            case "408" -> AttemptOutcome.TIMEOUT;
+            case "521" -> AttemptOutcome.CONNECT_FAILED;
+            case "520" -> AttemptOutcome.RESET;
+            case "444" -> AttemptOutcome.CANCELLED;
+            case "409" -> AttemptOutcome.NOT_SENT;
             default -> throw f.bad("Rc", "unknown code: '" + f.raw(at, "Rc") + "'");
         };
     }
 
-    private static Policy.Load load(Frame f, int at, Instance instance) {
+    private static LoadReport load(Frame f, int at, Instance instance) {
         if (f.absent(at, "Usage")) {
             return null;
         }
@@ -248,14 +254,14 @@
         if (values.length < names.size()) {
             throw f.bad("Usage", names.size() + " values expected, " + values.length + " found");
         }
-        double[] known = LoadReport.unknown();
+        double[] known = LoadReportParser.unknown();
         for (int i = 0; i < names.size(); i++) {
-            int slot = LoadReport.slot(names.get(i));
+            int slot = LoadReportParser.slot(names.get(i));
             if (slot >= 0 && !values[i].equals("-")) {
                 known[slot] = f.decimal(values[i], "Usage");
             }
         }
-        return LoadReport.of(known);
+        return LoadReportParser.of(known);
     }
 
     private static String clean(String text) {
--- a/balancer/src/main/java/loadbalancer/wire/LoadReport.java
+++ b/balancer/src/main/java/loadbalancer/wire/LoadReportParser.java
@@ -2,17 +2,17 @@
 
 import java.util.Arrays;
 import java.util.List;
-import loadbalancer.policy.Policy;
+import loadbalancer.policy.LoadReport;
 
 /** The values of a server's load report, under the names of the wire and of the protocol on sockets. */
-public final class LoadReport {
+public final class LoadReportParser {
     private static final List<String> WIRE =
             List.of("outstanding", "backlog", "utilization", "recent_ms", "throughput", "errors_per_s");
     private static final List<String> SOCKET = List.of("inflight", "queue", "util", "latency_ms", "qps", "eps");
 
     private static final double VALUE_MOST = 1e9;
 
-    private LoadReport() {}
+    private LoadReportParser() {}
 
     static double[] unknown() {
         double[] values = new double[WIRE.size()];
@@ -26,8 +26,8 @@
         return slot >= 0 ? slot : SOCKET.indexOf(name);
     }
 
-    static Policy.Load of(double[] values) {
-        return new Policy.Load(values[0], values[1], values[2], values[3] * 1000, values[4], values[5]);
+    static LoadReport of(double[] values) {
+        return new LoadReport(values[0], values[1], values[2], values[3] * 1000, values[4], values[5]);
     }
 
     /**
@@ -35,7 +35,7 @@
      *
      * @return null where there is no report, or none of its values is known
      */
-    public static Policy.Load parse(String text) {
+    public static LoadReport parse(String text) {
         if (text == null) {
             return null;
         }
--- a/balancer/src/test/java/loadbalancer/MainTest.java
+++ b/balancer/src/test/java/loadbalancer/MainTest.java
@@ -143,7 +143,8 @@
             Files.writeString(config, Files.readString(config).replace("127.0.0.1:9\"", "127.0.0.1:7\""));
             hangup(process);
             assertEquals(
-                    "load-balancer: configuration taken over: discovery at 127.0.0.1:7", nextWith("configuration", err));
+                    "load-balancer: configuration taken over: discovery at 127.0.0.1:7",
+                    nextWith("configuration", err));
             Files.writeString(config, "{");
             hangup(process);
             String line = nextWith("configuration", err);
@@ -172,7 +173,8 @@
             process.onExit().thenRun(() -> drainTo(file));
             Files.writeString(file, text.replace("127.0.0.1:9\"", "127.0.0.1:7\""));
             assertEquals(
-                    "load-balancer: configuration taken over: discovery at 127.0.0.1:7", nextWith("configuration", err));
+                    "load-balancer: configuration taken over: discovery at 127.0.0.1:7",
+                    nextWith("configuration", err));
             process.destroy();
             assertEquals(0, process.waitFor());
         }
@@ -225,7 +227,8 @@
             Files.writeString(config, Files.readString(config).replace("127.0.0.1:9\"", "127.0.0.1:7\""));
             hangup(process);
             assertEquals(
-                    "load-balancer: configuration taken over: discovery at 127.0.0.1:7", nextWith("configuration", err));
+                    "load-balancer: configuration taken over: discovery at 127.0.0.1:7",
+                    nextWith("configuration", err));
             process.destroy();
             assertEquals(0, process.waitFor());
         }
--- a/balancer/src/test/java/loadbalancer/net/NodeFixture.java
+++ b/balancer/src/test/java/loadbalancer/net/NodeFixture.java
@@ -18,7 +18,12 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.LoadReport;
 import loadbalancer.policy.Policy;
+import loadbalancer.policy.PolicySettings;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
@@ -39,7 +44,7 @@
         volatile Policy.Actions actions;
 
         @Override
-        public void servers(long now, ListKind kind, List<Server> servers, Actions out) {
+        public void servers(long now, EndpointListKind kind, List<Endpoint> servers, Actions out) {
             actions = out;
             servers.forEach(s -> startedAt.put(s.id(), s.startedAt()));
             told.add(kind + " "
@@ -71,14 +76,14 @@
                 long now,
                 String request,
                 int attempt,
-                Outcome outcome,
+                AttemptOutcome outcome,
                 long latency,
                 boolean closed,
-                Load load,
+                LoadReport load,
                 Actions out) {
             told.add(outcome + (load == null ? "" : " " + load.inFlight()) + (closed ? " closed" : ""));
             onOutcome.run();
-            if (!closed && again && outcome == Outcome.FULL) {
+            if (!closed && again && outcome == AttemptOutcome.FULL) {
                 out.send(request, server, timeout);
             } else if (!closed) {
                 out.fail(request);
@@ -97,12 +102,13 @@
         }
 
         @Override
-        public void probed(long now, String server, Outcome outcome, long latency, Load load, Actions out) {
+        public void probed(
+                long now, String server, AttemptOutcome outcome, long latency, LoadReport load, Actions out) {
             told.add("probed " + outcome + " " + (load == null ? "-" : load.inFlight()));
         }
 
         @Override
-        public void reconfigure(long now, Settings settings, int[] classes, int[] tenants) {
+        public void reconfigure(long now, PolicySettings settings, int[] classes, int[] tenants) {
             told.add("reconfigured " + Arrays.toString(classes) + " " + Arrays.toString(tenants));
         }
 
--- a/balancer/src/test/java/loadbalancer/net/OperatorsTest.java
+++ b/balancer/src/test/java/loadbalancer/net/OperatorsTest.java
@@ -17,7 +17,7 @@
 import java.util.List;
 import java.util.Map;
 import loadbalancer.discovery.Targets;
-import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.policy.EndpointListKind;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -79,7 +79,7 @@
         Targets again = Targets.of(
                 JSON.std.anyFrom(list(42, true, "in_service")),
                 config(1024, settings(), 0).boot());
-        onLoop(() -> node.listed(ListKind.COMPLETE, again));
+        onLoop(() -> node.listed(EndpointListKind.COMPLETE, again));
         assertEquals("COMPLETE [s1=DRAINING]", module.next());
         long before = System.currentTimeMillis() * 1000;
         call("set-up s1\n");
@@ -87,7 +87,7 @@
         // The node's clock is monotonic and set once, by a clock of whole milliseconds: a second to spare.
         assertTrue(module.startedAt.get("s1") >= before - 1_000_000);
         long back = module.startedAt.get("s1");
-        onLoop(() -> node.listed(ListKind.COMPLETE, again));
+        onLoop(() -> node.listed(EndpointListKind.COMPLETE, again));
         assertEquals("COMPLETE [s1=UP]", module.next());
         assertEquals(back, module.startedAt.get("s1")); // the same start: it is not cold a second time
         call("set-up s1\n");
@@ -101,7 +101,7 @@
         Targets gone = Targets.of(
                 JSON.std.anyFrom("{\"rev\":42,\"all\":true,\"targets\":[]}"),
                 config(1024, settings(), 0).boot());
-        onLoop(() -> node.listed(ListKind.COMPLETE, gone));
+        onLoop(() -> node.listed(EndpointListKind.COMPLETE, gone));
         assertTrue(call("set-down s1\n").startsWith("ACK "));
         assertTrue(call("set-up s1\n").startsWith("ACK "));
         assertTrue(call("set-up s1\n").startsWith("NAK ")); // nobody has it any more
--- a/core/src/main/java/loadbalancer/policy/Balance.java
+++ b/core/src/main/java/loadbalancer/policy/Balance.java
@@ -77,7 +77,7 @@
     private static final Comparator<Node> BY_ACCOMPLISHMENT =
             Comparator.<Node>comparingDouble(n -> -n.count).thenComparingInt(n -> n.order);
 
-    private Settings settings;
+    private PolicySettings settings;
     private final SplittableRandom random;
     private final SplittableRandom advice; // apart, so that no choice hangs on a refusal
     private long tick;
@@ -121,7 +121,7 @@
     private final AskSchedule asking;
     private long remarkAt;
 
-    public Balance(Settings settings, long seed) {
+    public Balance(PolicySettings settings, long seed) {
         this.random = new SplittableRandom(seed);
         this.advice = new SplittableRandom(~seed);
         this.asking = new AskSchedule(random);
@@ -139,11 +139,11 @@
         }
     }
 
-    private void configure(Settings next) {
+    private void configure(PolicySettings next) {
         settings = next;
         shortestAim =
                 settings.classes().stream().mapToLong(RequestClass::aim).min().getAsLong();
-        anySafe = settings.classes().stream().anyMatch(c -> c.effect() == Effect.SAFE);
+        anySafe = settings.classes().stream().anyMatch(c -> c.effect() == Idempotency.SAFE);
         home = (long) ((settings.rank() + 0.5) / settings.balancers() * 0x1p64 - 0x1p63);
         tiers = settings.classes().stream()
                 .flatMapToDouble(c -> DoubleStream.of(value(c, false), value(c, true)))
@@ -168,7 +168,7 @@
     // Figures of classes move to their new numbers. One that has been dropped keeps a place behind the others
     // while requests of it are open.
     @Override
-    public void reconfigure(long now, Settings next, int[] formerClasses, int[] formerTenants) {
+    public void reconfigure(long now, PolicySettings next, int[] formerClasses, int[] formerTenants) {
         configure(next);
         int classes = formerClasses.length;
         int[] to = new int[usual.length];
@@ -365,7 +365,8 @@
     // Guards against a server that fails fast or has fallen silent: it would win every queue comparison.
     // One on trial gets one attempt at a time, and none that could not be repeated where others can be.
     private boolean healthy(Node n, Request r, long now) {
-        return !looksBad(n, now) && (n.trial == 0 || n.inFlight == 0 && (r.kind.effect() == Effect.SAFE || !anySafe));
+        return !looksBad(n, now)
+                && (n.trial == 0 || n.inFlight == 0 && (r.kind.effect() == Idempotency.SAFE || !anySafe));
     }
 
     private boolean looksBad(Node n, long now) {
@@ -394,7 +395,7 @@
     }
 
     // Rule 6: a class may be bound to zones and kinds of machine, at every attempt.
-    private static boolean permitted(RequestClass kind, Server s) {
+    private static boolean permitted(RequestClass kind, Endpoint s) {
         return (kind.zones().isEmpty() || kind.zones().contains(s.zone()))
                 && (kind.machineKinds().isEmpty() || kind.machineKinds().contains(s.kind()));
     }
@@ -406,10 +407,10 @@
 
     // Rule 2: a request that may have run goes again only where its class allows.
     private static boolean mayRunOn(Request r, Attempt first, Node n, long now, long tick) {
-        if (first == null || r.kind.effect() == Effect.SAFE) {
+        if (first == null || r.kind.effect() == Idempotency.SAFE) {
             return true;
         }
-        if (r.kind.effect() == Effect.UNSAFE || now - first.at >= r.kind.keyMemory() - tick) {
+        if (r.kind.effect() == Idempotency.UNSAFE || now - first.at >= r.kind.keyMemory() - tick) {
             return false;
         }
         return switch (r.kind.scope()) {
@@ -449,7 +450,7 @@
     }
 
     private double warmth(Node n, long now) {
-        Bounds b = settings.bounds();
+        SafetyBounds b = settings.bounds();
         long age = now - n.server.startedAt();
         if (n.server.startedAt() <= 0 || b.rampTime() <= 0 || age >= b.rampTime()) {
             return 1;
@@ -645,7 +646,7 @@
     // Guards against a server that has just come or was put back and that the draw leaves out: where the
     // traffic is thin, the ranking may not find it for long. It gets one request that may be repeated.
     private Node untried(Request r, long now) {
-        if (r.kind.effect() != Effect.SAFE && anySafe) {
+        if (r.kind.effect() != Idempotency.SAFE && anySafe) {
             return null;
         }
         for (Node n : listed) {
@@ -675,7 +676,7 @@
     // tenth of the worth of every day on which anything was slow.
     private static long timeout(Request r, long now) {
         boolean cut = !r.kind.streamed()
-                && r.kind.effect() != Effect.SAFE
+                && r.kind.effect() != Idempotency.SAFE
                 && r.kind.lateShare() < LATE_WORTH
                 && r.aimAt > now;
         return cut ? r.aimAt - now : 0;
@@ -711,8 +712,8 @@
     private void end(Request r, Actions out) {
         r.closed = true;
         boolean harmless = firstThatMayHaveRun(r) == null
-                || r.kind.effect() == Effect.SAFE
-                || r.kind.effect() == Effect.KEYED && r.kind.scope() == Scope.ALL;
+                || r.kind.effect() == Idempotency.SAFE
+                || r.kind.effect() == Idempotency.KEYED && r.kind.scope() == KeyScope.ALL;
         if (harmless) {
             out.refuse(r.id, comeBackAfter());
         } else {
@@ -740,7 +741,14 @@
 
     @Override
     public void outcome(
-            long now, String id, int attempt, Outcome outcome, long latency, boolean closed, Load load, Actions out) {
+            long now,
+            String id,
+            int attempt,
+            AttemptOutcome outcome,
+            long latency,
+            boolean closed,
+            LoadReport load,
+            Actions out) {
         Request r = open.get(id);
         if (r == null || attempt >= r.attempts.size() || !r.attempts.get(attempt).out) {
             return;
@@ -748,12 +756,12 @@
         Attempt a = r.attempts.get(attempt);
         a.out = false;
         a.mayHaveRun = !outcome.neverRan();
-        r.overloaded = outcome == Outcome.FULL || outcome == Outcome.TIMEOUT;
+        r.overloaded = outcome == AttemptOutcome.FULL || outcome == AttemptOutcome.TIMEOUT;
         turnedAway += outcome.neverRan() ? 1 : 0;
         r.out--;
         a.node.inFlight--;
         inFlight--;
-        if (r.turn != null && a.mayHaveRun && outcome != Outcome.OK && outcome != Outcome.ERROR) {
+        if (r.turn != null && a.mayHaveRun && outcome != AttemptOutcome.OK && outcome != AttemptOutcome.ERROR) {
             r.turn.restUntil =
                     Math.max(r.turn.restUntil, now + settings.bounds().orderPause());
         }
@@ -778,12 +786,12 @@
     }
 
     // After a failed attempt: another one, if the class, the deadline and the retry budget allow it.
-    private void again(Request r, Outcome outcome, long now, Actions out) {
-        boolean allowed = outcome.neverRan() || r.kind.effect() != Effect.UNSAFE && retryBudget >= 1;
+    private void again(Request r, AttemptOutcome outcome, long now, Actions out) {
+        boolean allowed = outcome.neverRan() || r.kind.effect() != Idempotency.UNSAFE && retryBudget >= 1;
         if (!allowed
-                || outcome == Outcome.NOT_SENT
+                || outcome == AttemptOutcome.NOT_SENT
                 || r.attempts.size() >= r.attemptsMost
-                || now >= (r.kind.effect() == Effect.SAFE ? r.deadline : r.aimAt) - tick) {
+                || now >= (r.kind.effect() == Idempotency.SAFE ? r.deadline : r.aimAt) - tick) {
             finish(r, out);
             return;
         }
@@ -803,7 +811,7 @@
         if (r.out != 1
                 || r.closed
                 || r.streaming
-                || r.kind.effect() != Effect.SAFE
+                || r.kind.effect() != Idempotency.SAFE
                 || now >= r.aimAt
                 || r.attempts.size() >= r.attemptsMost
                 || retryBudget < HEDGE_LEAST) {
@@ -844,7 +852,7 @@
     // ---------------------------------------------------------------- health and limits
 
     // Guards against figures that no server can mean: what is missing, negative or absurd is passed over.
-    private void report(Node n, Load load, long now) {
+    private void report(Node n, LoadReport load, long now) {
         if (load != null && load.inFlight() >= 0 && load.inFlight() < REPORT_MOST) {
             n.reported = load.inFlight();
             n.reportedAt = now;
@@ -861,7 +869,7 @@
         n.slownessAt = now;
     }
 
-    private void learn(Attempt a, Outcome outcome, long latency, long now, Actions out) {
+    private void learn(Attempt a, AttemptOutcome outcome, long latency, long now, Actions out) {
         Node n = a.node;
         RequestClass kind = a.request.kind;
         int number = a.request.number;
@@ -926,7 +934,7 @@
     }
 
     @Override
-    public void probed(long now, String server, Outcome outcome, long latency, Load load, Actions out) {}
+    public void probed(long now, String server, AttemptOutcome outcome, long latency, LoadReport load, Actions out) {}
 
     private void remark(long now, String line, Actions out) {
         if (now >= remarkAt) {
@@ -1060,23 +1068,23 @@
     // ---------------------------------------------------------------- membership
 
     @Override
-    public void servers(long now, ListKind kind, List<Server> servers, Actions out) {
+    public void servers(long now, EndpointListKind kind, List<Endpoint> servers, Actions out) {
         if (wakeAt == Long.MAX_VALUE) {
             Arrays.fill(shareAt, now);
             fadedAt = now;
             wakeBy(now, tick, out);
         }
-        if (kind == ListKind.FAILED) {
+        if (kind == EndpointListKind.FAILED) {
             int failures = asking.failed(now, settings.bounds().askWithin());
             remark(now, "discovery failed " + failures + " times, asking again", out);
             return;
         }
-        boolean complete = kind == ListKind.PERSISTED || kind == ListKind.COMPLETE;
-        if (kind == ListKind.PERSISTED) {
-            if (settings.discovery() == Discovery.ASK) {
+        boolean complete = kind == EndpointListKind.PERSISTED || kind == EndpointListKind.COMPLETE;
+        if (kind == EndpointListKind.PERSISTED) {
+            if (settings.discovery() == DiscoveryMode.ASK) {
                 ask(now, out);
             }
-        } else if (kind != ListKind.OWN) {
+        } else if (kind != EndpointListKind.OWN) {
             asking.answered();
         }
         if (!complete && servers.isEmpty()) {
@@ -1084,25 +1092,25 @@
         }
         if (complete) {
             for (Node n : nodes.values()) {
-                n.server = n.server.in(State.GONE);
+                n.server = n.server.in(EndpointState.GONE);
             }
         }
-        for (Server s : servers) {
+        for (Endpoint s : servers) {
             enter(s, now);
         }
         listed = new ArrayList<>();
         for (Node n : nodes.values()) {
-            if (n.server.state() == State.UP) {
+            if (n.server.state() == EndpointState.UP) {
                 listed.add(n);
             }
         }
         arrange();
-        nodes.values().removeIf(n -> n.server.state() == State.GONE && n.inFlight == 0);
+        nodes.values().removeIf(n -> n.server.state() == EndpointState.GONE && n.inFlight == 0);
         fastShare = fastShare();
         drainHeld(now, out);
     }
 
-    private void enter(Server s, long now) {
+    private void enter(Endpoint s, long now) {
         Node n = nodes.get(s.id());
         if (n == null || n.server.startedAt() != s.startedAt() && s.startedAt() > 0) {
             if (n != null) {
@@ -1126,7 +1134,7 @@
         for (Node n : nodes.values()) {
             double share = POINTS * n.server.weight() / meanWeight;
             int many = (int) Math.max(1, Math.min(8 * POINTS, Math.round(share)));
-            ring.place(n, n.server.state() == State.UP ? many : 0);
+            ring.place(n, n.server.state() == EndpointState.UP ? many : 0);
         }
         homeRing = ring.onceEachFrom(home);
     }
--- a/core/src/main/java/loadbalancer/policy/BalanceState.java
+++ b/core/src/main/java/loadbalancer/policy/BalanceState.java
@@ -3,8 +3,6 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.policy.Policy.RequestClass;
-import loadbalancer.policy.Policy.Server;
 
 /** What a balancer writes down of servers, requests and attempts: plain data, for Balance only. */
 final class BalanceState {
@@ -13,7 +11,7 @@
     /** A server, as this balancer sees it. */
     static final class Node {
         private static final int LEARNT_FIGURES = 11;
-        Server server;
+        Endpoint server;
         final long hash;
         final int order; // seeded shuffle: breaks ties of equal counts
         double count; // accomplishment: faded dispatches
@@ -37,7 +35,7 @@
         double tokens; // cold budget, in attempts
         long tokensAt;
 
-        Node(Server server, int order) {
+        Node(Endpoint server, int order) {
             this.server = server;
             this.hash = Hashing.hash(server.id());
             this.order = order;
@@ -83,7 +81,7 @@
     /** One send of a request to a server. */
     static final class Attempt {
         final Node node;
-        final Server server; // as listed at the send: its zone and cell
+        final Endpoint server; // as listed at the send: its zone and cell
         final Request request;
         final long at;
         boolean out = true;
--- /dev/null
+++ b/core/src/main/java/loadbalancer/policy/EndpointListKind.java
@@ -0,0 +1,13 @@
+package loadbalancer.policy;
+
+/**
+ * What a list holds: the one kept over a restart, the complete one, changes only or, failed, nothing.
+ * {@code OWN}: changes that this balancer's operators made, which say nothing of discovery.
+ */
+public enum EndpointListKind {
+    PERSISTED,
+    COMPLETE,
+    PARTIAL,
+    FAILED,
+    OWN
+}
--- /dev/null
+++ b/core/src/main/java/loadbalancer/policy/KeyScope.java
@@ -0,0 +1,8 @@
+package loadbalancer.policy;
+
+/** The servers that drop a repeat of a keyed request. */
+public enum KeyScope {
+    ALL,
+    ZONE,
+    CELL
+}
--- /dev/null
+++ b/core/src/main/java/loadbalancer/policy/PolicySettings.java
@@ -0,0 +1,34 @@
+package loadbalancer.policy;
+
+import java.util.List;
+
+/**
+ * All that a balancer is told at its start. {@code rank} is its number among all, from 0;
+ * {@code warmKeys}: a server needs less work for a key that it served lately; {@code tick} is the
+ * shortest step of the clock.
+ */
+public record PolicySettings(
+        int balancers,
+        int rank,
+        int zone,
+        List<RequestClass> classes,
+        List<TenantQuota> tenants,
+        double overShareWorth,
+        ServiceObjective goal,
+        TrafficCosts prices,
+        boolean worthByWork,
+        DiscoveryMode discovery,
+        LoadReporting reports,
+        boolean warmKeys,
+        SiteLimits limits,
+        SafetyBounds bounds,
+        long tick) {
+    public PolicySettings {
+        classes = List.copyOf(classes);
+        tenants = List.copyOf(tenants);
+        Requirements.require(balancers > 0, "balancers", balancers);
+        Requirements.require(rank >= 0 && rank < balancers, "rank", rank);
+        Requirements.require(!classes.isEmpty(), "classes", "none");
+        Requirements.require(tick > 0, "tick", tick);
+    }
+}
--- a/core/src/test/java/loadbalancer/policy/AskAgainTest.java
+++ b/core/src/test/java/loadbalancer/policy/AskAgainTest.java
@@ -4,10 +4,6 @@
 
 import java.util.List;
 import java.util.TreeSet;
-import loadbalancer.policy.Policy.Discovery;
-import loadbalancer.policy.Policy.Effect;
-import loadbalancer.policy.Policy.ListKind;
-import loadbalancer.policy.Policy.Scope;
 import org.junit.jupiter.api.Test;
 
 /** When discovery is asked again after calls that failed: by the standing terms, however often it has failed. */
@@ -22,14 +18,15 @@
     /** The pauses after so many failures in a row; the first of them ends a watch that has worked. */
     private static long[] pauses(long seed) {
         Harness harness = new Harness(
-                Harness.settings(20, true, Discovery.ASK, List.of(), Harness.kind(Effect.SAFE, Scope.ALL)), seed);
-        harness.list(ListKind.PERSISTED, Harness.fleet(3)).list(ListKind.COMPLETE, Harness.fleet(3));
+                Harness.settings(20, true, DiscoveryMode.ASK, List.of(), Harness.kind(Idempotency.SAFE, KeyScope.ALL)),
+                seed);
+        harness.list(EndpointListKind.PERSISTED, Harness.fleet(3)).list(EndpointListKind.COMPLETE, Harness.fleet(3));
         harness.pass(10_000_000);
         long[] pauses = new long[CALLS];
         for (int i = 0; i < CALLS; i++) {
             int before = harness.watches;
             long failed = harness.now;
-            harness.list(ListKind.FAILED, List.of());
+            harness.list(EndpointListKind.FAILED, List.of());
             while (harness.watches == before) {
                 harness.pass(1_000);
             }
--- a/core/src/test/java/loadbalancer/policy/DispatchTest.java
+++ b/core/src/test/java/loadbalancer/policy/DispatchTest.java
@@ -10,25 +10,19 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import loadbalancer.policy.Policy.Effect;
-import loadbalancer.policy.Policy.ListKind;
-import loadbalancer.policy.Policy.Outcome;
-import loadbalancer.policy.Policy.Scope;
-import loadbalancer.policy.Policy.Server;
-import loadbalancer.policy.Policy.State;
 import org.junit.jupiter.api.Test;
 
 /** The ordinary path is JSQ-DAS. */
 class DispatchTest {
-    private static final Policy.Settings SAFE = Harness.settings(Harness.kind(Effect.SAFE, Scope.ALL));
+    private static final PolicySettings SAFE = Harness.settings(Harness.kind(Idempotency.SAFE, KeyScope.ALL));
 
     /** Six servers, as many as a subset holds, three of them of a heavier kind, so that p is one half. */
     private static Harness halves(long seed) {
-        List<Server> list = new ArrayList<>();
+        List<Endpoint> list = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            list.add(new Server("s" + i, State.UP, 0, i < 3 ? 2 : 1, 0, i < 3 ? 0 : 1, 0));
+            list.add(new Endpoint("s" + i, EndpointState.UP, 0, i < 3 ? 2 : 1, 0, i < 3 ? 0 : 1, 0));
         }
-        return new Harness(SAFE, seed).list(ListKind.PERSISTED, list);
+        return new Harness(SAFE, seed).list(EndpointListKind.PERSISTED, list);
     }
 
     @Test
@@ -54,7 +48,7 @@
             for (int i = 0; i < 60; i++) { // counts come to differ
                 Harness.Sent sent = harness.request("w" + i, 0);
                 harness.now += 1000;
-                harness.end(sent, Outcome.OK);
+                harness.end(sent, AttemptOutcome.OK);
                 order.add(sent.server);
             }
             Map<String, Integer> counts = new HashMap<>();
@@ -92,7 +86,7 @@
     @Test
     void twoServersAndFewerThanSampledAreUsedToo() {
         for (int size = 1; size <= 3; size++) {
-            Harness harness = new Harness(SAFE, 7).list(ListKind.PERSISTED, Harness.fleet(size));
+            Harness harness = new Harness(SAFE, 7).list(EndpointListKind.PERSISTED, Harness.fleet(size));
             assertNotNull(harness.request("r", 0));
         }
     }
@@ -110,7 +104,7 @@
             Harness.Sent sent = harness.request("r" + i, 0);
             harness.pass(7_000 + i % 13 * 1000);
             if (sent != null) {
-                harness.end(sent, i % 11 == 0 ? Outcome.ERROR : Outcome.OK);
+                harness.end(sent, i % 11 == 0 ? AttemptOutcome.ERROR : AttemptOutcome.OK);
             }
         }
         return harness.log;
@@ -118,11 +112,11 @@
 
     @Test
     void aFastFailureKeepsItsSlotAndEarnsNoRank() {
-        Harness harness = new Harness(SAFE, 3).list(ListKind.PERSISTED, Harness.fleet(4));
+        Harness harness = new Harness(SAFE, 3).list(EndpointListKind.PERSISTED, Harness.fleet(4));
         harness.warmUp(40, 0, 50_000);
         Harness.Sent bad = harness.request("bad", 0);
         harness.now += 500;
-        harness.end(bad, Outcome.ERROR); // the retry goes elsewhere
+        harness.end(bad, AttemptOutcome.ERROR); // the retry goes elsewhere
         assertEquals(2, harness.sentFor("bad").size());
         assertTrue(!harness.sentFor("bad").get(1).server.equals(bad.server));
         for (int i = 0; i < 2; i++) { // two other servers are empty: the failed one's slot still counts
--- a/core/src/test/java/loadbalancer/policy/Example.java
+++ b/core/src/test/java/loadbalancer/policy/Example.java
@@ -9,23 +9,22 @@
 
     static List<String> run() {
         List<String> done = new ArrayList<>();
-        Policy.RequestClass reads =
-                new Policy.RequestClass(Policy.Effect.SAFE, Policy.Scope.ALL, 0, 300_000, 1_000_000, 0, 1, 0, false);
-        Policy.Settings settings = new Policy.Settings(
+        RequestClass reads = new RequestClass(Idempotency.SAFE, KeyScope.ALL, 0, 300_000, 1_000_000, 0, 1, 0, false);
+        PolicySettings settings = new PolicySettings(
                 2,
                 0,
                 0,
                 List.of(reads),
                 List.of(),
                 1,
-                new Policy.Goal(1, 0, 0, 0),
-                new Policy.Prices(0, 0),
+                new ServiceObjective(1, 0, 0, 0),
+                new TrafficCosts(0, 0),
                 false,
-                Policy.Discovery.PUSH,
-                Policy.Reports.NONE,
+                DiscoveryMode.PUSH,
+                LoadReporting.NONE,
                 false,
-                new Policy.Limits(3, true, true, false, 250_000, 0),
-                new Policy.Bounds(20_000, 1_000_000, 0, 0.2, 20_000_000, 2.5, 1_500_000, 100_000),
+                new SiteLimits(3, true, true, false, 250_000, 0),
+                new SafetyBounds(20_000, 1_000_000, 0, 0.2, 20_000_000, 2.5, 1_500_000, 100_000),
                 1_000);
         Policy policy = new Balance(settings, 42);
         Policy.Actions actions = new Sink(done);
@@ -33,13 +32,13 @@
         long now = 0;
         policy.servers(
                 now,
-                Policy.ListKind.PERSISTED,
-                List.of(new Policy.Server("a:80", Policy.State.UP, 0, 1, 0, 0, 0)),
+                EndpointListKind.PERSISTED,
+                List.of(new Endpoint("a:80", EndpointState.UP, 0, 1, 0, 0, 0)),
                 actions);
         // Asks for send("r1", "a:80", ..).
         policy.request(now, "r1", 0, 0, null, 1_000_000, -1, false, actions);
         now = 40_000;
-        policy.outcome(now, "r1", 0, Policy.Outcome.OK, 40_000, true, null, actions);
+        policy.outcome(now, "r1", 0, AttemptOutcome.OK, 40_000, true, null, actions);
         return done;
     }
 
--- a/core/src/test/java/loadbalancer/policy/FleetColdTest.java
+++ b/core/src/test/java/loadbalancer/policy/FleetColdTest.java
@@ -11,13 +11,6 @@
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
 import java.util.stream.LongStream;
-import loadbalancer.policy.Policy.Discovery;
-import loadbalancer.policy.Policy.Effect;
-import loadbalancer.policy.Policy.ListKind;
-import loadbalancer.policy.Policy.Outcome;
-import loadbalancer.policy.Policy.Scope;
-import loadbalancer.policy.Policy.Server;
-import loadbalancer.policy.Policy.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -35,12 +28,12 @@
 
     /** An upstream: so many requests a second when it is warm, fewer while it is cold. */
     private static final class Box {
-        final Server server;
+        final Endpoint server;
         final double perSecond;
         final List<Long> came = new ArrayList<>();
         final ArrayDeque<Work> line = new ArrayDeque<>();
 
-        Box(Server server, double perSecond) {
+        Box(Endpoint server, double perSecond) {
             this.server = server;
             this.perSecond = perSecond;
         }
@@ -49,7 +42,7 @@
             return server.startedAt() > 0;
         }
 
-        double part(long now, Policy.Bounds b) {
+        double part(long now, SafetyBounds b) {
             return !cold()
                     ? 1
                     : Math.min(1, b.coldFrom() + (1 - b.coldFrom()) * (now - server.startedAt()) / b.rampTime());
@@ -70,16 +63,16 @@
     private final Map<String, Box> boxes = new LinkedHashMap<>();
     private final List<Harness> fleet = new ArrayList<>();
     private final List<Integer> looked = new ArrayList<>();
-    private Policy.Bounds bounds;
+    private SafetyBounds bounds;
     private long now = Harness.START;
 
     private void fleet(int balancers, long seed) {
-        Policy.Settings of =
-                Harness.settings(balancers, false, Discovery.PUSH, List.of(), Harness.kind(Effect.SAFE, Scope.ALL));
+        PolicySettings of = Harness.settings(
+                balancers, false, DiscoveryMode.PUSH, List.of(), Harness.kind(Idempotency.SAFE, KeyScope.ALL));
         bounds = of.bounds();
         for (int i = 0; i < balancers; i++) {
             fleet.add(new Harness(
-                    new Policy.Settings(
+                    new PolicySettings(
                             balancers,
                             i,
                             of.zone(),
@@ -100,13 +93,13 @@
         }
     }
 
-    private Server join(String id, long startedAt, double perSecond) {
-        Server server = new Server(id, State.UP, startedAt, 1, 0, 0, 0);
+    private Endpoint join(String id, long startedAt, double perSecond) {
+        Endpoint server = new Endpoint(id, EndpointState.UP, startedAt, 1, 0, 0, 0);
         boxes.put(id, new Box(server, perSecond));
         return server;
     }
 
-    private void tell(ListKind kind, List<Server> servers) {
+    private void tell(EndpointListKind kind, List<Endpoint> servers) {
         for (Harness h : fleet) {
             h.list(kind, servers);
         }
@@ -125,7 +118,7 @@
                 Box box = boxes.get(sent.server);
                 box.came.add(now);
                 if (box.line.size() >= SLOTS + QUEUE) {
-                    h.end(sent, Outcome.FULL);
+                    h.end(sent, AttemptOutcome.FULL);
                 } else {
                     box.line.add(new Work(h, sent));
                 }
@@ -141,13 +134,13 @@
                 }
             });
             box.line.removeAll(ended);
-            ended.forEach(w -> w.by.end(w.sent, Outcome.OK));
+            ended.forEach(w -> w.by.end(w.sent, AttemptOutcome.OK));
         }
         now += STEP;
     }
 
     /** What a window held beyond its allowance, at its worst; at most 0 where the box stays up. */
-    private static double excess(List<Long> came, Box box, Policy.Bounds b) {
+    private static double excess(List<Long> came, Box box, SafetyBounds b) {
         double worst = Double.NEGATIVE_INFINITY;
         for (int from = 0, to = 0; from < came.size() && box.part(came.get(from), b) < 1; from++) {
             while (to < came.size() && came.get(to) < came.get(from) + b.fallWindow()) {
@@ -162,7 +155,7 @@
     @Test
     void theJudgeSeesABoxFall() {
         fleet(1, 1);
-        Box box = new Box(new Server("a", State.UP, 1_000_000, 1, 0, 0, 0), 10);
+        Box box = new Box(new Endpoint("a", EndpointState.UP, 1_000_000, 1, 0, 0, 0), 10);
         // 2.5 x 0.2 x 10 in 1.5 s are 7.5; with 2 x 2.74 and 2 more: 14.98.
         assertTrue(
                 excess(LongStream.range(0, 14).map(t -> 1_000_000 + t).boxed().toList(), box, bounds) < 0);
@@ -192,11 +185,11 @@
         for (int i = 0; i < balancers; i++) {
             parts[i] = i == 0 ? 0.2 : 0.8 * parts[i] / sum;
         }
-        List<Server> list = new ArrayList<>();
+        List<Endpoint> list = new ArrayList<>();
         for (int i = 0; i < many; i++) {
             list.add(join("s" + i, 0, perSecond));
         }
-        tell(ListKind.COMPLETE, list);
+        tell(EndpointListKind.COMPLETE, list);
         double load = 0.7 * many * perSecond;
         if (!day.equals("RESTART")) {
             while (now < Harness.START + AT) {
@@ -206,14 +199,14 @@
         long from = now;
         for (int k = 0; now < from + LENGTH; k++) {
             if (k % 1_000 == 0 && k < 4_000) {
-                List<Server> news = new ArrayList<>();
+                List<Endpoint> news = new ArrayList<>();
                 for (int i = k / 1_000 * 5; i < k / 1_000 * 5 + (day.equals("JOIN") ? 2 : 5); i++) {
                     if (!day.equals("JOIN")) {
-                        news.add(boxes.get("s" + i).server.in(State.GONE));
+                        news.add(boxes.get("s" + i).server.in(EndpointState.GONE));
                     }
                     news.add(join("cold" + i, now, perSecond));
                 }
-                tell(ListKind.PARTIAL, news);
+                tell(EndpointListKind.PARTIAL, news);
             }
             step(now < from + LENGTH / 2 ? 1.5 * load : load, parts, random);
         }
--- a/core/src/test/java/loadbalancer/policy/FourRulesTest.java
+++ b/core/src/test/java/loadbalancer/policy/FourRulesTest.java
@@ -10,13 +10,6 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import loadbalancer.policy.Policy.Effect;
-import loadbalancer.policy.Policy.ListKind;
-import loadbalancer.policy.Policy.Outcome;
-import loadbalancer.policy.Policy.RequestClass;
-import loadbalancer.policy.Policy.Scope;
-import loadbalancer.policy.Policy.Server;
-import loadbalancer.policy.Policy.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -24,20 +17,20 @@
 
 /** The four rules, class kind by class kind, and over random but legal sequences of events. */
 class FourRulesTest {
-    private static final RequestClass UNSAFE = Harness.kind(Effect.UNSAFE, Scope.ALL);
-    private static final RequestClass SAFE = Harness.kind(Effect.SAFE, Scope.ALL);
+    private static final RequestClass UNSAFE = Harness.kind(Idempotency.UNSAFE, KeyScope.ALL);
+    private static final RequestClass SAFE = Harness.kind(Idempotency.SAFE, KeyScope.ALL);
 
     private static Harness warm(RequestClass kind) {
-        Harness harness = new Harness(Harness.settings(kind), 5).list(ListKind.PERSISTED, Harness.fleet(6));
+        Harness harness = new Harness(Harness.settings(kind), 5).list(EndpointListKind.PERSISTED, Harness.fleet(6));
         harness.warmUp(60, 0, 40_000);
         return harness;
     }
 
     @ParameterizedTest
     @EnumSource(
-            value = Outcome.class,
+            value = AttemptOutcome.class,
             names = {"ERROR", "TIMEOUT", "RESET", "CANCELLED"})
-    void anUnsafeRequestThatMayHaveRunFails(Outcome outcome) {
+    void anUnsafeRequestThatMayHaveRunFails(AttemptOutcome outcome) {
         Harness harness = warm(UNSAFE);
         harness.end(harness.request("r", 0), outcome);
         assertEquals("failed", harness.finals.get("r"));
@@ -46,9 +39,9 @@
 
     @ParameterizedTest
     @EnumSource(
-            value = Outcome.class,
+            value = AttemptOutcome.class,
             names = {"FULL", "CONNECT_FAILED"})
-    void anUnsafeRequestThatNeverRanGoesElsewhere(Outcome outcome) {
+    void anUnsafeRequestThatNeverRanGoesElsewhere(AttemptOutcome outcome) {
         Harness harness = warm(UNSAFE);
         Harness.Sent first = harness.request("r", 0);
         harness.end(first, outcome);
@@ -66,8 +59,8 @@
 
     @Test
     void noSecondCopyWhereTheSiteForbidsIt() {
-        Harness harness = new Harness(Harness.settings(1, false, Policy.Discovery.PUSH, List.of(), SAFE), 5)
-                .list(ListKind.PERSISTED, Harness.fleet(6));
+        Harness harness = new Harness(Harness.settings(1, false, DiscoveryMode.PUSH, List.of(), SAFE), 5)
+                .list(EndpointListKind.PERSISTED, Harness.fleet(6));
         harness.warmUp(60, 0, 40_000);
         Harness.Sent first = harness.request("r", 0);
         assertEquals(0, first.timeout, "what may be repeated is not cut: its work would be done twice");
@@ -76,55 +69,55 @@
     }
 
     @ParameterizedTest
-    @EnumSource(Scope.class)
-    void aKeyedRequestStaysWithinTheGroupThatRemembersIt(Scope scope) {
+    @EnumSource(KeyScope.class)
+    void aKeyedRequestStaysWithinTheGroupThatRemembersIt(KeyScope scope) {
         for (int seed = 0; seed < 20; seed++) {
-            Harness harness = new Harness(Harness.settings(Harness.kind(Effect.KEYED, scope)), seed)
-                    .list(ListKind.PERSISTED, Harness.fleet(6));
+            Harness harness = new Harness(Harness.settings(Harness.kind(Idempotency.KEYED, scope)), seed)
+                    .list(EndpointListKind.PERSISTED, Harness.fleet(6));
             harness.warmUp(40, 0, 40_000);
             Harness.Sent first = harness.request("r", 0);
-            harness.end(first, Outcome.ERROR);
+            harness.end(first, AttemptOutcome.ERROR);
             Harness.Sent second = harness.sentFor("r").get(1);
-            if (scope != Scope.ALL) { // cell and zone alternate over the fleet
+            if (scope != KeyScope.ALL) { // cell and zone alternate over the fleet
                 assertEquals(first.server.charAt(1) % 2, second.server.charAt(1) % 2);
             }
         }
     }
 
     @ParameterizedTest
-    @EnumSource(Scope.class)
-    void aKeyedRequestIsNotSentAgainAfterItsWindow(Scope scope) {
-        Harness harness = warm(Harness.kind(Effect.KEYED, scope));
+    @EnumSource(KeyScope.class)
+    void aKeyedRequestIsNotSentAgainAfterItsWindow(KeyScope scope) {
+        Harness harness = warm(Harness.kind(Idempotency.KEYED, scope));
         Harness.Sent first = harness.request("r", 0);
         harness.pass(2_500_000); // the window is 2 s from the first send
         for (Harness.Sent copy : harness.sentFor("r")) {
             assertTrue(copy.at - first.at < 2_000_000);
         }
         int before = harness.sentFor("r").size();
-        harness.sentFor("r").forEach(s -> harness.end(s, Outcome.ERROR));
+        harness.sentFor("r").forEach(s -> harness.end(s, AttemptOutcome.ERROR));
         harness.pass(1_000_000);
         assertEquals(before, harness.sentFor("r").size());
-        assertEquals(scope == Scope.ALL ? "refused" : "failed", harness.finals.get("r"));
+        assertEquals(scope == KeyScope.ALL ? "refused" : "failed", harness.finals.get("r"));
     }
 
     @Test
     void nothingNewGoesToADrainingOrGoneServer() {
-        Harness harness = new Harness(Harness.settings(SAFE), 1).list(ListKind.PERSISTED, Harness.fleet(3));
-        harness.list(ListKind.PARTIAL, List.of(new Server("s0", State.DRAINING, 0, 1, 0, 0, 0)));
-        harness.list(ListKind.PARTIAL, List.of(new Server("s1", State.GONE, 0, 1, 1, 1, 1)));
+        Harness harness = new Harness(Harness.settings(SAFE), 1).list(EndpointListKind.PERSISTED, Harness.fleet(3));
+        harness.list(EndpointListKind.PARTIAL, List.of(new Endpoint("s0", EndpointState.DRAINING, 0, 1, 0, 0, 0)));
+        harness.list(EndpointListKind.PARTIAL, List.of(new Endpoint("s1", EndpointState.GONE, 0, 1, 1, 1, 1)));
         for (int i = 0; i < 30; i++) {
             Harness.Sent sent = harness.request("r" + i, 0);
             assertEquals("s2", sent.server);
             harness.pass(30_000);
-            harness.end(sent, Outcome.OK);
+            harness.end(sent, AttemptOutcome.OK);
         }
-        harness.list(ListKind.COMPLETE, List.of(Harness.up("s1")));
+        harness.list(EndpointListKind.COMPLETE, List.of(Harness.up("s1")));
         assertEquals("s1", harness.request("x", 0).server, "missing in a complete list is gone");
     }
 
     @Test
     void everyRequestIsAnsweredWhenNoServerIsListed() {
-        Harness harness = new Harness(Harness.settings(SAFE, UNSAFE), 1).list(ListKind.PERSISTED, List.of());
+        Harness harness = new Harness(Harness.settings(SAFE, UNSAFE), 1).list(EndpointListKind.PERSISTED, List.of());
         assertNull(harness.request("a", 0));
         assertNull(harness.request("b", 1, 0, 6_000));
         harness.pass(30_000);
@@ -137,10 +130,11 @@
     @ValueSource(ints = {1, 3, 8})
     void aColdServerGetsLessThanItsPart(int balancers) {
         // One warm server gives 50 answers a second to this balancer; the cold one may take its part of that.
-        Policy.Settings settings = Harness.settings(balancers, true, Policy.Discovery.PUSH, List.of(), SAFE);
-        Harness harness = new Harness(settings, 1).list(ListKind.PERSISTED, Harness.fleet(4));
+        PolicySettings settings = Harness.settings(balancers, true, DiscoveryMode.PUSH, List.of(), SAFE);
+        Harness harness = new Harness(settings, 1).list(EndpointListKind.PERSISTED, Harness.fleet(4));
         harness.warmUp(300, 0, 20_000);
-        harness.list(ListKind.PARTIAL, List.of(new Server("cold", State.UP, harness.now, 1, 0, 0, 0)));
+        harness.list(
+                EndpointListKind.PARTIAL, List.of(new Endpoint("cold", EndpointState.UP, harness.now, 1, 0, 0, 0)));
         long born = harness.now;
         harness.warmUp(150, 0, 20_000);
         long sent = harness.sentTo("cold", born);
@@ -151,9 +145,9 @@
 
     @Test
     void aRestartUnderTheSameIdIsColdAgain() {
-        Harness harness = new Harness(Harness.settings(SAFE), 1).list(ListKind.PERSISTED, Harness.fleet(2));
+        Harness harness = new Harness(Harness.settings(SAFE), 1).list(EndpointListKind.PERSISTED, Harness.fleet(2));
         harness.warmUp(100, 0, 20_000);
-        harness.list(ListKind.PARTIAL, List.of(new Server("s0", State.UP, harness.now, 1, 0, 0, 0)));
+        harness.list(EndpointListKind.PARTIAL, List.of(new Endpoint("s0", EndpointState.UP, harness.now, 1, 0, 0, 0)));
         long restarted = harness.now;
         harness.warmUp(50, 0, 20_000);
         long cold = harness.sentTo("s0", restarted);
@@ -168,25 +162,25 @@
         List<RequestClass> kinds = List.of(
                 SAFE,
                 UNSAFE,
-                Harness.kind(Effect.KEYED, Scope.ALL),
-                Harness.kind(Effect.KEYED, Scope.CELL),
-                Harness.kind(Effect.KEYED, Scope.ZONE));
+                Harness.kind(Idempotency.KEYED, KeyScope.ALL),
+                Harness.kind(Idempotency.KEYED, KeyScope.CELL),
+                Harness.kind(Idempotency.KEYED, KeyScope.ZONE));
         boolean copies = random.nextBoolean();
         Harness harness = new Harness(
                 Harness.settings(
                         1 + random.nextInt(4),
                         copies,
-                        random.nextBoolean() ? Policy.Discovery.ASK : Policy.Discovery.PUSH,
-                        List.of(new Policy.Tenant(5), new Policy.Tenant(50)),
+                        random.nextBoolean() ? DiscoveryMode.ASK : DiscoveryMode.PUSH,
+                        List.of(new TenantQuota(5), new TenantQuota(50)),
                         kinds.toArray(new RequestClass[0])),
                 seed);
-        Map<String, Server> truth = new TreeMap<>();
+        Map<String, Endpoint> truth = new TreeMap<>();
         Map<String, Long> deadlines = new TreeMap<>();
         Map<String, Integer> classOf = new TreeMap<>();
         Map<String, Long> unusable = new TreeMap<>();
-        Map<String, Map<Integer, Outcome>> ended = new TreeMap<>();
+        Map<String, Map<Integer, AttemptOutcome>> ended = new TreeMap<>();
         List<String> gone = new ArrayList<>();
-        harness.list(ListKind.PERSISTED, Harness.fleet(random.nextInt(8)));
+        harness.list(EndpointListKind.PERSISTED, Harness.fleet(random.nextInt(8)));
         Harness.fleet(8).forEach(s -> truth.put(s.id(), s));
         int checked = 0;
         for (int step = 0; step < 6000; step++) {
@@ -203,10 +197,11 @@
                         harness.sends.stream().filter(s -> !s.ended).toList();
                 if (!out.isEmpty()) {
                     Harness.Sent sent = out.get(random.nextInt(out.size()));
-                    Outcome[] all = Outcome.values();
-                    Outcome outcome = random.nextInt(3) > 0 ? Outcome.OK : all[random.nextInt(all.length)];
-                    if (outcome == Outcome.OK && gone.contains(sent.request)) {
-                        outcome = Outcome.CANCELLED;
+                    AttemptOutcome[] all = AttemptOutcome.values();
+                    AttemptOutcome outcome =
+                            random.nextInt(3) > 0 ? AttemptOutcome.OK : all[random.nextInt(all.length)];
+                    if (outcome == AttemptOutcome.OK && gone.contains(sent.request)) {
+                        outcome = AttemptOutcome.CANCELLED;
                     }
                     ended.computeIfAbsent(sent.request, k -> new TreeMap<>()).put(sent.number, outcome);
                     harness.end(sent, outcome);
@@ -220,9 +215,9 @@
                 }
             } else if (what < 93) {
                 String id = "s" + random.nextInt(8);
-                State state = State.values()[random.nextInt(3)];
+                EndpointState state = EndpointState.values()[random.nextInt(3)];
                 long started = random.nextBoolean() ? 0 : harness.now - random.nextLong(5_000_000);
-                Server s = new Server(
+                Endpoint s = new Endpoint(
                         id,
                         state,
                         started,
@@ -231,14 +226,14 @@
                         random.nextInt(2),
                         random.nextInt(2));
                 truth.put(id, s);
-                harness.list(ListKind.PARTIAL, List.of(s));
-                if (state == State.UP) {
+                harness.list(EndpointListKind.PARTIAL, List.of(s));
+                if (state == EndpointState.UP) {
                     unusable.remove(id);
                 } else {
                     unusable.put(id, harness.now);
                 }
             } else if (what < 94) {
-                harness.list(ListKind.FAILED, List.of());
+                harness.list(EndpointListKind.FAILED, List.of());
             } else {
                 harness.pass(random.nextLong(60_000));
             }
@@ -247,8 +242,8 @@
                 long until =
                         s.timeout > 0 ? Math.min(s.at + s.timeout, deadlines.get(s.request)) : deadlines.get(s.request);
                 if (!s.ended && harness.now >= until) {
-                    ended.computeIfAbsent(s.request, k -> new TreeMap<>()).put(s.number, Outcome.TIMEOUT);
-                    harness.end(s, Outcome.TIMEOUT);
+                    ended.computeIfAbsent(s.request, k -> new TreeMap<>()).put(s.number, AttemptOutcome.TIMEOUT);
+                    harness.end(s, AttemptOutcome.TIMEOUT);
                 }
             }
             for (; checked < harness.sends.size(); checked++) {
@@ -261,7 +256,7 @@
         harness.pass(Harness.DEADLINE + 100_000);
         for (Harness.Sent s : new ArrayList<>(harness.sends)) {
             if (!s.ended) {
-                harness.end(s, Outcome.TIMEOUT);
+                harness.end(s, AttemptOutcome.TIMEOUT);
             }
         }
         harness.pass(Harness.DEADLINE + 100_000);
@@ -275,21 +270,22 @@
             Harness harness,
             Harness.Sent s,
             RequestClass kind,
-            Map<String, Map<Integer, Outcome>> ended,
+            Map<String, Map<Integer, AttemptOutcome>> ended,
             boolean copies) {
         for (Harness.Sent earlier : harness.sentFor(s.request)) {
             if (earlier.number >= s.number) {
                 continue;
             }
-            Outcome outcome = ended.getOrDefault(s.request, Map.of()).get(earlier.number);
+            AttemptOutcome outcome = ended.getOrDefault(s.request, Map.of()).get(earlier.number);
             boolean open = outcome == null;
             assertTrue(copies || !open, "two attempts at once");
             if (open || !outcome.neverRan()) {
-                assertTrue(kind.effect() != Effect.UNSAFE, "an unsafe request went out twice");
+                assertTrue(kind.effect() != Idempotency.UNSAFE, "an unsafe request went out twice");
                 assertTrue(
-                        kind.effect() != Effect.KEYED || s.at - earlier.at < kind.keyMemory(), "sent after its window");
+                        kind.effect() != Idempotency.KEYED || s.at - earlier.at < kind.keyMemory(),
+                        "sent after its window");
             }
-            assertTrue(outcome != Outcome.OK, "sent after it was served");
+            assertTrue(outcome != AttemptOutcome.OK, "sent after it was served");
         }
     }
 }
--- a/core/src/test/java/loadbalancer/policy/FurtherRulesTest.java
+++ b/core/src/test/java/loadbalancer/policy/FurtherRulesTest.java
@@ -6,25 +6,18 @@
 
 import java.util.List;
 import java.util.Set;
-import loadbalancer.policy.Policy.Effect;
-import loadbalancer.policy.Policy.ListKind;
-import loadbalancer.policy.Policy.Outcome;
-import loadbalancer.policy.Policy.RequestClass;
-import loadbalancer.policy.Policy.Scope;
-import loadbalancer.policy.Policy.Server;
-import loadbalancer.policy.Policy.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** Order by key and placement. */
 class FurtherRulesTest {
-    private static final RequestClass SAFE = Harness.kind(Effect.SAFE, Scope.ALL);
+    private static final RequestClass SAFE = Harness.kind(Idempotency.SAFE, KeyScope.ALL);
 
-    private static RequestClass ordered(Effect effect) {
+    private static RequestClass ordered(Idempotency effect) {
         return new RequestClass(
                 effect,
-                Scope.ALL,
+                KeyScope.ALL,
                 2_000_000,
                 Harness.AIM,
                 Harness.DEADLINE,
@@ -39,37 +32,48 @@
 
     private static RequestClass bound(Set<Integer> zones, Set<Integer> kinds) {
         return new RequestClass(
-                Effect.SAFE, Scope.ALL, 0, Harness.AIM, Harness.DEADLINE, 0, 1, 0.3, false, false, zones, kinds);
+                Idempotency.SAFE,
+                KeyScope.ALL,
+                0,
+                Harness.AIM,
+                Harness.DEADLINE,
+                0,
+                1,
+                0.3,
+                false,
+                false,
+                zones,
+                kinds);
     }
 
     private static Harness fleet(RequestClass... kinds) {
-        Harness harness = new Harness(Harness.settings(kinds), 3).list(ListKind.PERSISTED, Harness.fleet(6));
+        Harness harness = new Harness(Harness.settings(kinds), 3).list(EndpointListKind.PERSISTED, Harness.fleet(6));
         harness.warmUp(30, 0, 20_000);
         return harness;
     }
 
     @Test
     void aKeysRequestsGoOneByOneInTheOrderTaken() {
-        Harness harness = fleet(ordered(Effect.KEYED), ordered(Effect.SAFE));
+        Harness harness = fleet(ordered(Idempotency.KEYED), ordered(Idempotency.SAFE));
         Harness.Sent first = harness.keyed("a", 0, "k");
         assertNull(harness.keyed("b", 1, "k"), "all ordered classes share their keys");
         assertNull(harness.keyed("c", 0, "k"));
         assertTrue(harness.keyed("other", 0, "l") != null, "another key is not held up");
         assertTrue(harness.request("none", 0) != null, "nor is a request without a key");
         harness.pass(30_000);
-        harness.end(first, Outcome.OK);
+        harness.end(first, AttemptOutcome.OK);
         assertEquals(1, harness.sentFor("b").size());
         assertEquals(0, harness.sentFor("c").size());
-        harness.end(harness.sentFor("b").get(0), Outcome.OK);
+        harness.end(harness.sentFor("b").get(0), AttemptOutcome.OK);
         assertEquals(1, harness.sentFor("c").size());
     }
 
     @ParameterizedTest
     @EnumSource(
-            value = Outcome.class,
+            value = AttemptOutcome.class,
             names = {"TIMEOUT", "RESET", "CANCELLED"})
-    void aKeyRestsAfterAnAttemptThatMayStillRun(Outcome outcome) {
-        Harness harness = fleet(ordered(Effect.UNSAFE));
+    void aKeyRestsAfterAnAttemptThatMayStillRun(AttemptOutcome outcome) {
+        Harness harness = fleet(ordered(Idempotency.UNSAFE));
         Harness.Sent first = harness.keyed("a", 0, "k");
         harness.keyed("b", 0, "k");
         harness.pass(30_000);
@@ -83,14 +87,14 @@
 
     @Test
     void theKeyRestsAlsoWhenTheClientHasLeft() {
-        Harness harness = fleet(ordered(Effect.SAFE));
+        Harness harness = fleet(ordered(Idempotency.SAFE));
         Harness.Sent first = harness.keyed("a", 0, "k");
         harness.keyed("b", 0, "k");
         harness.finals.put("a", "gone");
         harness.policy.clientGone(harness.now, "a", harness);
         harness.pass(50_000);
         assertEquals(0, harness.sentFor("b").size(), "its attempt has no outcome yet");
-        harness.end(first, Outcome.CANCELLED);
+        harness.end(first, AttemptOutcome.CANCELLED);
         harness.pass(Harness.PAUSE - 10_000);
         assertEquals(0, harness.sentFor("b").size());
         harness.pass(50_000);
@@ -99,14 +103,14 @@
 
     @Test
     void theOneThatHasTheTurnIsTriedAgainWithoutAWait() {
-        Harness harness = fleet(ordered(Effect.SAFE));
-        harness.end(harness.keyed("a", 0, "k"), Outcome.RESET);
+        Harness harness = fleet(ordered(Idempotency.SAFE));
+        harness.end(harness.keyed("a", 0, "k"), AttemptOutcome.RESET);
         assertEquals(2, harness.sentFor("a").size());
     }
 
     @Test
     void aRequestWhoseTurnNeverComesIsAnsweredInTime() {
-        Harness harness = fleet(ordered(Effect.SAFE));
+        Harness harness = fleet(ordered(Idempotency.SAFE));
         harness.keyed("a", 0, "k");
         long from = harness.now;
         harness.keyed("b", 0, "k");
@@ -123,7 +127,7 @@
             assertEquals(0, harness.request("k" + i, 2).server.charAt(1) % 2);
             harness.pass(10_000);
         }
-        harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, Outcome.ERROR));
+        harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, AttemptOutcome.ERROR));
         harness.pass(Harness.DEADLINE);
         harness.sends.stream()
                 .filter(s -> s.request.startsWith("z"))
@@ -135,17 +139,17 @@
 
     @Test
     void aBoundRequestWaitsForAServerOfItsOwnWithoutHoldingUpOthers() {
-        Harness harness =
-                new Harness(Harness.settings(SAFE, bound(Set.of(7), Set.of())), 3).list(ListKind.PERSISTED, List.of());
+        Harness harness = new Harness(Harness.settings(SAFE, bound(Set.of(7), Set.of())), 3)
+                .list(EndpointListKind.PERSISTED, List.of());
         harness.request("bound", 1);
         harness.request("free", 0);
-        harness.list(ListKind.PARTIAL, Harness.fleet(4));
+        harness.list(EndpointListKind.PARTIAL, Harness.fleet(4));
         assertEquals(1, harness.sentFor("free").size());
         assertEquals(0, harness.sentFor("bound").size());
-        harness.list(ListKind.PARTIAL, List.of(new Server("own", State.UP, 0, 1, 0, 0, 7)));
+        harness.list(EndpointListKind.PARTIAL, List.of(new Endpoint("own", EndpointState.UP, 0, 1, 0, 0, 7)));
         assertEquals("own", harness.sentFor("bound").get(0).server);
         harness.request("bound2", 1);
-        harness.list(ListKind.PARTIAL, List.of(new Server("own", State.GONE, 0, 1, 0, 0, 7)));
+        harness.list(EndpointListKind.PARTIAL, List.of(new Endpoint("own", EndpointState.GONE, 0, 1, 0, 0, 7)));
         harness.request("bound3", 1);
         harness.pass(Harness.DEADLINE);
         assertEquals("refused", harness.finals.get("bound3"), "held, then answered in time");
--- a/core/src/test/java/loadbalancer/policy/Harness.java
+++ b/core/src/test/java/loadbalancer/policy/Harness.java
@@ -4,12 +4,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.policy.Policy.Effect;
-import loadbalancer.policy.Policy.ListKind;
-import loadbalancer.policy.Policy.Outcome;
-import loadbalancer.policy.Policy.Scope;
-import loadbalancer.policy.Policy.Server;
-import loadbalancer.policy.Policy.State;
 
 /** Drives one module by hand and writes down what it asks for. */
 final class Harness implements Policy.Actions {
@@ -48,55 +42,55 @@
     int doubleFinals;
     double reported = Double.NaN; // in-flight figure that outcomes carry, if any
 
-    Harness(Policy.Settings settings, long seed) {
+    Harness(PolicySettings settings, long seed) {
         policy = new Balance(settings, seed);
     }
 
-    static Policy.RequestClass kind(Effect effect, Scope scope) {
-        return new Policy.RequestClass(effect, scope, 2_000_000, AIM, DEADLINE, 0, 1, 0.3, false);
+    static RequestClass kind(Idempotency effect, KeyScope scope) {
+        return new RequestClass(effect, scope, 2_000_000, AIM, DEADLINE, 0, 1, 0.3, false);
     }
 
-    static Policy.Settings settings(Policy.RequestClass... classes) {
-        return settings(1, true, Policy.Discovery.PUSH, List.of(), classes);
+    static PolicySettings settings(RequestClass... classes) {
+        return settings(1, true, DiscoveryMode.PUSH, List.of(), classes);
     }
 
-    static Policy.Settings settings(
+    static PolicySettings settings(
             int balancers,
             boolean copies,
-            Policy.Discovery discovery,
-            List<Policy.Tenant> tenants,
-            Policy.RequestClass... classes) {
-        return new Policy.Settings(
+            DiscoveryMode discovery,
+            List<TenantQuota> tenants,
+            RequestClass... classes) {
+        return new PolicySettings(
                 balancers,
                 0,
                 0,
                 List.of(classes),
                 tenants,
                 0.1,
-                new Policy.Goal(1, 0, 0, 0),
-                new Policy.Prices(0, 0),
+                new ServiceObjective(1, 0, 0, 0),
+                new TrafficCosts(0, 0),
                 true,
                 discovery,
-                Policy.Reports.NONE,
+                LoadReporting.NONE,
                 false,
-                new Policy.Limits(5, copies, true, true, 250_000, 0),
-                new Policy.Bounds(20_000, 1_000_000, 10_000_000, 0.2, 20_000_000, 2.5, 1_500_000, PAUSE),
+                new SiteLimits(5, copies, true, true, 250_000, 0),
+                new SafetyBounds(20_000, 1_000_000, 10_000_000, 0.2, 20_000_000, 2.5, 1_500_000, PAUSE),
                 5_000);
     }
 
-    static Server up(String id) {
-        return new Server(id, State.UP, 0, 1, 0, 0, 0);
+    static Endpoint up(String id) {
+        return new Endpoint(id, EndpointState.UP, 0, 1, 0, 0, 0);
     }
 
-    static List<Server> fleet(int size) {
-        List<Server> list = new ArrayList<>();
+    static List<Endpoint> fleet(int size) {
+        List<Endpoint> list = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-            list.add(new Server("s" + i, State.UP, 0, 1, i % 2, i % 2, i % 2));
+            list.add(new Endpoint("s" + i, EndpointState.UP, 0, 1, i % 2, i % 2, i % 2));
         }
         return list;
     }
 
-    Harness list(ListKind kind, List<Server> servers) {
+    Harness list(EndpointListKind kind, List<Endpoint> servers) {
         policy.servers(now, kind, servers, this);
         return this;
     }
@@ -130,10 +124,10 @@
         return sends.size() > before ? sends.get(sends.size() - 1) : null;
     }
 
-    void end(Sent sent, Outcome outcome) {
+    void end(Sent sent, AttemptOutcome outcome) {
         sent.ended = true;
-        boolean closed = outcome == Outcome.OK || finals.containsKey(sent.request);
-        if (outcome == Outcome.OK) {
+        boolean closed = outcome == AttemptOutcome.OK || finals.containsKey(sent.request);
+        if (outcome == AttemptOutcome.OK) {
             finals.putIfAbsent(sent.request, "ok");
         }
         policy.outcome(
@@ -143,7 +137,7 @@
                 outcome,
                 now - sent.at,
                 closed,
-                new Policy.Load(reported, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN),
+                new LoadReport(reported, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN),
                 this);
     }
 
@@ -163,7 +157,7 @@
         for (int i = 0; i < requests; i++) {
             Sent sent = request("warm-" + now + "-" + i, requestClass);
             pass(latency);
-            end(sent, Outcome.OK);
+            end(sent, AttemptOutcome.OK);
         }
     }
 
--- a/core/src/test/java/loadbalancer/policy/HashRingTest.java
+++ b/core/src/test/java/loadbalancer/policy/HashRingTest.java
@@ -14,7 +14,7 @@
     private static final int POINTS = 8;
 
     private static Node server(String id) {
-        return new Node(new Policy.Server(id, Policy.State.UP, 0, 1, -1, -1, 0), 0);
+        return new Node(new Endpoint(id, EndpointState.UP, 0, 1, -1, -1, 0), 0);
     }
 
     private static List<Node> fleet(HashRing ring, int size) {
--- a/core/src/test/java/loadbalancer/policy/LearnedTest.java
+++ b/core/src/test/java/loadbalancer/policy/LearnedTest.java
@@ -10,26 +10,21 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.IntStream;
-import loadbalancer.policy.Policy.Discovery;
-import loadbalancer.policy.Policy.Effect;
-import loadbalancer.policy.Policy.ListKind;
-import loadbalancer.policy.Policy.Outcome;
-import loadbalancer.policy.Policy.Scope;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** One test for each failure found: it fails without the answer to it in Rules. */
 class LearnedTest {
-    private static final Policy.RequestClass SAFE = Harness.kind(Effect.SAFE, Scope.ALL);
-    private static final Policy.RequestClass UNSAFE = Harness.kind(Effect.UNSAFE, Scope.ALL);
+    private static final RequestClass SAFE = Harness.kind(Idempotency.SAFE, KeyScope.ALL);
+    private static final RequestClass UNSAFE = Harness.kind(Idempotency.UNSAFE, KeyScope.ALL);
 
-    private static Harness harness(int servers, Policy.RequestClass... kinds) {
-        return new Harness(Harness.settings(kinds), 11).list(ListKind.PERSISTED, Harness.fleet(servers));
+    private static Harness harness(int servers, RequestClass... kinds) {
+        return new Harness(Harness.settings(kinds), 11).list(EndpointListKind.PERSISTED, Harness.fleet(servers));
     }
 
     /** Serves four requests at a time for a while; attempts on the bad servers end as told. */
-    private static void serve(Harness harness, int requests, long latency, Map<String, Outcome> bad) {
+    private static void serve(Harness harness, int requests, long latency, Map<String, AttemptOutcome> bad) {
         for (int i = 0; i < requests; i++) {
             for (int j = 0; j < 4; j++) {
                 harness.request("q" + harness.now + "/" + i + "/" + j, 0);
@@ -38,7 +33,7 @@
             harness.sends.stream()
                     .filter(s -> !s.ended)
                     .toList()
-                    .forEach(s -> harness.end(s, bad.getOrDefault(s.server, Outcome.OK)));
+                    .forEach(s -> harness.end(s, bad.getOrDefault(s.server, AttemptOutcome.OK)));
         }
     }
 
@@ -47,7 +42,7 @@
         Harness harness = harness(6, SAFE);
         serve(harness, 100, 20_000, Map.of());
         long from = harness.now;
-        serve(harness, 200, 20_000, Map.of("s1", Outcome.ERROR));
+        serve(harness, 200, 20_000, Map.of("s1", AttemptOutcome.ERROR));
         assertTrue(harness.sentTo("s1", from) < 20, "4 s of failures took " + harness.sentTo("s1", from));
         assertTrue(harness.log.stream().anyMatch(l -> l.contains("ejected s1")));
         serve(harness, 1200, 20_000, Map.of());
@@ -60,7 +55,7 @@
         Harness harness = harness(6, UNSAFE);
         serve(harness, 100, 20_000, Map.of());
         long from = harness.now;
-        serve(harness, 300, 20_000, Map.of("s1", Outcome.FULL));
+        serve(harness, 300, 20_000, Map.of("s1", AttemptOutcome.FULL));
         assertTrue(harness.log.stream().anyMatch(l -> l.contains("ejected s1")));
         assertTrue(harness.sentTo("s1", from) < 40, "6 s of refusals took " + harness.sentTo("s1", from));
     }
@@ -80,7 +75,7 @@
             harness.sends.stream()
                     .filter(s -> !s.ended && s != stuck)
                     .toList()
-                    .forEach(s -> harness.end(s, Outcome.OK));
+                    .forEach(s -> harness.end(s, AttemptOutcome.OK));
         }
         assertEquals(0, harness.sentTo(stuck.server, from));
     }
@@ -89,8 +84,8 @@
     void serviceResumesAfterAllServersHaveFailed() {
         Harness harness = harness(4, SAFE);
         serve(harness, 60, 20_000, Map.of());
-        Map<String, Outcome> bad = new HashMap<>();
-        List.of("s0", "s1", "s2", "s3").forEach(s -> bad.put(s, Outcome.ERROR));
+        Map<String, AttemptOutcome> bad = new HashMap<>();
+        List.of("s0", "s1", "s2", "s3").forEach(s -> bad.put(s, AttemptOutcome.ERROR));
         serve(harness, 60, 20_000, bad);
         long from = harness.now;
         serve(harness, 20, 20_000, Map.of());
@@ -108,16 +103,16 @@
             harness.sends.stream()
                     .filter(s -> !s.ended && harness.now - s.at >= 400_000)
                     .toList()
-                    .forEach(s -> harness.end(s, Outcome.OK));
+                    .forEach(s -> harness.end(s, AttemptOutcome.OK));
         }
-        harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, Outcome.OK));
+        harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, AttemptOutcome.OK));
         harness.pass(4_000_000);
         int sent = 0;
         for (int i = 0; i < 10 * 12; i++) { // twelve at a time
             sent += harness.request("after" + i, 0) != null ? 1 : 0;
             while (i % 12 == 11 && i < 9 * 12 && harness.sends.stream().anyMatch(s -> !s.ended)) {
                 harness.pass(30_000);
-                harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, Outcome.OK));
+                harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, AttemptOutcome.OK));
                 sent = 0;
             }
         }
@@ -129,9 +124,9 @@
         // All requests of a tenant over its share were marked, so its share starved too.
         Harness harness = new Harness(
                         Harness.settings(
-                                1, true, Discovery.PUSH, List.of(new Policy.Tenant(20), new Policy.Tenant(20)), UNSAFE),
+                                1, true, DiscoveryMode.PUSH, List.of(new TenantQuota(20), new TenantQuota(20)), UNSAFE),
                         3)
-                .list(ListKind.PERSISTED, Harness.fleet(2));
+                .list(EndpointListKind.PERSISTED, Harness.fleet(2));
         Map<Integer, int[]> served = Map.of(0, new int[2], 1, new int[2]);
         for (int i = 0; i < 1200; i++) { // tenant 0 brings 80 a second, tenant 1 20
             int tenant = i % 5 == 4 ? 1 : 0;
@@ -141,7 +136,7 @@
             harness.sends.stream()
                     .filter(s -> !s.ended && harness.now - s.at >= 300_000)
                     .toList()
-                    .forEach(s -> harness.end(s, Outcome.OK));
+                    .forEach(s -> harness.end(s, AttemptOutcome.OK));
         }
         harness.finals.forEach((id, how) -> {
             if (how.equals("ok")) {
@@ -159,7 +154,7 @@
         // With every server idle for 13 minutes all weights of the middle strain are 0.
         Harness harness = harness(1, SAFE);
         for (int i = 0; i < 10; i++) {
-            harness.end(harness.request("r" + i, 0), Outcome.OK);
+            harness.end(harness.request("r" + i, 0), AttemptOutcome.OK);
         }
         harness.now += 2_000_000_000L;
         harness.policy.wake(harness.now, harness);
@@ -167,8 +162,8 @@
     }
 
     /** A harness without a usable server: what comes in is held. */
-    private static Harness holding(Policy.RequestClass... kinds) {
-        return new Harness(Harness.settings(kinds), 11).list(ListKind.PERSISTED, List.of());
+    private static Harness holding(RequestClass... kinds) {
+        return new Harness(Harness.settings(kinds), 11).list(EndpointListKind.PERSISTED, List.of());
     }
 
     @Test
@@ -199,12 +194,12 @@
     @Test
     void theMostUrgentHeldRequestGoesFirst() {
         // In order of arrival requests with a short aim ran out behind those with a long one.
-        Policy.RequestClass patient = new Policy.RequestClass(
-                Effect.SAFE, Scope.ALL, 0, 4 * Harness.AIM, 4 * Harness.DEADLINE, 0, 1, 0, false);
+        RequestClass patient = new RequestClass(
+                Idempotency.SAFE, KeyScope.ALL, 0, 4 * Harness.AIM, 4 * Harness.DEADLINE, 0, 1, 0, false);
         Harness harness = holding(SAFE, patient);
         harness.request("patient", 1, 0, 4 * Harness.DEADLINE);
         harness.request("urgent", 0);
-        harness.list(ListKind.PARTIAL, Harness.fleet(1));
+        harness.list(EndpointListKind.PARTIAL, Harness.fleet(1));
         assertEquals(
                 List.of("urgent", "patient"),
                 harness.sends.stream().map(s -> s.request).toList());
@@ -212,22 +207,22 @@
 
     @Test
     void discoveryIsAskedAgainAfterErrorsAndSilenceButNotHammered() {
-        Harness harness = new Harness(Harness.settings(2, true, Discovery.ASK, List.of(), SAFE), 3)
-                .list(ListKind.PERSISTED, Harness.fleet(2));
+        Harness harness = new Harness(Harness.settings(2, true, DiscoveryMode.ASK, List.of(), SAFE), 3)
+                .list(EndpointListKind.PERSISTED, Harness.fleet(2));
         assertEquals(1, harness.watches);
         harness.pass(7_000_000); // silence: asked again within AskWithin
         assertEquals(2, harness.watches);
         for (int i = 0; i < 20; i++) { // 20 s of errors
-            harness.list(ListKind.FAILED, List.of());
+            harness.list(EndpointListKind.FAILED, List.of());
             harness.pass(1_000_000);
         }
         assertTrue(harness.watches >= 5 && harness.watches <= 16, "asked " + harness.watches + " times in 27 s");
         int before = harness.watches;
-        harness.list(ListKind.PARTIAL, List.of());
+        harness.list(EndpointListKind.PARTIAL, List.of());
         harness.pass(60_000_000);
         assertEquals(before, harness.watches, "subscribed: nothing more to ask");
         Harness empty = new Harness(Harness.settings(SAFE), 3);
-        assertNull(empty.list(ListKind.PERSISTED, List.of()).request("r", 0));
+        assertNull(empty.list(EndpointListKind.PERSISTED, List.of()).request("r", 0));
     }
 
     /** Serves requests one by one, each answered after its latency; returns how many of them were sent. */
@@ -238,10 +233,10 @@
             harness.pass(latency);
             if (s != null) {
                 sent++;
-                harness.end(s, Outcome.OK);
+                harness.end(s, AttemptOutcome.OK);
                 harness.sentFor(s.request).stream()
                         .filter(copy -> !copy.ended)
-                        .forEach(copy -> harness.end(copy, Outcome.CANCELLED));
+                        .forEach(copy -> harness.end(copy, AttemptOutcome.CANCELLED));
             }
         }
         return sent;
@@ -270,8 +265,8 @@
 
     @Test
     void theCheapestAreTurnedAwayFirst() {
-        Policy.RequestClass dear =
-                new Policy.RequestClass(Effect.UNSAFE, Scope.ALL, 0, Harness.AIM, Harness.DEADLINE, 0, 9, 0, false);
+        RequestClass dear =
+                new RequestClass(Idempotency.UNSAFE, KeyScope.ALL, 0, Harness.AIM, Harness.DEADLINE, 0, 9, 0, false);
         Harness harness = harness(6, UNSAFE, dear);
         for (int i = 0; i < 30; i++) {
             sentOf(harness, 1, 0, 0, 350_000);
@@ -285,9 +280,9 @@
     @Test
     void oneTenantsExcessDoesNotWidenTheSharesOfAll() {
         // A tenant at three times its share made all shares 1.75 times as wide: servers were overdriven.
-        List<Policy.Tenant> tenants = List.of(new Policy.Tenant(8.4), new Policy.Tenant(8.4), new Policy.Tenant(8.4));
-        Harness harness = new Harness(Harness.settings(10, true, Discovery.PUSH, tenants, UNSAFE), 3)
-                .list(ListKind.PERSISTED, Harness.fleet(6));
+        List<TenantQuota> tenants = List.of(new TenantQuota(8.4), new TenantQuota(8.4), new TenantQuota(8.4));
+        Harness harness = new Harness(Harness.settings(10, true, DiscoveryMode.PUSH, tenants, UNSAFE), 3)
+                .list(EndpointListKind.PERSISTED, Harness.fleet(6));
         int sent = 0;
         for (int i = 0; i < 60; i++) { // 71 s of 270 ms each: this balancer's part of a share is 60
             sent += sentOf(harness, 3, 0, 0, 270_000);
@@ -304,8 +299,8 @@
         serve(harness, 4, 20_000, Map.of());
         List<String> used = harness.sends.stream().map(s -> s.server).distinct().toList();
         assertTrue(used.size() <= 7, "a subset of six: " + used);
-        Map<String, Outcome> bad = new HashMap<>();
-        used.forEach(s -> bad.put(s, Outcome.ERROR));
+        Map<String, AttemptOutcome> bad = new HashMap<>();
+        used.forEach(s -> bad.put(s, AttemptOutcome.ERROR));
         serve(harness, 100, 20_000, bad);
         long from = harness.now;
         serve(harness, 20, 20_000, bad);
@@ -324,7 +319,8 @@
     }
 
     private static List<String> used(int servers, long seed) {
-        Harness harness = new Harness(Harness.settings(SAFE), seed).list(ListKind.PERSISTED, Harness.fleet(servers));
+        Harness harness =
+                new Harness(Harness.settings(SAFE), seed).list(EndpointListKind.PERSISTED, Harness.fleet(servers));
         for (int i = 0; i < 40; i++) {
             harness.request("r" + i, 0);
         }
@@ -340,7 +336,7 @@
                 Harness.Sent s = harness.request("r" + i, 0);
                 harness.now += 20_000;
                 harness.reported = s.server.equals("s1") ? filled : 2;
-                harness.end(s, Outcome.OK);
+                harness.end(s, AttemptOutcome.OK);
             }
             long last = harness.sends.stream()
                     .skip(100)
@@ -358,7 +354,7 @@
         assertEquals(0, harness.request("safe", 0).timeout, "its client would only come again");
         Harness.Sent late = harness.sentFor("once").get(0);
         harness.pass(Harness.AIM);
-        harness.end(late, Outcome.TIMEOUT);
+        harness.end(late, AttemptOutcome.TIMEOUT);
         assertEquals("failed", harness.finals.get("once"));
     }
 
@@ -369,7 +365,7 @@
         serve(harness, 50, 50_000, Map.of());
         Harness.Sent full = harness.request("full", 0);
         harness.now += 300;
-        harness.end(full, Outcome.FULL);
+        harness.end(full, AttemptOutcome.FULL);
         long from = harness.now + 1;
         for (int i = 0; i < 20; i++) {
             harness.now += 100;
@@ -389,7 +385,7 @@
     @Test
     void silenceIsHedgedOnceWhereARepeatIsAllowed() {
         // Answers that never came were waited out to the deadline: a third of the worth of some days.
-        for (Policy.RequestClass kind : List.of(SAFE, UNSAFE)) {
+        for (RequestClass kind : List.of(SAFE, UNSAFE)) {
             Harness harness = harness(6, kind);
             serve(harness, 60, 20_000, Map.of());
             Harness.Sent silent = harness.request("silent", 0);
@@ -417,7 +413,7 @@
         serve(full, 60, 20_000, Map.of());
         List<Harness.Sent> turned =
                 IntStream.range(0, 8).mapToObj(i -> full.request("full" + i, 0)).toList();
-        turned.forEach(s -> full.end(s, Outcome.FULL));
+        turned.forEach(s -> full.end(s, AttemptOutcome.FULL));
         full.request("wait", 0);
         full.pass(Harness.AIM);
         assertEquals(1, full.sentFor("wait").size());
@@ -426,11 +422,11 @@
     @Test
     void whereWorthGoesByRequestClassesAreTurnedAwayAlike() {
         // The light class starved for the heavy one: 10% of its worth was served by a half idle fleet.
-        Policy.RequestClass dear =
-                new Policy.RequestClass(Effect.UNSAFE, Scope.ALL, 0, Harness.AIM, Harness.DEADLINE, 0, 9, 0, false);
-        Policy.Settings s = Harness.settings(UNSAFE, dear);
+        RequestClass dear =
+                new RequestClass(Idempotency.UNSAFE, KeyScope.ALL, 0, Harness.AIM, Harness.DEADLINE, 0, 9, 0, false);
+        PolicySettings s = Harness.settings(UNSAFE, dear);
         Harness harness = new Harness(
-                        new Policy.Settings(
+                        new PolicySettings(
                                 1,
                                 0,
                                 0,
@@ -447,7 +443,7 @@
                                 s.bounds(),
                                 s.tick()),
                         3)
-                .list(ListKind.PERSISTED, Harness.fleet(6));
+                .list(EndpointListKind.PERSISTED, Harness.fleet(6));
         for (int i = 0; i < 40; i++) {
             sentOf(harness, 1, 0, 0, 500_000);
             sentOf(harness, 1, 1, 0, 500_000);
@@ -460,9 +456,9 @@
     @Test
     void aHotKeyGetsMoreServersThanAColdOne() {
         // Four of fifty servers took a seventh of all requests: as many as the hottest key brought.
-        Policy.Settings s = Harness.settings(SAFE);
+        PolicySettings s = Harness.settings(SAFE);
         Harness harness = new Harness(
-                        new Policy.Settings(
+                        new PolicySettings(
                                 1,
                                 0,
                                 0,
@@ -479,14 +475,14 @@
                                 s.bounds(),
                                 s.tick()),
                         3)
-                .list(ListKind.PERSISTED, Harness.fleet(20));
+                .list(EndpointListKind.PERSISTED, Harness.fleet(20));
         for (int i = 0; i < 600; i++) {
             Harness.Sent sent = harness.keyed("r" + i, 0, i % 2 == 0 ? "hot" : "k" + i % 75);
             harness.pass(10_000);
             harness.sends.stream()
                     .filter(x -> !x.ended && harness.now - x.at >= 60_000)
                     .toList()
-                    .forEach(x -> harness.end(x, Outcome.OK));
+                    .forEach(x -> harness.end(x, AttemptOutcome.OK));
             assertTrue(sent != null);
         }
         long hot = servers(harness, 0, 2);
@@ -496,9 +492,9 @@
 
     @ParameterizedTest
     @EnumSource(
-            value = Outcome.class,
+            value = AttemptOutcome.class,
             names = {"NOT_SENT", "CONNECT_FAILED", "RESET", "ERROR"})
-    void requestsThatFailedForOtherReasonsThanLoadCloseNoDoor(Outcome outcome) {
+    void requestsThatFailedForOtherReasonsThanLoadCloseNoDoor(AttemptOutcome outcome) {
         // 200 that found no descriptor in a moment were taken for demand that the servers can't meet.
         Harness harness = harness(6, UNSAFE);
         serve(harness, 20, 20_000, Map.of());
@@ -524,7 +520,7 @@
             harness.pass(10_000);
         }
         harness.pass(Harness.DEADLINE);
-        harness.list(ListKind.PARTIAL, Harness.fleet(3));
+        harness.list(EndpointListKind.PARTIAL, Harness.fleet(3));
         for (int i = 0; i < 5; i++) {
             assertTrue(harness.request("after" + i, 0) != null, "sent as soon as there are servers");
         }
@@ -533,9 +529,9 @@
     @Test
     void aHotKeyAddsLittleToTheLoadOfEachOfItsServers() {
         // With half of their load from one key, its servers were late in a burst that the others bore.
-        Policy.Settings s = Harness.settings(SAFE);
+        PolicySettings s = Harness.settings(SAFE);
         Harness harness = new Harness(
-                        new Policy.Settings(
+                        new PolicySettings(
                                 100,
                                 0,
                                 0,
@@ -552,11 +548,11 @@
                                 s.bounds(),
                                 s.tick()),
                         3)
-                .list(ListKind.PERSISTED, Harness.fleet(60));
+                .list(EndpointListKind.PERSISTED, Harness.fleet(60));
         for (int i = 0; i < 600; i++) { // ten a second, one in twelve for the hot key
             Harness.Sent sent = harness.keyed("r" + i, 0, i % 12 == 0 ? "hot" : "k" + i % 75);
             harness.pass(60_000);
-            harness.end(sent, Outcome.OK);
+            harness.end(sent, AttemptOutcome.OK);
             harness.pass(40_000);
         }
         long hot = servers(harness, 0, 12);
@@ -566,11 +562,11 @@
     @Test
     void balancersOfThinTrafficSendAKeyToTheSameFewServers() {
         // A hundred balancers, each with a few requests a second, sent every key to all servers: none of them knew it.
-        Policy.Settings s = Harness.settings(SAFE);
+        PolicySettings s = Harness.settings(SAFE);
         Set<String> used = new HashSet<>();
         for (int rank = 0; rank < 100; rank++) {
             Harness harness = new Harness(
-                            new Policy.Settings(
+                            new PolicySettings(
                                     100,
                                     rank,
                                     0,
@@ -587,10 +583,10 @@
                                     s.bounds(),
                                     s.tick()),
                             3 + rank)
-                    .list(ListKind.PERSISTED, Harness.fleet(60));
+                    .list(EndpointListKind.PERSISTED, Harness.fleet(60));
             Harness.Sent sent = harness.keyed("r" + rank, 0, "key");
             harness.pass(30_000);
-            harness.end(sent, Outcome.OK);
+            harness.end(sent, AttemptOutcome.OK);
             used.add(sent.server);
         }
         assertTrue(used.size() <= 3, "one key went to " + used.size() + " servers");
@@ -615,7 +611,14 @@
             if (sent != null) {
                 harness.now += 1;
                 harness.policy.outcome(
-                        harness.now, sent.request, sent.number, Outcome.OK, 2 * Harness.AIM, true, null, harness);
+                        harness.now,
+                        sent.request,
+                        sent.number,
+                        AttemptOutcome.OK,
+                        2 * Harness.AIM,
+                        true,
+                        null,
+                        harness);
                 sent.ended = true;
             }
         }
--- a/core/src/test/java/loadbalancer/policy/LibraryTest.java
+++ b/core/src/test/java/loadbalancer/policy/LibraryTest.java
@@ -11,20 +11,13 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.policy.Policy.Effect;
-import loadbalancer.policy.Policy.ListKind;
-import loadbalancer.policy.Policy.Outcome;
-import loadbalancer.policy.Policy.RequestClass;
-import loadbalancer.policy.Policy.Scope;
-import loadbalancer.policy.Policy.Server;
-import loadbalancer.policy.Policy.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What users of the library rely on. */
 class LibraryTest {
-    private static final RequestClass SAFE = Harness.kind(Effect.SAFE, Scope.ALL);
+    private static final RequestClass SAFE = Harness.kind(Idempotency.SAFE, KeyScope.ALL);
 
     @Test
     void theExampleOfTheReadmeRuns() throws IOException {
@@ -42,15 +35,15 @@
                 "impossible aim: 0",
                 assertThrows(
                                 IllegalArgumentException.class,
-                                () -> new RequestClass(Effect.SAFE, Scope.ALL, 0, 0, 1, 0, 1, 0, false))
+                                () -> new RequestClass(Idempotency.SAFE, KeyScope.ALL, 0, 0, 1, 0, 1, 0, false))
                         .getMessage());
         assertEquals(
                 "impossible coldFrom: 0.0",
-                assertThrows(IllegalArgumentException.class, () -> new Policy.Bounds(1, 1, 1, 0, 1, 2, 1, 0))
+                assertThrows(IllegalArgumentException.class, () -> new SafetyBounds(1, 1, 1, 0, 1, 2, 1, 0))
                         .getMessage());
         assertEquals(
                 "impossible maxAttempts: 0",
-                assertThrows(IllegalArgumentException.class, () -> new Policy.Limits(0, true, true, true, 1, 0))
+                assertThrows(IllegalArgumentException.class, () -> new SiteLimits(0, true, true, true, 1, 0))
                         .getMessage());
         assertEquals(
                 "impossible classes: none",
@@ -61,12 +54,12 @@
     @ParameterizedTest
     @CsvSource({"0, 0, impossible balancers: 0", "2, 2, impossible rank: 2", "2, -1, impossible rank: -1"})
     void impossibleNumbersOfBalancersAreNamed(int balancers, int rank, String complaint) {
-        Policy.Settings s = Harness.settings(SAFE);
+        PolicySettings s = Harness.settings(SAFE);
         assertEquals(
                 complaint,
                 assertThrows(
                                 IllegalArgumentException.class,
-                                () -> new Policy.Settings(
+                                () -> new PolicySettings(
                                         balancers,
                                         rank,
                                         0,
@@ -97,11 +90,11 @@
     })
     void oddSettingsAreServed(
             int servers, int balancers, long aim, long deadline, int attempts, boolean copies, int rate, long latency) {
-        for (Effect effect : Effect.values()) {
-            RequestClass kind = new RequestClass(effect, Scope.CELL, deadline, aim, deadline, 0, 1, 0, false);
-            Policy.Settings base = Harness.settings(balancers, copies, Policy.Discovery.PUSH, List.of(), kind);
+        for (Idempotency effect : Idempotency.values()) {
+            RequestClass kind = new RequestClass(effect, KeyScope.CELL, deadline, aim, deadline, 0, 1, 0, false);
+            PolicySettings base = Harness.settings(balancers, copies, DiscoveryMode.PUSH, List.of(), kind);
             Harness harness = new Harness(
-                    new Policy.Settings(
+                    new PolicySettings(
                             balancers,
                             0,
                             0,
@@ -112,23 +105,23 @@
                             base.prices(),
                             false,
                             base.discovery(),
-                            Policy.Reports.NONE,
+                            LoadReporting.NONE,
                             false,
-                            new Policy.Limits(attempts, copies, false, false, 1000, 0),
+                            new SiteLimits(attempts, copies, false, false, 1000, 0),
                             base.bounds(),
                             1_000),
                     9);
-            harness.list(ListKind.PERSISTED, Harness.fleet(servers));
+            harness.list(EndpointListKind.PERSISTED, Harness.fleet(servers));
             for (int i = 0; i < 400; i++) {
                 harness.request("r" + i, 0, 0, deadline);
                 harness.pass(1_000_000 / rate);
                 harness.sends.stream()
                         .filter(s -> !s.ended && harness.now - s.at >= latency)
                         .toList()
-                        .forEach(s -> harness.end(s, Outcome.OK));
+                        .forEach(s -> harness.end(s, AttemptOutcome.OK));
             }
             harness.pass(deadline);
-            harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, Outcome.TIMEOUT));
+            harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, AttemptOutcome.TIMEOUT));
             harness.pass(deadline);
             assertEquals(400, harness.finals.size());
             assertEquals(0, harness.doubleFinals);
@@ -139,16 +132,17 @@
 
     @Test
     void memoryDoesNotGrowWithTime() throws ReflectiveOperationException {
-        Harness harness = new Harness(Harness.settings(SAFE), 1).list(ListKind.PERSISTED, Harness.fleet(4));
+        Harness harness = new Harness(Harness.settings(SAFE), 1).list(EndpointListKind.PERSISTED, Harness.fleet(4));
         for (int i = 0; i < 30_000; i++) {
             Harness.Sent sent = harness.request("r" + i, 0);
             harness.pass(5_000);
             harness.sends.stream()
                     .filter(s -> !s.ended)
                     .toList()
-                    .forEach(s -> harness.end(s, s.number % 7 == 6 ? Outcome.ERROR : Outcome.OK));
+                    .forEach(s -> harness.end(s, s.number % 7 == 6 ? AttemptOutcome.ERROR : AttemptOutcome.OK));
             if (i % 50 == 0) { // machines come and go under new names
-                harness.list(ListKind.COMPLETE, List.of(Harness.up("a" + i), Harness.up("b" + i), Harness.up("c")));
+                harness.list(
+                        EndpointListKind.COMPLETE, List.of(Harness.up("a" + i), Harness.up("b" + i), Harness.up("c")));
                 harness.sends.clear();
                 harness.attempts.clear();
                 harness.finals.clear();
@@ -156,7 +150,7 @@
             }
             assertTrue(sent == null || sent.ended);
         }
-        harness.list(ListKind.COMPLETE, List.of(new Server("c", State.UP, 0, 1, 0, 0, 0)));
+        harness.list(EndpointListKind.COMPLETE, List.of(new Endpoint("c", EndpointState.UP, 0, 1, 0, 0, 0)));
         assertEquals(0, size(harness.policy, "open"));
         assertTrue(size(harness.policy, "nodes") <= 1);
     }
--- a/core/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
+++ b/core/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
@@ -10,13 +10,6 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.stream.LongStream;
-import loadbalancer.policy.Policy.Effect;
-import loadbalancer.policy.Policy.ListKind;
-import loadbalancer.policy.Policy.Outcome;
-import loadbalancer.policy.Policy.RequestClass;
-import loadbalancer.policy.Policy.Scope;
-import loadbalancer.policy.Policy.Server;
-import loadbalancer.policy.Policy.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -30,9 +23,9 @@
         RequestClass kind;
         long deadline;
         String answer;
-        final List<Server> servers = new ArrayList<>();
+        final List<Endpoint> servers = new ArrayList<>();
         final List<Long> at = new ArrayList<>();
-        final List<Outcome> ended = new ArrayList<>(); // null while out
+        final List<AttemptOutcome> ended = new ArrayList<>(); // null while out
     }
 
     /** Takes what happens in its order; each call says what rule is broken, or null. */
@@ -46,7 +39,7 @@
             requests.put(id, k);
         }
 
-        String sent(String id, Server to, boolean usable, long now) {
+        String sent(String id, Endpoint to, boolean usable, long now) {
             Known k = requests.get(id);
             if (k.answer != null) {
                 return "sent after its answer";
@@ -56,14 +49,14 @@
             }
             for (int i = 0; i < k.ended.size(); i++) {
                 boolean mayHaveRun = k.ended.get(i) == null || !k.ended.get(i).neverRan();
-                if (mayHaveRun && k.kind.effect() == Effect.UNSAFE) {
+                if (mayHaveRun && k.kind.effect() == Idempotency.UNSAFE) {
                     return "an unsafe effect may happen twice";
                 }
-                boolean outside = k.kind.scope() == Scope.CELL
+                boolean outside = k.kind.scope() == KeyScope.CELL
                                 && k.servers.get(i).cell() != to.cell()
-                        || k.kind.scope() == Scope.ZONE && k.servers.get(i).zone() != to.zone();
+                        || k.kind.scope() == KeyScope.ZONE && k.servers.get(i).zone() != to.zone();
                 if (mayHaveRun
-                        && k.kind.effect() == Effect.KEYED
+                        && k.kind.effect() == Idempotency.KEYED
                         && (outside || now - k.at.get(i) >= k.kind.keyMemory())) {
                     return "a keyed request left its group or window";
                 }
@@ -84,8 +77,8 @@
                 return "answered too late";
             }
             boolean mayHaveRun = k.ended.stream().anyMatch(o -> o == null || !o.neverRan());
-            boolean harmless =
-                    k.kind.effect() == Effect.SAFE || k.kind.effect() == Effect.KEYED && k.kind.scope() == Scope.ALL;
+            boolean harmless = k.kind.effect() == Idempotency.SAFE
+                    || k.kind.effect() == Idempotency.KEYED && k.kind.scope() == KeyScope.ALL;
             return how.equals("refused") && mayHaveRun && !harmless ? "refused though it may have run" : null;
         }
 
@@ -97,7 +90,7 @@
     }
 
     /** Most sends to a cold server within any window, against its budget of all balancers. */
-    static String cold(List<Long> sends, long started, double warmPerSecond, Policy.Bounds b) {
+    static String cold(List<Long> sends, long started, double warmPerSecond, SafetyBounds b) {
         for (int i = 0; i < sends.size(); i++) {
             long from = sends.get(i);
             double part = b.coldFrom() + (1 - b.coldFrom()) * (from - started) / b.rampTime();
@@ -113,23 +106,24 @@
 
     @Test
     void theCheckerCatchesEveryKindOfViolation() {
-        Server one = new Server("a", State.UP, 0, 1, 0, 0, 0);
-        Server two = new Server("b", State.UP, 0, 1, 1, 0, 1);
+        Endpoint one = new Endpoint("a", EndpointState.UP, 0, 1, 0, 0, 0);
+        Endpoint two = new Endpoint("b", EndpointState.UP, 0, 1, 1, 0, 1);
         Checker c = new Checker();
-        c.taken("u", Harness.kind(Effect.UNSAFE, Scope.ALL), 100);
+        c.taken("u", Harness.kind(Idempotency.UNSAFE, KeyScope.ALL), 100);
         assertNull(c.sent("u", one, true, 0));
         assertTrue(c.sent("u", two, true, 1).contains("twice"));
         assertTrue(c.answered("u", "refused", 1).contains("may have run"));
         assertTrue(c.answered("u", "failed", 1).contains("answered twice"));
         assertTrue(c.sent("u", one, true, 2).contains("after its answer"));
-        c.taken("k", Harness.kind(Effect.KEYED, Scope.CELL), 100);
+        c.taken("k", Harness.kind(Idempotency.KEYED, KeyScope.CELL), 100);
         assertTrue(c.sent("k", one, false, 0).contains("draining"));
         assertNull(c.sent("k", one, true, 0));
         assertTrue(c.sent("k", two, true, 0).contains("group"));
         assertTrue(c.sent("k", one, true, 2_000_000).contains("window"));
         assertTrue(c.atTheEnd(100 + SLACK + 1).contains("lost"));
         assertTrue(c.answered("k", "failed", 100 + SLACK + 1).contains("too late"));
-        Policy.Bounds b = Harness.settings(Harness.kind(Effect.SAFE, Scope.ALL)).bounds();
+        SafetyBounds b =
+                Harness.settings(Harness.kind(Idempotency.SAFE, KeyScope.ALL)).bounds();
         assertTrue(cold(LongStream.range(0, 30).boxed().toList(), 0, 10, b) != null);
         assertNull(cold(List.of(0L, 900_000L), 0, 10, b));
     }
@@ -139,16 +133,16 @@
     void randomEventsKeepTheRules(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<RequestClass> kinds = List.of(
-                Harness.kind(Effect.SAFE, Scope.ALL),
-                Harness.kind(Effect.UNSAFE, Scope.ALL),
-                Harness.kind(Effect.KEYED, Scope.ALL),
-                Harness.kind(Effect.KEYED, Scope.CELL),
-                Harness.kind(Effect.KEYED, Scope.ZONE));
+                Harness.kind(Idempotency.SAFE, KeyScope.ALL),
+                Harness.kind(Idempotency.UNSAFE, KeyScope.ALL),
+                Harness.kind(Idempotency.KEYED, KeyScope.ALL),
+                Harness.kind(Idempotency.KEYED, KeyScope.CELL),
+                Harness.kind(Idempotency.KEYED, KeyScope.ZONE));
         Harness harness = new Harness(Harness.settings(kinds.toArray(new RequestClass[0])), seed);
         Checker checker = new Checker();
-        Map<String, Server> servers = new HashMap<>();
+        Map<String, Endpoint> servers = new HashMap<>();
         Harness.fleet(8).forEach(s -> servers.put(s.id(), s));
-        harness.list(ListKind.PERSISTED, Harness.fleet(8));
+        harness.list(EndpointListKind.PERSISTED, Harness.fleet(8));
         int seen = 0;
         int answers = 0;
         for (int step = 0; step < 4000; step++) {
@@ -162,19 +156,23 @@
                 harness.request("r" + step, kinds.indexOf(kind), 0, left);
             } else if (what < 80 && !out.isEmpty()) {
                 Harness.Sent s = out.get(random.nextInt(out.size()));
-                Outcome[] all = Outcome.values();
-                end(harness, checker, s, random.nextInt(3) > 0 ? Outcome.OK : all[random.nextInt(all.length - 1)]);
+                AttemptOutcome[] all = AttemptOutcome.values();
+                end(
+                        harness,
+                        checker,
+                        s,
+                        random.nextInt(3) > 0 ? AttemptOutcome.OK : all[random.nextInt(all.length - 1)]);
             } else if (what < 84) {
                 String id = "s" + random.nextInt(8);
-                servers.computeIfPresent(id, (i, s) -> s.in(State.values()[random.nextInt(3)]));
-                harness.list(ListKind.PARTIAL, List.of(servers.get(id)));
+                servers.computeIfPresent(id, (i, s) -> s.in(EndpointState.values()[random.nextInt(3)]));
+                harness.list(EndpointListKind.PARTIAL, List.of(servers.get(id)));
             } else {
                 harness.pass(random.nextLong(20_000));
             }
             for (Harness.Sent s : new ArrayList<>(harness.sends)) {
                 if (!s.ended && harness.now >= checker.requests.get(s.request).deadline) {
                     seen = sends(harness, checker, servers, seen);
-                    end(harness, checker, s, Outcome.TIMEOUT);
+                    end(harness, checker, s, AttemptOutcome.TIMEOUT);
                 }
             }
             seen = sends(harness, checker, servers, seen);
@@ -189,16 +187,16 @@
         assertTrue(seen > 800, "enough was sent: " + seen);
     }
 
-    private static void end(Harness harness, Checker checker, Harness.Sent s, Outcome outcome) {
+    private static void end(Harness harness, Checker checker, Harness.Sent s, AttemptOutcome outcome) {
         checker.requests.get(s.request).ended.set(s.number, outcome);
         harness.end(s, outcome);
     }
 
-    private static int sends(Harness harness, Checker checker, Map<String, Server> servers, int from) {
+    private static int sends(Harness harness, Checker checker, Map<String, Endpoint> servers, int from) {
         for (int i = from; i < harness.sends.size(); i++) {
             Harness.Sent s = harness.sends.get(i);
-            Server to = servers.get(s.server);
-            assertNull(checker.sent(s.request, to, to.state() == State.UP, s.at), s.request);
+            Endpoint to = servers.get(s.server);
+            assertNull(checker.sent(s.request, to, to.state() == EndpointState.UP, s.at), s.request);
         }
         return harness.sends.size();
     }
@@ -207,12 +205,14 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void coldServersBearWhatRandomTrafficSends(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Policy.Settings settings = Harness.settings(Harness.kind(Effect.SAFE, Scope.ALL));
-        Harness harness = new Harness(settings, seed).list(ListKind.PERSISTED, Harness.fleet(5));
+        PolicySettings settings = Harness.settings(Harness.kind(Idempotency.SAFE, KeyScope.ALL));
+        Harness harness = new Harness(settings, seed).list(EndpointListKind.PERSISTED, Harness.fleet(5));
         long started = 0;
         for (int i = 0; i < 1500; i++) { // 40 answers a second from each of 5
             if (i == 500) {
-                harness.list(ListKind.PARTIAL, List.of(new Server("cold", State.UP, harness.now, 1, 0, 0, 0)));
+                harness.list(
+                        EndpointListKind.PARTIAL,
+                        List.of(new Endpoint("cold", EndpointState.UP, harness.now, 1, 0, 0, 0)));
             }
             for (int j = 0; j < 4; j++) {
                 harness.request("x" + i + "/" + j, 0);
@@ -221,7 +221,7 @@
             harness.sends.stream()
                     .filter(s -> !s.ended && harness.now - s.at >= 30_000)
                     .toList()
-                    .forEach(s -> harness.end(s, Outcome.OK));
+                    .forEach(s -> harness.end(s, AttemptOutcome.OK));
             started = i < 500 ? harness.now : started;
         }
         List<Long> sends = harness.sends.stream()
--- a/core/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
+++ b/core/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
@@ -9,13 +9,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import loadbalancer.policy.Policy.Effect;
-import loadbalancer.policy.Policy.ListKind;
-import loadbalancer.policy.Policy.Outcome;
-import loadbalancer.policy.Policy.RequestClass;
-import loadbalancer.policy.Policy.Scope;
-import loadbalancer.policy.Policy.Server;
-import loadbalancer.policy.Policy.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -35,9 +28,10 @@
             keyOf.put(id, key);
         }
 
-        void ended(String id, Outcome outcome, long now) {
+        void ended(String id, AttemptOutcome outcome, long now) {
             out.merge(id, -1, Integer::sum);
-            if (Set.of(Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED).contains(outcome)) {
+            if (Set.of(AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED)
+                    .contains(outcome)) {
                 rest.put(id, now + Harness.PAUSE);
             }
         }
@@ -59,7 +53,7 @@
             return null;
         }
 
-        static String placed(RequestClass kind, Server server) {
+        static String placed(RequestClass kind, Endpoint server) {
             boolean zone = kind.zones().isEmpty() || kind.zones().contains(server.zone());
             boolean machine =
                     kind.machineKinds().isEmpty() || kind.machineKinds().contains(server.kind());
@@ -76,18 +70,29 @@
         assertTrue(checker.send("b", 1).contains("before a was over"));
         checker.over.put("a", true);
         assertTrue(checker.send("b", 1).contains("before a was over"), "an attempt is still out");
-        checker.ended("a", Outcome.TIMEOUT, 2);
+        checker.ended("a", AttemptOutcome.TIMEOUT, 2);
         assertTrue(checker.send("b", 3).contains("rests"));
         assertEquals(null, checker.send("b", 2 + Harness.PAUSE));
-        RequestClass bound = kind(Effect.SAFE, false, Set.of(1), Set.of(0));
-        assertTrue(Checker.placed(bound, new Server("s", State.UP, 0, 1, 0, 0, 0)) != null);
-        assertTrue(Checker.placed(bound, new Server("s", State.UP, 0, 1, 0, 1, 1)) != null);
-        assertEquals(null, Checker.placed(bound, new Server("s", State.UP, 0, 1, 0, 0, 1)));
+        RequestClass bound = kind(Idempotency.SAFE, false, Set.of(1), Set.of(0));
+        assertTrue(Checker.placed(bound, new Endpoint("s", EndpointState.UP, 0, 1, 0, 0, 0)) != null);
+        assertTrue(Checker.placed(bound, new Endpoint("s", EndpointState.UP, 0, 1, 0, 1, 1)) != null);
+        assertEquals(null, Checker.placed(bound, new Endpoint("s", EndpointState.UP, 0, 1, 0, 0, 1)));
     }
 
-    private static RequestClass kind(Effect effect, boolean inOrder, Set<Integer> zones, Set<Integer> kinds) {
+    private static RequestClass kind(Idempotency effect, boolean inOrder, Set<Integer> zones, Set<Integer> kinds) {
         return new RequestClass(
-                effect, Scope.ALL, 2_000_000, Harness.AIM, Harness.DEADLINE, 0, 1, 0.3, false, inOrder, zones, kinds);
+                effect,
+                KeyScope.ALL,
+                2_000_000,
+                Harness.AIM,
+                Harness.DEADLINE,
+                0,
+                1,
+                0.3,
+                false,
+                inOrder,
+                zones,
+                kinds);
     }
 
     @ParameterizedTest
@@ -95,18 +100,18 @@
     void randomEventsKeepOrderAndPlacement(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<RequestClass> kinds = List.of(
-                kind(Effect.SAFE, true, Set.of(), Set.of()),
-                kind(Effect.UNSAFE, true, Set.of(0), Set.of()),
-                kind(Effect.KEYED, false, Set.of(), Set.of(1)),
-                kind(Effect.SAFE, false, Set.of(1), Set.of(0)));
+                kind(Idempotency.SAFE, true, Set.of(), Set.of()),
+                kind(Idempotency.UNSAFE, true, Set.of(0), Set.of()),
+                kind(Idempotency.KEYED, false, Set.of(), Set.of(1)),
+                kind(Idempotency.SAFE, false, Set.of(1), Set.of(0)));
         Harness harness = new Harness(Harness.settings(kinds.toArray(new RequestClass[0])), seed);
         Checker checker = new Checker();
         Map<String, Integer> classOf = new LinkedHashMap<>();
-        Map<String, Server> servers = new LinkedHashMap<>();
+        Map<String, Endpoint> servers = new LinkedHashMap<>();
         for (int i = 0; i < 8; i++) {
-            servers.put("s" + i, new Server("s" + i, State.UP, 0, 1, 0, i / 2 % 2, i % 2));
+            servers.put("s" + i, new Endpoint("s" + i, EndpointState.UP, 0, 1, 0, i / 2 % 2, i % 2));
         }
-        harness.list(ListKind.PERSISTED, List.copyOf(servers.values()));
+        harness.list(EndpointListKind.PERSISTED, List.copyOf(servers.values()));
         int checked = 0;
         for (int step = 0; step < 3000; step++) {
             int what = random.nextInt(100);
@@ -124,13 +129,14 @@
                         harness.sends.stream().filter(s -> !s.ended).toList();
                 if (!out.isEmpty()) {
                     Harness.Sent sent = out.get(random.nextInt(out.size()));
-                    Outcome[] all = Outcome.values();
-                    Outcome outcome = random.nextInt(3) > 0 ? Outcome.OK : all[random.nextInt(all.length - 1)];
+                    AttemptOutcome[] all = AttemptOutcome.values();
+                    AttemptOutcome outcome =
+                            random.nextInt(3) > 0 ? AttemptOutcome.OK : all[random.nextInt(all.length - 1)];
                     checked = end(harness, checker, sent, outcome, checked, kinds, classOf, servers);
                 }
             } else if (what < 84) {
-                Server s = servers.get("s" + random.nextInt(8));
-                harness.list(ListKind.PARTIAL, List.of(s.in(State.values()[random.nextInt(3)])));
+                Endpoint s = servers.get("s" + random.nextInt(8));
+                harness.list(EndpointListKind.PARTIAL, List.of(s.in(EndpointState.values()[random.nextInt(3)])));
             } else if (what < 86 && !classOf.isEmpty()) {
                 String id = List.copyOf(classOf.keySet()).get(random.nextInt(classOf.size()));
                 if (harness.finals.putIfAbsent(id, "gone") == null) {
@@ -149,13 +155,13 @@
             Harness harness,
             Checker checker,
             Harness.Sent sent,
-            Outcome outcome,
+            AttemptOutcome outcome,
             int checked,
             List<RequestClass> kinds,
             Map<String, Integer> classOf,
-            Map<String, Server> servers) {
+            Map<String, Endpoint> servers) {
         checker.ended(sent.request, outcome, harness.now);
-        if (outcome == Outcome.OK) {
+        if (outcome == AttemptOutcome.OK) {
             checker.over.put(sent.request, true);
         }
         harness.end(sent, outcome);
@@ -168,7 +174,7 @@
             int from,
             List<RequestClass> kinds,
             Map<String, Integer> classOf,
-            Map<String, Server> servers) {
+            Map<String, Endpoint> servers) {
         harness.finals.keySet().forEach(id -> checker.over.put(id, true));
         int checked = from;
         for (; checked < harness.sends.size(); checked++) {
--- a/discovery/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/discovery/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -29,8 +29,9 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import loadbalancer.policy.Policy;
-import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.policy.DiscoveryMode;
+import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.SafetyBounds;
 import loadbalancer.settings.SettingsReader;
 import loadbalancer.staleness.Staleness;
 
@@ -48,7 +49,7 @@
     private InetSocketAddress address;
     private SettingsReader.Boot boot;
     private final Holding holding;
-    private final BiConsumer<ListKind, Targets> news;
+    private final BiConsumer<EndpointListKind, Targets> news;
     private final Consumer<String> log;
     private final boolean pushed;
     private final LongSupplier clock;
@@ -70,7 +71,7 @@
             Holding holding,
             long rev,
             LongSupplier clock,
-            BiConsumer<ListKind, Targets> news,
+            BiConsumer<EndpointListKind, Targets> news,
             Consumer<String> log) {
         this.loop = loop;
         this.address = address;
@@ -80,8 +81,8 @@
         this.news = news;
         this.log = log;
         this.clock = clock;
-        this.pushed = boot.settings().discovery() == Policy.Discovery.PUSH;
-        Policy.Bounds bounds = boot.settings().bounds();
+        this.pushed = boot.settings().discovery() == DiscoveryMode.PUSH;
+        SafetyBounds bounds = boot.settings().bounds();
         this.staleness = new Staleness(pushed, bounds.drainGrace(), bounds.askWithin());
     }
 
@@ -278,7 +279,7 @@
                 answered = true;
                 heard(); // from here on the time between two lines counts
             }
-            ListKind kind = targets.all() ? ListKind.COMPLETE : ListKind.PARTIAL;
+            EndpointListKind kind = targets.all() ? EndpointListKind.COMPLETE : EndpointListKind.PARTIAL;
             news.accept(kind, watching ? targets.told(staleness.told(clock.getAsLong())) : targets);
             if (!watching) {
                 drop();
@@ -299,7 +300,7 @@
                 staleness.unwatched(clock.getAsLong());
             }
             if (!pushed) {
-                news.accept(ListKind.FAILED, null);
+                news.accept(EndpointListKind.FAILED, null);
             } else if (watching) {
                 // One that has worked is soon opened anew: what its agent has counts as told meanwhile.
                 loop.schedule(
--- a/discovery/src/main/java/loadbalancer/discovery/Membership.java
+++ b/discovery/src/main/java/loadbalancer/discovery/Membership.java
@@ -11,8 +11,8 @@
 import java.util.function.LongSupplier;
 import java.util.stream.Collectors;
 import loadbalancer.drain.TakenOut;
-import loadbalancer.policy.Policy;
-import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.EndpointState;
 import loadbalancer.settings.SettingsReader;
 import loadbalancer.subset.Subset;
 
@@ -25,7 +25,7 @@
     private final Holding holding;
     private final TakenOut takenOut;
     private final LongSupplier clock;
-    private final BiConsumer<ListKind, Targets> news;
+    private final BiConsumer<EndpointListKind, Targets> news;
     private long rev;
     private boolean held; // what is known is too old to go by
     private Runnable wanting = () -> {};
@@ -35,7 +35,8 @@
      *
      * @param holding the bound of what is kept here, shared with what reads the lists
      */
-    public Membership(Holding holding, TakenOut takenOut, LongSupplier clock, BiConsumer<ListKind, Targets> news) {
+    public Membership(
+            Holding holding, TakenOut takenOut, LongSupplier clock, BiConsumer<EndpointListKind, Targets> news) {
         this.holding = holding;
         this.takenOut = takenOut;
         this.clock = clock;
@@ -43,7 +44,7 @@
     }
 
     /** What discovery tells; {@code all} is null where it has failed. */
-    public void listed(ListKind kind, Targets all) {
+    public void listed(EndpointListKind kind, Targets all) {
         if (all == null) {
             news.accept(kind, null);
             return;
@@ -54,7 +55,7 @@
         }
         rev = targets.rev();
         for (Targets.Target t : targets.list()) {
-            if (t.server().state() == Policy.State.GONE) {
+            if (t.server().state() == EndpointState.GONE) {
                 told.remove(t.server().id());
             } else {
                 told.put(t.server().id(), t);
@@ -97,7 +98,7 @@
             Targets.Target t = all.next();
             if (!holding.holds(t.server().id())) {
                 all.remove();
-                passed.put(t.server().id(), new Targets.Target(t.server().in(Policy.State.GONE), t.endpoint()));
+                passed.put(t.server().id(), new Targets.Target(t.server().in(EndpointState.GONE), t.endpoint()));
             }
         }
     }
@@ -118,7 +119,7 @@
     }
 
     private boolean usable(Targets.Target t) {
-        return t.server().state() == Policy.State.UP
+        return t.server().state() == EndpointState.UP
                 && !takenOut.holds(t.server().id());
     }
 
@@ -127,7 +128,7 @@
         return holding;
     }
 
-    private void pass(ListKind kind, boolean all, Collection<Targets.Target> list, long toldAt) {
+    private void pass(EndpointListKind kind, boolean all, Collection<Targets.Target> list, long toldAt) {
         news.accept(kind, new Targets(rev, all, list.stream().map(this::here).toList(), toldAt));
     }
 
@@ -154,7 +155,7 @@
 
     private void release(long toldAt) {
         held = false;
-        pass(ListKind.COMPLETE, true, told.values(), toldAt);
+        pass(EndpointListKind.COMPLETE, true, told.values(), toldAt);
     }
 
     /** How many upstreams may be sent to. */
@@ -183,7 +184,7 @@
                     theirs.list().stream().map(t -> t.server().id()).collect(Collectors.toSet());
             for (Targets.Target t : told.values()) {
                 if (!listed.contains(t.server().id())) {
-                    now.add(new Targets.Target(t.server().in(Policy.State.GONE), t.endpoint()));
+                    now.add(new Targets.Target(t.server().in(EndpointState.GONE), t.endpoint()));
                 }
             }
             told.clear();
@@ -193,7 +194,7 @@
             within(holding.subset(), List.of()); // the other may hold more: that process may have a larger heap
         }
         told.values().forEach(t -> now.add(here(t)));
-        news.accept(ListKind.OWN, new Targets(rev, false, now));
+        news.accept(EndpointListKind.OWN, new Targets(rev, false, now));
     }
 
     /** The numbers of zones and kinds change with the settings; their names don't. */
@@ -204,7 +205,7 @@
         Targets again = Targets.of(told().toJson(before), next);
         again.list().forEach(t -> told.put(t.server().id(), t));
         news.accept(
-                ListKind.OWN,
+                EndpointListKind.OWN,
                 new Targets(rev, false, again.list().stream().map(this::here).toList()));
     }
 
@@ -244,7 +245,7 @@
     private void changed(String id) {
         Targets.Target t = told.get(id);
         if (t != null) {
-            news.accept(ListKind.OWN, new Targets(rev, false, List.of(here(t))));
+            news.accept(EndpointListKind.OWN, new Targets(rev, false, List.of(here(t))));
         }
     }
 
--- a/discovery/src/main/java/loadbalancer/discovery/Targets.java
+++ b/discovery/src/main/java/loadbalancer/discovery/Targets.java
@@ -5,7 +5,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.policy.Policy;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointState;
 import loadbalancer.settings.Endpoints;
 import loadbalancer.settings.SettingsReader;
 import loadbalancer.subset.Subset;
@@ -17,7 +18,7 @@
  */
 public record Targets(long rev, boolean all, List<Target> list, long toldAt, Part part) {
     /** An upstream as the module knows it, and where this balancer reaches it. */
-    public record Target(Policy.Server server, InetSocketAddress endpoint) {}
+    public record Target(Endpoint server, InetSocketAddress endpoint) {}
 
     /** A part of a list that named so many upstreams. */
     public record Part(Subset subset, long named) {}
@@ -56,23 +57,23 @@
         return uid;
     }
 
-    static Policy.State state(Map<?, ?> entry) {
+    static EndpointState state(Map<?, ?> entry) {
         return switch (String.valueOf(entry.get("state"))) {
-            case "in_service" -> Policy.State.UP;
-            case "terminating" -> Policy.State.DRAINING;
-            case "terminated" -> Policy.State.GONE;
+            case "in_service" -> EndpointState.UP;
+            case "terminating" -> EndpointState.DRAINING;
+            case "terminated" -> EndpointState.GONE;
             default -> throw new IllegalArgumentException("unknown state: '" + entry.get("state") + "'");
         };
     }
 
     static Target entry(Map<?, ?> e, SettingsReader.Boot boot) {
-        Policy.State state = state(e);
-        InetSocketAddress endpoint = state == Policy.State.GONE && e.get("endpoint") == null
+        EndpointState state = state(e);
+        InetSocketAddress endpoint = state == EndpointState.GONE && e.get("endpoint") == null
                 ? null
                 : Endpoints.address(String.valueOf(e.get("endpoint")));
         double weight = number(e.get("capacity_hint"), 1);
         return new Target(
-                new Policy.Server(
+                new Endpoint(
                         uid(e),
                         state,
                         Math.round(number(e.get("boot_ms"), 0) * 1000),
@@ -87,14 +88,14 @@
     public Map<String, Object> toJson(SettingsReader.Boot boot) {
         List<Map<String, Object>> entries = new ArrayList<>();
         for (Target t : list) {
-            Policy.Server s = t.server();
+            Endpoint s = t.server();
             Map<String, Object> entry = new LinkedHashMap<>();
             entry.put("uid", s.id());
             entry.put(
                     "endpoint",
                     t.endpoint().getAddress().getHostAddress() + ":"
                             + t.endpoint().getPort());
-            entry.put("state", s.state() == Policy.State.UP ? "in_service" : "terminating");
+            entry.put("state", s.state() == EndpointState.UP ? "in_service" : "terminating");
             entry.put("boot_ms", s.startedAt() / 1000.0);
             entry.put("capacity_hint", s.weight());
             entry.put("pod_group", s.cell());
@@ -109,7 +110,7 @@
         return Map.of("rev", rev, "all", all, "targets", entries);
     }
 
-    public List<Policy.Server> servers() {
+    public List<Endpoint> servers() {
         return list.stream().map(Target::server).toList();
     }
 
--- a/discovery/src/main/java/loadbalancer/drain/TakenOut.java
+++ b/discovery/src/main/java/loadbalancer/drain/TakenOut.java
@@ -4,7 +4,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import loadbalancer.policy.Policy;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointState;
 
 /**
  * The upstreams that operators have taken out, and when those that came back did. A set, not a count: one
@@ -64,9 +65,9 @@
      * What discovery lists, as it holds for this balancer. Operators restart an upstream while it is out, and
      * discovery may tell of the new start later or never: one that was put back counts as started then.
      */
-    public Policy.Server apply(Policy.Server listed) {
-        boolean draining = listed.state() == Policy.State.UP && out.contains(listed.id());
-        Policy.Server server = draining ? listed.in(Policy.State.DRAINING) : listed;
+    public Endpoint apply(Endpoint listed) {
+        boolean draining = listed.state() == EndpointState.UP && out.contains(listed.id());
+        Endpoint server = draining ? listed.in(EndpointState.DRAINING) : listed;
         Long since = back.get(listed.id());
         return since == null || since <= server.startedAt() ? server : server.startedAt(since);
     }
--- a/discovery/src/main/java/loadbalancer/settings/SettingsReader.java
+++ b/discovery/src/main/java/loadbalancer/settings/SettingsReader.java
@@ -8,8 +8,17 @@
 import java.util.TreeSet;
 import java.util.function.BiFunction;
 import java.util.stream.Collectors;
-import loadbalancer.policy.Policy;
-import loadbalancer.policy.Policy.Settings;
+import loadbalancer.policy.DiscoveryMode;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.KeyScope;
+import loadbalancer.policy.LoadReporting;
+import loadbalancer.policy.PolicySettings;
+import loadbalancer.policy.RequestClass;
+import loadbalancer.policy.SafetyBounds;
+import loadbalancer.policy.ServiceObjective;
+import loadbalancer.policy.SiteLimits;
+import loadbalancer.policy.TenantQuota;
+import loadbalancer.policy.TrafficCosts;
 
 /**
  * Reads the settings of a balancer from path=value pairs, whether they come from the simulator's wire or from
@@ -24,7 +33,7 @@
      * that stand for the module's numbers, and after what time (µs) a server closes an idle connection.
      */
     public record Boot(
-            Settings settings,
+            PolicySettings settings,
             List<String> loadFields,
             List<String> classes,
             List<String> tenants,
@@ -96,15 +105,15 @@
         return List.copyOf(names);
     }
 
-    private Settings settings() {
+    private PolicySettings settings() {
         int zones = text("Areas", "").split(",").length;
         int kinds = text("Kinds", "").split(",").length;
-        List<Policy.RequestClass> classes = new ArrayList<>();
+        List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < count("Classes", true); i++) {
             String at = "Classes." + i + ".";
-            classes.add(new Policy.RequestClass(
-                    word(Policy.Effect.class, at + "Idempotency", null),
-                    word(Policy.Scope.class, at + "DedupScope", "all"),
+            classes.add(new RequestClass(
+                    word(Idempotency.class, at + "Idempotency", null),
+                    word(KeyScope.class, at + "DedupScope", "all"),
                     whole(at + "KeyTtl", 0L),
                     whole(at + "GoalTime", null),
                     whole(at + "GiveUp", null),
@@ -116,20 +125,20 @@
                     indexes(at + "AllowedIn", zones),
                     indexes(at + "RunsOn", kinds)));
         }
-        List<Policy.Tenant> tenants = new ArrayList<>();
+        List<TenantQuota> tenants = new ArrayList<>();
         for (int i = 0; i < count("Realms", false); i++) {
-            tenants.add(new Policy.Tenant(decimal("Realms." + i + ".AllowancePerS", null)));
+            tenants.add(new TenantQuota(decimal("Realms." + i + ".AllowancePerS", null)));
         }
         int tries = (int) Math.min(Integer.MAX_VALUE, whole("Limits.TryLimit", null));
-        Policy.Limits limits = new Policy.Limits(
+        SiteLimits limits = new SiteLimits(
                 tries,
                 flag("Limits.MayDuplicate", null),
                 flag("Limits.Cancel", null),
                 flag("Limits.Probes", null),
                 whole("Limits.DialTimeout", 0L),
                 whole("Limits.MaxRetryAfter", 0L));
-        boolean ask = word(Policy.Discovery.class, "MembershipMode", null) == Policy.Discovery.ASK;
-        Policy.Bounds bounds = new Policy.Bounds(
+        boolean ask = word(DiscoveryMode.class, "MembershipMode", null) == DiscoveryMode.ASK;
+        SafetyBounds bounds = new SafetyBounds(
                 whole("Rules.AnswerSlack", null),
                 whole("Rules.DrainGrace", null),
                 whole("Rules.AskWithin", ask ? null : 0L),
@@ -138,12 +147,12 @@
                 decimal("Rules.OverloadFactor", null),
                 whole("Rules.Fall", null),
                 whole("Rules.OrderPause", 0L));
-        Policy.Goal goal = new Policy.Goal(
+        ServiceObjective goal = new ServiceObjective(
                 decimal("Blend.Whole", 1.0),
                 decimal("Blend.WorstWindow", 0.0),
                 decimal("Blend.WorstClass", 0.0),
                 decimal("Blend.WorstTenant", 0.0));
-        return new Settings(
+        return new PolicySettings(
                 (int) Math.min(Integer.MAX_VALUE, whole("Balancers", null)),
                 (int) whole("Rank", 0L),
                 zone(zones),
@@ -151,10 +160,10 @@
                 List.copyOf(tenants),
                 decimal("OverShareWorth", 1.0),
                 goal,
-                new Policy.Prices(decimal("Prices.CrossZone", 0.0), decimal("Prices.Handshake", 0.0)),
+                new TrafficCosts(decimal("Prices.CrossZone", 0.0), decimal("Prices.Handshake", 0.0)),
                 text("WorthBy", "request").equals("work"),
-                ask ? Policy.Discovery.ASK : Policy.Discovery.PUSH,
-                word(Policy.Reports.class, "Stats.How", "none"),
+                ask ? DiscoveryMode.ASK : DiscoveryMode.PUSH,
+                word(LoadReporting.class, "Stats.How", "none"),
                 flag("Specifics.WarmKeys", false),
                 limits,
                 bounds,
--- a/discovery/src/test/java/loadbalancer/discovery/ListReaderTest.java
+++ b/discovery/src/test/java/loadbalancer/discovery/ListReaderTest.java
@@ -9,7 +9,8 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
-import loadbalancer.policy.Policy;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointState;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -25,7 +26,7 @@
         assertTrue(list.all());
         assertEquals(0, list.part().subset().level());
         Targets.Target t = list.list().get(5);
-        assertEquals(new Policy.Server("s-5", Policy.State.UP, 7_000, 1.5, 1, 1, 1), t.server());
+        assertEquals(new Endpoint("s-5", EndpointState.UP, 7_000, 1.5, 1, 1, 1), t.server());
         assertEquals(1_005, t.endpoint().getPort());
     }
 
--- a/discovery/src/test/java/loadbalancer/discovery/MembershipTest.java
+++ b/discovery/src/test/java/loadbalancer/discovery/MembershipTest.java
@@ -14,8 +14,9 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import loadbalancer.drain.TakenOut;
-import loadbalancer.policy.Policy;
-import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.EndpointState;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
@@ -27,7 +28,7 @@
 
     private Holding holding;
     private Membership membership;
-    private final Map<String, Policy.State> module = new LinkedHashMap<>(); // as the module knows it
+    private final Map<String, EndpointState> module = new LinkedHashMap<>(); // as the module knows it
     private final List<String> changes = new ArrayList<>();
 
     MembershipTest() {
@@ -40,8 +41,8 @@
             if (targets.all()) {
                 module.clear();
             }
-            for (Policy.Server s : targets.servers()) {
-                if (s.state() == Policy.State.GONE) {
+            for (Endpoint s : targets.servers()) {
+                if (s.state() == EndpointState.GONE) {
                     module.remove(s.id());
                 } else {
                     module.put(s.id(), s.state());
@@ -54,7 +55,7 @@
 
     private void told(String json) {
         Targets t = Lists.read(holding, json, 10_000);
-        membership.listed(t.all() ? ListKind.COMPLETE : ListKind.PARTIAL, t);
+        membership.listed(t.all() ? EndpointListKind.COMPLETE : EndpointListKind.PARTIAL, t);
     }
 
     private void whole(int many) {
@@ -93,7 +94,7 @@
         String held = module.keySet().iterator().next();
         told(Lists.list(2, false, 0, 1_000, "terminating"));
         assertEquals(before, module.size());
-        assertTrue(module.values().stream().allMatch(s -> s == Policy.State.DRAINING));
+        assertTrue(module.values().stream().allMatch(s -> s == EndpointState.DRAINING));
         assertTrue(module.containsKey(held));
     }
 
@@ -131,14 +132,14 @@
         String held = module.keySet().iterator().next();
         assertTrue(membership.setDown(other));
         assertTrue(membership.setDown(held));
-        assertEquals(Policy.State.DRAINING, module.get(held));
+        assertEquals(EndpointState.DRAINING, module.get(held));
         while (!holding.holds(other)) {
             holding.seekNext();
             whole(1_000);
         }
-        assertEquals(Policy.State.DRAINING, module.get(other));
+        assertEquals(EndpointState.DRAINING, module.get(other));
         assertTrue(membership.setUp(other));
-        assertEquals(Policy.State.UP, module.get(other));
+        assertEquals(EndpointState.UP, module.get(other));
     }
 
     @Test
@@ -166,7 +167,7 @@
     @Test
     void aListThatIsHeldBackIsBoundedToo() {
         Targets known = Lists.read(holding, Lists.list(1, true, 0, 1_000, "in_service"), 10_000);
-        membership.listed(ListKind.PERSISTED, new Targets(1, true, List.of()));
+        membership.listed(EndpointListKind.PERSISTED, new Targets(1, true, List.of()));
         membership.hold(known);
         assertTrue(module.isEmpty());
         membership.release();
@@ -178,13 +179,13 @@
     @Test
     void aListThatNobodyHasLookedAtIsBoundedToo() {
         membership.listed(
-                ListKind.COMPLETE,
+                EndpointListKind.COMPLETE,
                 new Targets(
                         9,
                         true,
                         IntStream.range(0, 500)
                                 .mapToObj(i -> new Targets.Target(
-                                        new Policy.Server("s-" + i, Policy.State.UP, 0, 1, 0, 0, 0), null))
+                                        new Endpoint("s-" + i, EndpointState.UP, 0, 1, 0, 0, 0), null))
                                 .toList()));
         assertEquals(all(0, 500), new TreeSet<>(module.keySet()));
         assertTrue(module.size() <= MOST && holding.named() == 500, holding.summary());
@@ -199,8 +200,8 @@
                 9,
                 true,
                 IntStream.range(0, 500)
-                        .mapToObj(i ->
-                                new Targets.Target(new Policy.Server("s-" + i, Policy.State.UP, 0, 1, 0, 0, 0), null))
+                        .mapToObj(
+                                i -> new Targets.Target(new Endpoint("s-" + i, EndpointState.UP, 0, 1, 0, 0, 0), null))
                         .toList());
         membership.inherit(Set.of(), Map.of(), theirs);
         assertTrue(membership.told().list().size() <= MOST);
--- a/simulator/src/main/java/loadbalancer/simulator/cli/ReportCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/ReportCommand.java
@@ -34,7 +34,10 @@
     @Mixin
     private RunCommand.Playing playing;
 
-    @Option(names = "--out", defaultValue = "simulator/target/reports", description = "Folder for pages; simulator/target/reports.")
+    @Option(
+            names = "--out",
+            defaultValue = "simulator/target/reports",
+            description = "Folder for pages; simulator/target/reports.")
     private Path out;
 
     @Override
--- a/simulator/src/main/java/loadbalancer/simulator/cli/ScaleCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/ScaleCommand.java
@@ -7,6 +7,12 @@
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import java.util.stream.IntStream;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.EndpointState;
+import loadbalancer.policy.Policy;
+import loadbalancer.policy.PolicySettings;
 import loadbalancer.simulator.experiment.Experiment;
 import loadbalancer.simulator.experiment.ExperimentReader;
 import loadbalancer.simulator.judge.Day;
@@ -17,7 +23,6 @@
 import loadbalancer.simulator.world.PolicyMaker;
 import loadbalancer.simulator.world.Range;
 import loadbalancer.simulator.world.WorldPlan;
-import loadbalancer.policy.Policy;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -120,7 +125,7 @@
                 base.troubles());
         Metered.Meter meter = new Metered.Meter();
         PolicyMaker maker = Variants.maker(variant);
-        List<Policy.Settings> seen = new ArrayList<>();
+        List<PolicySettings> seen = new ArrayList<>();
         long began = System.nanoTime();
         Day day = Day.play(plan, seed, (settings, s, truth) -> {
             seen.add(settings);
@@ -152,20 +157,20 @@
     }
 
     // Bytes of a module that knows the fleet and has served for a while.
-    private static double memory(PolicyMaker maker, Policy.Settings settings, int upstreams) {
-        List<Policy.Server> fleet = IntStream.range(0, upstreams)
-                .mapToObj(i -> new Policy.Server("u" + i, Policy.State.UP, 0, 1, i / 4, i % 2, i % 3))
+    private static double memory(PolicyMaker maker, PolicySettings settings, int upstreams) {
+        List<Endpoint> fleet = IntStream.range(0, upstreams)
+                .mapToObj(i -> new Endpoint("u" + i, EndpointState.UP, 0, 1, i / 4, i % 2, i % 3))
                 .toList();
         List<Policy> modules = new ArrayList<>();
         long before = used();
         for (int m = 0; m < MODULES; m++) {
             Policy p = maker.make(settings, m, null);
             Quiet out = new Quiet();
-            p.servers(1, Policy.ListKind.PERSISTED, fleet, out);
+            p.servers(1, EndpointListKind.PERSISTED, fleet, out);
             for (int i = 0; i < 2_000; i++) {
                 long now = 1_000 + i * 10_000L;
                 p.request(now, "r" + i, 0, 0, Integer.toHexString(i % 300), 1_000_000, -1, false, out);
-                p.outcome(now + 5_000, "r" + i, 0, Policy.Outcome.OK, 5_000, true, null, out);
+                p.outcome(now + 5_000, "r" + i, 0, AttemptOutcome.OK, 5_000, true, null, out);
                 if (i % 10 == 0) {
                     p.wake(now + 6_000, out);
                 }
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/ExperimentReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/ExperimentReader.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import loadbalancer.policy.Idempotency;
 import loadbalancer.simulator.judge.Score;
 import loadbalancer.simulator.policies.Choosers;
 import loadbalancer.simulator.variants.FrontSpec;
@@ -15,7 +16,6 @@
 import loadbalancer.simulator.world.Range;
 import loadbalancer.simulator.world.Timeline;
 import loadbalancer.simulator.world.WorldPlan;
-import loadbalancer.policy.Policy;
 import loadbalancer.toml.Faults;
 import loadbalancer.toml.Section;
 import loadbalancer.toml.Section.Measure;
@@ -280,7 +280,7 @@
                     Math.max(aim, deadline),
                     k.number("worth", Measure.NUMBER, 1),
                     k.number("late_worth", Measure.SHARE, 0),
-                    k.word("effect", Policy.Effect.class, Policy.Effect.SAFE)));
+                    k.word("effect", Idempotency.class, Idempotency.SAFE)));
             k.done();
         }
         if (all.isEmpty()) {
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/FrontReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/FrontReader.java
@@ -4,9 +4,9 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import loadbalancer.limits.ConcurrencyLimit;
 import loadbalancer.simulator.variants.FrontSpec;
 import loadbalancer.simulator.world.WorldPlan;
-import loadbalancer.limits.ConcurrencyLimit;
 import loadbalancer.toml.Section;
 import loadbalancer.toml.Section.Measure;
 
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/HollowBalancer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/HollowBalancer.java
@@ -14,7 +14,9 @@
 import loadbalancer.discovery.PartialListRetry;
 import loadbalancer.discovery.Targets;
 import loadbalancer.drain.TakenOut;
+import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.policy.Balance;
+import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.Policy;
 import loadbalancer.settings.SettingsReader;
 
@@ -72,9 +74,9 @@
     /** Begins, on the loop's thread. */
     void start() {
         if (plan.ask()) {
-            membership.listed(Policy.ListKind.PERSISTED, known);
+            membership.listed(EndpointListKind.PERSISTED, known);
         } else {
-            membership.listed(Policy.ListKind.PERSISTED, new Targets(known.rev(), true, List.of()));
+            membership.listed(EndpointListKind.PERSISTED, new Targets(known.rev(), true, List.of()));
             membership.hold(known);
             loop.schedule(membership::release, LIST_MS, TimeUnit.MILLISECONDS);
         }
@@ -104,7 +106,7 @@
         return membership.up();
     }
 
-    private void heard(Policy.ListKind kind, Targets targets) {
+    private void heard(EndpointListKind kind, Targets targets) {
         long before = rev;
         membership.listed(kind, targets);
         if (targets == null) {
@@ -121,8 +123,8 @@
         tally.complaint = line;
     }
 
-    private void news(Policy.ListKind kind, Targets targets) {
-        if (kind == Policy.ListKind.COMPLETE || kind == Policy.ListKind.PARTIAL) {
+    private void news(EndpointListKind kind, Targets targets) {
+        if (kind == EndpointListKind.COMPLETE || kind == EndpointListKind.PARTIAL) {
             tally.lists += targets.all() ? 1 : 0;
             tally.changes += targets.all() || targets.list().isEmpty() ? 0 : 1;
             tally.entries += targets.list().size();
@@ -159,7 +161,7 @@
     public void send(String request, String server, long timeout) {
         tally.decided++;
         int attempt = attempts.merge(request, 1, Integer::sum) - 1;
-        hand(now -> policy.outcome(now, request, attempt, Policy.Outcome.OK, LATENCY_US, true, null, this));
+        hand(now -> policy.outcome(now, request, attempt, AttemptOutcome.OK, LATENCY_US, true, null, this));
     }
 
     @Override
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/Site.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/Site.java
@@ -5,10 +5,10 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.settings.SettingsReader;
 import loadbalancer.simulator.world.Range;
 import loadbalancer.simulator.world.WorldPlan;
-import loadbalancer.policy.Policy;
-import loadbalancer.settings.SettingsReader;
 
 /** The settings that hollow and real balancers of a scale run are given: the same for both but for the rank. */
 final class Site {
@@ -24,7 +24,7 @@
             1_000_000,
             1,
             0,
-            Policy.Effect.SAFE);
+            Idempotency.SAFE);
 
     private Site() {}
 
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/TenantsAxis.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/TenantsAxis.java
@@ -7,11 +7,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.IntStream;
-import loadbalancer.simulator.policies.Quiet;
 import loadbalancer.limits.TokenTree;
 import loadbalancer.policy.Balance;
-import loadbalancer.policy.Policy;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.EndpointState;
+import loadbalancer.policy.PolicySettings;
 import loadbalancer.settings.SettingsReader;
+import loadbalancer.simulator.policies.Quiet;
 
 /**
  * Tenants in the settings and in quotas: what reading them, the module's books and the token buckets keep and cost, and
@@ -52,12 +55,11 @@
         all.putAll(realms);
         figures.put("settings_heap_per_tenant_bytes", Repeated.retained(() -> boot(all)) / size);
         figures.put("settings_read_ms", Repeated.millis(() -> boot(all)));
-        Policy.Settings settings = boot(all).settings();
+        PolicySettings settings = boot(all).settings();
         figures.put("module_heap_per_tenant_bytes", Repeated.retained(() -> new Balance(settings, 1)) / size);
         Balance module = new Balance(settings, 1);
         Quiet out = new Quiet();
-        module.servers(
-                1, Policy.ListKind.PERSISTED, List.of(new Policy.Server("a", Policy.State.UP, 0, 1, 0, 0, 0)), out);
+        module.servers(1, EndpointListKind.PERSISTED, List.of(new Endpoint("a", EndpointState.UP, 0, 1, 0, 0, 0)), out);
         long[] now = {1};
         figures.put(
                 "module_wake_us",
--- a/simulator/src/main/java/loadbalancer/simulator/judge/Judge.java
+++ b/simulator/src/main/java/loadbalancer/simulator/judge/Judge.java
@@ -7,6 +7,11 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.EndpointState;
+import loadbalancer.policy.Idempotency;
 import loadbalancer.simulator.judge.Broken.Rule;
 import loadbalancer.simulator.world.Attempt;
 import loadbalancer.simulator.world.Balancer;
@@ -17,7 +22,6 @@
 import loadbalancer.simulator.world.Upstream;
 import loadbalancer.simulator.world.World;
 import loadbalancer.simulator.world.WorldPlan;
-import loadbalancer.policy.Policy;
 
 /** Holds every event of a day against the rules. It sees all of them, not samples. */
 public final class Judge implements Observer {
@@ -26,7 +30,7 @@
 
     /** What one balancer has been told of one upstream. */
     private static final class Told {
-        private Policy.State state = Policy.State.UP;
+        private EndpointState state = EndpointState.UP;
         private long endsSince;
         private long start;
     }
@@ -90,12 +94,12 @@
             breach(Rule.TWO_AT_ONCE, now, t.id(), "sent to " + a.target() + " while another attempt is out", t);
         }
         boolean mayHaveRun = t.attempts().stream().anyMatch(Attempt::mayHaveRun);
-        if (mayHaveRun && plan.classes().get(t.client().kind()).effect() == Policy.Effect.UNSAFE) {
+        if (mayHaveRun && plan.classes().get(t.client().kind()).effect() == Idempotency.UNSAFE) {
             breach(Rule.DUPLICATE, now, t.id(), "sent again to " + a.target() + " though it may have run", t);
         }
         Map<String, Told> known = told.get(t.at());
         Told entry = known == null ? null : known.get(a.target());
-        long since = entry != null && entry.state != Policy.State.UP ? entry.endsSince : Long.MAX_VALUE;
+        long since = entry != null && entry.state != EndpointState.UP ? entry.endsSince : Long.MAX_VALUE;
         since = Math.min(since, t.at().deemedTold(a.target()));
         if (since != Long.MAX_VALUE) {
             score.sentWhileDraining(now - since);
@@ -112,7 +116,7 @@
     }
 
     @Override
-    public void outcome(Attempt a, Policy.Outcome outcome, long now) {
+    public void outcome(Attempt a, AttemptOutcome outcome, long now) {
         score.outcome(outcome, now);
     }
 
@@ -120,7 +124,7 @@
     public void answered(Taken t, Clients.End end, long retryAfter, long now) {
         score.answered(end, now);
         score.answerMargin(t.deadline() + plan.rules().answerSlack() - now);
-        boolean unsafe = plan.classes().get(t.client().kind()).effect() == Policy.Effect.UNSAFE;
+        boolean unsafe = plan.classes().get(t.client().kind()).effect() == Idempotency.UNSAFE;
         if (end == Clients.End.REFUSED && unsafe && t.attempts().stream().anyMatch(Attempt::mayHaveRun)) {
             breach(Rule.DUPLICATE, now, t.id(), "refused, which invites another try, though it may have run", t);
         }
@@ -140,25 +144,25 @@
     }
 
     @Override
-    public void told(Balancer b, Policy.ListKind kind, List<Policy.Server> servers, long now) {
-        if (kind == Policy.ListKind.PERSISTED) {
+    public void told(Balancer b, EndpointListKind kind, List<Endpoint> servers, long now) {
+        if (kind == EndpointListKind.PERSISTED) {
             told.keySet().removeIf(other -> other.rank() == b.rank() && other.incarnation() < b.incarnation() - 1);
         }
         Map<String, Told> known = told.computeIfAbsent(b, x -> new HashMap<>());
         Set<String> listed = new HashSet<>();
-        for (Policy.Server s : servers) {
+        for (Endpoint s : servers) {
             listed.add(s.id());
             Told t = known.computeIfAbsent(s.id(), x -> new Told());
-            if (s.state() != Policy.State.UP && t.state == Policy.State.UP) {
+            if (s.state() != EndpointState.UP && t.state == EndpointState.UP) {
                 t.endsSince = now;
             }
             t.state = s.state();
             t.start = s.startedAt();
         }
-        if (kind == Policy.ListKind.COMPLETE || kind == Policy.ListKind.PERSISTED) {
+        if (kind == EndpointListKind.COMPLETE || kind == EndpointListKind.PERSISTED) {
             known.forEach((id, t) -> {
-                if (!listed.contains(id) && t.state == Policy.State.UP) {
-                    t.state = Policy.State.GONE;
+                if (!listed.contains(id) && t.state == EndpointState.UP) {
+                    t.state = EndpointState.GONE;
                     t.endsSince = now;
                 }
             });
--- a/simulator/src/main/java/loadbalancer/simulator/judge/Score.java
+++ b/simulator/src/main/java/loadbalancer/simulator/judge/Score.java
@@ -4,12 +4,13 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.EndpointListKind;
 import loadbalancer.simulator.world.ClientRequest;
 import loadbalancer.simulator.world.Clients;
 import loadbalancer.simulator.world.Timeline;
 import loadbalancer.simulator.world.World;
 import loadbalancer.simulator.world.WorldPlan;
-import loadbalancer.policy.Policy;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -33,7 +34,7 @@
     private final long[] refusals;
     private final long[] attempts;
     private final Histogram[] latencies;
-    private final Map<Policy.Outcome, Long> outcomes = new java.util.EnumMap<>(Policy.Outcome.class);
+    private final Map<AttemptOutcome, Long> outcomes = new java.util.EnumMap<>(AttemptOutcome.class);
     private final Map<Clients.End, Long> ends = new java.util.EnumMap<>(Clients.End.class);
     private double coldPressure;
     private long latestToDraining;
@@ -152,7 +153,7 @@
         attempts[second(now)]++;
     }
 
-    void outcome(Policy.Outcome outcome, long now) {
+    void outcome(AttemptOutcome outcome, long now) {
         outcomes.merge(outcome, 1L, Long::sum);
     }
 
@@ -177,7 +178,7 @@
         fallen++;
     }
 
-    void told(Policy.ListKind kind) {
+    void told(EndpointListKind kind) {
         lists++;
     }
 
@@ -235,7 +236,7 @@
         f.put("failed", ends.getOrDefault(Clients.End.FAILED, 0L) / Math.max(1.0, taken));
         f.put("attempts", sends / Math.max(1.0, taken));
         f.put("further_attempts", further / Math.max(1.0, taken));
-        for (Policy.Outcome o : Policy.Outcome.values()) {
+        for (AttemptOutcome o : AttemptOutcome.values()) {
             f.put(
                     "attempts." + o.name().toLowerCase(java.util.Locale.ROOT),
                     outcomes.getOrDefault(o, 0L) / Math.max(1.0, sends));
--- a/simulator/src/main/java/loadbalancer/simulator/queue/QueueModel.java
+++ b/simulator/src/main/java/loadbalancer/simulator/queue/QueueModel.java
@@ -2,6 +2,22 @@
 
 import java.util.List;
 import java.util.stream.IntStream;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.Balance;
+import loadbalancer.policy.DiscoveryMode;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.EndpointState;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.KeyScope;
+import loadbalancer.policy.LoadReporting;
+import loadbalancer.policy.Policy;
+import loadbalancer.policy.PolicySettings;
+import loadbalancer.policy.RequestClass;
+import loadbalancer.policy.SafetyBounds;
+import loadbalancer.policy.ServiceObjective;
+import loadbalancer.policy.SiteLimits;
+import loadbalancer.policy.TrafficCosts;
 import loadbalancer.simulator.policies.Chooser;
 import loadbalancer.simulator.policies.Choosers;
 import loadbalancer.simulator.policies.Quiet;
@@ -11,8 +27,6 @@
 import loadbalancer.simulator.sim.Simulation;
 import loadbalancer.simulator.sim.Streams;
 import loadbalancer.simulator.stats.BatchMeans;
-import loadbalancer.policy.Balance;
-import loadbalancer.policy.Policy;
 
 /**
  * The paper's bare model: Poisson arrivals, exponential service, first come first served at each server, one
@@ -274,24 +288,23 @@
         private final Policy policy;
 
         ByModule(long seed) {
-            Policy.RequestClass only =
-                    new Policy.RequestClass(Policy.Effect.SAFE, Policy.Scope.ALL, 0, FAR / 2, FAR, 0, 1, 1, false);
+            RequestClass only = new RequestClass(Idempotency.SAFE, KeyScope.ALL, 0, FAR / 2, FAR, 0, 1, 1, false);
             policy = new Balance(
-                    new Policy.Settings(
+                    new PolicySettings(
                             1,
                             0,
                             0,
                             List.of(only),
                             List.of(),
                             1,
-                            new Policy.Goal(1, 0, 0, 0),
-                            new Policy.Prices(0, 0),
+                            new ServiceObjective(1, 0, 0, 0),
+                            new TrafficCosts(0, 0),
                             false,
-                            Policy.Discovery.PUSH,
-                            Policy.Reports.NONE,
+                            DiscoveryMode.PUSH,
+                            LoadReporting.NONE,
                             false,
-                            new Policy.Limits(1, false, false, false, UNIT, 0),
-                            new Policy.Bounds(UNIT, UNIT, 0, 1, 0, 3, UNIT, 0),
+                            new SiteLimits(1, false, false, false, UNIT, 0),
+                            new SafetyBounds(UNIT, UNIT, 0, 1, 0, 3, UNIT, 0),
                             UNIT / 10),
                     seed);
         }
@@ -300,9 +313,9 @@
         public void begin() {
             policy.servers(
                     0,
-                    Policy.ListKind.PERSISTED,
+                    EndpointListKind.PERSISTED,
                     IntStream.range(0, servers.length)
-                            .mapToObj(i -> new Policy.Server(Integer.toString(i), Policy.State.UP, 0, 1, 0, 0, 0))
+                            .mapToObj(i -> new Endpoint(Integer.toString(i), EndpointState.UP, 0, 1, 0, 0, 0))
                             .toList(),
                     this);
         }
@@ -314,7 +327,7 @@
 
         @Override
         public void ended(long job, Server server, long latency, long now) {
-            policy.outcome(now, Long.toString(job), 0, Policy.Outcome.OK, latency, true, null, this);
+            policy.outcome(now, Long.toString(job), 0, AttemptOutcome.OK, latency, true, null, this);
         }
 
         @Override
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/DemoPage.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/DemoPage.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import loadbalancer.policy.Idempotency;
 import loadbalancer.simulator.world.WorldPlan;
-import loadbalancer.policy.Policy;
 import org.HdrHistogram.Histogram;
 
 /** What a day on sockets came to: a table, rules held against the ledger, and a page by itself. */
@@ -30,7 +30,7 @@
         for (Load.Outcome o : load.outcomes()) {
             int ran =
                     o.ids().stream().mapToInt(id -> ledger.getOrDefault(id, 0)).sum();
-            if (plan.classes().get(o.kind()).effect() == Policy.Effect.UNSAFE && ran > 1) {
+            if (plan.classes().get(o.kind()).effect() == Idempotency.UNSAFE && ran > 1) {
                 broken.add(o.ids() + " ran " + ran + " times");
             }
             if (o.served() && ran == 0) {
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/LiveSite.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/LiveSite.java
@@ -36,10 +36,11 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointState;
 import loadbalancer.simulator.world.LiveFleet;
 import loadbalancer.simulator.world.WorldPlan;
-import loadbalancer.policy.Policy;
-import loadbalancer.policy.Policy.Outcome;
 
 /**
  * A site on loopback: every upstream of a world behind a port of its own, with the simulated model and its troubles,
@@ -66,7 +67,7 @@
     private final long nanosBegan = System.nanoTime();
     private final InetSocketAddress register;
     private final Future<?> steps;
-    private Map<String, Policy.Server> told = new LinkedHashMap<>();
+    private Map<String, Endpoint> told = new LinkedHashMap<>();
     private long rev = 1;
     private long next;
 
@@ -236,7 +237,7 @@
         }
     }
 
-    private void ended(long request, Outcome outcome) {
+    private void ended(long request, AttemptOutcome outcome) {
         Open o = open.remove(request);
         if (o == null) {
             return;
@@ -271,9 +272,9 @@
     // ---- the register
 
     private void publish() {
-        Map<String, Policy.Server> now = new LinkedHashMap<>();
+        Map<String, Endpoint> now = new LinkedHashMap<>();
         fleet.list().keySet().forEach(s -> now.put(s.id(), s));
-        List<Policy.Server> changes = new ArrayList<>();
+        List<Endpoint> changes = new ArrayList<>();
         now.values().forEach(s -> {
             boolean bound = ports.get(portOf(s)).localAddress() != null;
             if (bound && !s.equals(told.get(s.id()))) {
@@ -282,15 +283,15 @@
         });
         told.values().forEach(s -> {
             if (!now.containsKey(s.id())) {
-                changes.add(s.in(Policy.State.GONE));
+                changes.add(s.in(EndpointState.GONE));
             }
         });
         if (changes.isEmpty()) {
             return;
         }
-        Map<String, Policy.Server> listed = new LinkedHashMap<>(told);
+        Map<String, Endpoint> listed = new LinkedHashMap<>(told);
         changes.forEach(s -> {
-            if (s.state() == Policy.State.GONE) {
+            if (s.state() == EndpointState.GONE) {
                 listed.remove(s.id());
             } else {
                 listed.put(s.id(), s);
@@ -302,14 +303,14 @@
         watchers.forEach(w -> line(w, text));
     }
 
-    private int portOf(Policy.Server s) {
+    private int portOf(Endpoint s) {
         Integer address = fleet.addressOf(s.id());
         return address == null ? 0 : address;
     }
 
-    private Map<String, Object> list(Iterable<Policy.Server> servers, boolean all) {
+    private Map<String, Object> list(Iterable<Endpoint> servers, boolean all) {
         List<Map<String, Object>> entries = new ArrayList<>();
-        for (Policy.Server s : servers) {
+        for (Endpoint s : servers) {
             Map<String, Object> e = new LinkedHashMap<>();
             e.put("uid", s.id());
             e.put(
--- a/simulator/src/main/java/loadbalancer/simulator/variants/FrontSpec.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/FrontSpec.java
@@ -8,7 +8,7 @@
 import loadbalancer.front.FrontPlan;
 import loadbalancer.limits.ConcurrencyLimit;
 import loadbalancer.limits.TokenTree.Rate;
-import loadbalancer.policy.Policy;
+import loadbalancer.policy.PolicySettings;
 import loadbalancer.routes.PathTemplate;
 import loadbalancer.routes.Route;
 
@@ -67,7 +67,7 @@
     /** The plan for a balancer with those settings, where each pool has so many upstreams, at that time of the day. */
     FrontPlan plan(
             Use use,
-            Policy.Settings settings,
+            PolicySettings settings,
             List<String> classes,
             List<String> tenants,
             Map<String, Integer> upstreams,
--- a/simulator/src/main/java/loadbalancer/simulator/variants/FrontedPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/FrontedPolicy.java
@@ -10,9 +10,15 @@
 import java.util.function.Function;
 import loadbalancer.front.Front;
 import loadbalancer.front.Front.End;
-import loadbalancer.simulator.sim.Draws;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.EndpointState;
+import loadbalancer.policy.LoadReport;
 import loadbalancer.policy.Policy;
+import loadbalancer.policy.PolicySettings;
 import loadbalancer.routes.Route;
+import loadbalancer.simulator.sim.Draws;
 
 /**
  * A front before several pools, each with a module of its own, played as one module: what the balancer does on
@@ -36,12 +42,12 @@
     private static final String[] ROOT = {""};
 
     private final FrontSpec.Use use;
-    private final Settings settings;
+    private final PolicySettings settings;
     private final Names names;
     private final Draws draws;
     private final long begin;
     private final Map<String, Policy> modules = new LinkedHashMap<>();
-    private final Map<String, Map<String, State>> states = new HashMap<>();
+    private final Map<String, Map<String, EndpointState>> states = new HashMap<>();
     private final Map<String, String> poolOf = new HashMap<>();
     private final Map<String, Open> open = new HashMap<>();
     private final List<Wake> wakes = new ArrayList<>();
@@ -53,7 +59,7 @@
 
     FrontedPolicy(
             FrontSpec.Use use,
-            Settings settings,
+            PolicySettings settings,
             Names names,
             Draws draws,
             long begin,
@@ -83,8 +89,8 @@
             Open o = open.get(request);
             if (o != null && o.attempts > 0 && !front.mayTryAgain(time, o.ticket)) {
                 int denied = o.attempts++;
-                later.add(
-                        () -> modules.get(pool).outcome(time, request, denied, Outcome.NOT_SENT, 0, false, null, this));
+                later.add(() -> modules.get(pool)
+                        .outcome(time, request, denied, AttemptOutcome.NOT_SENT, 0, false, null, this));
                 return;
             }
             if (o != null) {
@@ -183,11 +189,11 @@
     // ---- the world tells
 
     @Override
-    public void servers(long now, ListKind kind, List<Server> list, Actions to) {
+    public void servers(long now, EndpointListKind kind, List<Endpoint> list, Actions to) {
         begin(now, to);
-        Map<String, List<Server>> own = new LinkedHashMap<>();
+        Map<String, List<Endpoint>> own = new LinkedHashMap<>();
         modules.keySet().forEach(p -> own.put(p, new ArrayList<>()));
-        for (Server s : list) {
+        for (Endpoint s : list) {
             String pool = names.kindPools.get(s.kind());
             if (own.containsKey(pool)) {
                 own.get(pool).add(s);
@@ -195,8 +201,8 @@
             }
         }
         own.forEach((pool, some) -> {
-            Map<String, State> known = states.get(pool);
-            if (kind == ListKind.COMPLETE) {
+            Map<String, EndpointState> known = states.get(pool);
+            if (kind == EndpointListKind.COMPLETE) {
                 known.clear();
             }
             some.forEach(s -> known.put(s.id(), s.state()));
@@ -205,12 +211,12 @@
             front = new Front(plan(now));
         }
         own.forEach((pool, some) -> {
-            if (kind != ListKind.FAILED) {
+            if (kind != EndpointListKind.FAILED) {
                 front.listed(now, pool, (int) states.get(pool).values().stream()
-                        .filter(s -> s == State.UP)
+                        .filter(s -> s == EndpointState.UP)
                         .count());
             }
-            if (kind != ListKind.OWN || !some.isEmpty()) {
+            if (kind != EndpointListKind.OWN || !some.isEmpty()) {
                 modules.get(pool).servers(now, kind, some, actions(pool));
             }
         });
@@ -270,14 +276,21 @@
 
     @Override
     public void outcome(
-            long now, String id, int attempt, Outcome outcome, long latency, boolean closed, Load load, Actions to) {
+            long now,
+            String id,
+            int attempt,
+            AttemptOutcome outcome,
+            long latency,
+            boolean closed,
+            LoadReport load,
+            Actions to) {
         begin(now, to);
         Open o = open.get(id);
         if (o == null) {
             return;
         }
         String pool = o.ticket.pool();
-        if (outcome == Outcome.OK) {
+        if (outcome == AttemptOutcome.OK) {
             over(id, End.SERVED);
         }
         modules.get(pool).outcome(now, id, attempt, outcome, latency, closed, load, actions(pool));
@@ -306,7 +319,7 @@
     }
 
     @Override
-    public void probed(long now, String server, Outcome outcome, long latency, Load load, Actions to) {
+    public void probed(long now, String server, AttemptOutcome outcome, long latency, LoadReport load, Actions to) {
         begin(now, to);
         String pool = poolOf.get(server);
         if (pool != null) {
@@ -333,7 +346,7 @@
     }
 
     @Override
-    public void reconfigure(long now, Settings next, int[] classes, int[] tenants) {
+    public void reconfigure(long now, PolicySettings next, int[] classes, int[] tenants) {
         modules.values().forEach(m -> m.reconfigure(now, next, classes, tenants));
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/variants/Metered.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/Metered.java
@@ -2,6 +2,10 @@
 
 import java.util.List;
 import java.util.function.LongSupplier;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.LoadReport;
 import loadbalancer.policy.Policy;
 
 /** A module with a meter: how long its calls took, by a clock that the caller brings. */
@@ -44,7 +48,7 @@
     }
 
     @Override
-    public void servers(long now, ListKind kind, List<Server> servers, Actions out) {
+    public void servers(long now, EndpointListKind kind, List<Endpoint> servers, Actions out) {
         long began = clock.getAsLong();
         policy.servers(now, kind, servers, out);
         meter.lists += clock.getAsLong() - began;
@@ -72,10 +76,10 @@
             long now,
             String request,
             int attempt,
-            Outcome outcome,
+            AttemptOutcome outcome,
             long latency,
             boolean closed,
-            Load load,
+            LoadReport load,
             Actions out) {
         long began = clock.getAsLong();
         policy.outcome(now, request, attempt, outcome, latency, closed, load, out);
@@ -93,7 +97,7 @@
     }
 
     @Override
-    public void probed(long now, String server, Outcome outcome, long latency, Load load, Actions out) {
+    public void probed(long now, String server, AttemptOutcome outcome, long latency, LoadReport load, Actions out) {
         policy.probed(now, server, outcome, latency, load, out);
     }
 
