--- a/simulator/src/main/java/loadbalancer/simulator/variants/TextbookPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/TextbookPolicy.java
@@ -5,11 +5,20 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.DiscoveryMode;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.EndpointState;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.LoadReport;
+import loadbalancer.policy.Policy;
+import loadbalancer.policy.PolicySettings;
+import loadbalancer.policy.SafetyBounds;
 import loadbalancer.simulator.policies.Chooser;
 import loadbalancer.simulator.policies.ServerView;
 import loadbalancer.simulator.sim.Draws;
 import loadbalancer.simulator.world.Truth;
-import loadbalancer.policy.Policy;
 
 /**
  * A textbook policy made into a whole module: the chooser picks among the listed servers by this balancer's own
@@ -22,10 +31,10 @@
     private static final long WAKE = 1_000_000;
 
     private static final class Server {
-        final Policy.Server entry;
+        final Endpoint entry;
         int inFlight;
 
-        Server(Policy.Server entry) {
+        Server(Endpoint entry) {
             this.entry = entry;
         }
     }
@@ -42,7 +51,7 @@
         }
     }
 
-    private final Settings settings;
+    private final PolicySettings settings;
     private final Chooser chooser;
     private final Draws draws;
     private final Truth truth;
@@ -53,7 +62,7 @@
     private long askAt = Long.MAX_VALUE;
     private boolean waking;
 
-    TextbookPolicy(Settings settings, Chooser chooser, Draws draws, Truth truth) {
+    TextbookPolicy(PolicySettings settings, Chooser chooser, Draws draws, Truth truth) {
         this.settings = settings;
         this.chooser = chooser;
         this.draws = draws;
@@ -88,26 +97,26 @@
     }
 
     @Override
-    public void servers(long now, ListKind kind, List<Policy.Server> list, Actions out) {
-        if (kind == ListKind.FAILED) {
+    public void servers(long now, EndpointListKind kind, List<Endpoint> list, Actions out) {
+        if (kind == EndpointListKind.FAILED) {
             askAt = now + 500_000 + draws.below(500_000);
-        } else if (kind == ListKind.PERSISTED) {
+        } else if (kind == EndpointListKind.PERSISTED) {
             ask(now, out);
-        } else if (kind != ListKind.OWN) {
+        } else if (kind != EndpointListKind.OWN) {
             askAt = Long.MAX_VALUE;
         }
         if (!waking) {
             waking = true;
             out.wakeAfter(WAKE);
         }
-        if (kind == ListKind.FAILED) {
+        if (kind == EndpointListKind.FAILED) {
             return;
         }
         List<Server> before = up;
-        if (kind == ListKind.COMPLETE) {
-            servers.keySet().retainAll(list.stream().map(Policy.Server::id).toList());
+        if (kind == EndpointListKind.COMPLETE) {
+            servers.keySet().retainAll(list.stream().map(Endpoint::id).toList());
         }
-        for (Policy.Server s : list) {
+        for (Endpoint s : list) {
             Server known = servers.get(s.id());
             Server next = new Server(s);
             if (known != null && known.entry.startedAt() == s.startedAt()) {
@@ -115,7 +124,9 @@
             }
             servers.put(s.id(), next);
         }
-        up = servers.values().stream().filter(s -> s.entry.state() == State.UP).toList();
+        up = servers.values().stream()
+                .filter(s -> s.entry.state() == EndpointState.UP)
+                .toList();
         Map<String, Integer> places = new HashMap<>();
         for (int i = 0; i < before.size(); i++) {
             places.put(before.get(i).entry.id(), i);
@@ -125,7 +136,7 @@
     }
 
     private void ask(long now, Actions out) {
-        if (settings.discovery() == Discovery.ASK) {
+        if (settings.discovery() == DiscoveryMode.ASK) {
             askAt = now + settings.bounds().askWithin() / 2;
             out.watch(true);
         }
@@ -183,8 +194,8 @@
         return from;
     }
 
-    private double promisedWarmth(Policy.Server s, long now) {
-        Bounds b = settings.bounds();
+    private double promisedWarmth(Endpoint s, long now) {
+        SafetyBounds b = settings.bounds();
         long age = now - s.startedAt();
         if (s.startedAt() <= 0 || age >= b.rampTime()) {
             return 1;
@@ -194,7 +205,7 @@
 
     private void finish(String id, Open o, Actions out) {
         open.remove(id);
-        boolean harmless = !o.mayHaveRun || settings.classes().get(o.kind).effect() == Effect.SAFE;
+        boolean harmless = !o.mayHaveRun || settings.classes().get(o.kind).effect() == Idempotency.SAFE;
         if (harmless) {
             out.refuse(id, 0);
         } else {
@@ -204,7 +215,14 @@
 
     @Override
     public void outcome(
-            long now, String id, int attempt, Outcome outcome, long latency, boolean closed, Load load, Actions out) {
+            long now,
+            String id,
+            int attempt,
+            AttemptOutcome outcome,
+            long latency,
+            boolean closed,
+            LoadReport load,
+            Actions out) {
         Open o = open.get(id);
         if (o == null || attempt >= o.tried.size()) {
             return;
@@ -220,9 +238,9 @@
             open.remove(id);
             return;
         }
-        boolean may = outcome.neverRan() || settings.classes().get(o.kind).effect() == Effect.SAFE;
+        boolean may = outcome.neverRan() || settings.classes().get(o.kind).effect() == Idempotency.SAFE;
         if (may
-                && outcome != Outcome.NOT_SENT
+                && outcome != AttemptOutcome.NOT_SENT
                 && now < o.deadline
                 && o.tried.size() < settings.limits().maxAttempts()) {
             send(id, o, now, out);
@@ -247,7 +265,7 @@
     public void streamStarted(long now, String id, int attempt, Actions out) {}
 
     @Override
-    public void probed(long now, String server, Outcome outcome, long latency, Load load, Actions out) {}
+    public void probed(long now, String server, AttemptOutcome outcome, long latency, LoadReport load, Actions out) {}
 
     @Override
     public void wake(long now, Actions out) {
--- a/simulator/src/main/java/loadbalancer/simulator/variants/Variants.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/Variants.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import loadbalancer.policy.Balance;
 import loadbalancer.simulator.policies.Chooser;
 import loadbalancer.simulator.policies.Choosers;
 import loadbalancer.simulator.policies.ServerView;
@@ -11,7 +12,6 @@
 import loadbalancer.simulator.world.Truth;
 import loadbalancer.simulator.world.World;
 import loadbalancer.simulator.world.WorldPlan;
-import loadbalancer.policy.Balance;
 
 /** The policies that worlds can be played under, by name. */
 public final class Variants {
--- a/simulator/src/main/java/loadbalancer/simulator/world/Attempt.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Attempt.java
@@ -1,7 +1,7 @@
 package loadbalancer.simulator.world;
 
+import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.simulator.sim.Simulation;
-import loadbalancer.policy.Policy;
 
 /** One send of a request to an upstream. */
 public final class Attempt {
@@ -67,7 +67,7 @@
         return taken.balancer();
     }
 
-    void ended(Policy.Outcome outcome) {
+    void ended(AttemptOutcome outcome) {
         out = false;
         mayHaveRun = !outcome.neverRan();
     }
--- a/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
@@ -5,8 +5,11 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.EndpointState;
 import loadbalancer.policy.Policy;
-import loadbalancer.policy.Policy.Outcome;
 
 /**
  * One process of a balancer: carries out what its module asks for, on the simulated network. It decides nothing.
@@ -23,8 +26,8 @@
     private final Policy policy;
     private final Map<String, Taken> taken = new HashMap<>();
     private final Map<Upstream, Links> links = new HashMap<>();
-    private final Map<String, Policy.Server> list = new HashMap<>();
-    private final Map<String, Policy.State> outByOperators = new HashMap<>();
+    private final Map<String, Endpoint> list = new HashMap<>();
+    private final Map<String, EndpointState> outByOperators = new HashMap<>();
     // The latest that are over: a second answer to one of these is told from one to what never was.
     private final Map<String, Taken> over = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
@@ -75,28 +78,28 @@
 
     // ---- events
 
-    void begin(List<Policy.Server> known, long now) {
+    void begin(List<Endpoint> known, long now) {
         known.forEach(s -> list.put(s.id(), s));
-        world.judge.told(this, Policy.ListKind.PERSISTED, known, now);
-        policy.servers(now, Policy.ListKind.PERSISTED, known, this);
+        world.judge.told(this, EndpointListKind.PERSISTED, known, now);
+        policy.servers(now, EndpointListKind.PERSISTED, known, this);
     }
 
-    void news(Policy.ListKind kind, List<Policy.Server> servers, long now) {
+    void news(EndpointListKind kind, List<Endpoint> servers, long now) {
         if (!alive) {
             return;
         }
-        if (kind == Policy.ListKind.COMPLETE) {
+        if (kind == EndpointListKind.COMPLETE) {
             list.clear();
         }
-        List<Policy.Server> laid = new ArrayList<>(servers.size());
-        for (Policy.Server s : servers) {
+        List<Endpoint> laid = new ArrayList<>(servers.size());
+        for (Endpoint s : servers) {
             list.put(s.id(), s);
             laid.add(
-                    outByOperators.containsKey(s.id()) && s.state() == Policy.State.UP
-                            ? s.in(Policy.State.DRAINING)
+                    outByOperators.containsKey(s.id()) && s.state() == EndpointState.UP
+                            ? s.in(EndpointState.DRAINING)
                             : s);
         }
-        if (kind != Policy.ListKind.FAILED) {
+        if (kind != EndpointListKind.FAILED) {
             world.judge.told(this, kind, laid, now);
         }
         policy.servers(now, kind, laid, this);
@@ -104,18 +107,18 @@
 
     /** An operator takes an upstream out, or puts it back as freshly started. */
     void operator(String id, boolean out, long now) {
-        Policy.Server s = list.get(id);
+        Endpoint s = list.get(id);
         if (!alive || s == null) {
             return;
         }
         if (out) {
-            outByOperators.put(id, Policy.State.DRAINING);
+            outByOperators.put(id, EndpointState.DRAINING);
         } else {
             outByOperators.remove(id);
         }
-        Policy.Server laid = out ? s.in(Policy.State.DRAINING) : s.startedAt(now);
-        world.judge.told(this, Policy.ListKind.OWN, List.of(laid), now);
-        policy.servers(now, Policy.ListKind.OWN, List.of(laid), this);
+        Endpoint laid = out ? s.in(EndpointState.DRAINING) : s.startedAt(now);
+        world.judge.told(this, EndpointListKind.OWN, List.of(laid), now);
+        policy.servers(now, EndpointListKind.OWN, List.of(laid), this);
     }
 
     void take(Taken t, long patience, boolean marked, long now) {
@@ -156,7 +159,7 @@
     }
 
     /** The outcome of an attempt has come. */
-    void outcome(Attempt a, Outcome outcome, long now) {
+    void outcome(Attempt a, AttemptOutcome outcome, long now) {
         if (!alive || !a.out()) {
             return;
         }
@@ -168,13 +171,14 @@
         t.out--;
         t.step(now, "attempt " + a.number() + " " + outcome);
         world.judge.outcome(a, outcome, now);
-        boolean keeps = outcome == Outcome.OK || outcome == Outcome.ERROR || outcome == Outcome.FULL;
+        boolean keeps =
+                outcome == AttemptOutcome.OK || outcome == AttemptOutcome.ERROR || outcome == AttemptOutcome.FULL;
         if (keeps && a.upstream.alive()) {
             links.computeIfAbsent(a.upstream, u -> new Links()).rest(now);
-        } else if (outcome != Outcome.NOT_SENT && outcome != Outcome.CONNECT_FAILED) {
+        } else if (outcome != AttemptOutcome.NOT_SENT && outcome != AttemptOutcome.CONNECT_FAILED) {
             a.upstream.connected(-1);
         }
-        if (outcome == Outcome.OK && !t.answered && !t.gone) {
+        if (outcome == AttemptOutcome.OK && !t.answered && !t.gone) {
             answer(t, Clients.End.SERVED, 0, now);
         }
         policy.outcome(now, t.id(), a.number(), outcome, now - a.sentAt(), t.answered || t.gone, null, this);
@@ -208,7 +212,7 @@
                     }
                     a.upstream.connected(-1);
                     a.upstream.abandon(a);
-                    a.ended(Outcome.CANCELLED);
+                    a.ended(AttemptOutcome.CANCELLED);
                 }
             }
             t.overdue.cancel();
@@ -258,12 +262,12 @@
                 || t.gone
                 || left <= 0
                 || a.number() >= world.plan.rules().maxAttempts()) {
-            world.simulation.after(0, at -> outcome(a, Outcome.NOT_SENT, at));
+            world.simulation.after(0, at -> outcome(a, AttemptOutcome.NOT_SENT, at));
             return;
         }
         a.timeout = world.simulation.timer(now + (timeout == 0 ? left : Math.max(0, Math.min(timeout, left))), at -> {
             u.abandon(a);
-            outcome(a, Outcome.TIMEOUT, at);
+            outcome(a, AttemptOutcome.TIMEOUT, at);
         });
         Links l = links.computeIfAbsent(u, x -> new Links());
         boolean fresh = !l.take(u, now, world.plan.fleet().idle());
@@ -306,7 +310,7 @@
         Attempt a = t.attempts.get(attempt);
         if (a.out()) {
             a.upstream.abandon(a);
-            world.simulation.after(0, at -> outcome(a, Outcome.CANCELLED, at));
+            world.simulation.after(0, at -> outcome(a, AttemptOutcome.CANCELLED, at));
         }
     }
 
@@ -318,7 +322,7 @@
         }
     }
 
-    void probed(String server, Outcome outcome, long latency, long now) {
+    void probed(String server, AttemptOutcome outcome, long latency, long now) {
         if (alive) {
             policy.probed(now, server, outcome, latency, null, this);
         }
--- a/simulator/src/main/java/loadbalancer/simulator/world/Clients.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Clients.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import loadbalancer.policy.Idempotency;
 import loadbalancer.simulator.sim.Draws;
-import loadbalancer.policy.Policy;
 
 /** Clients: open-loop arrivals, keys, tenants, tries given up, retries; and the front that spreads them. */
 public final class Clients {
@@ -320,7 +320,7 @@
         if (r.tries > Math.min(15, retries + moreRetries)) {
             return false;
         }
-        boolean safe = plan.classes().get(r.kind).effect() != Policy.Effect.UNSAFE;
+        boolean safe = plan.classes().get(r.kind).effect() != Idempotency.UNSAFE;
         return safe || end == End.REFUSED || end == End.UNREACHABLE;
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/world/LiveFleet.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/LiveFleet.java
@@ -3,9 +3,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.Endpoint;
 import loadbalancer.simulator.sim.Draws;
-import loadbalancer.policy.Policy;
-import loadbalancer.policy.Policy.Outcome;
 
 /**
  * The upstreams of a world with its timeline, played by somebody else's clock: what answers behind real sockets is the
@@ -16,7 +16,7 @@
     /** Hears how a request ended at its upstream. */
     @FunctionalInterface
     public interface Replies {
-        void ended(long request, Outcome outcome);
+        void ended(long request, AttemptOutcome outcome);
     }
 
     private static final long FAR = 1L << 50;
@@ -66,9 +66,9 @@
     }
 
     /** The list as the register has it now, by id, with the address of each. */
-    public Map<Policy.Server, Integer> list() {
-        Map<Policy.Server, Integer> all = new LinkedHashMap<>();
-        for (Policy.Server s : world.register.list()) {
+    public Map<Endpoint, Integer> list() {
+        Map<Endpoint, Integer> all = new LinkedHashMap<>();
+        for (Endpoint s : world.register.list()) {
             all.put(s, world.addressOf(s.id()));
         }
         return all;
--- a/simulator/src/main/java/loadbalancer/simulator/world/Observer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Observer.java
@@ -1,7 +1,9 @@
 package loadbalancer.simulator.world;
 
 import java.util.List;
-import loadbalancer.policy.Policy;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointListKind;
 
 /** Hears of every event of a world as it happens: whoever judges or measures. It changes nothing. */
 public interface Observer {
@@ -12,7 +14,7 @@
     void sending(Attempt attempt, long now);
 
     /** An attempt has ended. */
-    void outcome(Attempt attempt, Policy.Outcome outcome, long now);
+    void outcome(Attempt attempt, AttemptOutcome outcome, long now);
 
     /** A request has had its final answer. */
     void answered(Taken request, Clients.End end, long retryAfter, long now);
@@ -24,7 +26,7 @@
     void overdue(Taken request, long now);
 
     /** A balancer has been told of upstreams. */
-    void told(Balancer balancer, Policy.ListKind kind, List<Policy.Server> servers, long now);
+    void told(Balancer balancer, EndpointListKind kind, List<Endpoint> servers, long now);
 
     /** Whether that balancer has been told of the upstream's last start. */
     boolean knowsStart(Balancer balancer, Upstream upstream);
--- a/simulator/src/main/java/loadbalancer/simulator/world/Register.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Register.java
@@ -5,9 +5,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.EndpointState;
 import loadbalancer.simulator.sim.Draws;
-import loadbalancer.policy.Policy;
-import loadbalancer.policy.Policy.ListKind;
 
 /**
  * Discovery: knows late and only of processes that run, drain or are gone, and handles one call after another.
@@ -45,8 +46,8 @@
 
     private final World world;
     private final Draws draws;
-    private final Map<String, Policy.Server> entries = new LinkedHashMap<>();
-    private final TreeMap<Long, Policy.Server> changes = new TreeMap<>();
+    private final Map<String, Endpoint> entries = new LinkedHashMap<>();
+    private final TreeMap<Long, Endpoint> changes = new TreeMap<>();
     private final Map<String, Long> listedAt = new LinkedHashMap<>();
     private final List<Subscriber> watchers = new ArrayList<>();
     private final double capacity;
@@ -69,8 +70,8 @@
         this.spread = Math.round(d.spread().draw(draws));
     }
 
-    List<Policy.Server> list() {
-        List<Policy.Server> all = new ArrayList<>(entries.values());
+    List<Endpoint> list() {
+        List<Endpoint> all = new ArrayList<>(entries.values());
         if (listsTwice) {
             all.addAll(entries.values());
         }
@@ -86,7 +87,7 @@
     }
 
     /** Puts an entry in before the day begins. */
-    void preset(Policy.Server entry) {
+    void preset(Endpoint entry) {
         entries.put(entry.id(), entry);
     }
 
@@ -96,32 +97,32 @@
 
     /** When it was listed that this upstream drains or is gone, in µs; where it isn't, the largest long. */
     long endListedAt(String id) {
-        Policy.Server entry = entries.get(id);
-        boolean ends = entry == null || entry.state() != Policy.State.UP;
+        Endpoint entry = entries.get(id);
+        boolean ends = entry == null || entry.state() != EndpointState.UP;
         return ends ? listedAt.getOrDefault(id, Long.MAX_VALUE) : Long.MAX_VALUE;
     }
 
     /** Something changed; it is listed after {@code late} µs, at the register's next round. */
-    void changed(Policy.Server entry, long late) {
+    void changed(Endpoint entry, long late) {
         long due = world.simulation.now() + late;
         long round = (due + period - 1) / period * period;
         world.simulation.at(round, now -> list(entry, now));
     }
 
-    private void list(Policy.Server entry, long now) {
+    private void list(Endpoint entry, long now) {
         if (down) {
             world.simulation.after(period, at -> list(entry, at));
             return;
         }
-        Policy.Server known = entries.get(entry.id());
+        Endpoint known = entries.get(entry.id());
         if (known != null && known.startedAt() > entry.startedAt()) {
             return; // news of a process that has been replaced meanwhile
         }
-        if (entry.state() == Policy.State.GONE) {
+        if (entry.state() == EndpointState.GONE) {
             entries.remove(entry.id());
         } else if (known == null
-                || known.state() == Policy.State.UP
-                || entry.state() != Policy.State.UP
+                || known.state() == EndpointState.UP
+                || entry.state() != EndpointState.UP
                 || known.startedAt() != entry.startedAt()) {
             entries.put(entry.id(), entry);
         } else {
@@ -208,7 +209,7 @@
     private void fail(Subscriber s, int generation, long now) {
         if (s.generation == generation) {
             s.failed = true;
-            s.balancer.news(ListKind.FAILED, List.of(), now);
+            s.balancer.news(EndpointListKind.FAILED, List.of(), now);
             again(s);
         }
     }
@@ -218,14 +219,13 @@
         long from = s.version;
         s.version = version;
         if (gap) {
-            s.balancer.news(ListKind.COMPLETE, list(), now);
+            s.balancer.news(EndpointListKind.COMPLETE, list(), now);
         } else {
-            List<Policy.Server> news =
-                    new ArrayList<>(changes.tailMap(from, false).values());
+            List<Endpoint> news = new ArrayList<>(changes.tailMap(from, false).values());
             if (listsTwice) {
                 news.addAll(List.copyOf(news));
             }
-            s.balancer.news(ListKind.PARTIAL, news, now);
+            s.balancer.news(EndpointListKind.PARTIAL, news, now);
         }
     }
 
@@ -238,7 +238,7 @@
                 if (s.watching) {
                     s.end();
                     s.failed = true;
-                    s.balancer.news(ListKind.FAILED, List.of(), at);
+                    s.balancer.news(EndpointListKind.FAILED, List.of(), at);
                     again(s);
                 }
             }
--- a/simulator/src/main/java/loadbalancer/simulator/world/Timeline.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Timeline.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongConsumer;
+import loadbalancer.policy.EndpointState;
 import loadbalancer.simulator.sim.Draws;
-import loadbalancer.policy.Policy;
 
 /** Turns a plan's troubles into events. What each kind's figures mean stands beside its name. */
 public final class Timeline {
@@ -152,7 +152,7 @@
                 for (Upstream u : picked(part, draws)) {
                     if (u.saidStart() > 0) {
                         u.misstate(Math.round(extra * SECOND));
-                        world.register.changed(world.entry(u, Policy.State.UP), 0);
+                        world.register.changed(world.entry(u, EndpointState.UP), 0);
                     }
                 }
             });
@@ -224,7 +224,7 @@
     private void gone(Upstream u, boolean silently) {
         WorldPlan.Discovery d = world.plan.discovery();
         Range late = silently ? d.silentNotice() : d.notice();
-        world.register.changed(world.entry(u, Policy.State.GONE), Math.round(late.middle()));
+        world.register.changed(world.entry(u, EndpointState.GONE), Math.round(late.middle()));
     }
 
     private void end(Upstream u, boolean silently, long now) {
@@ -238,7 +238,7 @@
         world.simulation.at(now + late, at -> {
             Upstream next = world.start(u.kindNumber, u.rack, address, at);
             world.register.changed(
-                    world.entry(next, Policy.State.UP),
+                    world.entry(next, EndpointState.UP),
                     Math.round(world.plan.discovery().add().middle()));
         });
     }
@@ -252,7 +252,7 @@
         world.simulation.at(now + late, at -> {
             Upstream next = world.again(u, at);
             world.register.changed(
-                    world.entry(next, Policy.State.UP),
+                    world.entry(next, EndpointState.UP),
                     Math.round(world.plan.discovery().add().middle()));
         });
     }
@@ -270,7 +270,7 @@
                     }
                     u.drain();
                     world.register.changed(
-                            world.entry(u, Policy.State.DRAINING),
+                            world.entry(u, EndpointState.DRAINING),
                             Math.round(world.plan.discovery().notice().middle()));
                     world.simulation.at(now + drain, then -> {
                         if (u.alive()) {
@@ -310,7 +310,7 @@
                         }
                         Upstream next = world.again(u, now);
                         world.register.changed(
-                                world.entry(next, Policy.State.UP),
+                                world.entry(next, EndpointState.UP),
                                 Math.round(world.plan.discovery().add().middle()));
                     }
                 });
--- a/simulator/src/main/java/loadbalancer/simulator/world/Unobserved.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Unobserved.java
@@ -1,7 +1,9 @@
 package loadbalancer.simulator.world;
 
 import java.util.List;
-import loadbalancer.policy.Policy;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointListKind;
 
 /** Hears of everything and keeps nothing: for worlds that are judged by somebody else. */
 class Unobserved implements Observer {
@@ -12,7 +14,7 @@
     public void sending(Attempt attempt, long now) {}
 
     @Override
-    public void outcome(Attempt attempt, Policy.Outcome outcome, long now) {}
+    public void outcome(Attempt attempt, AttemptOutcome outcome, long now) {}
 
     @Override
     public void answered(Taken request, Clients.End end, long retryAfter, long now) {}
@@ -24,7 +26,7 @@
     public void overdue(Taken request, long now) {}
 
     @Override
-    public void told(Balancer balancer, Policy.ListKind kind, List<Policy.Server> servers, long now) {}
+    public void told(Balancer balancer, EndpointListKind kind, List<Endpoint> servers, long now) {}
 
     @Override
     public boolean knowsStart(Balancer balancer, Upstream upstream) {
--- a/simulator/src/main/java/loadbalancer/simulator/world/Upstream.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Upstream.java
@@ -5,9 +5,9 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.PriorityQueue;
+import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.simulator.sim.Draws;
 import loadbalancer.simulator.sim.Simulation;
-import loadbalancer.policy.Policy;
 
 /**
  * One process that serves requests. Those in its slots share its cores evenly; others wait their turn in a room of
@@ -222,7 +222,7 @@
             return;
         }
         if (!alive || fallen) {
-            world.reply(a, this, Policy.Outcome.RESET, now);
+            world.reply(a, this, AttemptOutcome.RESET, now);
             return;
         }
         RequestWork work = world.workOf(a);
@@ -230,13 +230,13 @@
         double needed = work.work() * (known ? 1 - world.keyGain : 1) + (freshConnection ? world.handshakeWork : 0);
         press(a, now);
         if (fallen) {
-            world.reply(a, this, Policy.Outcome.RESET, now);
+            world.reply(a, this, AttemptOutcome.RESET, now);
         } else if (draining) {
-            world.reply(a, this, Policy.Outcome.FULL, now);
+            world.reply(a, this, AttemptOutcome.FULL, now);
         } else if (Chance.uniform(world.chanceSeed, a.serial(), 7) < failing + errors) {
             world.simulation.after(QUICK_FAILURE, t -> {
                 if (answers()) {
-                    world.reply(a, this, Policy.Outcome.ERROR, t);
+                    world.reply(a, this, AttemptOutcome.ERROR, t);
                 }
             });
         } else if (serving.size() < slots) {
@@ -246,7 +246,7 @@
         } else if (waiting.size() < room) {
             waiting.add(new Job(a, needed));
         } else {
-            world.reply(a, this, Policy.Outcome.FULL, now);
+            world.reply(a, this, AttemptOutcome.FULL, now);
         }
     }
 
@@ -312,7 +312,7 @@
             world.ran(job.attempt, job.work);
             if (answers()) {
                 boolean spoilt = Chance.uniform(world.chanceSeed, job.attempt.serial, 8) < spoiling;
-                world.reply(job.attempt, this, spoilt ? Policy.Outcome.ERROR : Policy.Outcome.OK, now);
+                world.reply(job.attempt, this, spoilt ? AttemptOutcome.ERROR : AttemptOutcome.OK, now);
             }
             if (!waiting.isEmpty()) {
                 begin(waiting.poll());
@@ -396,10 +396,10 @@
 
     private void breakAll(long now) {
         for (Job j : serving) {
-            world.reply(j.attempt, this, Policy.Outcome.RESET, now);
+            world.reply(j.attempt, this, AttemptOutcome.RESET, now);
         }
         for (Job j : waiting) {
-            world.reply(j.attempt, this, Policy.Outcome.RESET, now);
+            world.reply(j.attempt, this, AttemptOutcome.RESET, now);
         }
         serving.clear();
         waiting.clear();
--- a/simulator/src/main/java/loadbalancer/simulator/world/World.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/World.java
@@ -6,11 +6,23 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BiConsumer;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.DiscoveryMode;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointState;
+import loadbalancer.policy.KeyScope;
+import loadbalancer.policy.LoadReporting;
+import loadbalancer.policy.Policy;
+import loadbalancer.policy.PolicySettings;
+import loadbalancer.policy.RequestClass;
+import loadbalancer.policy.SafetyBounds;
+import loadbalancer.policy.ServiceObjective;
+import loadbalancer.policy.SiteLimits;
+import loadbalancer.policy.TenantQuota;
+import loadbalancer.policy.TrafficCosts;
 import loadbalancer.simulator.sim.Draws;
 import loadbalancer.simulator.sim.Simulation;
 import loadbalancer.simulator.sim.Streams;
-import loadbalancer.policy.Policy;
-import loadbalancer.policy.Policy.Outcome;
 
 /** One world, drawn from a plan by a seed, and its day from the first arrival to the last answer. */
 public final class World implements Truth {
@@ -58,7 +70,7 @@
     private int nextId;
     private int nextAddress;
     private List<Timeline.Spell> spells = List.of();
-    BiConsumer<Attempt, Outcome> outside; // hears of answers where no balancer of this world does
+    BiConsumer<Attempt, AttemptOutcome> outside; // hears of answers where no balancer of this world does
     private Runnable everySecond = () -> {};
 
     /** What the day cost beside what the observer saw; {@code capacity}: what the fleet does, µs of work per µs. */
@@ -109,7 +121,7 @@
         build(many, limitedShare, rackLimit);
         register = new Register(this, streams.of("register", 0, "figures"));
         for (Upstream u : upstreams) {
-            register.preset(entry(u, Policy.State.UP));
+            register.preset(entry(u, EndpointState.UP));
         }
         clients = new Clients(this, streams.of("clients", 0, "figures"));
         for (int i = 0; i < balancers; i++) {
@@ -200,8 +212,8 @@
         return nextAddress++;
     }
 
-    Policy.Server entry(Upstream u, Policy.State state) {
-        return new Policy.Server(u.id, state, u.saidStart(), 1, u.rack.number, u.kindNumber, u.zone);
+    Endpoint entry(Upstream u, EndpointState state) {
+        return new Endpoint(u.id, state, u.saidStart(), 1, u.rack.number, u.kindNumber, u.zone);
     }
 
     /** The process that serves at the address of that id; null for ids that never were. */
@@ -211,17 +223,17 @@
     }
 
     /** What a module is told at its start. */
-    Policy.Settings settings(int rank, int zone) {
+    PolicySettings settings(int rank, int zone) {
         return settings(rank, zone, plan.rules().maxAttempts());
     }
 
     /** The same with another number of attempts, at most the plan's. */
-    Policy.Settings settings(int rank, int zone, int attempts) {
+    PolicySettings settings(int rank, int zone, int attempts) {
         WorldPlan.Rules r = plan.rules();
-        List<Policy.RequestClass> kinds = plan.classes().stream()
-                .map(k -> new Policy.RequestClass(
+        List<RequestClass> kinds = plan.classes().stream()
+                .map(k -> new RequestClass(
                         k.effect(),
-                        Policy.Scope.ALL,
+                        KeyScope.ALL,
                         5 * SECOND,
                         k.aim(),
                         k.deadline(),
@@ -233,9 +245,9 @@
                         Set.of(),
                         Set.of()))
                 .toList();
-        List<Policy.Tenant> tenants = new ArrayList<>();
+        List<TenantQuota> tenants = new ArrayList<>();
         for (double a : clients.allowances) {
-            tenants.add(new Policy.Tenant(Math.round(a)));
+            tenants.add(new TenantQuota(Math.round(a)));
         }
         double coldFrom = plan.kinds().stream()
                 .mapToDouble(k -> k.coldFrom().least())
@@ -246,27 +258,27 @@
                 .max()
                 .orElse(0);
         WorldPlan.Goal g = plan.goal();
-        return new Policy.Settings(
+        return new PolicySettings(
                 slots.size(),
                 rank,
                 zone,
                 kinds,
                 tenants,
                 0.1,
-                new Policy.Goal(g.whole(), g.worstWindow(), g.worstClass(), g.worstTenant()),
-                new Policy.Prices(plan.prices().crossZone(), plan.prices().handshake()),
+                new ServiceObjective(g.whole(), g.worstWindow(), g.worstClass(), g.worstTenant()),
+                new TrafficCosts(plan.prices().crossZone(), plan.prices().handshake()),
                 false,
-                plan.discovery().ask() ? Policy.Discovery.ASK : Policy.Discovery.PUSH,
-                Policy.Reports.NONE,
+                plan.discovery().ask() ? DiscoveryMode.ASK : DiscoveryMode.PUSH,
+                LoadReporting.NONE,
                 keyGain > 0 && plan.load().keys().most() > 0,
-                new Policy.Limits(
+                new SiteLimits(
                         Math.min(attempts, r.maxAttempts()),
                         r.secondCopies(),
                         r.cancel(),
                         r.probes(),
                         plan.fleet().connectTimeout(),
                         r.retryAfterMax()),
-                new Policy.Bounds(
+                new SafetyBounds(
                         r.answerSlack(),
                         r.drainGrace(),
                         r.askWithin(),
@@ -385,7 +397,7 @@
             long round = network.between(b.zone, u.zone, a.serial, 2) + network.between(u.zone, b.zone, a.serial, 3);
             if (blocked || !u.alive() || u.fallen() || u.full() || round > connect) {
                 long heard = blocked ? connect : Math.min(round, connect);
-                simulation.after(heard, at -> b.outcome(a, Outcome.CONNECT_FAILED, at));
+                simulation.after(heard, at -> b.outcome(a, AttemptOutcome.CONNECT_FAILED, at));
                 return;
             }
             u.connected(1);
@@ -407,7 +419,7 @@
     }
 
     /** An upstream's word on an attempt travels back. */
-    void reply(Attempt a, Upstream u, Outcome outcome, long now) {
+    void reply(Attempt a, Upstream u, AttemptOutcome outcome, long now) {
         if (outside != null) {
             outside.accept(a, outcome);
             return;
@@ -431,7 +443,9 @@
         long round = network.mean(b.zone, u.zone) + network.mean(u.zone, b.zone);
         boolean lost = blocked(b, u);
         long heard = lost ? plan.fleet().connectTimeout() : round;
-        Outcome outcome = lost ? Outcome.TIMEOUT : !u.alive() || u.fallen() ? Outcome.CONNECT_FAILED : Outcome.OK;
+        AttemptOutcome outcome = lost
+                ? AttemptOutcome.TIMEOUT
+                : !u.alive() || u.fallen() ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK;
         simulation.after(heard, at -> b.probed(id, outcome, heard, at));
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/world/WorldPlan.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/WorldPlan.java
@@ -1,7 +1,7 @@
 package loadbalancer.simulator.world;
 
 import java.util.List;
-import loadbalancer.policy.Policy;
+import loadbalancer.policy.Idempotency;
 
 /**
  * A world as an experiment describes it: ranges from which each seed draws one world. All times are simulated
@@ -81,7 +81,7 @@
             Range callLines,
             long timeout) {}
 
-    /** Figures of the rules and limits, as {@link Policy.Bounds} and {@link Policy.Limits} name them. */
+    /** Figures of the rules and limits, as {@link SafetyBounds} and {@link SiteLimits} name them. */
     public record Rules(
             long answerSlack,
             long drainGrace,
@@ -188,7 +188,7 @@
             long deadline,
             double worth,
             double lateWorth,
-            Policy.Effect effect) {}
+            Idempotency effect) {}
 
     /** A tenant: its share of the service, and what it brings as a multiple of that. */
     public record Tenant(String name, double share, Range usage) {}
--- a/simulator/src/test/java/loadbalancer/simulator/LayersTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/LayersTest.java
@@ -16,7 +16,10 @@
 
     @Test
     void packagesFormNoCycles() {
-        slices().matching("loadbalancer.simulator.(*)..").should().beFreeOfCycles().check(LAB);
+        slices().matching("loadbalancer.simulator.(*)..")
+                .should()
+                .beFreeOfCycles()
+                .check(LAB);
     }
 
     @Test
--- a/simulator/src/test/java/loadbalancer/simulator/hunt/HuntTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/hunt/HuntTest.java
@@ -7,12 +7,12 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import loadbalancer.policy.Idempotency;
 import loadbalancer.simulator.experiment.Experiment;
 import loadbalancer.simulator.experiment.ExperimentReader;
 import loadbalancer.simulator.judge.Day;
 import loadbalancer.simulator.variants.Variants;
 import loadbalancer.simulator.world.Worlds;
-import loadbalancer.policy.Policy;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -22,13 +22,7 @@
 
     private static Experiment experiment(String policy) {
         return new Experiment(
-                "hunted",
-                "",
-                Worlds.small(0.6, 6, Policy.Effect.SAFE),
-                1,
-                1,
-                List.of(Worlds.variant(policy)),
-                List.of());
+                "hunted", "", Worlds.small(0.6, 6, Idempotency.SAFE), 1, 1, List.of(Worlds.variant(policy)), List.of());
     }
 
     /** Least in flight by itself pushes a cold successor over in some worlds: that is found, and shrinks. */
--- a/simulator/src/test/java/loadbalancer/simulator/judge/JudgeTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/judge/JudgeTest.java
@@ -10,10 +10,16 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.EndpointState;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.LoadReport;
+import loadbalancer.policy.Policy;
 import loadbalancer.simulator.judge.Broken.Rule;
 import loadbalancer.simulator.world.WorldPlan;
 import loadbalancer.simulator.world.Worlds;
-import loadbalancer.policy.Policy;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -23,9 +29,9 @@
     /** Sends each request to the next upstream, once; keeps every rule but the planted one. */
     private static final class Planted implements Policy {
         private final Rule rule;
-        private final Map<String, Server> up = new LinkedHashMap<>();
+        private final Map<String, Endpoint> up = new LinkedHashMap<>();
         private final Map<String, Boolean> open = new HashMap<>();
-        private Server cold;
+        private Endpoint cold;
         private int next;
 
         Planted(Rule rule) {
@@ -33,12 +39,12 @@
         }
 
         @Override
-        public void servers(long now, ListKind kind, List<Server> servers, Actions out) {
-            if (kind == ListKind.PERSISTED) {
+        public void servers(long now, EndpointListKind kind, List<Endpoint> servers, Actions out) {
+            if (kind == EndpointListKind.PERSISTED) {
                 out.watch(true);
             }
-            for (Server s : servers) {
-                if (s.state() == State.UP) {
+            for (Endpoint s : servers) {
+                if (s.state() == EndpointState.UP) {
                     up.put(s.id(), s);
                     cold = s.startedAt() > 0 ? s : cold;
                 } else if (rule != Rule.DRAIN) {
@@ -51,7 +57,7 @@
             if (rule == Rule.COLD && cold != null) {
                 return cold.id();
             }
-            List<Server> warm =
+            List<Endpoint> warm =
                     up.values().stream().filter(s -> s.startedAt() == 0).toList();
             return warm.isEmpty() ? null : warm.get(next++ % warm.size()).id();
         }
@@ -90,15 +96,15 @@
                 long now,
                 String id,
                 int attempt,
-                Outcome outcome,
+                AttemptOutcome outcome,
                 long latency,
                 boolean closed,
-                Load load,
+                LoadReport load,
                 Actions out) {
             if (closed || !open.containsKey(id)) {
                 return;
             }
-            if (rule == Rule.DUPLICATE && attempt == 0 && outcome == Outcome.ERROR) {
+            if (rule == Rule.DUPLICATE && attempt == 0 && outcome == AttemptOutcome.ERROR) {
                 out.send(id, pick(now), 0);
                 return;
             }
@@ -125,7 +131,8 @@
         public void streamStarted(long now, String id, int attempt, Actions out) {}
 
         @Override
-        public void probed(long now, String server, Outcome outcome, long latency, Load load, Actions out) {}
+        public void probed(
+                long now, String server, AttemptOutcome outcome, long latency, LoadReport load, Actions out) {}
 
         @Override
         public void wake(long now, Actions out) {}
@@ -136,7 +143,7 @@
         WorldPlan plan = Worlds.small(
                 0.3,
                 8,
-                twoMayRun ? Policy.Effect.SAFE : Policy.Effect.UNSAFE,
+                twoMayRun ? Idempotency.SAFE : Idempotency.UNSAFE,
                 Worlds.trouble("fast_errors", 1, 10, 0.25, 0.5, 0),
                 Worlds.trouble("deploy", 2, 3, 0.25, 0.25, 4));
         return Day.play(plan, 6, (settings, seed, truth) -> new Planted(rule));
--- a/simulator/src/test/java/loadbalancer/simulator/sockets/LiveSiteTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/sockets/LiveSiteTest.java
@@ -11,14 +11,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
+import loadbalancer.policy.Idempotency;
 import loadbalancer.simulator.world.WorldPlan;
 import loadbalancer.simulator.world.Worlds;
-import loadbalancer.policy.Policy;
 import org.junit.jupiter.api.Test;
 
 class LiveSiteTest {
     private static WorldPlan plan(WorldPlan.Trouble... troubles) {
-        return Worlds.small(0.2, 3, Policy.Effect.UNSAFE, troubles);
+        return Worlds.small(0.2, 3, Idempotency.UNSAFE, troubles);
     }
 
     @SuppressWarnings("unchecked")
--- a/simulator/src/test/java/loadbalancer/simulator/world/HardCasesTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/world/HardCasesTest.java
@@ -6,14 +6,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
+import loadbalancer.limits.ConcurrencyLimit;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.Balance;
+import loadbalancer.policy.Idempotency;
 import loadbalancer.simulator.judge.Broken;
 import loadbalancer.simulator.judge.Day;
 import loadbalancer.simulator.policies.Choosers;
 import loadbalancer.simulator.variants.FrontSpec;
 import loadbalancer.simulator.variants.Variants;
-import loadbalancer.limits.ConcurrencyLimit;
-import loadbalancer.policy.Balance;
-import loadbalancer.policy.Policy;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -31,19 +32,18 @@
 
     @Test
     void aCalmDayIsServedWhole() {
-        Day day = own(Worlds.small(0.4, 6, Policy.Effect.SAFE));
+        Day day = own(Worlds.small(0.4, 6, Idempotency.SAFE));
         assertEquals("", rules(day));
         assertTrue(day.figures().get("served") > 0.95, day.figures().toString());
     }
 
     @Test
     void withoutUpstreamsEveryRequestIsRefusedAndNoneLost() {
-        WorldPlan plan = Worlds.small(0.4, 1, Policy.Effect.SAFE, Worlds.trouble("death", 2, 9, 1, 0, 0));
+        WorldPlan plan = Worlds.small(0.4, 1, Idempotency.SAFE, Worlds.trouble("death", 2, 9, 1, 0, 0));
         Day day = own(plan);
         assertEquals("", rules(day));
         assertTrue(day.figures().get("refused") > 0.3, day.figures().toString());
-        assertEquals(
-                0.0, own(Worlds.small(0.4, 0, Policy.Effect.SAFE)).figures().get("rules.broken"));
+        assertEquals(0.0, own(Worlds.small(0.4, 0, Idempotency.SAFE)).figures().get("rules.broken"));
     }
 
     /** Each trouble alone, with requests that may be repeated and with those that must not run twice. */
@@ -85,7 +85,7 @@
                     case "loss" -> 0.02;
                     default -> 2;
                 };
-        for (Policy.Effect effect : List.of(Policy.Effect.SAFE, Policy.Effect.UNSAFE)) {
+        for (Idempotency effect : List.of(Idempotency.SAFE, Idempotency.UNSAFE)) {
             Day day = own(Worlds.small(0.5, 9, effect, Worlds.trouble(kind, 3, 4, 0.34, size, 1.5)));
             assertEquals("", rules(day), kind + " " + effect);
             assertTrue(day.figures().get("whole") > 0.3, kind + " " + effect + ": " + day.figures());
@@ -126,7 +126,7 @@
                 "register_down"
             })
     void aFrontKeepsTheRulesAsWellAndTheSameSeedTheSameDay(String kind) {
-        WorldPlan plan = Worlds.small(0.7, 9, Policy.Effect.UNSAFE, Worlds.trouble(kind, 3, 4, 0.34, 2, 1.5));
+        WorldPlan plan = Worlds.small(0.7, 9, Idempotency.UNSAFE, Worlds.trouble(kind, 3, 4, 0.34, 2, 1.5));
         Day day = fronted(plan);
         assertEquals("", rules(day), kind);
         assertTrue(day.figures().get("whole") > 0.3, kind + ": " + day.figures());
@@ -135,7 +135,7 @@
 
     @Test
     void whereListsArePushedADeathIsHeardOf() {
-        WorldPlan asked = Worlds.small(0.4, 6, Policy.Effect.SAFE, Worlds.trouble("death", 3, 4, 0.34, 0, 0));
+        WorldPlan asked = Worlds.small(0.4, 6, Idempotency.SAFE, Worlds.trouble("death", 3, 4, 0.34, 0, 0));
         WorldPlan.Discovery d = asked.discovery();
         WorldPlan pushed = new WorldPlan(
                 asked.length(),
@@ -173,7 +173,7 @@
         WorldPlan plan = Worlds.small(
                 0.8,
                 6,
-                Policy.Effect.SAFE,
+                Idempotency.SAFE,
                 Worlds.trouble("deploy", 2, 5, 0.6, 0.2, 1.5),
                 Worlds.trouble("balancers_killed", 4, 2, 0.3, 0, 0));
         assertEquals(own(plan).figures(), own(plan).figures());
@@ -181,7 +181,7 @@
 
     @Test
     void anotherPolicyMeetsTheSameArrivals() {
-        WorldPlan plan = Worlds.small(0.7, 6, Policy.Effect.SAFE, Worlds.trouble("slow", 2, 5, 0.3, 4, 0));
+        WorldPlan plan = Worlds.small(0.7, 6, Idempotency.SAFE, Worlds.trouble("slow", 2, 5, 0.3, 4, 0));
         Day other = Day.play(plan, 4, Variants.maker(Worlds.variant("random")));
         assertEquals(
                 List.of(own(plan).series().arrivals()[3], own(plan).series().arrivals()[9]),
@@ -195,7 +195,7 @@
         List<Long> outcomesAfter = new ArrayList<>();
         Recorder recorder = new Recorder() {
             @Override
-            public void outcome(Attempt a, Policy.Outcome outcome, long now) {
+            public void outcome(Attempt a, AttemptOutcome outcome, long now) {
                 if (!a.balancer().alive()) {
                     outcomesAfter.add(now);
                 }
@@ -208,7 +208,7 @@
                 }
             }
         };
-        WorldPlan plan = Worlds.small(0.6, 6, Policy.Effect.SAFE, Worlds.trouble("balancers_killed", 4, 3, 0.3, 0, 0));
+        WorldPlan plan = Worlds.small(0.6, 6, Idempotency.SAFE, Worlds.trouble("balancers_killed", 4, 3, 0.3, 0, 0));
         World world = new World(plan, 9, (settings, seed, truth) -> new Balance(settings, seed), recorder);
         world.run();
         assertEquals(List.of(), outcomesAfter);
@@ -219,7 +219,7 @@
     @Test
     void aDayDoesNotKeepWhatIsOver() {
         World world = new World(
-                Worlds.small(0.7, 6, Policy.Effect.SAFE),
+                Worlds.small(0.7, 6, Idempotency.SAFE),
                 2,
                 (settings, seed, truth) -> new Balance(settings, seed),
                 new Recorder());
@@ -235,14 +235,14 @@
         List<String> targets = new ArrayList<>();
         Recorder recorder = new Recorder() {
             @Override
-            public void outcome(Attempt a, Policy.Outcome outcome, long now) {
-                if (outcome == Policy.Outcome.OK && !a.target().equals(a.upstream.id())) {
+            public void outcome(Attempt a, AttemptOutcome outcome, long now) {
+                if (outcome == AttemptOutcome.OK && !a.target().equals(a.upstream.id())) {
                     targets.add(a.target());
                 }
             }
         };
         new World(
-                        Worlds.small(0.5, 4, Policy.Effect.SAFE, Worlds.trouble("same_address", 3, 1, 0.5, 0, 0)),
+                        Worlds.small(0.5, 4, Idempotency.SAFE, Worlds.trouble("same_address", 3, 1, 0.5, 0, 0)),
                         3,
                         (settings, seed, truth) -> new Balance(settings, seed),
                         recorder)
@@ -257,11 +257,11 @@
         List<Long> ends = new ArrayList<>();
         Recorder recorder = new Recorder() {
             @Override
-            public void outcome(Attempt a, Policy.Outcome outcome, long now) {
+            public void outcome(Attempt a, AttemptOutcome outcome, long now) {
                 ends.add(now);
             }
         };
-        WorldPlan plan = Worlds.small(0.0001, 1, Policy.Effect.SAFE);
+        WorldPlan plan = Worlds.small(0.0001, 1, Idempotency.SAFE);
         World world = new World(plan, 1, (settings, seed, truth) -> new Balance(settings, seed), recorder);
         Upstream u = world.upstreams.get(0);
         Balancer b = new Balancer(world, 0, u.zone, 0, new Balance(world.settings(0, 0), 1));
--- a/simulator/src/test/java/loadbalancer/simulator/world/RandomWorldsTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/world/RandomWorldsTest.java
@@ -6,10 +6,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.Idempotency;
 import loadbalancer.simulator.judge.Broken;
 import loadbalancer.simulator.judge.Day;
 import loadbalancer.simulator.variants.Variants;
-import loadbalancer.policy.Policy;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
@@ -30,7 +31,7 @@
             double size = share ? 0.2 : 2;
             troubles.add(Worlds.trouble(name, 1 + kind % 3, 2, 0.4, size, 1.2));
         }
-        return Worlds.small(load / 10.0, upstreams, one % 2 == 0 ? Policy.Effect.SAFE : Policy.Effect.UNSAFE)
+        return Worlds.small(load / 10.0, upstreams, one % 2 == 0 ? Idempotency.SAFE : Idempotency.UNSAFE)
                 .lasting(6 * Worlds.SECOND)
                 .with(troubles);
     }
@@ -47,7 +48,7 @@
                 Day.play(plan(one, other, upstreams, load), seed, Variants.maker(Worlds.variant(POLICIES.get(policy))));
         Map<String, Double> f = day.figures();
         double outcomes = 0;
-        for (Policy.Outcome o : Policy.Outcome.values()) {
+        for (AttemptOutcome o : AttemptOutcome.values()) {
             outcomes += f.get("attempts." + o.name().toLowerCase(java.util.Locale.ROOT));
         }
         boolean killed = plan(one, other, 1, 1).troubles().stream()
--- a/simulator/src/test/java/loadbalancer/simulator/world/Worlds.java
+++ b/simulator/src/test/java/loadbalancer/simulator/world/Worlds.java
@@ -1,9 +1,9 @@
 package loadbalancer.simulator.world;
 
 import java.util.List;
+import loadbalancer.policy.Idempotency;
 import loadbalancer.simulator.policies.Choosers;
 import loadbalancer.simulator.variants.Variants;
-import loadbalancer.policy.Policy;
 
 /** Small worlds for tests, without chance where it isn't wanted. */
 public final class Worlds {
@@ -14,7 +14,7 @@
     private Worlds() {}
 
     /** Three balancers before so many upstreams, of two cores each. */
-    public static WorldPlan small(double load, int upstreams, Policy.Effect effect, WorldPlan.Trouble... troubles) {
+    public static WorldPlan small(double load, int upstreams, Idempotency effect, WorldPlan.Trouble... troubles) {
         return new WorldPlan(
                 12 * SECOND,
                 Range.of(3),
