--- a/balancer/src/main/java/loadbalancer/Main.java
+++ b/balancer/src/main/java/loadbalancer/Main.java
@@ -10,8 +10,8 @@
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 import loadbalancer.cli.Commands;
-import loadbalancer.net.Node;
-import loadbalancer.policy.Balance;
+import loadbalancer.policy.JsqDasPolicy;
+import loadbalancer.process.BalancerProcess;
 import loadbalancer.wire.Adapter;
 import loadbalancer.wire.WireException;
 
@@ -21,7 +21,7 @@
 
     public static void main(String[] args) {
         if (args.length == 1 && args[0].equals("serve")) {
-            System.exit(Node.serve(System.getenv()));
+            System.exit(BalancerProcess.serve(System.getenv()));
         }
         if (args.length != 1 || !args[0].equals("wirehost")) {
             System.exit(Commands.run(args));
@@ -30,7 +30,7 @@
                         new InputStreamReader(new FileInputStream(FileDescriptor.in), StandardCharsets.UTF_8),
                         1 << 16);
                 OutputStream out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16)) {
-            new Adapter(Balance::new, in, out).run();
+            new Adapter(JsqDasPolicy::new, in, out).run();
         } catch (WireException | IOException e) {
             System.err.println("load-balancer: " + e.getMessage());
             System.exit(1);
--- a/balancer/src/main/java/loadbalancer/cli/Commands.java
+++ b/balancer/src/main/java/loadbalancer/cli/Commands.java
@@ -8,12 +8,12 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import loadbalancer.front.Front;
-import loadbalancer.front.FrontPlan;
-import loadbalancer.net.OperatorFile;
-import loadbalancer.operator.Operator;
+import loadbalancer.operator.ConfigVocabulary;
+import loadbalancer.operator.OperatorConfig;
 import loadbalancer.operator.OperatorReader;
-import loadbalancer.operator.Words;
+import loadbalancer.process.OperatorFileLoader;
+import loadbalancer.router.RequestRouter;
+import loadbalancer.router.RoutingConfig;
 import loadbalancer.routes.PathTemplate;
 import loadbalancer.routes.Route;
 import loadbalancer.toml.Faults;
@@ -77,8 +77,9 @@
         @Spec
         private CommandSpec spec;
 
-        Operator read(Path file) throws IOException {
-            return OperatorReader.read(file, config == null ? Operator.Site.unknown() : OperatorFile.site(config));
+        OperatorConfig read(Path file) throws IOException {
+            return OperatorReader.read(
+                    file, config == null ? OperatorConfig.Site.unknown() : OperatorFileLoader.site(config));
         }
 
         PrintWriter out() {
@@ -97,7 +98,7 @@
 
         @Override
         public Integer call() throws IOException {
-            Operator o = read(file);
+            OperatorConfig o = read(file);
             o.notes().forEach(out()::println);
             out().println(file.getFileName() + ": sound; " + o.pools().size() + " pools, "
                     + o.front().routes().size() + " routes");
@@ -137,7 +138,7 @@
 
         @Override
         public Integer call() throws IOException {
-            Operator o = read(file);
+            OperatorConfig o = read(file);
             String[] words = request.strip().split("\\s+");
             if (words.length != 2) {
                 throw new IllegalArgumentException("--request: \"" + request + "\" isn't \"METHOD /PATH\"");
@@ -160,7 +161,7 @@
             }
             String plain = words[1].split("[?#]", 2)[0];
             String about = key != null ? key : plain.substring(plain.lastIndexOf('/') + 1);
-            Front front = new Front(o.front());
+            RequestRouter front = new RequestRouter(o.front());
             Route.Explanation why = front.table().explain(new Route.Request(words[0], path, named, tenant, kind));
             int code = why.taken() == null ? unmatched(o.front()) : taken(o.front(), front, why.taken(), about);
             String limit = front.limitOf(tenant, why.taken());
@@ -169,7 +170,7 @@
             return code;
         }
 
-        private int unmatched(FrontPlan plan) {
+        private int unmatched(RoutingConfig plan) {
             if (plan.unmatched() == null) {
                 out().println("refused  404: no route takes it");
                 return 1;
@@ -179,31 +180,31 @@
             return 0;
         }
 
-        private int taken(FrontPlan plan, Front front, Route route, String about) {
-            FrontPlan.RoutePlan r = plan.routes().stream()
+        private int taken(RoutingConfig plan, RequestRouter front, Route route, String about) {
+            RoutingConfig.RoutePlan r = plan.routes().stream()
                     .filter(p -> p.match() == route)
                     .findFirst()
                     .orElseThrow();
             int way = front.way(route, about);
-            out().println("route    " + route.name() + ": " + Words.of(route));
+            out().println("route    " + route.name() + ": " + ConfigVocabulary.of(route));
             out().println("pool     "
                     + (way < 0
                             ? "none: all weights are 0"
                             : r.ways().get(way).pool()
                                     + (r.ways().size() > 1
-                                            ? ", by the split " + Words.ways(r) + " for key '" + about + "'"
+                                            ? ", by the split " + ConfigVocabulary.ways(r) + " for key '" + about + "'"
                                             : "")));
             if (way >= 0) {
                 String pool = r.ways().get(way).pool();
-                String spills = Words.spills(r);
+                String spills = ConfigVocabulary.spills(r);
                 if (!spills.isEmpty()) {
                     out().println("spills   to " + spills + ", as the health of " + pool + " falls");
                 }
                 plan.pools().stream().filter(p -> p.name().equals(pool)).forEach(p -> out().println(
-                                "limit    of pool " + pool + ": " + Words.of(p.limit())));
+                                "limit    of pool " + pool + ": " + ConfigVocabulary.of(p.limit())));
             }
-            out().println("rate     of the route: " + Words.of(r.rate()));
-            out().println("retries  " + Words.of(r.retries()));
+            out().println("rate     of the route: " + ConfigVocabulary.of(r.rate()));
+            out().println("retries  " + ConfigVocabulary.of(r.retries()));
             return way < 0 ? 1 : 0;
         }
     }
@@ -222,7 +223,7 @@
 
         @Override
         public Integer call() throws IOException {
-            List<String> changes = Words.changes(read(before), read(next));
+            List<String> changes = ConfigVocabulary.changes(read(before), read(next));
             changes.forEach(out()::println);
             if (changes.isEmpty()) {
                 out().println("nothing changes in service");
@@ -242,20 +243,20 @@
 
         @Override
         public Integer call() throws IOException {
-            Operator o = read(file);
+            OperatorConfig o = read(file);
             String form = "%-" + NAME_WIDTH + "s %-" + MATCH_WIDTH + "s %s%n";
             out().printf(form, "route", "takes", "to");
-            for (Route r : new Front(o.front()).table().routes()) {
-                FrontPlan.RoutePlan plan = o.front().routes().stream()
+            for (Route r : new RequestRouter(o.front()).table().routes()) {
+                RoutingConfig.RoutePlan plan = o.front().routes().stream()
                         .filter(p -> p.match() == r)
                         .findFirst()
                         .orElseThrow();
-                String spills = Words.spills(plan);
+                String spills = ConfigVocabulary.spills(plan);
                 out().printf(
                                 form,
                                 r.name(),
-                                Words.of(r),
-                                Words.ways(plan) + (spills.isEmpty() ? "" : "; spills to " + spills));
+                                ConfigVocabulary.of(r),
+                                ConfigVocabulary.ways(plan) + (spills.isEmpty() ? "" : "; spills to " + spills));
             }
             out().printf(
                             form,
--- a/balancer/src/main/java/loadbalancer/net/Dispatcher.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/RequestDispatcher.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.dispatch;
 
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.HttpResponseStatus;
@@ -13,31 +13,34 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongConsumer;
 import loadbalancer.discovery.DiscoveryClient;
-import loadbalancer.discovery.Holding;
-import loadbalancer.discovery.Targets;
+import loadbalancer.discovery.EndpointList;
+import loadbalancer.discovery.EndpointSubset;
+import loadbalancer.http.BodyStream;
 import loadbalancer.logs.Log;
 import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.LoadReport;
 import loadbalancer.policy.LoadReporting;
-import loadbalancer.policy.Policy;
 import loadbalancer.settings.SettingsReader;
+import loadbalancer.upstream.ResponseReader;
+import loadbalancer.upstream.UpstreamConnectionPool;
 
 /**
  * Stands between the sockets and the module: owns the module, its clock and the table of requests and
  * attempts; tells it what happens and carries out what it asks for. It decides nothing. All of it runs on the
  * event loop's thread.
  */
-final class Dispatcher implements Desk, Policy.Actions {
+public final class RequestDispatcher implements RequestHandler, LoadBalancingPolicy.Actions {
     /** µs before a client's time is over at which it gets a failure if nothing else has answered it. */
-    static final long GUARD = 6_000;
+    public static final long GUARD = 6_000;
     /** µs before that at which the last attempt ends, so that the module can word the answer itself. */
-    static final long LAST_WORD = 6_000;
+    public static final long LAST_WORD = 6_000;
 
     /** Where the one final answer to a request goes. */
-    interface Reply {
+    public interface Reply {
         /** Served: passes the upstream's body on. */
-        void serve(AnswerReader.Answer answer);
+        void serve(ResponseReader.Answer answer);
 
         void refuse(long retryAfter);
 
@@ -56,18 +59,18 @@
 
     /** A request that has been taken, and its attempts. */
     private static final class Exchange {
-        final String id;
-        final Order order;
-        final Reply reply;
-        long deadline;
-        long wholeAt; // when the last byte of it came
-        final int attemptsMost;
-        final List<Attempt> attempts = new ArrayList<>(2);
-        int out;
-        boolean closed;
-        Future<?> guard;
-
-        Exchange(String id, Order order, Reply reply, long deadline, int attemptsMost) {
+        public final String id;
+        public final InboundRequest order;
+        public final Reply reply;
+        public long deadline;
+        public long wholeAt; // when the last byte of it came
+        public final int attemptsMost;
+        public final List<Attempt> attempts = new ArrayList<>(2);
+        public int out;
+        public boolean closed;
+        public Future<?> guard;
+
+        public Exchange(String id, InboundRequest order, Reply reply, long deadline, int attemptsMost) {
             this.attemptsMost = attemptsMost;
             this.id = id;
             this.order = order;
@@ -77,14 +80,14 @@
     }
 
     private static final class Attempt {
-        final Exchange exchange;
-        final int number;
-        final long at;
-        Upstreams.Call call;
-        Future<?> timer;
-        boolean ended;
-
-        Attempt(Exchange exchange, int number, long at) {
+        public final Exchange exchange;
+        public final int number;
+        public final long at;
+        public UpstreamConnectionPool.Call call;
+        public Future<?> timer;
+        public boolean ended;
+
+        public Attempt(Exchange exchange, int number, long at) {
             this.exchange = exchange;
             this.number = number;
             this.at = at;
@@ -93,14 +96,14 @@
 
     private final EventLoop loop;
     private SettingsReader.Boot boot;
-    private final Policy policy;
+    private final LoadBalancingPolicy policy;
     private final Log log;
     private final long unixAtStart = System.currentTimeMillis() * 1000;
     private final long nanosAtStart = System.nanoTime();
     private final Map<String, Exchange> table = new HashMap<>();
     private final Set<String> ids = new HashSet<>(); // clients' own names of what is in the table
     private final ArrayDeque<LongConsumer> waiting = new ArrayDeque<>();
-    private Upstreams upstreams;
+    private UpstreamConnectionPool upstreams;
     private DiscoveryClient discovery;
     private boolean handing;
     private boolean retired;
@@ -112,7 +115,7 @@
     private double fewer = 1;
     private final List<Runnable> whenIdle = new ArrayList<>(1);
 
-    Dispatcher(EventLoop loop, SettingsReader.Boot boot, Policy policy, Log log) {
+    public RequestDispatcher(EventLoop loop, SettingsReader.Boot boot, LoadBalancingPolicy policy, Log log) {
         this.loop = loop;
         this.boot = boot;
         this.policy = policy;
@@ -120,13 +123,13 @@
     }
 
     /** {@code by} may be null: a rehearsal has no discovery. */
-    void attach(Upstreams to, DiscoveryClient by) {
+    public void attach(UpstreamConnectionPool to, DiscoveryClient by) {
         upstreams = to;
         discovery = by;
     }
 
     /** µs since 1970 by the monotonic clock: comparable with an upstream's start, and never going back. */
-    long now() {
+    public long now() {
         return unixAtStart + (System.nanoTime() - nanosAtStart) / 1000;
     }
 
@@ -162,7 +165,7 @@
     }
 
     @Override
-    public Runnable take(Order order, Reply reply) {
+    public Runnable take(InboundRequest order, Reply reply) {
         String id = Long.toString(++taken, Character.MAX_RADIX);
         Exchange x = new Exchange(
                 id,
@@ -259,7 +262,7 @@
         }
     }
 
-    private void ended(Attempt a, AttemptOutcome outcome, AnswerReader.Answer answer, LoadReport load) {
+    private void ended(Attempt a, AttemptOutcome outcome, ResponseReader.Answer answer, LoadReport load) {
         if (a.ended) {
             return;
         }
@@ -287,7 +290,7 @@
     }
 
     /** News of the list of upstreams; null: the call or the watch has failed. */
-    void listed(EndpointListKind kind, Targets targets) {
+    public void listed(EndpointListKind kind, EndpointList targets) {
         if (targets != null) {
             upstreams.listed(targets, now());
         }
@@ -295,7 +298,7 @@
     }
 
     /** Takes new settings, for requests that come from here on; what there was before is matched by name. */
-    void reconfigure(SettingsReader.Boot next) {
+    public void reconfigure(SettingsReader.Boot next) {
         SettingsReader.Boot before = boot;
         boot = next;
         hand(now -> policy.reconfigure(
@@ -310,17 +313,17 @@
     }
 
     /** What the module has learnt, for a process that is to go on in its place. */
-    Map<String, double[]> learnt() {
+    public Map<String, double[]> learnt() {
         return policy.learnt(now());
     }
 
     /** Gives the module what another has learnt. */
-    void resume(Map<String, double[]> learnt) {
+    public void resume(Map<String, double[]> learnt) {
         hand(now -> policy.resume(now, learnt));
     }
 
     /** This process may use that part of what the balancer may send to cold upstreams. */
-    void share(double part) {
+    public void share(double part) {
         ownPart = part;
         hand(now -> policy.share(ownPart * fewer));
     }
@@ -329,7 +332,7 @@
      * Each upstream is held by only every so-many-th balancer, which may send it that many times as much while it is
      * cold: the sum over the fleet stays the same.
      */
-    void holdsPart(Holding holding) {
+    public void holdsPart(EndpointSubset holding) {
         int balancers = boot.settings().balancers();
         long parts = holding.subset().parts();
         fewer = Math.min(parts, balancers);
@@ -352,12 +355,12 @@
     }
 
     /** The module is told nothing more, and so asks for nothing. */
-    void retire() {
+    public void retire() {
         retired = true;
     }
 
     /** Runs {@code then} on the loop, once no final answer is owed any more. */
-    void whenIdle(Runnable then) {
+    public void whenIdle(Runnable then) {
         if (owed == 0) {
             loop.execute(then);
         } else {
@@ -365,7 +368,7 @@
         }
     }
 
-    String summary() {
+    public String summary() {
         return taken + " requests taken, " + owed + " unanswered, " + guarded + " last-resort answers, " + faults
                 + " faults";
     }
@@ -382,7 +385,7 @@
         Attempt a = new Attempt(x, x.attempts.size(), now);
         x.attempts.add(a);
         x.out++;
-        Flow rest = x.order.rest();
+        BodyStream rest = x.order.rest();
         boolean coming = rest != null && !rest.whole();
         long left = (coming ? x.order.timeLeft() : x.deadline - now) - GUARD - LAST_WORD;
         long wait = timeout == 0 ? left : Math.min(timeout, left);
--- a/balancer/src/main/java/loadbalancer/handover/PeerLink.java
+++ b/balancer/src/main/java/loadbalancer/handover/HandoverLink.java
@@ -31,7 +31,7 @@
  * folder that both see. The end of a connection tells that the other process is gone. What lies in the folder
  * from processes long dead does no harm: nobody answers there.
  */
-public final class PeerLink {
+public final class HandoverLink {
     private static final String NAME = "handover.sock";
     private static final int LINE_MOST = 8 << 20;
     private static final long ANSWER_MS = 1_000; // for the other's state: it may hang
@@ -57,7 +57,7 @@
     private Channel listener;
 
     /** {@code folder} may be null: there is no other process then. */
-    public PeerLink(EventLoop loop, Path folder, Owner owner, Consumer<String> log) {
+    public HandoverLink(EventLoop loop, Path folder, Owner owner, Consumer<String> log) {
         this.loop = loop;
         this.folder = folder;
         this.owner = owner;
--- a/balancer/src/main/java/loadbalancer/net/Room.java
+++ b/balancer/src/main/java/loadbalancer/http/BodyMemoryBudget.java
@@ -1,19 +1,19 @@
-package loadbalancer.net;
+package loadbalancer.http;
 
 /**
  * The memory that clients' bodies may take together, while they come in and until they are answered. Guards
  * against a heap that many connections fill at once: each of them keeps to its own limit.
  */
-final class Room {
+public final class BodyMemoryBudget {
     private final long most;
     private long held;
 
-    Room(long most) {
+    public BodyMemoryBudget(long most) {
         this.most = most;
     }
 
     /** False where there is no room: nothing is taken then. */
-    boolean take(int bytes) {
+    public boolean take(int bytes) {
         if (held + bytes > most) {
             return false;
         }
@@ -22,11 +22,11 @@
     }
 
     /** The same for what could also wait where it is: half of the room stays for what can't. */
-    boolean spare(int bytes) {
+    public boolean spare(int bytes) {
         return held + bytes <= most / 2 && take(bytes);
     }
 
-    void give(int bytes) {
+    public void give(int bytes) {
         held -= bytes;
     }
 }
--- a/balancer/src/main/java/loadbalancer/net/Flow.java
+++ b/balancer/src/main/java/loadbalancer/http/BodyStream.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.http;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -10,12 +10,12 @@
 /**
  * A body that is passed on as it comes, from the connection that brings it to one that takes it. What comes
  * before there is a taker waits here; the connection that brings it is read only while the taker has room. Where there
- * is a {@link Room} it is read for a while also before there is a taker: the end of a connection shows only behind all
+ * is a {@link BodyMemoryBudget} it is read for a while also before there is a taker: the end of a connection shows only behind all
  * that came before it, and nothing is to be sent on for a client that has left.
  */
-final class Flow {
+public final class BodyStream {
     /** The side that takes the body. */
-    interface Sink {
+    public interface Sink {
         /** Takes over {@code bytes}. */
         void more(ByteBuf bytes);
 
@@ -31,7 +31,7 @@
 
     private final Channel source;
     private final long length;
-    private final Room room;
+    private final BodyMemoryBudget room;
     private int held; // bytes that wait and are counted against the room
     private final ArrayDeque<ByteBuf> waiting = new ArrayDeque<>();
     private final List<Runnable> whenWhole = new ArrayList<>(1);
@@ -45,47 +45,47 @@
     private long movedAt = System.nanoTime();
 
     /** {@code length} is -1 where it isn't known beforehand. */
-    Flow(Channel source, long length) {
+    public BodyStream(Channel source, long length) {
         this(source, length, null);
     }
 
     /** What comes before there is a taker takes some of {@code room}, which may be null. */
-    Flow(Channel source, long length, Room room) {
+    public BodyStream(Channel source, long length, BodyMemoryBudget room) {
         this.source = source;
         this.length = length;
         this.room = room;
     }
 
     /** The connection that brings it. */
-    Channel source() {
+    public Channel source() {
         return source;
     }
 
-    long length() {
+    public long length() {
         return length;
     }
 
     /** Whether a taker has had some of it: it can't be passed on a second time. */
-    boolean taken() {
+    public boolean taken() {
         return taken;
     }
 
-    boolean whole() {
+    public boolean whole() {
         return whole;
     }
 
     /** How long nothing has come, in ns, although it could have; 0 while its taker has no room. */
-    long silentFor(long now) {
+    public long silentFor(long now) {
         return paused || over || whole ? 0 : now - movedAt;
     }
 
     /** For how long it was not read for want of room, in ns. */
-    long pausedFor() {
+    public long pausedFor() {
         return pausedFor;
     }
 
     /** Runs {@code then} when its last byte has come; at once where that is so. */
-    void whenWhole(Runnable then) {
+    public void whenWhole(Runnable then) {
         if (whole) {
             then.run();
         } else {
@@ -96,7 +96,7 @@
     // ---------------------------------------------------------------- the side that brings it
 
     /** More has come; its reference is the flow's from here on. */
-    void add(ByteBuf bytes) {
+    public void add(ByteBuf bytes) {
         movedAt = System.nanoTime();
         if (over) {
             bytes.release();
@@ -128,7 +128,7 @@
         }
     }
 
-    void end() {
+    public void end() {
         whole = true;
         whenWhole.forEach(Runnable::run);
         whenWhole.clear();
@@ -140,7 +140,7 @@
     }
 
     /** The side that brings it is gone. */
-    void breakOff() {
+    public void breakOff() {
         if (!whole && !over) {
             Sink to = sink;
             discard();
@@ -152,7 +152,7 @@
 
     // ---------------------------------------------------------------- the side that takes it
 
-    void to(Sink taker) {
+    public void to(Sink taker) {
         sink = taker;
         taken = true;
         while (!waiting.isEmpty()) {
@@ -168,7 +168,7 @@
     }
 
     /** The taker has more room than it had, or less. */
-    void roomChanged() {
+    public void roomChanged() {
         if (sink != null && sink.hasRoom()) {
             resume();
         } else {
@@ -177,7 +177,7 @@
     }
 
     /** Nobody wants the rest: what still comes is read and dropped. */
-    void discard() {
+    public void discard() {
         over = true;
         sink = null;
         taken = true;
--- a/balancer/src/main/java/loadbalancer/net/Client.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientConnection.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.http;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -26,12 +26,13 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.upstream.ResponseReader;
 
 /**
  * One connection of a client: its requests one after the other, each one's answer in turn, and how long it
  * may take over anything.
  */
-final class Client extends ChannelInboundHandlerAdapter implements RequestReader.Taker {
+public final class ClientConnection extends ChannelInboundHandlerAdapter implements RequestReader.Taker {
     // A client is owed an error or a close within 3 s: the look at all clients comes on top of these.
     private static final long RECEIVE = TimeUnit.MILLISECONDS.toNanos(2_400); // a whole request
     private static final long SILENT = TimeUnit.MILLISECONDS.toNanos(2_200); // before the first one
@@ -43,15 +44,15 @@
     private static final int AHEAD_MOST = 16; // requests that may be sent ahead
 
     /** {@code sentAt}: the latest that its client can have sent the last byte that was read, by System.nanoTime. */
-    private record Taken(HttpRequest head, byte[] body, Flow rest, long sentAt) {}
+    private record Taken(HttpRequest head, byte[] body, BodyStream rest, long sentAt) {}
 
-    private final ClientServer server;
+    private final ClientListener server;
     private final Channel channel;
     private final RequestReader requests;
     private final RequestDecoder decoder = new RequestDecoder();
     private final ArrayDeque<Taken> ahead = new ArrayDeque<>();
-    private RequestRules.Problem problem; // the last answer to give, when its turn comes
-    private Flow answering; // what flows of the request that is being answered
+    private RequestValidator.Problem problem; // the last answer to give, when its turn comes
+    private BodyStream answering; // what flows of the request that is being answered
     private Runnable gone; // set while the module owes an answer here
     private int charged; // bytes of the request that is being answered
     private boolean serving; // a request is being answered, or about to be
@@ -64,27 +65,27 @@
     private long unreadBytes;
     private long received; // bytes of the request that is coming in
     private long readAt;
-    private Flow upload; // of a body that is being passed on
-    private Flow download; // of an answer that is being passed on
+    private BodyStream upload; // of a body that is being passed on
+    private BodyStream download; // of an answer that is being passed on
 
-    Client(ClientServer server, Channel channel) {
+    public ClientConnection(ClientListener server, Channel channel) {
         this.server = server;
         this.channel = channel;
         this.requests = new RequestReader(this, server.room());
         channel.pipeline().addLast(new Mark(), decoder, new HttpResponseEncoder(), requests, this);
     }
 
-    boolean asked() {
+    public boolean asked() {
         return asked;
     }
 
     /** How long it has been at rest, in ns: nothing is being answered, and nothing has begun to come in. */
-    long restedFor(long now) {
+    public long restedFor(long now) {
         return serving || receiving || ending || !ahead.isEmpty() ? -1 : now - since;
     }
 
     /** For how long nothing more has come of a request that is not whole, in ns. */
-    long stuckFor(long now) {
+    public long stuckFor(long now) {
         return receiving
                         && !serving
                         && !ending
@@ -94,25 +95,25 @@
                 : 0;
     }
 
-    void close() {
+    public void close() {
         channel.close();
     }
 
     /** Whether an answer is being waited for here, or has yet to leave. */
-    boolean owes() {
+    public boolean owes() {
         ChannelOutboundBuffer leaving = channel.unsafe().outboundBuffer();
         return serving && !ending || leaving != null && leaving.totalPendingWriteBytes() > 0;
     }
 
     /** Refuses a request that is not whole: it may become so just as the process ends, and would be lost. */
-    void giveUpPart() {
+    public void giveUpPart() {
         if (receiving && !serving && upload == null) {
             bad(HttpResponseStatus.SERVICE_UNAVAILABLE, "stopping: trying again is harmless");
         }
     }
 
     /** Ends what takes too long. Guards against peers that say nothing, or a byte now and then. */
-    void look(long now) {
+    public void look(long now) {
         if (ending) {
             if (now - since > LINGER) {
                 close();
@@ -140,7 +141,7 @@
         }
     }
 
-    void closed() {
+    public void closed() {
         requests.drop();
         server.room().give(charged);
         charged = 0;
@@ -170,7 +171,7 @@
     }
 
     @Override
-    public void flowing(HttpRequest head, Flow body) {
+    public void flowing(HttpRequest head, BodyStream body) {
         asked = true;
         upload = body;
         ahead.add(new Taken(head, new byte[0], body, sentAt()));
@@ -218,7 +219,7 @@
     }
 
     /** Refuses the request that is being served, and with it all that its client sent behind it. */
-    void refuse(HttpResponseStatus status, String why) {
+    public void refuse(HttpResponseStatus status, String why) {
         dropAhead();
         if (problem == null) {
             readNoMore(status, why);
@@ -240,7 +241,7 @@
     private void readNoMore(HttpResponseStatus status, String why) {
         asked = true;
         requests.drop();
-        problem = new RequestRules.Problem(status, why);
+        problem = new RequestValidator.Problem(status, why);
         channel.pipeline().replace(decoder, null, new Drain());
     }
 
@@ -272,19 +273,19 @@
     }
 
     /** The module owes an answer from here on; {@code left} runs if the client leaves before it. */
-    void owed(Runnable left) {
+    public void owed(Runnable left) {
         gone = left;
     }
 
-    void plain(HttpResponseStatus status, String text, boolean keep) {
+    public void plain(HttpResponseStatus status, String text, boolean keep) {
         ByteBuf body = Unpooled.copiedBuffer(text + "\n", StandardCharsets.UTF_8);
         write(status, body, "text/plain", null, null, keep);
     }
 
     /** Passes on an answer that has begun, as it comes. */
-    void stream(AnswerReader.Answer answer, boolean keep, boolean chunks) {
+    public void stream(ResponseReader.Answer answer, boolean keep, boolean chunks) {
         settle();
-        Flow rest = answer.rest();
+        BodyStream rest = answer.rest();
         boolean framed = rest.length() >= 0 || chunks;
         boolean stay = keep && framed && !server.isStopping();
         DefaultHttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
@@ -301,7 +302,7 @@
         }
         channel.write(response);
         download = rest;
-        rest.to(new Flow.Sink() {
+        rest.to(new BodyStream.Sink() {
             @Override
             public void more(ByteBuf bytes) {
                 channel.writeAndFlush(new DefaultHttpContent(bytes));
@@ -329,7 +330,7 @@
         });
     }
 
-    boolean isStreaming() {
+    public boolean isStreaming() {
         return download != null;
     }
 
@@ -345,7 +346,7 @@
     }
 
     /** Writes the answer to the request that is being served; one that can't be kept open ends it. */
-    void write(HttpResponseStatus status, ByteBuf body, String type, String header, String value, boolean keep) {
+    public void write(HttpResponseStatus status, ByteBuf body, String type, String header, String value, boolean keep) {
         settle();
         boolean stay = keep && !server.isStopping();
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
--- a/balancer/src/main/java/loadbalancer/net/ClientServer.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientListener.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.http;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -27,10 +27,16 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
+import loadbalancer.dispatch.InboundRequest;
+import loadbalancer.dispatch.RequestDispatcher;
+import loadbalancer.dispatch.RequestHandler;
+import loadbalancer.process.DescriptorBudget;
+import loadbalancer.process.WarmUp;
 import loadbalancer.settings.SettingsReader;
+import loadbalancer.upstream.ResponseReader;
 
 /** The side to the clients: takes connections, hands requests over, and words each one's final answer. */
-final class ClientServer {
+public final class ClientListener {
     private static final int BACKLOG = 1024;
     private static final long LOOK_MS = 200; // between looks at what takes too long
     // After a stop: what comes later might still be unanswered when the process is killed.
@@ -38,16 +44,16 @@
     private static final long FRESH = TimeUnit.MILLISECONDS.toNanos(100);
     private static final long STUCK = TimeUnit.MILLISECONDS.toNanos(700);
     private static final long LONG_REST = TimeUnit.SECONDS.toNanos(1);
-    static final long ROOM = 6 << 20; // bytes of bodies of clients held together
+    public static final long ROOM = 6 << 20; // bytes of bodies of clients held together
 
     private final EventLoop loop;
     private SettingsReader.Boot boot;
-    private Desk desk;
-    private final Descriptors descriptors;
+    private RequestHandler desk;
+    private final DescriptorBudget descriptors;
     private final BooleanSupplier shedIdleUpstream;
     private final LongSupplier unread;
-    private final Room room = new Room(ROOM);
-    private final Set<Client> clients = new LinkedHashSet<>(); // the oldest first
+    private final BodyMemoryBudget room = new BodyMemoryBudget(ROOM);
+    private final Set<ClientConnection> clients = new LinkedHashSet<>(); // the oldest first
     private Channel listener;
     private boolean shared; // the listener is the platform's: never closed here
     private boolean accepting;
@@ -56,13 +62,13 @@
     private long stoppedAt;
     private boolean stopping;
     private boolean makingRoom;
-    private Rehearsal rehearsal; // while it is on
+    private WarmUp rehearsal; // while it is on
 
-    ClientServer(
+    public ClientListener(
             EventLoop loop,
             SettingsReader.Boot boot,
-            Desk desk,
-            Descriptors descriptors,
+            RequestHandler desk,
+            DescriptorBudget descriptors,
             BooleanSupplier shedIdleUpstream,
             LongSupplier unread) {
         this.unread = unread;
@@ -79,7 +85,8 @@
      * @param inherited the socket to take connections from, or null to bind one
      * @param accept whether to take connections at once, not only from {@link #accept} on
      */
-    InetSocketAddress listen(InetSocketAddress at, ServerSocketChannel inherited, boolean accept) throws IOException {
+    public InetSocketAddress listen(InetSocketAddress at, ServerSocketChannel inherited, boolean accept)
+            throws IOException {
         shared = inherited != null;
         accepting = accept;
         try {
@@ -94,8 +101,8 @@
                             listener = channel;
                         }
                     })
-                    .childOption(ChannelOption.RCVBUF_ALLOCATOR, Reads.allocator())
-                    .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Reads.WAITING)
+                    .childOption(ChannelOption.RCVBUF_ALLOCATOR, ReadBufferSettings.allocator())
+                    .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, ReadBufferSettings.WAITING)
                     .option(ChannelOption.AUTO_READ, accept);
             ChannelFuture listening = inherited != null
                     ? server.register()
@@ -112,7 +119,7 @@
     }
 
     /** Listens for a rehearsal's own connections; what it returns is closed when that is over. */
-    Channel listenAside(UnixDomainSocketAddress at) throws IOException {
+    public Channel listenAside(UnixDomainSocketAddress at) throws IOException {
         try {
             return server().channel(NioServerDomainSocketChannel.class)
                     .bind(at)
@@ -134,42 +141,42 @@
     }
 
     /** Reads requests by new settings from here on. */
-    void reconfigure(SettingsReader.Boot next) {
+    public void reconfigure(SettingsReader.Boot next) {
         boot = next;
     }
 
     /** Hands requests over there from here on. */
-    void to(Desk other) {
+    public void to(RequestHandler other) {
         desk = other;
     }
 
     /** For how long what is read now may have lain unread, in µs. */
-    long unread() {
+    public long unread() {
         return unread.getAsLong();
     }
 
     /** Takes connections from here on. */
-    void accept() {
+    public void accept() {
         accepting = !stopping || !shared;
         makeRoom();
     }
 
     /** What {@code /-/ready} says beside that it is. */
-    void note(Supplier<String> of) {
+    public void note(Supplier<String> of) {
         note = of;
     }
 
-    void ready() {
+    public void ready() {
         ready = !stopping;
     }
 
     /** Serves a rehearsal's requests as well; null when it is over. */
-    void rehearse(Rehearsal with) {
+    public void rehearse(WarmUp with) {
         rehearsal = with;
     }
 
     /** From here on answers end their connections; new ones are still taken. */
-    void stopping() {
+    public void stopping() {
         ready = false;
         stopping = true;
         stoppedAt = System.nanoTime();
@@ -180,44 +187,44 @@
     }
 
     /** Whether an answer is being passed on. */
-    boolean isStreaming() {
-        return clients.stream().anyMatch(Client::isStreaming);
+    public boolean isStreaming() {
+        return clients.stream().anyMatch(ClientConnection::isStreaming);
     }
 
     /** Whether all connections have ended. */
-    boolean isEmpty() {
+    public boolean isEmpty() {
         return clients.isEmpty();
     }
 
     /** Whether a client has yet to get an answer, or all of one. */
-    boolean owe() {
-        return clients.stream().anyMatch(Client::owes);
+    public boolean owe() {
+        return clients.stream().anyMatch(ClientConnection::owes);
     }
 
-    boolean isStopping() {
+    public boolean isStopping() {
         return stopping;
     }
 
-    Room room() {
+    public BodyMemoryBudget room() {
         return room;
     }
 
     /** Takes no more connections, drops those that hold no request, and refuses what is not whole. */
-    void close() {
+    public void close() {
         if (listener != null && !shared) {
             listener.close();
         }
         long now = System.nanoTime();
-        List.copyOf(clients).stream().filter(c -> c.restedFor(now) >= 0).forEach(Client::close);
+        List.copyOf(clients).stream().filter(c -> c.restedFor(now) >= 0).forEach(ClientConnection::close);
         if (!shared) {
-            List.copyOf(clients).forEach(Client::giveUpPart);
+            List.copyOf(clients).forEach(ClientConnection::giveUpPart);
         }
     }
 
     // ---------------------------------------------------------------- connections
 
     private void opened(Channel channel) {
-        Client client = new Client(this, channel);
+        ClientConnection client = new ClientConnection(this, channel);
         descriptors.clientOpened();
         makeRoom();
         clients.add(client);
@@ -253,7 +260,7 @@
     }
 
     /** Closes what is needed least, to an upstream or of a client; false where all are in use. */
-    boolean shed() {
+    public boolean shed() {
         return shed(true);
     }
 
@@ -264,11 +271,11 @@
     // upstream is no help: all of them were closed in vain, and each request paid for a new one.
     private boolean shed(boolean upstreamsToo) {
         long now = System.nanoTime();
-        Client longest = null;
-        Client stuck = null;
+        ClientConnection longest = null;
+        ClientConnection stuck = null;
         long most = FRESH;
         long silent = STUCK;
-        for (Client client : clients) {
+        for (ClientConnection client : clients) {
             long rest = client.restedFor(now);
             if (rest > FRESH && !client.asked()) {
                 client.close();
@@ -286,7 +293,7 @@
         if (upstreamsToo && most < LONG_REST && shedIdleUpstream.getAsBoolean()) {
             return true;
         }
-        Client least = longest != null ? longest : stuck;
+        ClientConnection least = longest != null ? longest : stuck;
         if (least != null) {
             least.close();
         }
@@ -295,11 +302,11 @@
 
     // ---------------------------------------------------------------- requests
 
-    void serve(Client client, HttpRequest request, byte[] body, Flow rest, long waited) {
+    public void serve(ClientConnection client, HttpRequest request, byte[] body, BodyStream rest, long waited) {
         boolean keep = HttpUtil.isKeepAlive(request);
         String path = request.uri();
         boolean rehearsing = rehearsal != null && rehearsal.knows(request.headers());
-        if (rehearsing && path.equals(Rehearsal.HOP)) {
+        if (rehearsing && path.equals(WarmUp.HOP)) {
             boolean declined = rehearsal.declines();
             client.write(
                     declined ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK,
@@ -308,7 +315,7 @@
                     declined ? "Srv-Declined" : "Srv-Load",
                     declined ? "1" : "TEXT eps=0.1, latency_ms=14.5, inflight=2",
                     keep);
-        } else if (path.startsWith("/-/") && !(rehearsing && path.equals(Rehearsal.PATH))) {
+        } else if (path.startsWith("/-/") && !(rehearsing && path.equals(WarmUp.PATH))) {
             boolean asked = path.equals("/-/ready") && request.method().equals(HttpMethod.GET);
             HttpResponseStatus status = !asked
                     ? HttpResponseStatus.NOT_FOUND
@@ -323,23 +330,23 @@
                 client.refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "stopping: trying again is harmless");
                 return;
             }
-            Order order;
+            InboundRequest order;
             try {
-                order = RequestRules.order(request, body, rest, boot);
+                order = RequestValidator.order(request, body, rest, boot);
                 // The client's time runs from its last byte on, not from when somebody here had time to look at it.
                 order = rest == null ? order.within(Math.max(0, order.timeLeft() - waited)) : order;
             } catch (IllegalArgumentException e) {
                 client.refuse(HttpResponseStatus.BAD_REQUEST, e.getMessage());
                 return;
             }
-            Desk to = path.equals(Rehearsal.PATH) ? rehearsal.dispatcher() : desk;
+            RequestHandler to = path.equals(WarmUp.PATH) ? rehearsal.dispatcher() : desk;
             if (to.holds(order.id())) {
                 // An upstream could not tell the two apart, and might answer one with the other's.
                 client.refuse(HttpResponseStatus.CONFLICT, "a request with this Req-Id is open");
                 return;
             }
             Answer answer = new Answer(client, keep, request.protocolVersion().equals(HttpVersion.HTTP_1_1));
-            Runnable leave = to.take(path.equals(Rehearsal.PATH) ? order.to(Rehearsal.HOP) : order, answer);
+            Runnable leave = to.take(path.equals(WarmUp.PATH) ? order.to(WarmUp.HOP) : order, answer);
             if (!answer.given) {
                 client.owed(leave);
             }
@@ -347,20 +354,20 @@
     }
 
     /** The final answer to one request; the dispatcher gives it once. */
-    private static final class Answer implements Dispatcher.Reply {
-        private final Client client;
+    private static final class Answer implements RequestDispatcher.Reply {
+        private final ClientConnection client;
         private final boolean keep;
         private final boolean chunks; // its client understands them
         private boolean given;
 
-        Answer(Client client, boolean keep, boolean chunks) {
+        public Answer(ClientConnection client, boolean keep, boolean chunks) {
             this.chunks = chunks;
             this.client = client;
             this.keep = keep;
         }
 
         @Override
-        public void serve(AnswerReader.Answer answer) {
+        public void serve(ResponseReader.Answer answer) {
             given = true;
             if (answer.rest() != null) {
                 client.stream(answer, keep, chunks);
--- a/balancer/src/main/java/loadbalancer/net/RequestDecoder.java
+++ b/balancer/src/main/java/loadbalancer/http/RequestDecoder.java
@@ -1,15 +1,15 @@
-package loadbalancer.net;
+package loadbalancer.http;
 
 import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
 /** Reads requests strictly: where two readers could differ about where a request ends, it is not read. */
-final class RequestDecoder extends HttpRequestDecoder {
+public final class RequestDecoder extends HttpRequestDecoder {
     private static final int LINE_MOST = 4 * 1024;
     private static final int HEAD_MOST = 8 * 1024;
 
-    RequestDecoder() {
+    public RequestDecoder() {
         super(new HttpDecoderConfig().setMaxInitialLineLength(LINE_MOST).setMaxHeaderSize(HEAD_MOST));
     }
 
--- a/balancer/src/main/java/loadbalancer/net/RequestReader.java
+++ b/balancer/src/main/java/loadbalancer/http/RequestReader.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.http;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -17,16 +17,16 @@
  * Puts a client's requests together, each whole and copied off the socket's buffers. What is too long, or
  * framed in a way that others may read otherwise, is refused as soon as that shows, and none of it is kept.
  */
-final class RequestReader extends SimpleChannelInboundHandler<HttpObject> {
+public final class RequestReader extends SimpleChannelInboundHandler<HttpObject> {
     /** Whom it tells. After {@link #bad} nothing more comes. */
-    interface Taker {
+    public interface Taker {
         /** A head has come that can be read; its body is to follow. */
         void begun(HttpRequest head);
 
         void whole(HttpRequest head, byte[] body);
 
         /** A request whose body is too large to be held; the rest of it flows. */
-        void flowing(HttpRequest head, Flow body);
+        void flowing(HttpRequest head, BodyStream body);
 
         /** The last byte of what flows has come. */
         void flown();
@@ -35,15 +35,15 @@
     }
 
     private final Taker taker;
-    private final Room room;
+    private final BodyMemoryBudget room;
     private HttpRequest head;
     private byte[] body;
     private int length;
-    private Flow flow; // of a body that is being passed on
+    private BodyStream flow; // of a body that is being passed on
     private long flowed;
     private boolean over;
 
-    RequestReader(Taker taker, Room room) {
+    public RequestReader(Taker taker, BodyMemoryBudget room) {
         this.taker = taker;
         this.room = room;
     }
@@ -56,7 +56,7 @@
         if (!part.decoderResult().isSuccess()) {
             refuse(HttpResponseStatus.BAD_REQUEST, "malformed request");
         } else if (part instanceof HttpRequest request) {
-            RequestRules.Problem problem = RequestRules.framing(request);
+            RequestValidator.Problem problem = RequestValidator.framing(request);
             if (problem != null) {
                 refuse(problem.status(), problem.text());
                 return;
@@ -72,7 +72,7 @@
             } else if (flow != null) {
                 flow(content.content());
                 if (!over && part instanceof LastHttpContent) {
-                    Flow all = flow;
+                    BodyStream all = flow;
                     flow = null;
                     all.end();
                     taker.flown();
@@ -91,7 +91,7 @@
 
     private void flow(ByteBuf more) {
         flowed += more.readableBytes();
-        if (flowed > RequestRules.FLOW_MOST) {
+        if (flowed > RequestValidator.FLOW_MOST) {
             refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too large");
         } else if (more.isReadable()) {
             flow.add(more.retain());
@@ -102,7 +102,7 @@
         HttpRequest request = head;
         head = null;
         room.give(length);
-        flow = new Flow(context.channel(), HttpUtil.getContentLength(request, -1L), room);
+        flow = new BodyStream(context.channel(), HttpUtil.getContentLength(request, -1L), room);
         flowed = length;
         flow.add(Unpooled.wrappedBuffer(body, 0, length));
         flow(more);
@@ -115,7 +115,7 @@
         if (bytes == 0) {
             return;
         }
-        if (length + bytes > RequestRules.BODY_MOST) {
+        if (length + bytes > RequestValidator.BODY_MOST) {
             begin(context, more);
             return;
         }
@@ -127,7 +127,7 @@
             body = ByteBufUtil.getBytes(more);
         } else {
             if (length + bytes > body.length) {
-                body = Arrays.copyOf(body, Math.min(RequestRules.BODY_MOST, 2 * (length + bytes)));
+                body = Arrays.copyOf(body, Math.min(RequestValidator.BODY_MOST, 2 * (length + bytes)));
             }
             more.readBytes(body, length, bytes);
         }
@@ -140,7 +140,7 @@
     }
 
     /** Keeps nothing, now and from here on. */
-    void drop() {
+    public void drop() {
         over = true;
         if (flow != null) {
             flow.breakOff();
--- a/balancer/src/main/java/loadbalancer/net/RequestRules.java
+++ b/balancer/src/main/java/loadbalancer/http/RequestValidator.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.http;
 
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpHeaderNames;
@@ -13,15 +13,16 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Stream;
+import loadbalancer.dispatch.InboundRequest;
 import loadbalancer.policy.Idempotency;
 import loadbalancer.settings.SettingsReader;
 
 /** What a request must be like to be taken, and what goes on of it. */
-final class RequestRules {
-    static final int BODY_MOST = 64 * 1024;
-    static final long FLOW_MOST = 34L << 20; // of a body that is passed on as it comes
-    static final String DEADLINE = "Req-Deadline-Ms";
-    static final String TENANT = "Req-Owner";
+public final class RequestValidator {
+    public static final int BODY_MOST = 64 * 1024;
+    public static final long FLOW_MOST = 34L << 20; // of a body that is passed on as it comes
+    public static final String DEADLINE = "Req-Deadline-Ms";
+    public static final String TENANT = "Req-Owner";
     private static final int NAME_MOST = 256; // characters of an id or a key
     private static final long DEADLINE_MOST = 600_000; // ms: it is held for so long at most
     private static final long COST_MOST = 600_000_000; // µs: a guess beyond it says nothing
@@ -42,12 +43,12 @@
             DEADLINE.toLowerCase(Locale.ROOT));
 
     /** Why a request is not taken. */
-    record Problem(HttpResponseStatus status, String text) {}
+    public record Problem(HttpResponseStatus status, String text) {}
 
-    private RequestRules() {}
+    private RequestValidator() {}
 
     /** What is wrong with how a request says where it ends; null if nothing is. */
-    static Problem framing(HttpRequest request) {
+    public static Problem framing(HttpRequest request) {
         List<String> codings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         boolean chunked = codings.size() == 1 && codings.get(0).strip().equalsIgnoreCase("chunked");
         if (!codings.isEmpty()
@@ -82,7 +83,7 @@
     }
 
     /** What a request asks for; throws IllegalArgumentException where it can't be taken. */
-    static Order order(HttpRequest request, byte[] body, Flow rest, SettingsReader.Boot boot) {
+    public static InboundRequest order(HttpRequest request, byte[] body, BodyStream rest, SettingsReader.Boot boot) {
         HttpHeaders headers = request.headers();
         for (String name : SINGLE) {
             if (headers.contains(name) && headers.getAll(name).size() > 1) {
@@ -117,7 +118,7 @@
         String key = path.substring(path.lastIndexOf('/') + 1);
         int tenant = Math.max(0, boot.tenants().indexOf(headers.get(TENANT, "")));
         long cost = number(headers.get("Req-Cost"), -1);
-        return new Order(
+        return new InboundRequest(
                 id,
                 request.method(),
                 uri,
--- a/balancer/src/main/java/loadbalancer/net/Polls.java
+++ b/balancer/src/main/java/loadbalancer/http/UnreadTimeEstimator.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.http;
 
 import io.netty.channel.SelectStrategy;
 import io.netty.channel.SelectStrategyFactory;
@@ -10,14 +10,14 @@
  * reads in a round had not come by the round before. A client's time runs from when it sent, so where rounds are long,
  * as on a slow core right after a start, that is less than what its request says. One loop's, and on its thread.
  */
-final class Polls implements SelectStrategyFactory, SelectStrategy {
+public final class UnreadTimeEstimator implements SelectStrategyFactory, SelectStrategy {
     private final LongSupplier nanos;
     private long before; // when it was last known that nothing had come, a round ago
     private long polled; // the same for this round
     private boolean waited; // this round began with nothing to read
     private boolean read; // something has been read in this round
 
-    Polls(LongSupplier nanos) {
+    public UnreadTimeEstimator(LongSupplier nanos) {
         this.nanos = nanos;
         before = nanos.getAsLong();
         polled = before;
@@ -39,7 +39,7 @@
     }
 
     /** The longest that what is being read now may have lain unread, in µs. */
-    long unread() {
+    public long unread() {
         long now = nanos.getAsLong();
         if (waited && !read) {
             read = true; // it has come just now, and has ended the wait
--- a/balancer/src/main/java/loadbalancer/logs/Sink.java
+++ b/balancer/src/main/java/loadbalancer/logs/AsyncLogWriter.java
@@ -20,7 +20,7 @@
  * Writes lines from a thread of its own. A reader of the log that stops reading blocks that thread alone: callers
  * never wait, what doesn't fit the queue is dropped, and how many were is said as soon as lines are written again.
  */
-public final class Sink {
+public final class AsyncLogWriter {
     private static final int QUEUE = 1024;
 
     private record Line(long at, Level level, String text, List<KeyValuePair> fields, Throwable thrown) {}
@@ -36,7 +36,7 @@
     private Thread writer;
 
     /** Writes to {@code out}; each line of text begins with {@code prefix}. */
-    public Sink(OutputStream out, String prefix) {
+    public AsyncLogWriter(OutputStream out, String prefix) {
         this.out = out;
         this.prefix = prefix;
     }
--- a/balancer/src/main/java/loadbalancer/logs/Provider.java
+++ b/balancer/src/main/java/loadbalancer/logs/Slf4jProvider.java
@@ -16,27 +16,27 @@
 import org.slf4j.spi.SLF4JServiceProvider;
 
 /**
- * What SLF4J logs through here: every logger writes to one {@link Sink} on the process's standard error. Chosen over
+ * What SLF4J logs through here: every logger writes to one {@link AsyncLogWriter} on the process's standard error. Chosen over
  * Logback by measured start time, see docs/design/routes-and-limits.md.
  */
-public final class Provider implements SLF4JServiceProvider {
-    private static final Sink SINK = new Sink(System.err, "load-balancer: ");
+public final class Slf4jProvider implements SLF4JServiceProvider {
+    private static final AsyncLogWriter SINK = new AsyncLogWriter(System.err, "load-balancer: ");
     private final IMarkerFactory markers = new BasicMarkerFactory();
     private final MDCAdapter context = new NOPMDCAdapter();
 
     /** The sink of all loggers. */
-    public static Sink sink() {
+    public static AsyncLogWriter sink() {
         return SINK;
     }
 
     /** Makes SLF4J use this provider without a search through the class path; call before the first logger. */
     public static void install() {
-        System.setProperty("slf4j.provider", Provider.class.getName());
+        System.setProperty("slf4j.provider", Slf4jProvider.class.getName());
         System.setProperty("slf4j.internal.verbosity", "WARN"); // it would say on the log that it obeys
     }
 
     /** A logger that writes there: information and what is worse. */
-    public static Logger logger(String name, Sink sink) {
+    public static Logger logger(String name, AsyncLogWriter sink) {
         return new SinkLogger(name, sink);
     }
 
@@ -67,9 +67,9 @@
 
     private static final class SinkLogger extends LegacyAbstractLogger implements LoggingEventAware {
         private static final long serialVersionUID = 1L;
-        private final transient Sink sink;
+        private final transient AsyncLogWriter sink;
 
-        SinkLogger(String name, Sink sink) {
+        SinkLogger(String name, AsyncLogWriter sink) {
             this.name = name;
             this.sink = sink;
         }
--- a/balancer/src/main/java/loadbalancer/operator/Words.java
+++ b/balancer/src/main/java/loadbalancer/operator/ConfigVocabulary.java
@@ -8,19 +8,19 @@
 import java.util.Objects;
 import java.util.TreeSet;
 import java.util.stream.Collectors;
-import loadbalancer.front.FrontPlan;
-import loadbalancer.front.FrontPlan.RoutePlan;
-import loadbalancer.front.FrontPlan.Way;
 import loadbalancer.limits.ConcurrencyLimit;
 import loadbalancer.limits.TokenTree.Rate;
+import loadbalancer.router.RoutingConfig;
+import loadbalancer.router.RoutingConfig.RoutePlan;
+import loadbalancer.router.RoutingConfig.Way;
 import loadbalancer.routes.Route;
 import loadbalancer.toml.Units;
 
 /** Says in words what an operator file sets, and what another one would change in service. */
-public final class Words {
+public final class ConfigVocabulary {
     private static final String NO_ROUTE = "requests that no route takes";
 
-    private Words() {}
+    private ConfigVocabulary() {}
 
     /** What a request must be like to take that route. */
     public static String of(Route r) {
@@ -92,7 +92,7 @@
     }
 
     /** A retry budget. */
-    public static String of(FrontPlan.Retries r) {
+    public static String of(RoutingConfig.Retries r) {
         return r == null
                 ? "none"
                 : percent(r.share()) + " of first tries and " + Units.RATE.write(r.leastPerSecond())
@@ -113,7 +113,7 @@
     // ---- what changes
 
     /** What will change in service when {@code next} takes the place of {@code before}; empty where nothing. */
-    public static List<String> changes(Operator before, Operator next) {
+    public static List<String> changes(OperatorConfig before, OperatorConfig next) {
         List<String> out = new ArrayList<>();
         pools(before, next, out);
         routes(before.front(), next.front(), out);
@@ -146,7 +146,7 @@
         return out;
     }
 
-    private static String advice(FrontPlan f) {
+    private static String advice(RoutingConfig f) {
         return Units.TIME.write(f.retryAfter().least()) + " to "
                 + Units.TIME.write(f.retryAfter().most());
     }
@@ -157,11 +157,11 @@
         }
     }
 
-    private static void pools(Operator before, Operator next, List<String> out) {
-        Map<String, FrontPlan.PoolPlan> was = new LinkedHashMap<>();
+    private static void pools(OperatorConfig before, OperatorConfig next, List<String> out) {
+        Map<String, RoutingConfig.PoolPlan> was = new LinkedHashMap<>();
         before.front().pools().forEach(p -> was.put(p.name(), p));
-        for (FrontPlan.PoolPlan p : next.front().pools()) {
-            FrontPlan.PoolPlan old = was.remove(p.name());
+        for (RoutingConfig.PoolPlan p : next.front().pools()) {
+            RoutingConfig.PoolPlan old = was.remove(p.name());
             PoolSpec spec = next.pool(p.name());
             String name = "pool " + p.name();
             if (old == null) {
@@ -184,7 +184,7 @@
         was.keySet().forEach(gone -> out.add("pool " + gone + ": dropped; it drains first"));
     }
 
-    private static String strength(FrontPlan.PoolPlan p) {
+    private static String strength(RoutingConfig.PoolPlan p) {
         return p.fullStrength() == 0 ? "learnt" : String.valueOf(p.fullStrength());
     }
 
@@ -192,7 +192,7 @@
         return figure == 0 ? "its part" : String.valueOf(figure);
     }
 
-    private static void routes(FrontPlan before, FrontPlan next, List<String> out) {
+    private static void routes(RoutingConfig before, RoutingConfig next, List<String> out) {
         Map<String, RoutePlan> was = new LinkedHashMap<>();
         before.routes().forEach(r -> was.put(r.match().name(), r));
         for (RoutePlan r : next.routes()) {
@@ -238,14 +238,14 @@
         return lost;
     }
 
-    private static void quotas(FrontPlan.Quotas before, FrontPlan.Quotas next, List<String> out) {
+    private static void quotas(RoutingConfig.Quotas before, RoutingConfig.Quotas next, List<String> out) {
         changed(out, "quota of the site", of(before.site()), of(next.site()));
         changed(out, "quota of all others", of(before.others()), of(next.others()));
         TreeSet<String> tenants = new TreeSet<>(before.tenants().keySet());
         tenants.addAll(next.tenants().keySet());
         for (String t : tenants) {
-            FrontPlan.TenantQuota a = before.tenants().get(t);
-            FrontPlan.TenantQuota b = next.tenants().get(t);
+            RoutingConfig.TenantQuota a = before.tenants().get(t);
+            RoutingConfig.TenantQuota b = next.tenants().get(t);
             String others = "as all others";
             changed(out, "quota of tenant " + t, a == null ? others : of(a.rate()), b == null ? others : of(b.rate()));
             TreeSet<String> routes =
--- a/balancer/src/main/java/loadbalancer/operator/Operator.java
+++ b/balancer/src/main/java/loadbalancer/operator/OperatorConfig.java
@@ -1,7 +1,7 @@
 package loadbalancer.operator;
 
 import java.util.List;
-import loadbalancer.front.FrontPlan;
+import loadbalancer.router.RoutingConfig;
 
 /**
  * All that an operator file sets.
@@ -9,8 +9,9 @@
  * @param instances null where the file leaves it to the platform
  * @param notes what is possible but hardly meant, with file and line
  */
-public record Operator(FrontPlan front, List<PoolSpec> pools, Integer instances, LogPlan log, List<String> notes) {
-    public Operator {
+public record OperatorConfig(
+        RoutingConfig front, List<PoolSpec> pools, Integer instances, LogPlan log, List<String> notes) {
+    public OperatorConfig {
         pools = List.copyOf(pools);
         notes = List.copyOf(notes);
     }
--- a/balancer/src/main/java/loadbalancer/operator/OperatorReader.java
+++ b/balancer/src/main/java/loadbalancer/operator/OperatorReader.java
@@ -11,12 +11,12 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.regex.Pattern;
-import loadbalancer.front.FrontPlan;
 import loadbalancer.limits.ConcurrencyLimit;
 import loadbalancer.limits.TokenTree.Rate;
+import loadbalancer.router.RoutingConfig;
 import loadbalancer.routes.PathTemplate;
 import loadbalancer.routes.Route;
-import loadbalancer.settings.Endpoints;
+import loadbalancer.settings.SocketAddresses;
 import loadbalancer.toml.Faults;
 import loadbalancer.toml.Section;
 import loadbalancer.toml.Section.Measure;
@@ -35,12 +35,12 @@
     private static final double WINDOW = 10e6;
     private static final int QUEUE = 1024;
 
-    private final Operator.Site site;
+    private final OperatorConfig.Site site;
     private final List<String> notes = new ArrayList<>();
     private final Map<String, String> poolPlaces = new LinkedHashMap<>();
     private final Map<String, String> routePlaces = new LinkedHashMap<>();
 
-    private OperatorReader(Operator.Site site) {
+    private OperatorReader(OperatorConfig.Site site) {
         this.site = site;
     }
 
@@ -49,7 +49,7 @@
      *
      * @throws Faults with all that is wrong with it, one line each: {@code FILE:LINE: what}
      */
-    public static Operator read(Path file, Operator.Site site) throws IOException {
+    public static OperatorConfig read(Path file, OperatorConfig.Site site) throws IOException {
         Source source = Source.read(file);
         try {
             return new OperatorReader(site).read(source);
@@ -59,21 +59,21 @@
         }
     }
 
-    private Operator read(Source source) {
+    private OperatorConfig read(Source source) {
         Section root = new Section(source, source.tree(), "");
         List<PoolSpec> specs = new ArrayList<>();
-        List<FrontPlan.PoolPlan> pools = new ArrayList<>();
+        List<RoutingConfig.PoolPlan> pools = new ArrayList<>();
         for (Section s : root.tables("pool")) {
             pool(s, specs, pools);
         }
         if (!poolPlaces.containsKey(PoolSpec.SITE)) {
             poolPlaces.put(PoolSpec.SITE, "");
             specs.add(new PoolSpec(PoolSpec.SITE, null, List.of(), 0, 0, PoolSpec.Overrides.NONE));
-            pools.add(new FrontPlan.PoolPlan(PoolSpec.SITE, null, 0));
+            pools.add(new RoutingConfig.PoolPlan(PoolSpec.SITE, null, 0));
         }
-        List<FrontPlan.RoutePlan> routes = new ArrayList<>();
+        List<RoutingConfig.RoutePlan> routes = new ArrayList<>();
         for (Section s : root.tables("route")) {
-            FrontPlan.RoutePlan r = route(s, routes);
+            RoutingConfig.RoutePlan r = route(s, routes);
             if (r != null) {
                 routes.add(r);
             }
@@ -91,14 +91,14 @@
         if (reserve >= 1) {
             front.fault("reserve", "'reserve' is " + reserve + ": all of a limit kept leaves none to the cheapest");
         }
-        FrontPlan.Advice advice = advice(front);
+        RoutingConfig.Advice advice = advice(front);
         front.done();
-        FrontPlan.Quotas quotas = quotas(root);
-        Operator.LogPlan log = log(root);
+        RoutingConfig.Quotas quotas = quotas(root);
+        OperatorConfig.LogPlan log = log(root);
         root.done();
         source.check();
-        return new Operator(
-                new FrontPlan(pools, routes, unmatched, quotas, instances, reserve, advice),
+        return new OperatorConfig(
+                new RoutingConfig(pools, routes, unmatched, quotas, instances, reserve, advice),
                 specs,
                 told ? instances : null,
                 log,
@@ -107,7 +107,7 @@
 
     // ---- pools
 
-    private void pool(Section s, List<PoolSpec> specs, List<FrontPlan.PoolPlan> plans) {
+    private void pool(Section s, List<PoolSpec> specs, List<RoutingConfig.PoolPlan> plans) {
         String name = name(s, "pool", poolPlaces);
         boolean own = name.equals(PoolSpec.SITE);
         InetSocketAddress discovery = s.has("discovery") ? address(s, "discovery", s.text("discovery", null)) : null;
@@ -149,7 +149,7 @@
         s.done();
         specs.add(new PoolSpec(
                 name, discovery, upstreams, connections, memory == null ? 0 : memory.longValue(), settings));
-        plans.add(new FrontPlan.PoolPlan(name, limit, full));
+        plans.add(new RoutingConfig.PoolPlan(name, limit, full));
     }
 
     private static Double positive(Section s, String key) {
@@ -192,7 +192,7 @@
 
     private static InetSocketAddress address(Section s, String key, String text) {
         try {
-            return Endpoints.address(text);
+            return SocketAddresses.address(text);
         } catch (IllegalArgumentException e) {
             s.fault(key, "'" + key + "': " + e.getMessage());
             return null;
@@ -201,7 +201,7 @@
 
     // ---- routes
 
-    private FrontPlan.RoutePlan route(Section s, List<FrontPlan.RoutePlan> before) {
+    private RoutingConfig.RoutePlan route(Section s, List<RoutingConfig.RoutePlan> before) {
         String name = name(s, "route", routePlaces);
         String path = s.text("path", null);
         PathTemplate template = null;
@@ -221,8 +221,8 @@
         Map<String, String> headers = headers(s);
         Set<String> tenants = names(s, "tenants", "tenant", site.tenants());
         Set<String> classes = names(s, "classes", "class", site.classes());
-        List<FrontPlan.Spill> spills = spills(s);
-        List<FrontPlan.Way> ways = ways(s, name, spills);
+        List<RoutingConfig.Spill> spills = spills(s);
+        List<RoutingConfig.Way> ways = ways(s, name, spills);
         double spare = s.number("spare", Measure.NUMBER, SPARE);
         if (spare < 1) {
             s.fault("spare", "'spare' is " + spare + ": 1 or more is wanted");
@@ -231,7 +231,7 @@
         if (back <= 0) {
             s.fault("return_per_s", "'return_per_s' is 0: traffic would never come back");
         }
-        FrontPlan.Retries retries = s.has("retries") ? retries(s.table("retries")) : null;
+        RoutingConfig.Retries retries = s.has("retries") ? retries(s.table("retries")) : null;
         Rate rate = s.has("rate") ? rate(s.table("rate")) : null;
         Double deadline = positive(s, "deadline");
         s.done();
@@ -239,7 +239,7 @@
             return null;
         }
         Route match = new Route(name, template, methods, headers, tenants, classes, before.size());
-        for (FrontPlan.RoutePlan other : before) {
+        for (RoutingConfig.RoutePlan other : before) {
             Route o = other.match();
             if (!o.name().equals(name)
                     && o.path().equals(template)
@@ -253,7 +253,7 @@
                                 + routePlaces.get(o.name()) + ") asks for the same");
             }
         }
-        return new FrontPlan.RoutePlan(
+        return new RoutingConfig.RoutePlan(
                 match, ways, spare, back, retries, rate, deadline == null ? 0 : Math.round(deadline));
     }
 
@@ -275,8 +275,8 @@
         return headers;
     }
 
-    private List<FrontPlan.Spill> spills(Section s) {
-        List<FrontPlan.Spill> spills = new ArrayList<>();
+    private List<RoutingConfig.Spill> spills(Section s) {
+        List<RoutingConfig.Spill> spills = new ArrayList<>();
         for (Object item : s.items("spill")) {
             String pool;
             double most = 1;
@@ -296,16 +296,16 @@
             if (spills.stream().anyMatch(p -> p.pool().equals(named))) {
                 s.fault("spill", "pool '" + pool + "' is named twice");
             }
-            spills.add(new FrontPlan.Spill(pool, most));
+            spills.add(new RoutingConfig.Spill(pool, most));
         }
         return spills;
     }
 
-    private List<FrontPlan.Way> ways(Section s, String name, List<FrontPlan.Spill> spills) {
+    private List<RoutingConfig.Way> ways(Section s, String name, List<RoutingConfig.Spill> spills) {
         if (!s.has("to")) {
             s.fault("to", "route '" + name + "' has no 'to': a pool, or several with weights");
         }
-        List<FrontPlan.Way> ways = new ArrayList<>();
+        List<RoutingConfig.Way> ways = new ArrayList<>();
         double sum = 0;
         List<Object> items = s.items("to");
         int listed = items.size();
@@ -328,7 +328,7 @@
                 s.fault("spill", "traffic can't spill from pool '" + pool + "' into itself");
             }
             sum += weight;
-            ways.add(new FrontPlan.Way(
+            ways.add(new RoutingConfig.Way(
                     pool,
                     weight,
                     spills.stream().filter(p -> !p.pool().equals(named)).toList()));
@@ -341,13 +341,15 @@
         return ways;
     }
 
-    private static FrontPlan.Retries retries(Section s) {
+    private static RoutingConfig.Retries retries(Section s) {
         double share = s.number("share", Measure.SHARE, 0.2);
         Double least = s.has("least") ? s.figure("least", Units.RATE) : Double.valueOf(1);
         Double window = s.has("window") ? positive(s, "window") : Double.valueOf(WINDOW);
         boolean count = s.flag("count_clients", false);
         s.done();
-        return least == null || window == null ? null : new FrontPlan.Retries(share, least, Math.round(window), count);
+        return least == null || window == null
+                ? null
+                : new RoutingConfig.Retries(share, least, Math.round(window), count);
     }
 
     // ---- rates
@@ -374,12 +376,12 @@
                 : new Rate(rate, burst, ceiling);
     }
 
-    private FrontPlan.Quotas quotas(Section root) {
+    private RoutingConfig.Quotas quotas(Section root) {
         if (!root.has("quota")) {
-            return FrontPlan.Quotas.none();
+            return RoutingConfig.Quotas.none();
         }
         Section q = root.table("quota");
-        Map<String, FrontPlan.TenantQuota> tenants = new LinkedHashMap<>();
+        Map<String, RoutingConfig.TenantQuota> tenants = new LinkedHashMap<>();
         Section all = q.table("tenant");
         double sum = 0;
         for (String tenant : all.keys()) {
@@ -398,7 +400,7 @@
             }
             Rate own = rate(t);
             sum += own.perSecond();
-            tenants.put(tenant, new FrontPlan.TenantQuota(own, routes));
+            tenants.put(tenant, new RoutingConfig.TenantQuota(own, routes));
         }
         Rate others = q.has("others") ? rate(q.table("others")) : null;
         sum += others == null ? 0 : others.perSecond();
@@ -407,12 +409,12 @@
             notes.add(q.place("") + ": note: the tenants' rates add up to " + Units.RATE.write(sum)
                     + ", over the site's " + Units.RATE.write(whole.perSecond()) + ": all of them at once get more");
         }
-        return new FrontPlan.Quotas(whole, tenants, others);
+        return new RoutingConfig.Quotas(whole, tenants, others);
     }
 
     // ---- the rest
 
-    private FrontPlan.Advice advice(Section front) {
+    private RoutingConfig.Advice advice(Section front) {
         Double least = front.has("retry_after_least")
                 ? front.figure("retry_after_least", Units.TIME)
                 : Double.valueOf(ADVICE_LEAST);
@@ -420,24 +422,24 @@
         Double most =
                 front.has("retry_after_most") ? front.figure("retry_after_most", Units.TIME) : Double.valueOf(usual);
         if (least == null || most == null) {
-            return new FrontPlan.Advice(0, 0);
+            return new RoutingConfig.Advice(0, 0);
         }
         if (least > most) {
             front.fault(
                     front.has("retry_after_least") ? "retry_after_least" : "retry_after_most",
                     "'retry_after_least' is over 'retry_after_most', " + Units.TIME.write(least) + " and "
                             + Units.TIME.write(most));
-            return new FrontPlan.Advice(0, 0);
+            return new RoutingConfig.Advice(0, 0);
         }
         if (site.retryAfterMost() > 0 && most > site.retryAfterMost()) {
             front.fault(
                     "retry_after_most",
                     "'retry_after_most' is over what the settings allow, " + Units.TIME.write(site.retryAfterMost()));
         }
-        return new FrontPlan.Advice(Math.round(least), Math.round(most));
+        return new RoutingConfig.Advice(Math.round(least), Math.round(most));
     }
 
-    private static Operator.LogPlan log(Section root) {
+    private static OperatorConfig.LogPlan log(Section root) {
         Section s = root.table("log");
         String format = s.text("format", "text");
         if (!Set.of("text", "json").contains(format)) {
@@ -448,7 +450,7 @@
         }
         int queue = (int) s.number("queue", Measure.COUNT, QUEUE);
         s.done();
-        return new Operator.LogPlan(format.equals("json"), queue);
+        return new OperatorConfig.LogPlan(format.equals("json"), queue);
     }
 
     private static String name(Section s, String what, Map<String, String> places) {
--- a/balancer/src/main/java/loadbalancer/net/Config.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerConfig.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.process;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -20,14 +20,14 @@
 import java.util.TreeSet;
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
-import loadbalancer.discovery.Holding;
+import loadbalancer.discovery.EndpointList;
+import loadbalancer.discovery.EndpointSubset;
 import loadbalancer.discovery.ListReader;
-import loadbalancer.discovery.Targets;
-import loadbalancer.settings.Endpoints;
 import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.SocketAddresses;
 
 /** What a balancer is told at its start, by its environment and its configuration file. */
-record Config(
+public record BalancerConfig(
         String name,
         InetSocketAddress listen,
         InetSocketAddress admin,
@@ -35,7 +35,7 @@
         long seed,
         int sockets,
         int upstreams,
-        Targets known,
+        EndpointList known,
         SettingsReader.Boot boot,
         Map<String, String> values) {
     private static final Path LIMITS = Path.of("/proc/self/limits");
@@ -43,22 +43,22 @@
     private static final Pattern OPTIONAL = Pattern.compile("^(Specifics\\.|Prices\\.Fleet$|Stats\\.Fields$)");
     private static final Set<String> MAY_LACK = Set.of("AimStretch");
     private static final String KNOWN = "known";
-    private static final Targets NOBODY = new Targets(0, true, List.of());
+    private static final EndpointList NOBODY = new EndpointList(0, true, List.of());
     private static final JsonFactory FILE =
             JsonFactory.builder().disable(StreamReadFeature.AUTO_CLOSE_SOURCE).build();
     private static final int SOCKETS = 1024; // assumed where neither file nor system tells
 
     /** What is wrong with the configuration, in one line. */
-    static final class Bad extends RuntimeException {
+    public static final class Bad extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        Bad(String message) {
+        public Bad(String message) {
             super(message);
         }
     }
 
     /** Reads the file that {@code ROUTER_CONFIG} names; the other variables win over what it says. */
-    static Config read(Map<String, String> environment) {
+    public static BalancerConfig read(Map<String, String> environment) {
         String file = environment.get("ROUTER_CONFIG");
         if (file == null || file.isBlank()) {
             throw new Bad("ROUTER_CONFIG is not set");
@@ -108,8 +108,8 @@
     }
 
     // Read apart, by the settings, and never as a whole: it may be far longer than what can be held.
-    private static Targets known(FileChannel channel, byte[] once, Held held) throws IOException {
-        Targets[] known = {NOBODY};
+    private static EndpointList known(FileChannel channel, byte[] once, Held held) throws IOException {
+        EndpointList[] known = {NOBODY};
         each(channel, once, (name, parser) -> {
             if (!name.equals(KNOWN) || parser.currentToken() == JsonToken.VALUE_NULL) {
                 parser.skipChildren();
@@ -119,7 +119,7 @@
                 known[0] = ListReader.one(
                         parser,
                         held.boot,
-                        new Holding(held.most, held.boot.settings().rank()));
+                        new EndpointSubset(held.most, held.boot.settings().rank()));
             } catch (IllegalArgumentException e) {
                 throw new Bad("known: " + e.getMessage());
             }
@@ -128,7 +128,7 @@
     }
 
     /** Reads the file anew: where it names another discovery, that is the one to use from here on. */
-    static Config again(Map<String, String> environment) {
+    public static BalancerConfig again(Map<String, String> environment) {
         Map<String, String> others = new HashMap<>(environment);
         others.remove("ROUTER_DISCOVERY");
         return read(others);
@@ -139,14 +139,14 @@
 
     /** The list of upstreams as it was known. */
     private interface Known {
-        Targets by(Held held) throws IOException;
+        EndpointList by(Held held) throws IOException;
     }
 
-    static Config of(Map<String, String> environment, Map<String, Object> json) {
+    public static BalancerConfig of(Map<String, String> environment, Map<String, Object> json) {
         try {
             return of(environment, json, held -> {
                 try {
-                    return json.get(KNOWN) == null ? NOBODY : Targets.of(json.get(KNOWN), held.boot);
+                    return json.get(KNOWN) == null ? NOBODY : EndpointList.of(json.get(KNOWN), held.boot);
                 } catch (IllegalArgumentException e) {
                     throw new Bad("known: " + e.getMessage());
                 }
@@ -156,7 +156,8 @@
         }
     }
 
-    private static Config of(Map<String, String> environment, Map<String, Object> json, Known list) throws IOException {
+    private static BalancerConfig of(Map<String, String> environment, Map<String, Object> json, Known list)
+            throws IOException {
         String name = told(environment, "ROUTER_NAME", json, "name");
         InetSocketAddress listen = address("listen", told(environment, "ROUTER_LISTEN", json, "listen"));
         InetSocketAddress discovery = address("discovery", told(environment, "ROUTER_DISCOVERY", json, "discovery"));
@@ -172,11 +173,11 @@
                 SettingsReader.read(values, (path, what) -> new Bad("settings: " + path + ": " + what));
         Object limits = json.get("limits");
         int upstreams = upstreams(limits instanceof Map ? ((Map<?, ?>) limits).get("upstreams") : null);
-        Targets known = list.by(new Held(boot, upstreams));
+        EndpointList known = list.by(new Held(boot, upstreams));
         Object sockets = limits instanceof Map ? ((Map<?, ?>) limits).get("sockets") : null;
         int told = sockets instanceof Number ? ((Number) sockets).intValue() : Integer.MAX_VALUE;
         int most = Math.min(told, descriptors());
-        return new Config(
+        return new BalancerConfig(
                 name,
                 listen,
                 admin,
@@ -193,7 +194,7 @@
      * A key that these settings lack and those before had, or null: a file may have lost part of what it
      * should say, and still be readable. Of classes and tenants each must have what all had.
      */
-    String lacks(Config before) {
+    public String lacks(BalancerConfig before) {
         for (String key : before.values.keySet()) {
             if (!OPTIONAL.matcher(key).find() && !ENTRY.matcher(key).find() && !values.containsKey(key)) {
                 return key;
@@ -257,7 +258,7 @@
 
     private static InetSocketAddress address(String what, String text) {
         try {
-            return Endpoints.address(text);
+            return SocketAddresses.address(text);
         } catch (IllegalArgumentException e) {
             throw new Bad(what + ": " + e.getMessage());
         }
@@ -265,7 +266,7 @@
 
     // As many as the heap bears, unless less is wanted.
     private static int upstreams(Object wanted) {
-        int most = Holding.most(Runtime.getRuntime().maxMemory());
+        int most = EndpointSubset.most(Runtime.getRuntime().maxMemory());
         if (wanted == null) {
             return most;
         }
--- a/balancer/src/main/java/loadbalancer/net/Node.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.process;
 
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
@@ -22,27 +22,33 @@
 import loadbalancer.admin.AdminListener;
 import loadbalancer.admin.Operations;
 import loadbalancer.discovery.DiscoveryClient;
-import loadbalancer.discovery.Holding;
+import loadbalancer.discovery.EndpointList;
+import loadbalancer.discovery.EndpointSubset;
 import loadbalancer.discovery.Membership;
 import loadbalancer.discovery.PartialListRetry;
-import loadbalancer.discovery.Targets;
-import loadbalancer.drain.TakenOut;
+import loadbalancer.dispatch.RequestDispatcher;
+import loadbalancer.drain.OperatorDrains;
+import loadbalancer.handover.HandoverLink;
 import loadbalancer.handover.InheritedListener;
-import loadbalancer.handover.PeerLink;
+import loadbalancer.http.ClientListener;
+import loadbalancer.http.UnreadTimeEstimator;
 import loadbalancer.logs.Log;
-import loadbalancer.logs.Provider;
-import loadbalancer.operator.Operator;
-import loadbalancer.policy.Balance;
+import loadbalancer.logs.Slf4jProvider;
+import loadbalancer.operator.OperatorConfig;
 import loadbalancer.policy.DiscoveryMode;
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
-import loadbalancer.policy.Policy;
+import loadbalancer.policy.JsqDasPolicy;
+import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.PolicySettings;
+import loadbalancer.routing.RoutingGateway;
+import loadbalancer.routing.UpstreamPool;
 import loadbalancer.settings.SettingsReader;
+import loadbalancer.upstream.UpstreamConnectionPool;
 import org.slf4j.LoggerFactory;
 
 /** One real balancer: its start, its readiness and its orderly stop. */
-public final class Node {
+public final class BalancerProcess {
     private static final long LINGER_MS = 600; // after SIGTERM: clients go on coming for a while
     private static final long PARTIAL_MS = 2_600; // after that: requests that never come whole
     private static final long COUNT_MS = 100; // between what two processes tell each other
@@ -53,26 +59,26 @@
     private static final long FLUSH_MS = 20; // for the last answers to leave
 
     private final Log log;
-    private final Polls polls = new Polls(System::nanoTime);
+    private final UnreadTimeEstimator polls = new UnreadTimeEstimator(System::nanoTime);
     private final NioEventLoopGroup group =
             new NioEventLoopGroup(1, (Executor) null, SelectorProvider.provider(), polls);
     private final EventLoop loop = group.next();
-    private final Dispatcher dispatcher;
-    private final Upstreams upstreams;
+    private final RequestDispatcher dispatcher;
+    private final UpstreamConnectionPool upstreams;
     private final DiscoveryClient discovery;
-    private final ClientServer clients;
+    private final ClientListener clients;
     private final Membership membership;
     private final AdminListener admin;
     private final OnCall onCall = new OnCall();
-    private final PeerLink link;
+    private final HandoverLink link;
     private final Succession succession = new Succession();
-    private final Descriptors descriptors;
+    private final DescriptorBudget descriptors;
     private final Platform platform;
-    private volatile Config config;
+    private volatile BalancerConfig config;
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final CountDownLatch readied = new CountDownLatch(1);
-    private final BiFunction<PolicySettings, Long, Policy> module;
-    private Gateway gateway; // only where there is an operator file; the loop's
+    private final BiFunction<PolicySettings, Long, LoadBalancingPolicy> module;
+    private RoutingGateway gateway; // only where there is an operator file; the loop's
     private boolean hasList;
     private boolean patient = true; // a stop waits for clients
     private boolean rehearsed;
@@ -83,24 +89,33 @@
      * @param listener the clients' socket, where the platform holds it
      * @param folder where a process finds the one that it replaces
      */
-    record Platform(ServerSocketChannel listener, Path folder) {}
+    public record Platform(ServerSocketChannel listener, Path folder) {}
 
     /** A node that is ready without a rehearsal, where {@code rehearse} is false. */
-    Node(Config config, BiFunction<PolicySettings, Long, Policy> module, boolean rehearse, Log log) {
+    public BalancerProcess(
+            BalancerConfig config,
+            BiFunction<PolicySettings, Long, LoadBalancingPolicy> module,
+            boolean rehearse,
+            Log log) {
         this(config, new Platform(null, null), module, rehearse, log);
     }
 
-    Node(Config config, Platform platform, BiFunction<PolicySettings, Long, Policy> module, boolean rehearse, Log log) {
+    public BalancerProcess(
+            BalancerConfig config,
+            Platform platform,
+            BiFunction<PolicySettings, Long, LoadBalancingPolicy> module,
+            boolean rehearse,
+            Log log) {
         this.platform = platform;
         this.rehearsed = !rehearse;
         this.config = config;
         this.log = log;
-        descriptors = new Descriptors(config.sockets());
-        Policy policy = module.apply(config.boot().settings(), config.seed());
-        dispatcher = new Dispatcher(loop, config.boot(), policy, log);
-        upstreams = new Upstreams(loop, config.boot(), descriptors, dispatcher::now);
-        Holding holding =
-                new Holding(config.upstreams(), config.boot().settings().rank());
+        descriptors = new DescriptorBudget(config.sockets());
+        LoadBalancingPolicy policy = module.apply(config.boot().settings(), config.seed());
+        dispatcher = new RequestDispatcher(loop, config.boot(), policy, log);
+        upstreams = new UpstreamConnectionPool(loop, config.boot(), descriptors, dispatcher::now);
+        EndpointSubset holding =
+                new EndpointSubset(config.upstreams(), config.boot().settings().rank());
         discovery = new DiscoveryClient(
                 loop,
                 config.discovery(),
@@ -110,25 +125,25 @@
                 dispatcher::now,
                 this::listed,
                 log::accept);
-        clients = new ClientServer(loop, config.boot(), dispatcher, descriptors, upstreams::shedIdle, polls::unread);
+        clients = new ClientListener(loop, config.boot(), dispatcher, descriptors, upstreams::shedIdle, polls::unread);
         upstreams.shedBy(clients::shed);
         dispatcher.attach(upstreams, discovery);
-        membership = new Membership(holding, new TakenOut(), dispatcher::now, dispatcher::listed);
+        membership = new Membership(holding, new OperatorDrains(), dispatcher::now, dispatcher::listed);
         holding.onChange(h -> dispatcher.holdsPart(h));
         new PartialListRetry(loop, membership, discovery, config.seed());
         clients.note(holding::summary);
         admin = new AdminListener(loop, onCall);
-        link = new PeerLink(loop, platform.folder(), succession, log::accept);
+        link = new HandoverLink(loop, platform.folder(), succession, log::accept);
         this.module = module;
     }
 
     /** What passes between this process and one that it replaces or that replaces it. */
-    private final class Succession implements PeerLink.Owner {
+    private final class Succession implements HandoverLink.Owner {
         private Future<?> counting;
 
         @Override
         public Map<String, Object> state() {
-            TakenOut out = membership.takenOut();
+            OperatorDrains out = membership.takenOut();
             Map<String, Object> site = Map.of(
                     "out",
                     List.copyOf(out.out()),
@@ -176,9 +191,9 @@
             }
         }
 
-        void inherit(Map<String, Object> state) {
+        public void inherit(Map<String, Object> state) {
             try {
-                Inheritance site = Inheritance.of(state, config.boot());
+                HandoverState site = HandoverState.of(state, config.boot());
                 membership.inherit(site.out(), site.back(), site.list());
                 dispatcher.resume(site.learnt());
                 if (gateway != null && state.get("pools") instanceof Map<?, ?> pools) {
@@ -208,11 +223,11 @@
             return membership.holding().summary();
         }
 
-        boolean down(String id) {
+        public boolean down(String id) {
             return membership.setDown(id) || gateway != null && gateway.setDown(id);
         }
 
-        boolean up(String id) {
+        public boolean up(String id) {
             return membership.setUp(id) || gateway != null && gateway.setUp(id);
         }
 
@@ -254,22 +269,22 @@
     /** Runs a balancer until it is told to stop; returns only if it can't start. */
     public static int serve(Map<String, String> environment) {
         ReloadSignal reloadSignal = ReloadSignal.take(); // first of all: until then it ends the process
-        Provider.install();
+        Slf4jProvider.install();
         Log log = Log.to(LoggerFactory.getLogger("load-balancer"));
         int code = serve(environment, reloadSignal, log);
-        Provider.sink().drain(SAY_MS);
+        Slf4jProvider.sink().drain(SAY_MS);
         return code;
     }
 
     private static int serve(Map<String, String> environment, ReloadSignal reloadSignal, Log log) {
-        Node node;
+        BalancerProcess node;
         InetSocketAddress at;
         try {
             String folder = environment.get("TMPDIR");
             Platform platform = new Platform(
                     InheritedListener.find(environment), folder == null || folder.isBlank() ? null : Path.of(folder));
-            node = new Node(Config.read(environment), platform, Balance::new, true, log);
-        } catch (Config.Bad | IOException e) {
+            node = new BalancerProcess(BalancerConfig.read(environment), platform, JsqDasPolicy::new, true, log);
+        } catch (BalancerConfig.Bad | IOException e) {
             log.accept(e.getMessage());
             return 1;
         }
@@ -294,7 +309,7 @@
         }
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             node.stop();
-            Provider.sink().drain(FLUSH_MS);
+            Slf4jProvider.sink().drain(FLUSH_MS);
             // Without this the exit code would tell of the signal, not of the orderly end.
             Runtime.getRuntime().halt(0);
         }));
@@ -302,7 +317,7 @@
             log.warn(reloadSignal.lack(), "sighup", "ignored");
         }
         reloadSignal.onEach(() -> {
-            node.reload(() -> Config.again(environment));
+            node.reload(() -> BalancerConfig.again(environment));
             if (operatorFile != null) {
                 node.operate(operatorFile, true);
             }
@@ -314,12 +329,12 @@
     }
 
     /** Takes operators' calls from here on, also before it is ready; returns the address in use. */
-    InetSocketAddress listenForOperators() throws IOException {
+    public InetSocketAddress listenForOperators() throws IOException {
         return admin.listen(config.admin());
     }
 
     /** Listens and begins to work; returns the address in use. */
-    InetSocketAddress start() throws IOException {
+    public InetSocketAddress start() throws IOException {
         boolean successor = link.seek();
         boolean aside = platform.listener() != null && !rehearsed;
         InetSocketAddress at = clients.listen(config.listen(), platform.listener(), !successor);
@@ -338,7 +353,7 @@
                 takeOver();
                 return;
             }
-            Rehearsal rehearsal = new Rehearsal(loop, config, via, () -> {
+            WarmUp rehearsal = new WarmUp(loop, config, via, () -> {
                 clients.rehearse(null);
                 if (own != null) {
                     own.close();
@@ -359,7 +374,8 @@
             listed(EndpointListKind.PERSISTED, config.known());
             return;
         }
-        membership.listed(EndpointListKind.PERSISTED, new Targets(config.known().rev(), true, List.of()));
+        membership.listed(
+                EndpointListKind.PERSISTED, new EndpointList(config.known().rev(), true, List.of()));
         membership.hold(config.known());
         loop.schedule(
                 () -> {
@@ -398,16 +414,16 @@
         });
     }
 
-    boolean awaitReady(long millis) throws InterruptedException {
+    public boolean awaitReady(long millis) throws InterruptedException {
         return readied.await(millis, TimeUnit.MILLISECONDS);
     }
 
     /** What operators may ask for; to be called on the loop's thread. */
-    Operations operations() {
+    public Operations operations() {
         return onCall;
     }
 
-    EventLoop loop() {
+    public EventLoop loop() {
         return loop;
     }
 
@@ -415,15 +431,15 @@
      * Takes over a configuration that has been replaced: its settings and its discovery. All else in it waits
      * for a restart. One that can't be used changes nothing. Not for the loop's thread: it reads a file.
      */
-    synchronized void reload(Supplier<Config> read) {
-        Config fresh;
+    public synchronized void reload(Supplier<BalancerConfig> read) {
+        BalancerConfig fresh;
         try {
             fresh = read.get();
             String lacks = fresh.lacks(config);
             if (lacks != null) {
-                throw new Config.Bad("settings: " + lacks + ": was there before and is missing");
+                throw new BalancerConfig.Bad("settings: " + lacks + ": was there before and is missing");
             }
-        } catch (Config.Bad e) {
+        } catch (BalancerConfig.Bad e) {
             log.warn("configuration not taken over: " + e.getMessage(), "config", "kept");
             return;
         }
@@ -458,28 +474,28 @@
      * @param logs whether the process's own log goes by it as well
      * @return whether the file was taken over
      */
-    synchronized boolean operate(Path file, boolean logs) {
-        Operator next;
+    public synchronized boolean operate(Path file, boolean logs) {
+        OperatorConfig next;
         try {
-            next = OperatorFile.read(file, config.boot());
-        } catch (Config.Bad e) {
+            next = OperatorFileLoader.read(file, config.boot());
+        } catch (BalancerConfig.Bad e) {
             log.warn(e.getMessage(), "operator_file", "refused");
             return false;
         }
         next.notes().forEach(log::accept);
         if (logs) {
-            Provider.sink().configure(next.log().json(), next.log().queue());
+            Slf4jProvider.sink().configure(next.log().json(), next.log().queue());
         }
         loop.submit(() -> {
                     if (gateway == null) {
-                        Pool.Ground ground = new Pool.Ground(
+                        UpstreamPool.Ground ground = new UpstreamPool.Ground(
                                 loop, module, config.seed(), config.upstreams(), descriptors, clients::shed, log);
-                        gateway = new Gateway(
-                                new Gateway.Site(dispatcher, membership),
+                        gateway = new RoutingGateway(
+                                new RoutingGateway.Site(dispatcher, membership),
                                 ground,
                                 config.boot(),
                                 descriptors.forUpstreams(),
-                                ClientServer.ROOM);
+                                ClientListener.ROOM);
                         clients.to(gateway);
                     }
                     gateway.operate(next);
@@ -497,12 +513,12 @@
         return true;
     }
 
-    Gateway gateway() {
+    public RoutingGateway gateway() {
         return gateway;
     }
 
     // Ready once an upstream may be sent to: what was known from before will do until discovery answers.
-    void listed(EndpointListKind kind, Targets targets) {
+    public void listed(EndpointListKind kind, EndpointList targets) {
         membership.listed(kind, targets);
         boolean usable = kind == EndpointListKind.COMPLETE || targets != null && membership.anyUp();
         if (usable) {
@@ -522,7 +538,7 @@
     }
 
     /** Ends in order, as after SIGTERM, and returns when all that was taken has been answered. */
-    void stop() {
+    public void stop() {
         loop.execute(() -> {
             clients.stopping();
         });
--- a/balancer/src/main/java/loadbalancer/net/DryRun.java
+++ b/balancer/src/main/java/loadbalancer/process/ClassArchiveTraining.java
@@ -1,17 +1,17 @@
-package loadbalancer.net;
+package loadbalancer.process;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.policy.Balance;
+import loadbalancer.policy.JsqDasPolicy;
 
 /**
  * Starts a balancer, lets it rehearse and ends it: the build does so once, for the JVM to archive the classes
  * that a start loads. Guards against slow restarts: half of the time until it listened went into those.
  */
-public final class DryRun {
+public final class ClassArchiveTraining {
     private static final String CONFIG =
             """
         {"name": "dry", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "1", "settings": {
@@ -27,7 +27,7 @@
             "state": "in_service"}]}}
         """;
 
-    private DryRun() {}
+    private ClassArchiveTraining() {}
 
     public static void main(String[] args) throws IOException, InterruptedException {
         ReloadSignal hangup = ReloadSignal.take();
@@ -35,14 +35,14 @@
             hangup.onEach(() -> {});
         }
         Path file = Files.createTempFile("dry-run", ".json"); // read as a start reads it
-        Config config;
+        BalancerConfig config;
         try {
             Files.writeString(file, CONFIG);
-            config = Config.read(Map.of("ROUTER_CONFIG", file.toString()));
+            config = BalancerConfig.read(Map.of("ROUTER_CONFIG", file.toString()));
         } finally {
             Files.delete(file);
         }
-        Node node = new Node(config, Balance::new, true, line -> {});
+        BalancerProcess node = new BalancerProcess(config, JsqDasPolicy::new, true, line -> {});
         node.start();
         boolean ready = node.awaitReady(TimeUnit.SECONDS.toMillis(30));
         node.stop();
--- a/balancer/src/main/java/loadbalancer/net/Descriptors.java
+++ b/balancer/src/main/java/loadbalancer/process/DescriptorBudget.java
@@ -1,11 +1,13 @@
-package loadbalancer.net;
+package loadbalancer.process;
+
+import loadbalancer.upstream.ConnectionBudget;
 
 /**
  * Counts the sockets of this process against its limit on descriptors. Guards against accepts and connects
  * that fail for want of descriptors: a reserve stays for what is not counted here (jars, the selector,
  * discovery, the listener), and a part for the upstreams, whatever clients open.
  */
-final class Descriptors implements Budget {
+public final class DescriptorBudget implements ConnectionBudget {
     private static final int RESERVE = 64;
     private static final double OWN_LEAST = 0.4;
     private static final double CLIENTS_SHARE = 0.65;
@@ -15,7 +17,7 @@
     private int open;
     private int clients;
 
-    Descriptors(int limit) {
+    public DescriptorBudget(int limit) {
         this.limit = limit;
         leave(0);
     }
@@ -24,18 +26,18 @@
      * Leaves to another process what it holds: two that stand in for each other have one limit together. A
      * part remains for this one in any case: the other can't close at once what it holds too much.
      */
-    void leave(int others) {
+    public void leave(int others) {
         int own = Math.max((int) (limit * OWN_LEAST), limit - others);
         most = Math.max(2, own - Math.min(RESERVE, own / 2));
         clientsMost = Math.max(2, (int) (most * CLIENTS_SHARE));
     }
 
     /** Connections to upstreams that fit beside as many clients as may come. */
-    int forUpstreams() {
+    public int forUpstreams() {
         return Math.max(1, most - clientsMost);
     }
 
-    int open() {
+    public int open() {
         return open;
     }
 
@@ -49,12 +51,12 @@
         open--;
     }
 
-    void clientOpened() {
+    public void clientOpened() {
         open++;
         clients++;
     }
 
-    void clientClosed() {
+    public void clientClosed() {
         open--;
         clients--;
     }
@@ -65,7 +67,7 @@
     }
 
     /** Whether no further client should be let in. */
-    boolean crowded() {
+    public boolean crowded() {
         return clients >= clientsMost || full();
     }
 }
--- a/balancer/src/main/java/loadbalancer/net/Inheritance.java
+++ b/balancer/src/main/java/loadbalancer/process/HandoverState.java
@@ -1,26 +1,26 @@
-package loadbalancer.net;
+package loadbalancer.process;
 
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import loadbalancer.discovery.Targets;
+import loadbalancer.discovery.EndpointList;
 import loadbalancer.settings.SettingsReader;
 
 /** What a process tells the one that goes on in its place, of one pool: read strictly, or not at all. */
-record Inheritance(Set<String> out, Map<String, Long> back, Targets list, Map<String, double[]> learnt) {
+public record HandoverState(Set<String> out, Map<String, Long> back, EndpointList list, Map<String, double[]> learnt) {
     /**
      * Reads what was told.
      *
      * @throws RuntimeException of some kind where it isn't what such a process tells
      */
-    static Inheritance of(Map<?, ?> state, SettingsReader.Boot boot) {
+    public static HandoverState of(Map<?, ?> state, SettingsReader.Boot boot) {
         Set<String> out = new TreeSet<>();
         ((List<?>) state.get("out")).forEach(id -> out.add((String) id));
         Map<String, Long> back = new LinkedHashMap<>();
         ((Map<?, ?>) state.get("back")).forEach((id, at) -> back.put((String) id, ((Number) at).longValue()));
-        Targets list = Targets.of(state.get("list"), boot);
+        EndpointList list = EndpointList.of(state.get("list"), boot);
         Map<String, double[]> learnt = new LinkedHashMap<>();
         ((Map<?, ?>) state.get("learnt"))
                 .forEach((name, figures) -> learnt.put(
@@ -32,6 +32,6 @@
         if (!boot.classes().equals(state.get("classes"))) {
             learnt.keySet().removeIf(name -> !name.startsWith("server "));
         }
-        return new Inheritance(out, back, list, learnt);
+        return new HandoverState(out, back, list, learnt);
     }
 }
--- a/balancer/src/main/java/loadbalancer/net/OperatorFile.java
+++ b/balancer/src/main/java/loadbalancer/process/OperatorFileLoader.java
@@ -1,29 +1,29 @@
-package loadbalancer.net;
+package loadbalancer.process;
 
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Map;
-import loadbalancer.operator.Operator;
+import loadbalancer.operator.OperatorConfig;
 import loadbalancer.operator.OperatorReader;
 import loadbalancer.settings.SettingsReader;
 import loadbalancer.toml.Faults;
 
 /** Reads the operator file against the platform's configuration. Loaded only where there is such a file. */
-public final class OperatorFile {
-    private OperatorFile() {}
+public final class OperatorFileLoader {
+    private OperatorFileLoader() {}
 
-    static Operator read(Path file, SettingsReader.Boot boot) {
+    public static OperatorConfig read(Path file, SettingsReader.Boot boot) {
         try {
             return OperatorReader.read(file, site(boot));
         } catch (Faults e) {
-            throw new Config.Bad("operator file: " + String.join("; ", e.lines()));
+            throw new BalancerConfig.Bad("operator file: " + String.join("; ", e.lines()));
         } catch (IOException e) {
-            throw new Config.Bad("operator file: can't read " + file + ": " + e.getMessage());
+            throw new BalancerConfig.Bad("operator file: can't read " + file + ": " + e.getMessage());
         }
     }
 
-    private static Operator.Site site(SettingsReader.Boot boot) {
-        return new Operator.Site(
+    private static OperatorConfig.Site site(SettingsReader.Boot boot) {
+        return new OperatorConfig.Site(
                 boot.classes(),
                 boot.tenants().isEmpty() ? null : boot.tenants(),
                 boot.settings().balancers(),
@@ -35,9 +35,9 @@
      *
      * @throws IllegalArgumentException for a configuration that can't be used, in one line
      */
-    public static Operator.Site site(Path config) {
+    public static OperatorConfig.Site site(Path config) {
         try {
-            return site(Config.read(Map.of(
+            return site(BalancerConfig.read(Map.of(
                             "ROUTER_CONFIG",
                             config.toString(),
                             "ROUTER_NAME",
@@ -47,7 +47,7 @@
                             "ROUTER_DISCOVERY",
                             "127.0.0.1:0"))
                     .boot());
-        } catch (Config.Bad e) {
+        } catch (BalancerConfig.Bad e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
     }
--- a/balancer/src/main/java/loadbalancer/net/ReloadSignal.java
+++ b/balancer/src/main/java/loadbalancer/process/ReloadSignal.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.process;
 
 import java.lang.reflect.InvocationHandler;
 import java.lang.reflect.Proxy;
@@ -12,7 +12,7 @@
  * says so only by the former handler that it returns. No flag of the JVM changes that, so the {@code run} line of the
  * deploy file undoes it before the JVM starts.
  */
-final class ReloadSignal {
+public final class ReloadSignal {
     private Runnable action; // null until the process can go by another configuration
     private boolean missed;
     private String lack;
@@ -20,7 +20,7 @@
     private ReloadSignal() {}
 
     /** Takes each SIGHUP from here on. */
-    static ReloadSignal take() {
+    public static ReloadSignal take() {
         ReloadSignal reloadSignal = new ReloadSignal();
         InvocationHandler handler = (proxy, method, arguments) -> switch (method.getName()) {
             case "handle" -> {
@@ -48,7 +48,7 @@
     }
 
     /** Why none will ever come, and how settings are changed then; null where each is taken. */
-    String lack() {
+    public String lack() {
         return lack;
     }
 
@@ -60,7 +60,7 @@
     }
 
     /** Runs {@code then} at each SIGHUP, on a thread of its own, and at once where one has come already. */
-    synchronized void onEach(Runnable then) {
+    public synchronized void onEach(Runnable then) {
         action = then;
         if (missed) {
             came();
--- a/balancer/src/main/java/loadbalancer/net/Rehearsal.java
+++ b/balancer/src/main/java/loadbalancer/process/WarmUp.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.process;
 
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
@@ -10,14 +10,17 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.discovery.Targets;
-import loadbalancer.policy.Balance;
+import loadbalancer.discovery.EndpointList;
+import loadbalancer.dispatch.InboundRequest;
+import loadbalancer.dispatch.RequestDispatcher;
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
 import loadbalancer.policy.Idempotency;
-import loadbalancer.policy.Policy;
+import loadbalancer.policy.JsqDasPolicy;
+import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.settings.SettingsReader;
+import loadbalancer.upstream.UpstreamConnectionPool;
 
 /**
  * Takes requests of its own through the whole path, over this node's own address, before clients come. Guards
@@ -25,11 +28,11 @@
  * requests, fell behind at once under a full load, and answered some after their deadlines. It has a module,
  * a dispatcher and connections of its own, which end with it, so that the real ones learn nothing from it.
  */
-final class Rehearsal {
+public final class WarmUp {
     /** The path of its requests, and the one on which they come back to this node as an upstream. */
-    static final String PATH = "/-/rehearsal";
+    public static final String PATH = "/-/rehearsal";
 
-    static final String HOP = "/-/rehearsed";
+    public static final String HOP = "/-/rehearsed";
     private static final String TOKEN = "Rehearsal"; // a header with what no stranger knows
 
     // The more balancers there are, the fewer requests each has to be ready for at once; and the more of them
@@ -48,9 +51,9 @@
     private final Runnable then;
     private final String token;
     private final int requests;
-    private final Dispatcher dispatcher;
-    private final Upstreams back;
-    private final Upstreams front;
+    private final RequestDispatcher dispatcher;
+    private final UpstreamConnectionPool back;
+    private final UpstreamConnectionPool front;
     private int begun;
     private int ended;
     private int hops;
@@ -59,7 +62,7 @@
     /**
      * {@code then} runs on the loop when it is over; {@code via} is a way of its own to this node, or null.
      */
-    Rehearsal(EventLoop loop, Config config, UnixDomainSocketAddress via, Runnable then) {
+    public WarmUp(EventLoop loop, BalancerConfig config, UnixDomainSocketAddress via, Runnable then) {
         this.loop = loop;
         this.boot = config.boot();
         this.then = then;
@@ -67,25 +70,25 @@
                 REQUESTS_LEAST,
                 Math.min(REQUESTS_MOST, REQUESTS_OF_ALL / boot.settings().balancers()));
         this.token = Long.toHexString(new SplittableRandom(config.seed() ^ System.nanoTime()).nextLong());
-        Policy policy = new Balance(boot.settings(), config.seed());
-        dispatcher = new Dispatcher(loop, boot, policy, line -> {});
-        Descriptors descriptors = new Descriptors(config.sockets());
-        back = new Upstreams(loop, boot, descriptors, dispatcher::now, via);
-        front = new Upstreams(loop, boot, descriptors, dispatcher::now, via);
+        LoadBalancingPolicy policy = new JsqDasPolicy(boot.settings(), config.seed());
+        dispatcher = new RequestDispatcher(loop, boot, policy, line -> {});
+        DescriptorBudget descriptors = new DescriptorBudget(config.sockets());
+        back = new UpstreamConnectionPool(loop, boot, descriptors, dispatcher::now, via);
+        front = new UpstreamConnectionPool(loop, boot, descriptors, dispatcher::now, via);
         dispatcher.attach(back, null);
     }
 
-    Dispatcher dispatcher() {
+    public RequestDispatcher dispatcher() {
         return dispatcher;
     }
 
     /** Whether a request is one of its own. */
-    boolean knows(HttpHeaders headers) {
+    public boolean knows(HttpHeaders headers) {
         return token.equals(headers.get(TOKEN));
     }
 
-    void start(InetSocketAddress self) {
-        List<Targets.Target> targets = new ArrayList<>();
+    public void start(InetSocketAddress self) {
+        List<EndpointList.Target> targets = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
             Endpoint server = new Endpoint(
                     "rehearsal-" + i,
@@ -95,9 +98,9 @@
                     0,
                     i % 2,
                     boot.settings().zone());
-            targets.add(new Targets.Target(server, self));
+            targets.add(new EndpointList.Target(server, self));
         }
-        Targets all = new Targets(0, true, targets);
+        EndpointList all = new EndpointList(0, true, targets);
         front.listed(all, dispatcher.now());
         dispatcher.listed(EndpointListKind.PERSISTED, all);
         loop.schedule(this::end, MOST_MS, TimeUnit.MILLISECONDS);
@@ -107,7 +110,7 @@
     }
 
     /** As an upstream: whether the request that has come back is turned away. */
-    boolean declines() {
+    public boolean declines() {
         hops++;
         return begun > requests / 2 && hops % DECLINED == 0;
     }
@@ -128,8 +131,8 @@
         }
         HttpMethod method = effect == Idempotency.SAFE ? HttpMethod.GET : HttpMethod.POST;
         byte[] body = new byte[effect == Idempotency.SAFE ? 0 : 200];
-        Order order =
-                new Order("rehearsal-" + begun, method, PATH, headers, body, null, number, 0, null, WAIT, -1, false);
+        InboundRequest order = new InboundRequest(
+                "rehearsal-" + begun, method, PATH, headers, body, null, number, 0, null, WAIT, -1, false);
         front.send("rehearsal-0", order, WAIT, (outcome, answer, load) -> {
             ended++;
             if (ended >= requests) {
--- a/balancer/src/main/java/loadbalancer/net/PoolBudget.java
+++ b/balancer/src/main/java/loadbalancer/routing/PoolConnectionBudget.java
@@ -1,23 +1,25 @@
-package loadbalancer.net;
+package loadbalancer.routing;
+
+import loadbalancer.upstream.ConnectionBudget;
 
 /**
  * A pool's part of the connections, and of the bytes held for requests. Guards against a pool whose upstreams hang:
  * its connections pile up, and without a part of its own it would take those of all others.
  */
-final class PoolBudget implements Budget {
-    private final Budget all;
+public final class PoolConnectionBudget implements ConnectionBudget {
+    private final ConnectionBudget all;
     private int most;
     private int open;
     private long bytesMost;
     private long bytes;
 
-    PoolBudget(Budget all, int most, long bytesMost) {
+    public PoolConnectionBudget(ConnectionBudget all, int most, long bytesMost) {
         this.all = all;
         set(most, bytesMost);
     }
 
     /** From here on; what is over it already is not closed, but nothing is added. */
-    void set(int connections, long memory) {
+    public void set(int connections, long memory) {
         most = connections;
         bytesMost = memory;
     }
@@ -39,12 +41,12 @@
         return open >= most || all.full();
     }
 
-    int open() {
+    public int open() {
         return open;
     }
 
     /** False where there is no room: nothing is taken then. */
-    boolean hold(long more) {
+    public boolean hold(long more) {
         if (bytes + more > bytesMost) {
             return false;
         }
@@ -52,7 +54,7 @@
         return true;
     }
 
-    void release(long held) {
+    public void release(long held) {
         bytes -= held;
     }
 }
--- a/balancer/src/main/java/loadbalancer/net/Gateway.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.routing;
 
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.HttpResponseStatus;
@@ -15,39 +15,45 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 import loadbalancer.discovery.Membership;
-import loadbalancer.front.Front;
+import loadbalancer.dispatch.InboundRequest;
+import loadbalancer.dispatch.RequestDispatcher;
+import loadbalancer.dispatch.RequestHandler;
+import loadbalancer.http.RequestValidator;
 import loadbalancer.logs.Log;
-import loadbalancer.operator.Operator;
+import loadbalancer.operator.OperatorConfig;
 import loadbalancer.operator.PoolSpec;
 import loadbalancer.policy.RequestClass;
+import loadbalancer.process.HandoverState;
+import loadbalancer.router.RequestRouter;
 import loadbalancer.routes.PathTemplate;
 import loadbalancer.routes.Route;
 import loadbalancer.settings.SettingsReader;
+import loadbalancer.upstream.ResponseReader;
 
 /**
- * The front on sockets: hands each request to the dispatcher of the pool that {@link Front} names, and refuses what
+ * The front on sockets: hands each request to the dispatcher of the pool that {@link RequestRouter} names, and refuses what
  * that refuses. It decides nothing. All of it runs on the event loop's thread; it is there only with an operator file.
  */
-final class Gateway implements Desk {
+public final class RoutingGateway implements RequestHandler {
     private static final long LOOK_MS = 100; // between looks at how many upstreams each pool has
     private static final Runnable NOTHING = () -> {};
 
     /** The pool that the platform lists, which is there in any case. */
-    record Site(Dispatcher dispatcher, Membership membership) {}
+    public record Site(RequestDispatcher dispatcher, Membership membership) {}
 
     private final EventLoop loop;
     private final Site site;
-    private final Pool.Ground ground;
+    private final UpstreamPool.Ground ground;
     private final int connections;
     private final long memory;
     private final Log log;
     private final SplittableRandom random;
-    private final Map<String, Pool> pools = new LinkedHashMap<>();
-    private final Set<Pool> draining = new LinkedHashSet<>();
-    private final PoolBudget siteBudget;
-    private final Map<Front.Reason, Long> refusals = new EnumMap<>(Front.Reason.class);
-    private Operator operator;
-    private Front front;
+    private final Map<String, UpstreamPool> pools = new LinkedHashMap<>();
+    private final Set<UpstreamPool> draining = new LinkedHashSet<>();
+    private final PoolConnectionBudget siteBudget;
+    private final Map<RequestRouter.Reason, Long> refusals = new EnumMap<>(RequestRouter.Reason.class);
+    private OperatorConfig operator;
+    private RequestRouter front;
     private SettingsReader.Boot boot;
     private List<String> headers = List.of();
     private double[] ranks = new double[0];
@@ -60,7 +66,8 @@
      * @param connections to upstreams that all pools may open together
      * @param memory bytes of bodies that all pools may hold together
      */
-    Gateway(Site site, Pool.Ground ground, SettingsReader.Boot boot, int connections, long memory) {
+    public RoutingGateway(
+            Site site, UpstreamPool.Ground ground, SettingsReader.Boot boot, int connections, long memory) {
         this.loop = ground.loop();
         this.site = site;
         this.ground = ground;
@@ -69,11 +76,11 @@
         this.memory = memory;
         this.log = ground.log();
         this.random = new SplittableRandom(ground.seed());
-        this.siteBudget = new PoolBudget(ground.connections(), Integer.MAX_VALUE, Long.MAX_VALUE);
+        this.siteBudget = new PoolConnectionBudget(ground.connections(), Integer.MAX_VALUE, Long.MAX_VALUE);
     }
 
     /** Goes by that file from here on: what has the same name goes on, what is gone drains first. */
-    void operate(Operator next) {
+    public void operate(OperatorConfig next) {
         boolean first = operator == null;
         operator = next;
         int parts = next.pools().size();
@@ -81,12 +88,12 @@
         for (PoolSpec spec : next.pools()) {
             named.add(spec.name());
             int most = spec.connections() > 0 ? spec.connections() : Math.max(1, connections / parts);
-            long bytes = spec.memory() > 0 ? spec.memory() : Math.max(RequestRules.BODY_MOST, memory / parts);
+            long bytes = spec.memory() > 0 ? spec.memory() : Math.max(RequestValidator.BODY_MOST, memory / parts);
             if (spec.name().equals(PoolSpec.SITE)) {
                 siteBudget.set(Integer.MAX_VALUE, bytes);
                 continue;
             }
-            Pool pool = pools.get(spec.name());
+            UpstreamPool pool = pools.get(spec.name());
             if (pool != null && pool.becomes(spec)) {
                 pool.budget().set(most, bytes);
                 pool.become(spec, boot);
@@ -94,18 +101,19 @@
                 if (pool != null) {
                     drain(pool);
                 }
-                Pool fresh = new Pool(ground, spec, boot, new PoolBudget(ground.connections(), most, bytes));
+                UpstreamPool fresh = new UpstreamPool(
+                        ground, spec, boot, new PoolConnectionBudget(ground.connections(), most, bytes));
                 pools.put(spec.name(), fresh);
                 fresh.start();
                 fresh.dispatcher().share(shared);
             }
         }
-        for (Pool pool : List.copyOf(pools.values())) {
+        for (UpstreamPool pool : List.copyOf(pools.values())) {
             if (!named.contains(pool.name())) {
                 drain(pool);
             }
         }
-        Front fresh = new Front(next.front());
+        RequestRouter fresh = new RequestRouter(next.front());
         if (front != null) {
             fresh.resume(front);
             swaps++;
@@ -122,7 +130,7 @@
     }
 
     /** The site's settings have changed. */
-    void reconfigure(SettingsReader.Boot next) {
+    public void reconfigure(SettingsReader.Boot next) {
         boot = next;
         pools.values().forEach(p -> p.become(p.spec(), next));
         rank();
@@ -137,7 +145,7 @@
                 .toArray();
     }
 
-    private void drain(Pool pool) {
+    private void drain(UpstreamPool pool) {
         pools.remove(pool.name());
         draining.add(pool);
         pool.drain(() -> {
@@ -153,7 +161,7 @@
     }
 
     /** Tells the front how many upstreams each pool has. */
-    void look() {
+    public void look() {
         long now = site.dispatcher.now();
         front.listed(now, PoolSpec.SITE, site.membership.up());
         pools.values().forEach(p -> front.listed(now, p.name(), p.membership().up()));
@@ -166,12 +174,12 @@
         if (site.dispatcher.holds(id)) {
             return true;
         }
-        for (Pool p : pools.values()) {
+        for (UpstreamPool p : pools.values()) {
             if (p.dispatcher().holds(id)) {
                 return true;
             }
         }
-        for (Pool p : draining) {
+        for (UpstreamPool p : draining) {
             if (p.dispatcher().holds(id)) {
                 return true;
             }
@@ -180,9 +188,9 @@
     }
 
     @Override
-    public Runnable take(Order order, Dispatcher.Reply reply) {
+    public Runnable take(InboundRequest order, RequestDispatcher.Reply reply) {
         long now = site.dispatcher.now();
-        Front.Verdict v = front.arrive(now, arrival(order));
+        RequestRouter.RoutingDecision v = front.arrive(now, arrival(order));
         if (v.ticket() == null) {
             count(v.reason());
             switch (v.answer()) {
@@ -192,25 +200,25 @@
             }
             return NOTHING;
         }
-        Pool pool = pools.get(v.ticket().pool());
-        PoolBudget budget = pool == null ? siteBudget : pool.budget();
+        UpstreamPool pool = pools.get(v.ticket().pool());
+        PoolConnectionBudget budget = pool == null ? siteBudget : pool.budget();
         if (!budget.hold(order.body().length)) {
-            count(Front.Reason.POOL_LIMIT);
-            front.ended(now, v.ticket(), Front.End.UNSENT);
+            count(RequestRouter.Reason.POOL_LIMIT);
+            front.ended(now, v.ticket(), RequestRouter.End.UNSENT);
             reply.refuse(operator.front().retryAfter().least());
             return NOTHING;
         }
         long most = v.ticket().deadline();
-        Order sent = most > 0 && most < order.timeLeft() ? order.within(most) : order;
+        InboundRequest sent = most > 0 && most < order.timeLeft() ? order.within(most) : order;
         Through through = new Through(reply, v.ticket(), budget, order.body().length);
         Runnable leave = (pool == null ? site.dispatcher : pool.dispatcher()).take(sent, through);
         return () -> {
-            through.over(Front.End.GONE);
+            through.over(RequestRouter.End.GONE);
             leave.run();
         };
     }
 
-    private Front.Arrival arrival(Order order) {
+    private RequestRouter.Arrival arrival(InboundRequest order) {
         Map<String, String> asked = Map.of();
         if (!headers.isEmpty()) {
             asked = new HashMap<>();
@@ -221,19 +229,19 @@
                 }
             }
         }
-        String tenant = order.headers().get(RequestRules.TENANT);
+        String tenant = order.headers().get(RequestValidator.TENANT);
         Route.Request request = new Route.Request(
                 order.method().name(),
                 PathTemplate.split(order.uri()),
                 asked,
                 tenant,
                 boot.classes().get(order.requestClass()));
-        return new Front.Arrival(
+        return new RequestRouter.Arrival(
                 request, order.key(), ranks[order.requestClass()], order.resubmission(), random.nextDouble());
     }
 
     // One line for each power of two: a storm is not to fill the log.
-    private void count(Front.Reason reason) {
+    private void count(RequestRouter.Reason reason) {
         long many = refusals.merge(reason, 1L, Long::sum);
         if (Long.bitCount(many) == 1) {
             String name = reason.name().toLowerCase(Locale.ROOT);
@@ -242,22 +250,26 @@
     }
 
     /** The way of a request's one final answer back through the front, which hears how it ended. */
-    private final class Through implements Dispatcher.Reply {
-        private final Dispatcher.Reply reply;
-        private final Front.Ticket ticket;
-        private final PoolBudget budget;
+    private final class Through implements RequestDispatcher.Reply {
+        private final RequestDispatcher.Reply reply;
+        private final RequestRouter.RouteLease ticket;
+        private final PoolConnectionBudget budget;
         private final long held;
         private boolean sent;
         private boolean over;
 
-        Through(Dispatcher.Reply reply, Front.Ticket ticket, PoolBudget budget, long held) {
+        public Through(
+                RequestDispatcher.Reply reply,
+                RequestRouter.RouteLease ticket,
+                PoolConnectionBudget budget,
+                long held) {
             this.reply = reply;
             this.ticket = ticket;
             this.budget = budget;
             this.held = held;
         }
 
-        void over(Front.End end) {
+        public void over(RequestRouter.End end) {
             if (!over) {
                 over = true;
                 budget.release(held);
@@ -272,20 +284,20 @@
         }
 
         @Override
-        public void serve(AnswerReader.Answer answer) {
-            over(Front.End.SERVED);
+        public void serve(ResponseReader.Answer answer) {
+            over(RequestRouter.End.SERVED);
             reply.serve(answer);
         }
 
         @Override
         public void refuse(long retryAfter) {
-            over(sent ? Front.End.FAILED : Front.End.UNSENT);
+            over(sent ? RequestRouter.End.FAILED : RequestRouter.End.UNSENT);
             reply.refuse(retryAfter);
         }
 
         @Override
         public void fail() {
-            over(Front.End.FAILED);
+            over(RequestRouter.End.FAILED);
             reply.fail();
         }
     }
@@ -293,70 +305,70 @@
     // ---- operators
 
     /** Takes an upstream of any pool out; false where none has it. */
-    boolean setDown(String id) {
+    public boolean setDown(String id) {
         boolean known = false;
-        for (Pool p : pools.values()) {
+        for (UpstreamPool p : pools.values()) {
             known |= p.membership().setDown(id);
         }
         return known;
     }
 
     /** Puts it back. */
-    boolean setUp(String id) {
+    public boolean setUp(String id) {
         boolean known = false;
-        for (Pool p : pools.values()) {
+        for (UpstreamPool p : pools.values()) {
             known |= p.membership().setUp(id);
         }
         return known;
     }
 
     /** What a process that goes on in this one's place has to know of the pools beside the site's, by name. */
-    Map<String, Object> state() {
+    public Map<String, Object> state() {
         Map<String, Object> all = new LinkedHashMap<>();
         pools.values().forEach(p -> all.put(p.name(), p.state()));
         return all;
     }
 
     /** Goes on from that; pools that this process doesn't have are passed over. */
-    void inherit(Map<?, ?> state) {
+    public void inherit(Map<?, ?> state) {
         state.forEach((name, of) -> {
-            Pool pool = pools.get(String.valueOf(name));
+            UpstreamPool pool = pools.get(String.valueOf(name));
             if (pool != null && of instanceof Map<?, ?> told) {
-                pool.inherit(Inheritance.of(told, pool.boot()));
+                pool.inherit(HandoverState.of(told, pool.boot()));
             }
         });
         look();
     }
 
     /** This process may use that part of what the balancer may send to cold upstreams, in each pool. */
-    void share(double part) {
+    public void share(double part) {
         shared = part;
         pools.values().forEach(p -> p.dispatcher().share(part));
     }
 
     /** Pools that take nothing more and still have requests open. */
-    int draining() {
+    public int draining() {
         return draining.size();
     }
 
-    long swaps() {
+    public long swaps() {
         return swaps;
     }
 
-    Front front() {
+    public RequestRouter front() {
         return front;
     }
 
     /** Runs {@code then} on the loop once no pool beside the site's owes an answer. */
-    void whenIdle(Runnable then) {
-        List<Dispatcher> all = new ArrayList<>();
+    public void whenIdle(Runnable then) {
+        List<RequestDispatcher> all = new ArrayList<>();
         pools.values().forEach(p -> all.add(p.dispatcher()));
         draining.forEach(p -> all.add(p.dispatcher()));
         int[] left = {all.size()};
         if (all.isEmpty()) {
             then.run();
         }
-        for (Dispatcher d : all) {
+        for (RequestDispatcher d : all) {
             d.whenIdle(() -> {
                 if (--left[0] == 0) {
                     then.run();
@@ -366,7 +378,7 @@
     }
 
     /** What it came to, for the log. */
-    String summary() {
+    public String summary() {
         return pools.values().stream()
                         .map(p -> "; pool " + p.name() + ": " + p.dispatcher().summary())
                         .collect(Collectors.joining())
--- a/balancer/src/main/java/loadbalancer/net/Pool.java
+++ b/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.routing;
 
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
@@ -8,55 +8,60 @@
 import java.util.function.BiFunction;
 import java.util.function.BooleanSupplier;
 import loadbalancer.discovery.DiscoveryClient;
-import loadbalancer.discovery.Holding;
+import loadbalancer.discovery.EndpointList;
+import loadbalancer.discovery.EndpointSubset;
 import loadbalancer.discovery.Membership;
 import loadbalancer.discovery.PartialListRetry;
-import loadbalancer.discovery.Targets;
-import loadbalancer.drain.TakenOut;
+import loadbalancer.dispatch.RequestDispatcher;
+import loadbalancer.drain.OperatorDrains;
 import loadbalancer.logs.Log;
 import loadbalancer.operator.PoolSpec;
 import loadbalancer.policy.DiscoveryMode;
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
-import loadbalancer.policy.Policy;
+import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.PolicySettings;
 import loadbalancer.policy.SiteLimits;
+import loadbalancer.process.HandoverState;
 import loadbalancer.settings.SettingsReader;
+import loadbalancer.upstream.ConnectionBudget;
+import loadbalancer.upstream.UpstreamConnectionPool;
 
 /** One pool beside the platform's: a module of its own with its list, its connections and its budgets. */
-final class Pool {
+public final class UpstreamPool {
     /** What all pools of a process share. */
-    record Ground(
+    public record Ground(
             EventLoop loop,
-            BiFunction<PolicySettings, Long, Policy> module,
+            BiFunction<PolicySettings, Long, LoadBalancingPolicy> module,
             long seed,
             int upstreams,
-            Budget connections,
+            ConnectionBudget connections,
             BooleanSupplier shedClients,
             Log log) {}
 
     private final Ground ground;
-    private final Dispatcher dispatcher;
-    private final Upstreams upstreams;
+    private final RequestDispatcher dispatcher;
+    private final UpstreamConnectionPool upstreams;
     private final Membership membership;
     private final DiscoveryClient discovery;
-    private final PoolBudget budget;
+    private final PoolConnectionBudget budget;
     private PoolSpec spec;
     private SettingsReader.Boot boot;
 
-    Pool(Ground ground, PoolSpec spec, SettingsReader.Boot site, PoolBudget budget) {
+    public UpstreamPool(Ground ground, PoolSpec spec, SettingsReader.Boot site, PoolConnectionBudget budget) {
         this.ground = ground;
         this.spec = spec;
         this.budget = budget;
         boot = boot(site, spec);
         Log log = line -> ground.log.accept("pool " + spec.name() + ": " + line);
         long seed = ground.seed ^ loadbalancer.routes.Split.hash(spec.name());
-        dispatcher = new Dispatcher(ground.loop, boot, ground.module.apply(boot.settings(), seed), log);
-        upstreams = new Upstreams(ground.loop, boot, budget, dispatcher::now);
+        dispatcher = new RequestDispatcher(ground.loop, boot, ground.module.apply(boot.settings(), seed), log);
+        upstreams = new UpstreamConnectionPool(ground.loop, boot, budget, dispatcher::now);
         upstreams.shedBy(() -> upstreams.shedIdle() || ground.shedClients.getAsBoolean());
-        Holding holding = new Holding(ground.upstreams, boot.settings().rank());
-        membership = new Membership(holding, new TakenOut(), dispatcher::now, dispatcher::listed);
+        EndpointSubset holding =
+                new EndpointSubset(ground.upstreams, boot.settings().rank());
+        membership = new Membership(holding, new OperatorDrains(), dispatcher::now, dispatcher::listed);
         holding.onChange(dispatcher::holdsPart);
         discovery = spec.discovery() == null
                 ? null
@@ -76,8 +81,9 @@
     }
 
     /** Begins to learn its list; on the loop's thread. */
-    void start() {
-        membership.listed(EndpointListKind.PERSISTED, discovery == null ? fixed() : new Targets(0, true, List.of()));
+    public void start() {
+        membership.listed(
+                EndpointListKind.PERSISTED, discovery == null ? fixed() : new EndpointList(0, true, List.of()));
         if (discovery == null) {
             membership.listed(EndpointListKind.COMPLETE, fixed());
         } else {
@@ -85,16 +91,16 @@
         }
     }
 
-    private Targets fixed() {
-        List<Targets.Target> list = new ArrayList<>();
+    private EndpointList fixed() {
+        List<EndpointList.Target> list = new ArrayList<>();
         for (InetSocketAddress a : spec.upstreams()) {
             String id = spec.name() + "/" + a.getAddress().getHostAddress() + ":" + a.getPort();
-            list.add(new Targets.Target(
+            list.add(new EndpointList.Target(
                     new Endpoint(
                             id, EndpointState.UP, 0, 1, -1, -1, boot.settings().zone()),
                     a));
         }
-        return new Targets(0, true, list);
+        return new EndpointList(0, true, list);
     }
 
     // The platform's settings with what the pool's own say; a list in the file is never asked for.
@@ -136,12 +142,12 @@
     }
 
     /** Whether it can go on under that spec: a pool whose list came from elsewhere in another way can't. */
-    boolean becomes(PoolSpec next) {
+    public boolean becomes(PoolSpec next) {
         return (next.discovery() == null) == (discovery == null);
     }
 
     /** Goes on under another spec, and other settings of the site. */
-    void become(PoolSpec next, SettingsReader.Boot site) {
+    public void become(PoolSpec next, SettingsReader.Boot site) {
         PoolSpec before = spec;
         spec = next;
         SettingsReader.Boot fresh = boot(site, next);
@@ -163,7 +169,7 @@
     }
 
     /** Takes nothing more; it ends when all it has taken has been answered. */
-    void drain(Runnable then) {
+    public void drain(Runnable then) {
         dispatcher.whenIdle(() -> {
             dispatcher.retire();
             if (discovery != null) {
@@ -175,8 +181,8 @@
     }
 
     /** What a process that goes on in this one's place has to know. */
-    Map<String, Object> state() {
-        TakenOut out = membership.takenOut();
+    public Map<String, Object> state() {
+        OperatorDrains out = membership.takenOut();
         return Map.of(
                 "out",
                 List.copyOf(out.out()),
@@ -191,33 +197,33 @@
     }
 
     /** Goes on from what another process of this balancer knows of the pool of that name. */
-    void inherit(Inheritance of) {
+    public void inherit(HandoverState of) {
         // A list in the file is this process's own: the other may have had another file.
-        membership.inherit(of.out(), of.back(), discovery == null ? new Targets(-1, true, List.of()) : of.list());
+        membership.inherit(of.out(), of.back(), discovery == null ? new EndpointList(-1, true, List.of()) : of.list());
         dispatcher.resume(of.learnt());
     }
 
-    SettingsReader.Boot boot() {
+    public SettingsReader.Boot boot() {
         return boot;
     }
 
-    String name() {
+    public String name() {
         return spec.name();
     }
 
-    PoolSpec spec() {
+    public PoolSpec spec() {
         return spec;
     }
 
-    Dispatcher dispatcher() {
+    public RequestDispatcher dispatcher() {
         return dispatcher;
     }
 
-    Membership membership() {
+    public Membership membership() {
         return membership;
     }
 
-    PoolBudget budget() {
+    public PoolConnectionBudget budget() {
         return budget;
     }
 }
--- a/balancer/src/main/java/loadbalancer/net/Budget.java
+++ b/balancer/src/main/java/loadbalancer/upstream/ConnectionBudget.java
@@ -1,7 +1,7 @@
-package loadbalancer.net;
+package loadbalancer.upstream;
 
 /** What connections to upstreams are counted against. */
-interface Budget {
+public interface ConnectionBudget {
     void opened();
 
     void closed();
--- a/balancer/src/main/java/loadbalancer/net/AnswerReader.java
+++ b/balancer/src/main/java/loadbalancer/upstream/ResponseReader.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.upstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -24,25 +24,27 @@
 import java.util.List;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.http.BodyStream;
+import loadbalancer.http.RequestValidator;
 
 /**
  * Reads the answers on one connection to an upstream, one for each request, and trusts nothing that comes:
  * an answer that can't be read for certain is none, and what nobody asked for spoils the connection.
  */
-final class AnswerReader extends SimpleChannelInboundHandler<HttpObject> {
+public final class ResponseReader extends SimpleChannelInboundHandler<HttpObject> {
     private static final int HEAD_MOST = 8 * 1024;
     private static final long PATIENCE_MS = 20; // for the rest of an answer of unknown length
     private static final int HINTS_MOST = 8; // 1xx answers ahead of one
 
     /** An upstream's answer: whole, or, where {@code rest} is not null, begun. */
-    record Answer(int status, HttpHeaders headers, byte[] body, Flow rest) {
-        String type() {
+    public record Answer(int status, HttpHeaders headers, byte[] body, BodyStream rest) {
+        public String type() {
             return headers.get(HttpHeaderNames.CONTENT_TYPE);
         }
     }
 
     /** Whom it tells, once for each request. */
-    interface Taker {
+    public interface Taker {
         /** {@code usable}: the connection may carry another request. */
         void answered(Answer answer, boolean usable);
 
@@ -72,20 +74,20 @@
     private Answer whole; // told at the end of the read
     private long declared; // -1: not known beforehand
     private boolean untilClose; // the end of the connection ends the answer
-    private Flow flow; // of the answer that is being passed on
+    private BodyStream flow; // of the answer that is being passed on
     private boolean flown; // all of it has come
     private Future<?> patience;
 
-    AnswerReader(Taker taker) {
+    public ResponseReader(Taker taker) {
         this.taker = taker;
     }
 
-    ChannelHandler decoder() {
+    public ChannelHandler decoder() {
         return decoder;
     }
 
     /** A request is about to be sent. */
-    void expect() {
+    public void expect() {
         expecting = true;
         hints = 0;
     }
@@ -115,7 +117,7 @@
     private void take(ChannelHandlerContext context, ByteBuf more, boolean last) {
         if (flow != null) {
             length += more.readableBytes();
-            if (length > RequestRules.FLOW_MOST || untilClose && last && broken) {
+            if (length > RequestValidator.FLOW_MOST || untilClose && last && broken) {
                 spoil();
             } else {
                 flow.add(more.retain());
@@ -126,8 +128,8 @@
         boolean flows = head.status().code() == 200 && taker.streams();
         if (flows
                 && !last
-                && (declared > RequestRules.BODY_MOST && more.isReadable()
-                        || length + more.readableBytes() > RequestRules.BODY_MOST)) {
+                && (declared > RequestValidator.BODY_MOST && more.isReadable()
+                        || length + more.readableBytes() > RequestValidator.BODY_MOST)) {
             begin(context, more);
         } else if (add(more) && last) {
             if (untilClose && broken) {
@@ -155,7 +157,7 @@
 
     private void begin(ChannelHandlerContext context, ByteBuf more) {
         calm();
-        flow = new Flow(context.channel(), declared);
+        flow = new BodyStream(context.channel(), declared);
         if (length > 0) {
             flow.add(Unpooled.wrappedBuffer(body, 0, length));
         }
@@ -193,7 +195,7 @@
         untilClose = codings.isEmpty() && declared < 0;
         boolean ends = codings.isEmpty() ? declared >= 0 || !HttpUtil.isKeepAlive(answer) : chunked;
         boolean flows = answer.status().code() == 200 && taker.streams();
-        if (!ends || declared > (flows ? RequestRules.FLOW_MOST : RequestRules.BODY_MOST)) {
+        if (!ends || declared > (flows ? RequestValidator.FLOW_MOST : RequestValidator.BODY_MOST)) {
             spoil();
         }
     }
@@ -201,7 +203,7 @@
     // Guards against answers that say or bring more than is ever held: no memory grows by them.
     private boolean add(ByteBuf more) {
         int bytes = more.readableBytes();
-        if (length + bytes > RequestRules.BODY_MOST) {
+        if (length + bytes > RequestValidator.BODY_MOST) {
             spoil();
             return false;
         }
@@ -209,7 +211,7 @@
             body = ByteBufUtil.getBytes(more);
         } else if (bytes > 0) {
             if (length + bytes > body.length) {
-                body = Arrays.copyOf(body, Math.min(RequestRules.BODY_MOST, 2 * (length + bytes)));
+                body = Arrays.copyOf(body, Math.min(RequestValidator.BODY_MOST, 2 * (length + bytes)));
             }
             more.readBytes(body, length, bytes);
         }
@@ -223,7 +225,7 @@
     public void channelReadComplete(ChannelHandlerContext context) {
         if (flown && !spoilt) {
             boolean usable = !decoder.leftOver() && HttpUtil.isKeepAlive(head) && !untilClose;
-            Flow all = flow;
+            BodyStream all = flow;
             flow = null;
             flown = false;
             expecting = false;
@@ -267,11 +269,11 @@
     }
 
     private final class Decoder extends HttpResponseDecoder {
-        Decoder() {
+        public Decoder() {
             super(new HttpDecoderConfig().setMaxHeaderSize(HEAD_MOST));
         }
 
-        boolean leftOver() {
+        public boolean leftOver() {
             return actualReadableBytes() > 0;
         }
 
--- a/balancer/src/main/java/loadbalancer/net/Upstreams.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamConnectionPool.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.upstream;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -36,7 +36,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
-import loadbalancer.discovery.Targets;
+import loadbalancer.discovery.EndpointList;
+import loadbalancer.dispatch.InboundRequest;
+import loadbalancer.http.BodyStream;
+import loadbalancer.http.ReadBufferSettings;
+import loadbalancer.http.RequestValidator;
 import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.policy.EndpointState;
 import loadbalancer.policy.LoadReport;
@@ -44,7 +48,7 @@
 import loadbalancer.wire.LoadReportParser;
 
 /** The connections to the upstreams, one request at a time on each, and what becomes of each request. */
-final class Upstreams {
+public final class UpstreamConnectionPool {
     private static final double IDLE_SHARE = 0.5; // of the time after which upstreams close an idle one
     private static final long DRAIN_MARGIN = 50_000; // µs before the grace is over: the clock is not shared
     private static final long FORGET = 60_000_000; // µs after its grace that a stopped upstream is kept
@@ -52,24 +56,24 @@
     private static final long SETTLE = 10_000; // µs after an answer in which a second one may still come
 
     /** How a request to an upstream ended; {@code answer} is null where none came. */
-    interface Listener {
-        void ended(AttemptOutcome outcome, AnswerReader.Answer answer, LoadReport load);
+    public interface Listener {
+        void ended(AttemptOutcome outcome, ResponseReader.Answer answer, LoadReport load);
     }
 
     private static final class Upstream {
-        final String id;
-        InetSocketAddress endpoint;
-        long stopAt = Long.MAX_VALUE; // when the grace of its drain is over
-        final ArrayDeque<Connection> idle = new ArrayDeque<>(); // the most recently used last
+        public final String id;
+        public InetSocketAddress endpoint;
+        public long stopAt = Long.MAX_VALUE; // when the grace of its drain is over
+        public final ArrayDeque<Connection> idle = new ArrayDeque<>(); // the most recently used last
 
-        Upstream(String id) {
+        public Upstream(String id) {
             this.id = id;
         }
     }
 
     private final EventLoop loop;
     private SettingsReader.Boot boot;
-    private final Budget descriptors;
+    private final ConnectionBudget descriptors;
     private final LongSupplier clock;
     private final Bootstrap bootstrap;
     private final UnixDomainSocketAddress via;
@@ -78,15 +82,16 @@
     private final Future<?> sweep;
     private BooleanSupplier shed = this::shedIdle;
 
-    Upstreams(EventLoop loop, SettingsReader.Boot boot, Budget descriptors, LongSupplier clock) {
+    public UpstreamConnectionPool(
+            EventLoop loop, SettingsReader.Boot boot, ConnectionBudget descriptors, LongSupplier clock) {
         this(loop, boot, descriptors, clock, null);
     }
 
     /** {@code via} is where all upstreams are reached, in place of their own addresses; may be null. */
-    Upstreams(
+    public UpstreamConnectionPool(
             EventLoop loop,
             SettingsReader.Boot boot,
-            Budget descriptors,
+            ConnectionBudget descriptors,
             LongSupplier clock,
             UnixDomainSocketAddress via) {
         this.via = via;
@@ -98,20 +103,20 @@
         this.bootstrap = (via != null
                         ? new Bootstrap().channel(NioDomainSocketChannel.class)
                         : new Bootstrap().channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true))
-                .option(ChannelOption.RCVBUF_ALLOCATOR, Reads.allocator())
-                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Reads.WAITING)
+                .option(ChannelOption.RCVBUF_ALLOCATOR, ReadBufferSettings.allocator())
+                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, ReadBufferSettings.WAITING)
                 .group(loop);
         long every = Math.max(10_000, Math.min(1_000_000, idleMost / 10));
         sweep = loop.scheduleWithFixedDelay(this::closeOld, every, every, TimeUnit.MICROSECONDS);
     }
 
     /** {@code by} makes room for a connection where all descriptors are in use, if it can. */
-    void shedBy(BooleanSupplier by) {
+    public void shedBy(BooleanSupplier by) {
         shed = by;
     }
 
     /** Keeps to new settings from here on. */
-    void reconfigure(SettingsReader.Boot next) {
+    public void reconfigure(SettingsReader.Boot next) {
         boot = next;
         idleMost = idleMost();
     }
@@ -127,10 +132,10 @@
 
     // ---------------------------------------------------------------- the list
 
-    void listed(Targets targets, long at) {
+    public void listed(EndpointList targets, long at) {
         long now = Math.min(at, targets.toldAt()); // from when on the grace of a drain counts
         Set<String> named = new HashSet<>();
-        for (Targets.Target t : targets.list()) {
+        for (EndpointList.Target t : targets.list()) {
             named.add(t.server().id());
             Upstream u = upstreams.computeIfAbsent(t.server().id(), Upstream::new);
             if (t.endpoint() != null && !t.endpoint().equals(u.endpoint)) {
@@ -157,13 +162,13 @@
     // ---------------------------------------------------------------- attempts and probes
 
     /** Sends a request; {@code wait} is how long the balancer will wait for its answer, in µs. */
-    Call send(String server, Order order, long wait, Listener listener) {
+    public Call send(String server, InboundRequest order, long wait, Listener listener) {
         return start(server, new Call(order, Math.max(1, wait / 1000), listener));
     }
 
     /** Asks an upstream how it is; gives up after the time that a connection may take. */
-    void probe(String server, boolean report, Listener listener) {
-        Order order = new Order(
+    public void probe(String server, boolean report, Listener listener) {
+        InboundRequest order = new InboundRequest(
                 "",
                 HttpMethod.GET,
                 report ? "/-/load" : "/-/healthy",
@@ -270,7 +275,7 @@
 
     // ---------------------------------------------------------------- idle connections
 
-    void closeIdle(String server) {
+    public void closeIdle(String server) {
         Upstream u = upstreams.get(server);
         if (u != null) {
             closeIdle(u);
@@ -297,7 +302,7 @@
     }
 
     /** Closes all that is idle, now and from here on. */
-    void close() {
+    public void close() {
         sweep.cancel(false);
         for (Upstream u : upstreams.values()) {
             u.stopAt = Long.MIN_VALUE;
@@ -306,7 +311,7 @@
     }
 
     /** Closes the connection that has been idle for longest; false where none is. */
-    boolean shedIdle() {
+    public boolean shedIdle() {
         Connection oldest = null;
         for (Upstream u : upstreams.values()) {
             Connection c = u.idle.peekFirst();
@@ -323,8 +328,8 @@
     }
 
     /** A request on its way to an upstream. */
-    static final class Call {
-        private final Order order;
+    public static final class Call {
+        private final InboundRequest order;
         private final long waitMillis; // from when it was made; 0: not told to the upstream
         private final long madeAt = System.nanoTime();
         private final Listener listener;
@@ -332,14 +337,14 @@
         private Future<?> timer;
         private boolean ended;
 
-        private Call(Order order, long waitMillis, Listener listener) {
+        private Call(InboundRequest order, long waitMillis, Listener listener) {
             this.order = order;
             this.waitMillis = waitMillis;
             this.listener = listener;
         }
 
         /** Whether nothing of the request has gone to an upstream: it waits for its connection. */
-        boolean waits() {
+        public boolean waits() {
             return connection != null && !connection.begun;
         }
 
@@ -348,7 +353,7 @@
          *
          * @return whether the request may have run: its last byte has been written
          */
-        boolean giveUp() {
+        public boolean giveUp() {
             Connection c = connection;
             if (ended || c == null) {
                 return false;
@@ -363,7 +368,7 @@
             return mayHaveRun;
         }
 
-        private void end(AttemptOutcome outcome, AnswerReader.Answer answer, LoadReport load) {
+        private void end(AttemptOutcome outcome, ResponseReader.Answer answer, LoadReport load) {
             if (timer != null) {
                 timer.cancel(false);
             }
@@ -383,7 +388,7 @@
             }
             if (waitMillis > 0) {
                 long waited = (System.nanoTime() - madeAt) / 1_000_000; // for its connection
-                message.headers().set(RequestRules.DEADLINE, Long.toString(Math.max(1, waitMillis - waited)));
+                message.headers().set(RequestValidator.DEADLINE, Long.toString(Math.max(1, waitMillis - waited)));
             }
             if (order.rest() != null) {
                 if (order.rest().length() >= 0) {
@@ -399,37 +404,37 @@
     }
 
     /** One connection; it carries one request at a time, and is idle where {@code call} is null. */
-    private final class Connection implements AnswerReader.Taker {
+    private final class Connection implements ResponseReader.Taker {
         private final Upstream upstream;
         private final InetSocketAddress endpoint;
-        private final AnswerReader reader = new AnswerReader(this);
+        private final ResponseReader reader = new ResponseReader(this);
         private Channel channel;
         private Call call;
         private boolean begun; // some of the request may have been written
         private boolean written; // all of it has been
         private boolean active; // it has come up
         private long idleSince;
-        private Flow upload; // of the last request that was sent here, if it flowed
-        private Flow download; // of the answer that is being passed on
+        private BodyStream upload; // of the last request that was sent here, if it flowed
+        private BodyStream download; // of the answer that is being passed on
 
-        Connection(Upstream upstream) {
+        public Connection(Upstream upstream) {
             this.upstream = upstream;
             this.endpoint = upstream.endpoint;
         }
 
-        boolean usable() {
+        public boolean usable() {
             return channel.isActive() && clock.getAsLong() - idleSince < idleMost;
         }
 
         /** For how long, in µs, a second answer to the last request may still come. */
-        long unsettled() {
+        public long unsettled() {
             return Math.max(0, idleSince + SETTLE - clock.getAsLong());
         }
 
         // Guards against a second answer that comes some milliseconds late: with a request on the connection again it
         // was taken for the answer to that one. The request waits, for a new connection would take no less. The second
         // step lets the loop read what has come meanwhile, also where the loop itself was late.
-        void settle(Call next) {
+        public void settle(Call next) {
             call = next;
             next.connection = this;
             loop.schedule(
@@ -437,7 +442,7 @@
         }
 
         /** Sends the request that has waited for this connection, if it is still to be sent. */
-        void begin() {
+        public void begin() {
             if (call == null) {
                 rest(); // it was given up meanwhile: the handshake is paid for
             } else if (clock.getAsLong() >= upstream.stopAt) {
@@ -449,7 +454,7 @@
             }
         }
 
-        void write(Call next) {
+        public void write(Call next) {
             call = next;
             next.connection = this;
             begun = true;
@@ -479,7 +484,7 @@
                     new DefaultHttpRequest(HttpVersion.HTTP_1_1, message.method(), message.uri(), message.headers());
             channel.write(head);
             upload = sent.order.rest();
-            upload.to(new Flow.Sink() {
+            upload.to(new BodyStream.Sink() {
                 @Override
                 public void more(ByteBuf bytes) {
                     if (call == sent) {
@@ -510,7 +515,7 @@
         }
 
         /** Lets the body that is sent here flow as there is room. */
-        ChannelInboundHandlerAdapter gate() {
+        public ChannelInboundHandlerAdapter gate() {
             return new ChannelInboundHandlerAdapter() {
                 @Override
                 public void channelActive(ChannelHandlerContext context) {
@@ -531,7 +536,7 @@
             };
         }
 
-        void rest() {
+        public void rest() {
             upload = null;
             begun = false;
             written = false;
@@ -544,7 +549,7 @@
             }
         }
 
-        void finish(AttemptOutcome outcome, AnswerReader.Answer answer, LoadReport load) {
+        public void finish(AttemptOutcome outcome, ResponseReader.Answer answer, LoadReport load) {
             Call ending = call;
             call = null;
             if (ending != null) {
@@ -552,12 +557,12 @@
             }
         }
 
-        void close() {
+        public void close() {
             channel.close();
         }
 
         @Override
-        public void answered(AnswerReader.Answer answer, boolean usable) {
+        public void answered(ResponseReader.Answer answer, boolean usable) {
             Call answered = call;
             call = null;
             // Back among the idle before the module hears of it: its next send may want this one.
@@ -582,7 +587,7 @@
         }
 
         @Override
-        public void begun(AnswerReader.Answer answer) {
+        public void begun(ResponseReader.Answer answer) {
             Call answered = call;
             call = null;
             download = answer.rest();
@@ -641,7 +646,7 @@
     }
 
     // Turned away unseen only where the upstream says so itself; any other failure may have run.
-    private static AttemptOutcome classify(AnswerReader.Answer answer) {
+    private static AttemptOutcome classify(ResponseReader.Answer answer) {
         int status = answer.status();
         if (status == 200) {
             return AttemptOutcome.OK;
--- a/balancer/src/main/java/loadbalancer/wire/Adapter.java
+++ b/balancer/src/main/java/loadbalancer/wire/Adapter.java
@@ -13,8 +13,8 @@
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
+import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.LoadReport;
-import loadbalancer.policy.Policy;
 import loadbalancer.policy.PolicySettings;
 import loadbalancer.settings.SettingsReader;
 
@@ -25,10 +25,10 @@
 
     /** Makes the module of a new instance. */
     public interface Factory {
-        Policy make(PolicySettings settings, long seed);
+        LoadBalancingPolicy make(PolicySettings settings, long seed);
     }
 
-    private record Instance(String name, Policy policy, SettingsReader.Boot boot) {}
+    private record Instance(String name, LoadBalancingPolicy policy, SettingsReader.Boot boot) {}
 
     private final Factory factory;
     private final BufferedReader in;
@@ -122,7 +122,7 @@
     }
 
     private void event(Frame f, Instance instance, long now, Reply reply) {
-        Policy policy = instance.policy;
+        LoadBalancingPolicy policy = instance.policy;
         switch (f.name()) {
             case "SYNC" -> {
                 f.expect("How", "SeqNo", "Buffer");
@@ -269,7 +269,7 @@
     }
 
     /** Writes the actions of one batch, each under the line that names its instance. */
-    private static final class Reply implements Policy.Actions {
+    private static final class Reply implements LoadBalancingPolicy.Actions {
         private final StringBuilder text = new StringBuilder();
         private String current;
         private String written;
--- a/balancer/src/test/java/loadbalancer/DirectionsTest.java
+++ b/balancer/src/test/java/loadbalancer/DirectionsTest.java
@@ -21,7 +21,11 @@
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
-                        "loadbalancer.net..",
+                        "loadbalancer.http..",
+                        "loadbalancer.upstream..",
+                        "loadbalancer.dispatch..",
+                        "loadbalancer.routing..",
+                        "loadbalancer.process..",
                         "loadbalancer.wire..",
                         "loadbalancer.admin..",
                         "loadbalancer.drain..",
@@ -54,7 +58,12 @@
                         "loadbalancer.settings..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAPackage("loadbalancer.net..")
+                .resideInAnyPackage(
+                        "loadbalancer.http..",
+                        "loadbalancer.upstream..",
+                        "loadbalancer.dispatch..",
+                        "loadbalancer.routing..",
+                        "loadbalancer.process..")
                 .check(ALL);
     }
 }
--- a/balancer/src/test/java/loadbalancer/MainTest.java
+++ b/balancer/src/test/java/loadbalancer/MainTest.java
@@ -353,7 +353,7 @@
                         "-Xlog:class+load:file=" + loaded,
                         "-cp",
                         System.getProperty("java.class.path"),
-                        "loadbalancer.net.DryRun")
+                        "loadbalancer.process.ClassArchiveTraining")
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .start()
@@ -361,19 +361,20 @@
         assertEquals(0, exit);
         String all = Files.readString(loaded);
         Files.delete(loaded);
-        assertTrue(all.contains("loadbalancer.net.Node"));
+        assertTrue(all.contains("loadbalancer.process.BalancerProcess"));
         for (String part : List.of(
                 "loadbalancer.operator",
-                "loadbalancer.front",
+                "loadbalancer.router",
                 "loadbalancer.routes",
                 "loadbalancer.limits",
                 "loadbalancer.toml",
                 "loadbalancer.cli",
-                "loadbalancer.net.Gateway",
+                "loadbalancer.routing.RoutingGateway",
                 "com.fasterxml.jackson.databind",
                 "picocli")) {
             assertTrue(!all.contains(" " + part + "."), part);
         }
-        assertTrue(!all.contains("loadbalancer.net.Gateway") && !all.contains("loadbalancer.net.Pool "));
+        assertTrue(!all.contains("loadbalancer.routing.RoutingGateway")
+                && !all.contains("loadbalancer.routing.UpstreamPool "));
     }
 }
--- a/balancer/src/test/java/loadbalancer/net/PollsTest.java
+++ b/balancer/src/test/java/loadbalancer/http/UnreadTimeEstimatorTest.java
@@ -1,13 +1,13 @@
-package loadbalancer.net;
+package loadbalancer.http;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.netty.channel.SelectStrategy;
 import org.junit.jupiter.api.Test;
 
-class PollsTest {
+class UnreadTimeEstimatorTest {
     private long now;
-    private final Polls polls = new Polls(() -> now);
+    private final UnreadTimeEstimator polls = new UnreadTimeEstimator(() -> now);
 
     private int round(int ready, boolean tasks) throws Exception {
         return polls.calculateStrategy(() -> ready, tasks);
--- a/balancer/src/test/java/loadbalancer/logs/LogsTest.java
+++ b/balancer/src/test/java/loadbalancer/logs/LoggingTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-class LogsTest {
+class LoggingTest {
     private final ByteArrayOutputStream written = new ByteArrayOutputStream();
 
     private List<String> lines() {
@@ -22,8 +22,8 @@
 
     @Test
     void textReadsAsItAlwaysDidAndJsonHoldsTheFigures() throws IOException {
-        Sink sink = new Sink(written, "load-balancer: ");
-        Log log = Log.to(Provider.logger("load-balancer", sink));
+        AsyncLogWriter sink = new AsyncLogWriter(written, "load-balancer: ");
+        Log log = Log.to(Slf4jProvider.logger("load-balancer", sink));
         log.event("set-down s1", "call", "set-down", "known", true);
         sink.drain(20_000);
         assertEquals(List.of("load-balancer: set-down s1"), lines());
@@ -44,7 +44,7 @@
     @Test
     void aReaderThatStopsReadingCostsLinesAndNoTime() throws InterruptedException {
         CountDownLatch reads = new CountDownLatch(1);
-        Sink sink = new Sink(
+        AsyncLogWriter sink = new AsyncLogWriter(
                 new OutputStream() {
                     @Override
                     public void write(int b) {
@@ -63,7 +63,7 @@
                 },
                 "");
         sink.configure(false, 10);
-        Log log = Log.to(Provider.logger("x", sink));
+        Log log = Log.to(Slf4jProvider.logger("x", sink));
         for (int i = 0; i < 1000; i++) {
             log.accept("line " + i); // would never return if it waited
         }
--- a/balancer/src/test/java/loadbalancer/operator/OperatorReaderTest.java
+++ b/balancer/src/test/java/loadbalancer/operator/OperatorReaderTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class OperatorReaderTest {
-    static final Operator.Site SITE =
-            new Operator.Site(List.of("read", "book"), List.of("shyamal-travels", "teesta-line"), 3, 1_500_000);
+    static final OperatorConfig.Site SITE =
+            new OperatorConfig.Site(List.of("read", "book"), List.of("shyamal-travels", "teesta-line"), 3, 1_500_000);
 
     static final String SOUND =
             """
@@ -117,7 +117,7 @@
 
     @Test
     void aSoundFileIsReadInFull() throws IOException {
-        Operator o = OperatorReader.read(Files.writeString(folder.resolve("operator.toml"), SOUND), SITE);
+        OperatorConfig o = OperatorReader.read(Files.writeString(folder.resolve("operator.toml"), SOUND), SITE);
         assertEquals(
                 List.of("agents", "new", "site"),
                 o.pools().stream().map(PoolSpec::name).toList());
@@ -134,7 +134,7 @@
                 0.5, o.front().routes().get(0).ways().get(1).spills().get(0).most());
         assertTrue(o.log().json());
         assertEquals(List.of(), o.notes());
-        Operator loose = OperatorReader.read(
+        OperatorConfig loose = OperatorReader.read(
                 Files.writeString(
                         folder.resolve("operator.toml"),
                         SOUND.replace("weight = 90", "weight = 0")
@@ -153,8 +153,8 @@
     @Test
     void whatChangesIsSaidInWords() throws IOException {
         Path file = folder.resolve("operator.toml");
-        Operator before = OperatorReader.read(Files.writeString(file, SOUND), SITE);
-        assertEquals(List.of(), Words.changes(before, before));
+        OperatorConfig before = OperatorReader.read(Files.writeString(file, SOUND), SITE);
+        assertEquals(List.of(), ConfigVocabulary.changes(before, before));
         List<String> expected = new ArrayList<>(List.of(
                 "pool agents: limit: gradient from 16, 4 to 200 -> 30 at once",
                 "pool fresh: new, upstreams 127.0.0.1:9009, limit none",
@@ -163,7 +163,7 @@
                 "route bookings: deadline: 800ms -> 1s",
                 "requests that no route takes: refused -> go to site",
                 "quota of tenant teesta-line: 100/s, 100 at once -> 120/s, 120 at once"));
-        Operator next = OperatorReader.read(
+        OperatorConfig next = OperatorReader.read(
                 Files.writeString(
                         file,
                         SOUND.replace("unmatched = \"refuse\"", "unmatched = \"site\"")
@@ -178,6 +178,6 @@
                                 .replace("\"800ms\"", "\"1s\"")
                                 .replace("\"100/s\"", "\"120/s\"")),
                 SITE);
-        assertEquals(expected, Words.changes(before, next));
+        assertEquals(expected, ConfigVocabulary.changes(before, next));
     }
 }
--- a/balancer/src/test/java/loadbalancer/net/AnswersTest.java
+++ b/balancer/src/test/java/loadbalancer/process/AnswersTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** One final answer to each request, and what an attempt is told to have come to. */
-class AnswersTest extends NodeFixture {
+class AnswersTest extends BalancerFixture {
     @Test
     void aRequestGoesOnUnchangedAndTheWholeAnswerComesBack() throws IOException, InterruptedException {
         start();
--- a/balancer/src/test/java/loadbalancer/net/NodeFixture.java
+++ b/balancer/src/test/java/loadbalancer/process/BalancerFixture.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -21,27 +21,27 @@
 import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.LoadReport;
-import loadbalancer.policy.Policy;
 import loadbalancer.policy.PolicySettings;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
 /** A real balancer over loopback sockets, with a module that does what the test says. */
-abstract class NodeFixture {
+public abstract class BalancerFixture {
     /** A module that notes what it is told and sends each request where {@code onRequest} says. */
-    static class Scripted implements Policy {
-        final BlockingQueue<String> told = new LinkedBlockingQueue<>();
-        final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
-        final Map<String, Long> startedAt = new ConcurrentHashMap<>();
-        volatile Map<String, double[]> learnt = Map.of();
-        volatile long timeout;
-        volatile boolean broken;
-        volatile boolean again;
-        volatile boolean cancels = true;
-        volatile Runnable onOutcome = () -> {};
-        volatile String server = "s1";
-        volatile Policy.Actions actions;
+    public static class Scripted implements LoadBalancingPolicy {
+        public final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+        public final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
+        public final Map<String, Long> startedAt = new ConcurrentHashMap<>();
+        public volatile Map<String, double[]> learnt = Map.of();
+        public volatile long timeout;
+        public volatile boolean broken;
+        public volatile boolean again;
+        public volatile boolean cancels = true;
+        public volatile Runnable onOutcome = () -> {};
+        public volatile String server = "s1";
+        public volatile LoadBalancingPolicy.Actions actions;
 
         @Override
         public void servers(long now, EndpointListKind kind, List<Endpoint> servers, Actions out) {
@@ -132,7 +132,7 @@
         @Override
         public void wake(long now, Actions out) {}
 
-        String next() throws InterruptedException {
+        public String next() throws InterruptedException {
             String event = told.poll(20, TimeUnit.SECONDS);
             if (event == null) {
                 throw new AssertionError("the module was told nothing");
@@ -142,25 +142,25 @@
     }
 
     /** A client's connection. */
-    static final class Client implements Closeable {
-        final Socket socket;
-        final InputStream in;
-        byte[] body;
+    public static final class Client implements Closeable {
+        public final Socket socket;
+        public final InputStream in;
+        public byte[] body;
 
-        Client(InetSocketAddress to) throws IOException {
+        public Client(InetSocketAddress to) throws IOException {
             socket = new Socket(to.getAddress(), to.getPort());
             socket.setSoTimeout(20_000);
             in = new BufferedInputStream(socket.getInputStream());
         }
 
-        Client send(String text) throws IOException {
+        public Client send(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
             socket.getOutputStream().flush();
             return this;
         }
 
         /** The head of the next answer; its body is kept. Null at the end of the connection. */
-        String answer() throws IOException {
+        public String answer() throws IOException {
             String head = FakeUpstream.head(in);
             if (head != null) {
                 String length = head.toLowerCase().split("content-length: ")[1].split("\r\n")[0];
@@ -169,7 +169,7 @@
             return head;
         }
 
-        int status() throws IOException {
+        public int status() throws IOException {
             return Integer.parseInt(answer().split(" ")[1]);
         }
 
@@ -179,26 +179,26 @@
         }
     }
 
-    static final String SAFE = "GET /api/k1?x=%20y HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\n"
+    public static final String SAFE = "GET /api/k1?x=%20y HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\n"
             + "Req-Kind: read\r\nReq-Deadline-Ms: 20000\r\nReq-Cost: 700\r\nReq-Retry: 1\r\n\r\n";
 
-    final Scripted module = new Scripted();
-    final List<String> log = new ArrayList<>();
-    boolean rehearse;
-    String endpoint;
-    FakeUpstream upstream;
-    FakeUpstream discovery;
-    Node node;
-    InetSocketAddress at;
+    public final Scripted module = new Scripted();
+    public final List<String> log = new ArrayList<>();
+    public boolean rehearse;
+    public String endpoint;
+    public FakeUpstream upstream;
+    public FakeUpstream discovery;
+    public BalancerProcess node;
+    public InetSocketAddress at;
 
     @BeforeEach
-    void open() throws IOException {
+    public void open() throws IOException {
         upstream = new FakeUpstream();
         discovery = new FakeUpstream();
     }
 
     @AfterEach
-    void close() throws IOException {
+    public void close() throws IOException {
         if (node != null) {
             node.stop();
         }
@@ -206,7 +206,7 @@
         discovery.close();
     }
 
-    static Map<String, Object> kind(String name, String effect) {
+    public static Map<String, Object> kind(String name, String effect) {
         return Map.of(
                 "Name",
                 name,
@@ -222,7 +222,7 @@
                 1_000_000);
     }
 
-    static Map<String, Object> rules(long grace) {
+    public static Map<String, Object> rules(long grace) {
         return Map.of(
                 "AnswerSlack",
                 8_000,
@@ -240,7 +240,7 @@
                 1_000_000);
     }
 
-    static Map<String, Object> settings() {
+    public static Map<String, Object> settings() {
         Map<String, Object> settings = new HashMap<>();
         settings.put("Balancers", 1);
         settings.put("Classes", List.of(kind("read", "safe"), kind("pay", "keyed"), kind("book", "unsafe")));
@@ -268,23 +268,24 @@
         return settings;
     }
 
-    String target(String state) {
+    public String target(String state) {
         return "{\"uid\":\"s1\",\"endpoint\":\"" + (endpoint == null ? upstream.address() : endpoint)
                 + "\",\"az\":\"podrum\","
                 + "\"model\":\"slabi\",\"pod_group\":3,\"state\":\"" + state
                 + "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
     }
 
-    String list(int rev, boolean all, String state) {
+    public String list(int rev, boolean all, String state) {
         return "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[" + target(state) + "]}\n";
     }
 
-    Config config(int sockets, Map<String, Object> settings, int port) throws IOException {
+    public BalancerConfig config(int sockets, Map<String, Object> settings, int port) throws IOException {
         return config(sockets, settings, port, discovery.address());
     }
 
-    Config config(int sockets, Map<String, Object> settings, int port, String discovery) throws IOException {
-        return Config.of(
+    public BalancerConfig config(int sockets, Map<String, Object> settings, int port, String discovery)
+            throws IOException {
+        return BalancerConfig.of(
                 Map.of(),
                 Map.of(
                         "name",
@@ -305,15 +306,16 @@
                         com.fasterxml.jackson.jr.ob.JSON.std.mapFrom(list(41, true, "in_service"))));
     }
 
-    void start() throws IOException, InterruptedException {
+    public void start() throws IOException, InterruptedException {
         start(Map.of(), 1024);
     }
 
-    void start(Map<String, Object> limits, int sockets) throws IOException, InterruptedException {
+    public void start(Map<String, Object> limits, int sockets) throws IOException, InterruptedException {
         start(limits, sockets, "ask");
     }
 
-    void start(Map<String, Object> limits, int sockets, String membership) throws IOException, InterruptedException {
+    public void start(Map<String, Object> limits, int sockets, String membership)
+            throws IOException, InterruptedException {
         Map<String, Object> settings = settings();
         settings.put("MembershipMode", membership);
         if (membership.equals("push")) { // with a long grace a call may go unanswered for seconds
@@ -322,7 +324,7 @@
         @SuppressWarnings("unchecked")
         Map<String, Object> all = (Map<String, Object>) settings.get("Limits");
         all.putAll(limits);
-        node = new Node(config(sockets, settings, 0), (s, seed) -> module, rehearse, line -> {
+        node = new BalancerProcess(config(sockets, settings, 0), (s, seed) -> module, rehearse, line -> {
             synchronized (log) {
                 log.add(line);
             }
@@ -331,13 +333,13 @@
         assertEquals(membership.equals("ask") ? "PERSISTED [s1=UP]" : "PERSISTED []", module.next());
     }
 
-    static String post(String kind, String extra, String body) {
+    public static String post(String kind, String extra, String body) {
         return "POST /api/k1 HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\nReq-Kind: " + kind + "\r\n" + extra
                 + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
     // The upstream's own reader takes the end of the stream; the socket tells of it by refusing what is sent.
-    static boolean closesSoon(FakeUpstream.Got got) throws InterruptedException {
+    public static boolean closesSoon(FakeUpstream.Got got) throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (System.nanoTime() < until) {
             try {
@@ -350,11 +352,11 @@
         return false;
     }
 
-    static String chunk(String text) {
+    public static String chunk(String text) {
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    void onLoop(Runnable action) {
+    public void onLoop(Runnable action) {
         node.loop().execute(action);
     }
 }
--- a/balancer/src/test/java/loadbalancer/net/ClientsTest.java
+++ b/balancer/src/test/java/loadbalancer/process/ClientsTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,12 +12,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
+import loadbalancer.http.BodyMemoryBudget;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What clients may do to a balancer, in error or ill will. */
-class ClientsTest extends NodeFixture {
+class ClientsTest extends BalancerFixture {
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -310,7 +311,7 @@
 
     @Test
     void bodiesAreRefusedWhereTogetherTheyTakeTooMuch() {
-        Room room = new Room(10);
+        BodyMemoryBudget room = new BodyMemoryBudget(10);
         assertTrue(room.take(6));
         assertFalse(room.take(5));
         assertTrue(room.take(4));
--- a/balancer/src/test/java/loadbalancer/net/DiscoveryTest.java
+++ b/balancer/src/test/java/loadbalancer/process/DiscoveryTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** How the list is asked for and watched. */
-class DiscoveryTest extends NodeFixture {
+class DiscoveryTest extends BalancerFixture {
     @Test
     void theListIsWatchedAsTheModuleAsksAndSplitLinesAreRead() throws IOException, InterruptedException {
         start();
@@ -197,7 +197,7 @@
     void aWatchThatBeganWithAListIsNotOpenedAnewBeforeTheNextLineIsDue() throws IOException, InterruptedException {
         Map<String, Object> settings = settings();
         settings.put("MembershipMode", "push"); // and the grace of the site: a call must be answered in half of it
-        node = new Node(config(1024, settings, 0), (s, seed) -> module, rehearse, line -> {});
+        node = new BalancerProcess(config(1024, settings, 0), (s, seed) -> module, rehearse, line -> {});
         node.start();
         FakeUpstream.Got watch = discovery.next();
         long before = System.nanoTime();
@@ -222,7 +222,7 @@
             client.send(SAFE);
             FakeUpstream.Got held = upstream.next();
             node.reload(() -> {
-                throw new Config.Bad("no good");
+                throw new BalancerConfig.Bad("no good");
             });
             node.reload(() -> config(second.address()));
             node.reload(() -> config(second.address())); // said twice, moved once
@@ -250,7 +250,7 @@
         }
     }
 
-    private Config config(String discovery) {
+    private BalancerConfig config(String discovery) {
         try {
             return config(1024, settings(), 0, discovery);
         } catch (IOException e) {
--- a/balancer/src/test/java/loadbalancer/net/FakeUpstream.java
+++ b/balancer/src/test/java/loadbalancer/process/FakeUpstream.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.process;
 
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
@@ -20,14 +20,14 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** The other side of a connection, for tests: hands each request over, and answers what the test says. */
-final class FakeUpstream implements Closeable {
+public final class FakeUpstream implements Closeable {
     /** A request as it came, and the connection to answer on. */
-    record Got(String head, byte[] body, Socket socket, int connection) {
-        String line() {
+    public record Got(String head, byte[] body, Socket socket, int connection) {
+        public String line() {
             return head.substring(0, head.indexOf("\r\n"));
         }
 
-        String header(String name) {
+        public String header(String name) {
             for (String line : head.split("\r\n")) {
                 if (line.toLowerCase(Locale.ROOT).startsWith(name.toLowerCase(Locale.ROOT) + ":")) {
                     return line.substring(name.length() + 1).strip();
@@ -36,16 +36,16 @@
             return null;
         }
 
-        void raw(String text) throws IOException {
+        public void raw(String text) throws IOException {
             raw(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        void raw(byte[] bytes) throws IOException {
+        public void raw(byte[] bytes) throws IOException {
             socket.getOutputStream().write(bytes);
             socket.getOutputStream().flush();
         }
 
-        void answer(int status, String headers, byte[] body) throws IOException {
+        public void answer(int status, String headers, byte[] body) throws IOException {
             ByteArrayOutputStream out = new ByteArrayOutputStream();
             out.write(("HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length + "\r\n\r\n")
                     .getBytes(StandardCharsets.ISO_8859_1));
@@ -53,18 +53,18 @@
             raw(out.toByteArray());
         }
 
-        void answer(int status, String headers, String body) throws IOException {
+        public void answer(int status, String headers, String body) throws IOException {
             answer(status, headers, body.getBytes(StandardCharsets.UTF_8));
         }
 
         /** Ends the connection with a reset. */
-        void reset() throws IOException {
+        public void reset() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
         }
 
         /** Waits for the other side to end the connection. */
-        boolean closedByPeer() {
+        public boolean closedByPeer() {
             try {
                 socket.setSoTimeout(20_000);
                 return socket.getInputStream().read() < 0;
@@ -80,7 +80,7 @@
     private final AtomicInteger connections = new AtomicInteger();
     private final List<Thread> readers = new CopyOnWriteArrayList<>();
 
-    FakeUpstream() throws IOException {
+    public FakeUpstream() throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         run(() -> {
             while (true) {
@@ -127,7 +127,7 @@
     }
 
     /** Reads up to the empty line; null at the end of the stream. */
-    static String head(InputStream in) throws IOException {
+    public static String head(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             int c = in.read();
@@ -139,16 +139,16 @@
         return head.toString();
     }
 
-    String address() {
+    public String address() {
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    int connections() {
+    public int connections() {
         return connections.get();
     }
 
     /** The next request; fails where none comes. */
-    Got next() throws InterruptedException {
+    public Got next() throws InterruptedException {
         Got got = requests.poll(20, TimeUnit.SECONDS);
         if (got == null) {
             throw new AssertionError("no request came");
@@ -156,7 +156,7 @@
         return got;
     }
 
-    boolean isEmpty() {
+    public boolean isEmpty() {
         return requests.isEmpty();
     }
 
--- a/balancer/src/test/java/loadbalancer/net/GatewayTest.java
+++ b/balancer/src/test/java/loadbalancer/process/GatewayTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -18,14 +18,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
-import loadbalancer.policy.Balance;
+import loadbalancer.policy.JsqDasPolicy;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** A balancer with an operator file, over loopback sockets, with the real module in each pool. */
-class GatewayTest extends NodeFixture {
+class GatewayTest extends BalancerFixture {
     @TempDir
     private Path folder;
 
@@ -37,7 +37,7 @@
     void openPools() throws IOException, InterruptedException {
         first = new FakeUpstream();
         second = new FakeUpstream();
-        node = new Node(config(1024, settings(), 0), Balance::new, false, line -> {
+        node = new BalancerProcess(config(1024, settings(), 0), JsqDasPolicy::new, false, line -> {
             synchronized (log) {
                 log.add(line);
             }
--- a/balancer/src/test/java/loadbalancer/net/HandoverTest.java
+++ b/balancer/src/test/java/loadbalancer/process/HandoverTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -16,20 +16,20 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.handover.InheritedListener;
-import loadbalancer.policy.Balance;
+import loadbalancer.policy.JsqDasPolicy;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** A process that takes the place of another, with one socket for clients between them. */
-class HandoverTest extends NodeFixture {
+class HandoverTest extends BalancerFixture {
     // Not @TempDir's usual place alone: a Unix socket's path is short.
     @TempDir
     Path folder;
 
     private ServerSocketChannel shared;
-    private Node successor;
+    private BalancerProcess successor;
     private final Scripted next = new Scripted();
 
     @BeforeEach
@@ -46,9 +46,13 @@
         shared.close();
     }
 
-    private Node process(Scripted with) throws IOException, InterruptedException {
-        Node process = new Node(
-                config(1024, settings(), 0), new Node.Platform(shared, folder), (s, seed) -> with, false, line -> {});
+    private BalancerProcess process(Scripted with) throws IOException, InterruptedException {
+        BalancerProcess process = new BalancerProcess(
+                config(1024, settings(), 0),
+                new BalancerProcess.Platform(shared, folder),
+                (s, seed) -> with,
+                false,
+                line -> {});
         at = process.start();
         assertEquals("PERSISTED [s1=UP]", with.next());
         assertTrue(process.awaitReady(20_000));
@@ -83,9 +87,13 @@
         assertEquals("share 1.0", next.next());
     }
 
-    private Node withPools() throws IOException, InterruptedException {
-        Node process = new Node(
-                config(1024, settings(), 0), new Node.Platform(shared, folder), Balance::new, false, line -> {});
+    private BalancerProcess withPools() throws IOException, InterruptedException {
+        BalancerProcess process = new BalancerProcess(
+                config(1024, settings(), 0),
+                new BalancerProcess.Platform(shared, folder),
+                JsqDasPolicy::new,
+                false,
+                line -> {});
         Path file = Files.writeString(
                 folder.resolve("operator.toml"),
                 "[[pool]]\nname = \"one\"\nupstreams = [\"" + upstream.address() + "\", \"127.0.0.1:9\"]\n");
@@ -113,7 +121,7 @@
         node = null;
     }
 
-    private static int upOf(Node process) throws Exception {
+    private static int upOf(BalancerProcess process) throws Exception {
         return process.loop()
                 .submit(() -> {
                     process.gateway().look();
--- a/balancer/src/test/java/loadbalancer/net/LargeBodiesTest.java
+++ b/balancer/src/test/java/loadbalancer/process/LargeBodiesTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Bodies that are not held whole: they pass through, in pieces cut anywhere. */
-class LargeBodiesTest extends NodeFixture {
+class LargeBodiesTest extends BalancerFixture {
     private static final int MANY = 3_000_000;
 
     private static byte[] noise(int bytes) {
--- a/balancer/src/test/java/loadbalancer/net/LifeCycleTest.java
+++ b/balancer/src/test/java/loadbalancer/process/LifeCycleTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Start, configuration and stop. */
-class LifeCycleTest extends NodeFixture {
+class LifeCycleTest extends BalancerFixture {
     /** Interrupted, the starting thread never comes to hold the listener that clients reach all the same. */
     @Test
     void aConnectionThatComesBeforeTheStartHasReturnedIsAnswered() throws Exception {
@@ -25,7 +25,7 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        node = new Node(config(1024, settings(), port), (s, seed) -> module, false, line -> {});
+        node = new BalancerProcess(config(1024, settings(), port), (s, seed) -> module, false, line -> {});
         Thread.currentThread().interrupt();
         assertThrows(IOException.class, node::start);
         assertTrue(Thread.interrupted());
@@ -119,8 +119,8 @@
             })
     void badConfigurationIsNamed(String json, String complaint) throws IOException {
         try {
-            Config.of(Map.of("ROUTER_NAME", "n1"), com.fasterxml.jackson.jr.ob.JSON.std.mapFrom(json));
-        } catch (Config.Bad e) {
+            BalancerConfig.of(Map.of("ROUTER_NAME", "n1"), com.fasterxml.jackson.jr.ob.JSON.std.mapFrom(json));
+        } catch (BalancerConfig.Bad e) {
             assertTrue(e.getMessage().startsWith(complaint), e.getMessage());
             return;
         }
