--- a/balancer/src/test/java/loadbalancer/net/LongListTest.java
+++ b/balancer/src/test/java/loadbalancer/process/LongListTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Lists that name more upstreams than a balancer may hold. */
-class LongListTest extends NodeFixture {
+class LongListTest extends BalancerFixture {
     private static final int MOST = 10;
     private static final String OPEN = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -62,11 +62,12 @@
         }
         Path file = Files.createTempFile("long-list", ".json");
         Files.writeString(file, JSON.std.asString(json));
-        node = new Node(Config.read(Map.of("ROUTER_CONFIG", file.toString())), (s, seed) -> module, rehearse, line -> {
-            synchronized (log) {
-                log.add(line);
-            }
-        });
+        node = new BalancerProcess(
+                BalancerConfig.read(Map.of("ROUTER_CONFIG", file.toString())), (s, seed) -> module, rehearse, line -> {
+                    synchronized (log) {
+                        log.add(line);
+                    }
+                });
         Files.delete(file);
         at = node.start();
     }
@@ -179,7 +180,8 @@
                                 "limits",
                                 Map.of("sockets", 100)))
                         .replace("\"sockets\":100", "\"sockets\":100,\"upstreams\":" + bound));
-        Config.Bad bad = assertThrows(Config.Bad.class, () -> Config.read(Map.of("ROUTER_CONFIG", file.toString())));
+        BalancerConfig.Bad bad = assertThrows(
+                BalancerConfig.Bad.class, () -> BalancerConfig.read(Map.of("ROUTER_CONFIG", file.toString())));
         Files.delete(file);
         assertEquals(
                 "limits: upstreams: a whole number of 1 or more is wanted: " + bound.replace("\"", ""),
--- a/balancer/src/test/java/loadbalancer/net/OperatorsTest.java
+++ b/balancer/src/test/java/loadbalancer/process/OperatorsTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -16,14 +16,14 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.discovery.Targets;
+import loadbalancer.discovery.EndpointList;
 import loadbalancer.policy.EndpointListKind;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Operators' calls, and what becomes of an upstream that they take out. */
-class OperatorsTest extends NodeFixture {
+class OperatorsTest extends BalancerFixture {
     private InetSocketAddress operators;
 
     private void startWithOperators() throws IOException, InterruptedException {
@@ -76,7 +76,7 @@
         call("set-down s1\n");
         assertEquals("OWN [s1=DRAINING]", module.next());
         call("set-down s1\n"); // once more: nothing changes
-        Targets again = Targets.of(
+        EndpointList again = EndpointList.of(
                 JSON.std.anyFrom(list(42, true, "in_service")),
                 config(1024, settings(), 0).boot());
         onLoop(() -> node.listed(EndpointListKind.COMPLETE, again));
@@ -98,7 +98,7 @@
     void anUpstreamThatIsOutStaysKnownWhileDiscoveryHasLostIt() throws IOException, InterruptedException {
         startWithOperators();
         call("set-down s1\n");
-        Targets gone = Targets.of(
+        EndpointList gone = EndpointList.of(
                 JSON.std.anyFrom("{\"rev\":42,\"all\":true,\"targets\":[]}"),
                 config(1024, settings(), 0).boot());
         onLoop(() -> node.listed(EndpointListKind.COMPLETE, gone));
@@ -129,8 +129,8 @@
 
     @Test
     void notReadyIsNoUntilTheRehearsalIsOver() throws IOException, InterruptedException {
-        Config config = config(1024, settings(), 0);
-        node = new Node(config, (s, seed) -> module, true, log::add);
+        BalancerConfig config = config(1024, settings(), 0);
+        node = new BalancerProcess(config, (s, seed) -> module, true, log::add);
         operators = node.listenForOperators();
         assertTrue(call("check\n").startsWith("NAK "));
         at = node.start();
@@ -151,16 +151,16 @@
                 "1",
                 "settings",
                 settings()));
-        assertNull(Config.of(Map.of(), json).admin());
+        assertNull(BalancerConfig.of(Map.of(), json).admin());
         json.put("admin_addr", "127.0.0.1:9600");
-        assertEquals(9600, Config.of(Map.of(), json).admin().getPort());
+        assertEquals(9600, BalancerConfig.of(Map.of(), json).admin().getPort());
         assertEquals(
                 9601,
-                Config.of(Map.of("ROUTER_ADMIN_ADDR", "127.0.0.1:9601"), json)
+                BalancerConfig.of(Map.of("ROUTER_ADMIN_ADDR", "127.0.0.1:9601"), json)
                         .admin()
                         .getPort());
         json.put("admin_addr", "somewhere");
-        Config.Bad bad = assertThrows(Config.Bad.class, () -> Config.of(Map.of(), json));
+        BalancerConfig.Bad bad = assertThrows(BalancerConfig.Bad.class, () -> BalancerConfig.of(Map.of(), json));
         assertTrue(bad.getMessage().startsWith("admin_addr: "), bad.getMessage());
     }
 }
--- a/balancer/src/test/java/loadbalancer/net/ReloadTest.java
+++ b/balancer/src/test/java/loadbalancer/process/ReloadTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Settings that change while the balancer serves. */
-class ReloadTest extends NodeFixture {
+class ReloadTest extends BalancerFixture {
     private static Map<String, Object> with(Map<String, Object> changes) {
         Map<String, Object> settings = settings();
         settings.putAll(changes);
--- a/balancer/src/test/java/loadbalancer/net/ShortOfDescriptorsTest.java
+++ b/balancer/src/test/java/loadbalancer/process/ShortOfDescriptorsTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -95,8 +95,8 @@
     }
 
     private void served() throws IOException, InterruptedException {
-        try (NodeFixture.Client client = new NodeFixture.Client(at)) {
-            client.send(NodeFixture.SAFE);
+        try (BalancerFixture.Client client = new BalancerFixture.Client(at)) {
+            client.send(BalancerFixture.SAFE);
             upstream.next().answer(200, "", "ok");
             assertEquals(200, client.status());
         }
@@ -109,12 +109,12 @@
             throws IOException, InterruptedException {
         start(128, membership);
         FakeUpstream.Got watch = discovery.next();
-        watch.raw(OPEN + NodeFixture.chunk("\n"));
+        watch.raw(OPEN + BalancerFixture.chunk("\n"));
         served();
-        List<NodeFixture.Client> crowd = new ArrayList<>();
+        List<BalancerFixture.Client> crowd = new ArrayList<>();
         try {
             for (int i = 0; i < 200; i++) {
-                NodeFixture.Client one = new NodeFixture.Client(at);
+                BalancerFixture.Client one = new BalancerFixture.Client(at);
                 crowd.add(one);
                 if (i < 30) {
                     one.send(ASK).status();
@@ -126,7 +126,7 @@
                 watch.reset(); // by discovery that is down: each call ends like that
                 watch = discovery.next();
             }
-            watch.raw(OPEN + NodeFixture.chunk("\n"));
+            watch.raw(OPEN + BalancerFixture.chunk("\n"));
             long held;
             try (Stream<Path> open = Files.list(Path.of("/proc", String.valueOf(process.pid()), "fd"))) {
                 held = open.count();
@@ -138,7 +138,7 @@
             nextWith("configuration taken over");
             served();
         } finally {
-            for (NodeFixture.Client one : crowd) {
+            for (BalancerFixture.Client one : crowd) {
                 one.close();
             }
         }
@@ -152,22 +152,22 @@
         start(256, membership);
         discovery.next().socket().close(); // all that a failure needs has been loaded
         FakeUpstream.Got watch = discovery.next();
-        watch.raw(OPEN + NodeFixture.chunk("\n"));
-        try (NodeFixture.Client client = new NodeFixture.Client(at)) {
-            client.send(NodeFixture.SAFE);
+        watch.raw(OPEN + BalancerFixture.chunk("\n"));
+        try (BalancerFixture.Client client = new BalancerFixture.Client(at)) {
+            client.send(BalancerFixture.SAFE);
             FakeUpstream.Got got = upstream.next();
             got.answer(200, "Connection: close\r\n", "ok");
             assertEquals(200, client.status());
             run("prlimit", "--pid", String.valueOf(process.pid()), "--nofile=1:256");
             watch.socket().close();
             for (int i = 0; i < 200; i++) { // more tries than the balancer may have descriptors
-                client.send(NodeFixture.SAFE);
+                client.send(BalancerFixture.SAFE);
                 int status = client.status();
                 assertTrue(status == 503 || status == 502, "status " + status);
             }
             run("prlimit", "--pid", String.valueOf(process.pid()), "--nofile=256:256");
-            discovery.next().raw(OPEN + NodeFixture.chunk("\n"));
-            client.send(NodeFixture.SAFE);
+            discovery.next().raw(OPEN + BalancerFixture.chunk("\n"));
+            client.send(BalancerFixture.SAFE);
             upstream.next().answer(200, "", "ok");
             assertEquals(200, client.status());
         }
--- a/balancer/src/test/java/loadbalancer/net/TimeLeftTest.java
+++ b/balancer/src/test/java/loadbalancer/process/TimeLeftTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What an attempt tells its upstream is at most what is left to the client, however busy the loop was. */
-class TimeLeftTest extends NodeFixture {
+class TimeLeftTest extends BalancerFixture {
     private static final long BUSY_NS = 400_000_000;
     private static final int BUSY_MS = 400;
     private static final int TIME_MS = 20_000; // as the request says
--- a/balancer/src/test/java/loadbalancer/net/AnswerReaderTest.java
+++ b/balancer/src/test/java/loadbalancer/upstream/ResponseReaderTest.java
@@ -1,16 +1,18 @@
-package loadbalancer.net;
+package loadbalancer.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
+import loadbalancer.process.BalancerFixture;
+import loadbalancer.process.FakeUpstream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What upstreams may answer, spoilt or with more than belongs to it. */
-class AnswerReaderTest extends NodeFixture {
+class ResponseReaderTest extends BalancerFixture {
     /** The request has run, perhaps; the client gets a failure, and the connection is of no further use. */
     @ParameterizedTest
     @ValueSource(
--- a/balancer/src/test/java/loadbalancer/net/UpstreamsTest.java
+++ b/balancer/src/test/java/loadbalancer/upstream/UpstreamConnectionPoolTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.net;
+package loadbalancer.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -18,11 +18,13 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.process.BalancerFixture;
+import loadbalancer.process.FakeUpstream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 /** Connections to upstreams: their rest, their drains and their probes. */
-class UpstreamsTest extends NodeFixture {
+class UpstreamConnectionPoolTest extends BalancerFixture {
     private final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
 
     @Test
--- a/balancer/src/test/java/loadbalancer/wire/AdapterTest.java
+++ b/balancer/src/test/java/loadbalancer/wire/AdapterTest.java
@@ -11,7 +11,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.policy.Balance;
+import loadbalancer.policy.JsqDasPolicy;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -52,7 +52,7 @@
 
     private static String run(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Adapter(Balance::new, new BufferedReader(new StringReader(input)), out).run();
+        new Adapter(JsqDasPolicy::new, new BufferedReader(new StringReader(input)), out).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
--- a/bench/src/main/java/loadbalancer/bench/FrontBench.java
+++ b/bench/src/main/java/loadbalancer/bench/FrontBench.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.front.Front;
-import loadbalancer.front.FrontPlan;
 import loadbalancer.limits.ConcurrencyLimit;
 import loadbalancer.limits.TokenTree;
+import loadbalancer.router.RequestRouter;
+import loadbalancer.router.RoutingConfig;
 import loadbalancer.routes.PathTemplate;
 import loadbalancer.routes.Route;
 import org.openjdk.jmh.annotations.Benchmark;
@@ -37,7 +37,7 @@
     @Param({"10", "100", "1000", "10000"})
     private int routes;
 
-    private Front front;
+    private RequestRouter front;
     private String[] uris;
     private Route.Request[] requests;
     private int next;
@@ -46,32 +46,32 @@
     /** A table of paths of three segments, a third with a place, every tenth with a second route by a header. */
     @Setup
     public void make() {
-        List<FrontPlan.RoutePlan> all = new ArrayList<>();
+        List<RoutingConfig.RoutePlan> all = new ArrayList<>();
         for (int i = 0; i < routes; i++) {
             String path = "/service" + i % 97 + "/part" + i + (i % 3 == 0 ? "/{key}" : "/seats");
             Map<String, String> headers = i % 10 == 9 ? Map.of("x-channel", "counter") : Map.of();
             Route match = new Route("r" + i, PathTemplate.of(path), Set.of("GET"), headers, Set.of(), Set.of(), i);
-            all.add(new FrontPlan.RoutePlan(
+            all.add(new RoutingConfig.RoutePlan(
                     match,
                     List.of(
-                            new FrontPlan.Way("a", 9, List.of()),
-                            new FrontPlan.Way("b", 1, List.of(new FrontPlan.Spill("a", 1)))),
+                            new RoutingConfig.Way("a", 9, List.of()),
+                            new RoutingConfig.Way("b", 1, List.of(new RoutingConfig.Spill("a", 1)))),
                     1.2,
                     0.05,
-                    new FrontPlan.Retries(0.2, 1, 10_000_000, true),
+                    new RoutingConfig.Retries(0.2, 1, 10_000_000, true),
                     null,
                     0));
         }
         ConcurrencyLimit.Plan limit = new ConcurrencyLimit.Plan(ConcurrencyLimit.Kind.GRADIENT, 100, 10, 1000);
         TokenTree.Rate much = new TokenTree.Rate(1e9, 1e6, 1e9);
-        front = new Front(new FrontPlan(
-                List.of(new FrontPlan.PoolPlan("a", limit, 10), new FrontPlan.PoolPlan("b", limit, 10)),
+        front = new RequestRouter(new RoutingConfig(
+                List.of(new RoutingConfig.PoolPlan("a", limit, 10), new RoutingConfig.PoolPlan("b", limit, 10)),
                 all,
                 "a",
-                new FrontPlan.Quotas(much, Map.of("t1", new FrontPlan.TenantQuota(much, Map.of())), much),
+                new RoutingConfig.Quotas(much, Map.of("t1", new RoutingConfig.TenantQuota(much, Map.of())), much),
                 3,
                 0.1,
-                new FrontPlan.Advice(100_000, 1_500_000)));
+                new RoutingConfig.Advice(100_000, 1_500_000)));
         front.listed(0, "a", 10);
         front.listed(0, "b", 10);
         uris = new String[PATHS];
@@ -92,13 +92,14 @@
 
     /** The path split, the route found, all limits passed, and the request ended. */
     @Benchmark
-    public Front.Verdict wholeWay() {
+    public RequestRouter.RoutingDecision wholeWay() {
         next = (next + 1) % PATHS;
         now += 100;
         Route.Request request = new Route.Request("GET", PathTemplate.split(uris[next]), Map.of(), "t1", "lookup");
-        Front.Verdict v = front.arrive(now, new Front.Arrival(request, uris[next], 1, false, 0.5));
+        RequestRouter.RoutingDecision v =
+                front.arrive(now, new RequestRouter.Arrival(request, uris[next], 1, false, 0.5));
         if (v.ticket() != null) {
-            front.ended(now + 50, v.ticket(), Front.End.SERVED);
+            front.ended(now + 50, v.ticket(), RequestRouter.End.SERVED);
         }
         return v;
     }
--- a/core/src/main/java/loadbalancer/policy/Admission.java
+++ b/core/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -20,7 +20,7 @@
  *
  * <p>Source: B. Beyer et al., Site Reliability Engineering, chapter 21 (client-side throttling).
  */
-final class Admission {
+final class AdmissionController {
     private static final double WINDOW = 1e6; // µs, time constant of all counts
     private static final double WINDOW_MOST = 8e6; // the same where traffic is thin
     private static final double WINDOW_ARRIVALS = 8; // that a window holds at least, if it may be as long
@@ -53,7 +53,7 @@
      *
      * @param ordinary the least value of a request within its tenant's share
      */
-    Admission(double[] tierValues, double ordinary, SplittableRandom random) {
+    AdmissionController(double[] tierValues, double ordinary, SplittableRandom random) {
         this.arrivals = new double[tierValues.length];
         this.random = random;
         value(tierValues, ordinary);
--- a/core/src/main/java/loadbalancer/policy/Balance.java
+++ b/core/src/main/java/loadbalancer/policy/JsqDasPolicy.java
@@ -24,7 +24,7 @@
  * {@link #draw}. All else says which servers are candidates for it (the exceptions), when a request is sent,
  * held, sent again or given up, and keeps the books. docs/design.md has a paragraph on each exception.
  */
-public final class Balance implements Policy {
+public final class JsqDasPolicy implements LoadBalancingPolicy {
     // Mechanism. D, A: the paper's defaults. Counts fade so that a slowed server loses its rank in seconds.
     private static final int D = 4;
     private static final int A = 2;
@@ -108,7 +108,7 @@
     private int inFlight;
     private double[] tiers; // the distinct worths of requests, ascending
     private double hedgeLevel; // above it requests within their share are refused
-    private final Admission admission;
+    private final AdmissionController admission;
     private double turnedAway; // faded attempts that no server took
     private double arrivals;
     private double retryBudget = BUDGET_MOST;
@@ -118,18 +118,18 @@
     private double warmRate; // answers per second and weight of warm servers
     private long refreshAt;
     private long wakeAt = Long.MAX_VALUE;
-    private final AskSchedule asking;
+    private final PollSchedule asking;
     private long remarkAt;
 
-    public Balance(PolicySettings settings, long seed) {
+    public JsqDasPolicy(PolicySettings settings, long seed) {
         this.random = new SplittableRandom(seed);
         this.advice = new SplittableRandom(~seed);
-        this.asking = new AskSchedule(random);
+        this.asking = new PollSchedule(random);
         configure(settings);
         this.usual = freshUsual();
         this.meanWork = new double[usual.length];
         this.shortestUsual = Arrays.stream(usual).min().getAsDouble();
-        this.admission = new Admission(tiers, leastInShare(), random);
+        this.admission = new AdmissionController(tiers, leastInShare(), random);
         this.shareTokens = new double[settings.tenants().size()];
         this.brought = new double[Math.max(1, settings.tenants().size())];
         this.shareAt = new long[settings.tenants().size()];
--- a/core/src/main/java/loadbalancer/policy/Policy.java
+++ b/core/src/main/java/loadbalancer/policy/LoadBalancingPolicy.java
@@ -14,7 +14,7 @@
  * first event is {@link #servers} with {@link EndpointListKind#PERSISTED}. Events about requests, attempts or servers
  * that the module no longer holds are legal and passed over.
  */
-public interface Policy {
+public interface LoadBalancingPolicy {
 
     /** News of the list of servers; {@code servers} is empty for {@link EndpointListKind#FAILED}. */
     void servers(long now, EndpointListKind kind, List<Endpoint> servers, Actions out);
@@ -121,7 +121,7 @@
         /** Send at most 256 bytes to the balancer of that number, or to all where {@code peer} is -1. */
         void tell(int peer, byte[] data);
 
-        /** Call {@link Policy#wake} once after {@code delay}. */
+        /** Call {@link LoadBalancingPolicy#wake} once after {@code delay}. */
         void wakeAfter(long delay);
 
         /** A line for the operators. */
--- a/core/src/main/java/loadbalancer/policy/AskSchedule.java
+++ b/core/src/main/java/loadbalancer/policy/PollSchedule.java
@@ -3,7 +3,7 @@
 import java.util.SplittableRandom;
 
 /** When a balancer subscribes to discovery again: after calls that failed, and where nothing answers. Times in µs. */
-final class AskSchedule {
+final class PollSchedule {
     // After a call that failed, by half as much more or less: a change counts as told 6 s after discovery can be
     // reached again. Two pauses fit in, and between them a call that fails by waiting for 2 s.
     private static final long PAUSE_MOST = 1_300_000;
@@ -14,7 +14,7 @@
     private long dueAt = Long.MAX_VALUE;
     private int failures;
 
-    AskSchedule(SplittableRandom random) {
+    PollSchedule(SplittableRandom random) {
         this.random = random;
     }
 
--- a/core/src/main/java/loadbalancer/front/Front.java
+++ b/core/src/main/java/loadbalancer/router/RequestRouter.java
@@ -1,4 +1,4 @@
-package loadbalancer.front;
+package loadbalancer.router;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -26,7 +26,7 @@
  *
  * <p>Pure; times are the caller's, in µs, and may stand still. Not thread-safe.
  */
-public final class Front {
+public final class RequestRouter {
     /** What becomes of a request. */
     public enum Answer {
         TAKEN,
@@ -69,17 +69,17 @@
     public record Arrival(Route.Request request, String key, double rank, boolean again, double u) {}
 
     /** The word on a request; {@code ticket} only where it was taken, {@code retryAfter} in µs, 0 for no advice. */
-    public record Verdict(Answer answer, Reason reason, Ticket ticket, long retryAfter) {}
+    public record RoutingDecision(Answer answer, Reason reason, RouteLease ticket, long retryAfter) {}
 
     /** What a taken request holds until it ends. */
-    public static final class Ticket {
+    public static final class RouteLease {
         private final RouteState route;
         private final PoolState pool;
         private final long at;
         private final int open;
         private boolean over;
 
-        private Ticket(RouteState route, PoolState pool, long at, int open) {
+        private RouteLease(RouteState route, PoolState pool, long at, int open) {
             this.route = route;
             this.pool = pool;
             this.at = at;
@@ -103,12 +103,12 @@
     }
 
     private static final class PoolState {
-        private FrontPlan.PoolPlan plan;
+        private RoutingConfig.PoolPlan plan;
         private PoolHealth health;
         private ConcurrencyLimit limit;
         private int open;
 
-        PoolState(FrontPlan.PoolPlan plan) {
+        PoolState(RoutingConfig.PoolPlan plan) {
             this.plan = plan;
             this.health = new PoolHealth(plan.fullStrength());
             this.limit = plan.limit() == null ? null : plan.limit().make();
@@ -148,13 +148,13 @@
     }
 
     private static final class RouteState {
-        private final FrontPlan.RoutePlan plan;
+        private final RoutingConfig.RoutePlan plan;
         private final Split split;
         private final List<WayState> ways = new ArrayList<>();
         private final RetryBudget budget;
         private final TokenTree rate;
 
-        RouteState(FrontPlan.RoutePlan plan, Split split, RetryBudget budget, TokenTree rate) {
+        RouteState(RoutingConfig.RoutePlan plan, Split split, RetryBudget budget, TokenTree rate) {
             this.plan = plan;
             this.split = split;
             this.budget = budget;
@@ -166,20 +166,20 @@
     private static final String SITE = ""; // no tenant or route has an empty name
     private static final String OTHERS = "/";
 
-    private final FrontPlan plan;
+    private final RoutingConfig plan;
     private final RouteTable table;
     private final Map<String, PoolState> pools = new LinkedHashMap<>();
     private final Map<Route, RouteState> routes = new IdentityHashMap<>();
     private final TokenTree quotas;
 
     /** A front by that plan, which knows nothing of what went before. */
-    public Front(FrontPlan plan) {
+    public RequestRouter(RoutingConfig plan) {
         this.plan = plan;
-        for (FrontPlan.PoolPlan p : plan.pools()) {
+        for (RoutingConfig.PoolPlan p : plan.pools()) {
             pools.put(p.name(), new PoolState(p));
         }
         List<Route> all = new ArrayList<>();
-        for (FrontPlan.RoutePlan r : plan.routes()) {
+        for (RoutingConfig.RoutePlan r : plan.routes()) {
             all.add(r.match());
             routes.put(r.match(), route(r));
         }
@@ -187,19 +187,19 @@
         quotas = quotas();
     }
 
-    private RouteState route(FrontPlan.RoutePlan r) {
-        FrontPlan.Retries retries = r.retries();
+    private RouteState route(RoutingConfig.RoutePlan r) {
+        RoutingConfig.Retries retries = r.retries();
         RouteState state = new RouteState(
                 r,
                 new Split(
-                        r.ways().stream().map(FrontPlan.Way::pool).toArray(String[]::new),
-                        r.ways().stream().mapToDouble(FrontPlan.Way::weight).toArray()),
+                        r.ways().stream().map(RoutingConfig.Way::pool).toArray(String[]::new),
+                        r.ways().stream().mapToDouble(RoutingConfig.Way::weight).toArray()),
                 retries == null
                         ? null
                         : new RetryBudget(
                                 retries.share(), retries.leastPerSecond() / plan.instances(), retries.window()),
                 r.rate() == null ? null : new TokenTree(SITE, own(r.rate())));
-        for (FrontPlan.Way w : r.ways()) {
+        for (RoutingConfig.Way w : r.ways()) {
             double[] most = new double[1 + w.spills().size()];
             most[0] = 1;
             for (int i = 1; i < most.length; i++) {
@@ -214,7 +214,7 @@
     }
 
     private TokenTree quotas() {
-        FrontPlan.Quotas q = plan.quotas();
+        RoutingConfig.Quotas q = plan.quotas();
         if (q.site() == null) {
             return null;
         }
@@ -236,7 +236,7 @@
     }
 
     /** What it goes by. */
-    public FrontPlan plan() {
+    public RoutingConfig plan() {
         return plan;
     }
 
@@ -249,7 +249,7 @@
      * Goes on from another front: pools, rates, budgets and shares keep what they had by name. Requests that the other
      * took end here as well as there. The other must not be asked any more.
      */
-    public void resume(Front former) {
+    public void resume(RequestRouter former) {
         for (Map.Entry<String, PoolState> e : former.pools.entrySet()) {
             PoolState now = pools.get(e.getKey());
             if (now != null) {
@@ -308,14 +308,14 @@
     }
 
     /** A request has come. */
-    public Verdict arrive(long now, Arrival a) {
+    public RoutingDecision arrive(long now, Arrival a) {
         if (a.request.path() == null) {
-            return new Verdict(Answer.BAD_PATH, Reason.BAD_PATH, null, 0);
+            return new RoutingDecision(Answer.BAD_PATH, Reason.BAD_PATH, null, 0);
         }
         Route found = table.find(a.request);
         RouteState route = found == null ? null : routes.get(found);
         if (route == null && plan.unmatched() == null) {
-            return new Verdict(Answer.NOT_FOUND, Reason.NO_ROUTE, null, 0);
+            return new RoutingDecision(Answer.NOT_FOUND, Reason.NO_ROUTE, null, 0);
         }
         double kept = plan.reserve() * (1 - a.rank);
         if (route != null) {
@@ -345,19 +345,19 @@
             return refused(Reason.POOL_LIMIT, plan.retryAfter().least(), a.u);
         }
         pool.open++;
-        return new Verdict(Answer.TAKEN, Reason.NONE, new Ticket(route, pool, now, pool.open), 0);
+        return new RoutingDecision(Answer.TAKEN, Reason.NONE, new RouteLease(route, pool, now, pool.open), 0);
     }
 
     // Some advice is better than none where a wait is not known; spread, or all come back at one instant.
-    private Verdict refused(Reason reason, long wait, double u) {
-        FrontPlan.Advice bounds = plan.retryAfter();
+    private RoutingDecision refused(Reason reason, long wait, double u) {
+        RoutingConfig.Advice bounds = plan.retryAfter();
         long most = bounds.most();
         long advice = most == 0
                 ? 0
                 : Math.max(
                         bounds.least(),
                         Math.min(most, wait > most ? most : (long) (wait + u * Math.max(bounds.least(), wait))));
-        return new Verdict(Answer.REFUSED, reason, null, advice);
+        return new RoutingDecision(Answer.REFUSED, reason, null, advice);
     }
 
     /** The limit that a tenant's request on a route counts at; null where there is none. */
@@ -406,12 +406,12 @@
     }
 
     /** Whether a taken request may be tried once more by its pool; counts it where so. */
-    public boolean mayTryAgain(long now, Ticket t) {
+    public boolean mayTryAgain(long now, RouteLease t) {
         return t.route == null || t.route.budget == null || t.route.budget.withdraw(now);
     }
 
     /** A taken request has ended; each ends once, what is told again is passed over. */
-    public void ended(long now, Ticket t, End end) {
+    public void ended(long now, RouteLease t, End end) {
         if (t.over) {
             return;
         }
--- a/core/src/main/java/loadbalancer/front/FrontPlan.java
+++ b/core/src/main/java/loadbalancer/router/RoutingConfig.java
@@ -1,4 +1,4 @@
-package loadbalancer.front;
+package loadbalancer.router;
 
 import java.util.HashSet;
 import java.util.List;
@@ -16,7 +16,7 @@
  * @param reserve share of a limit that is kept for the requests worth most, from 0 to under 1
  * @param retryAfter bounds of the advice that goes with a refusal
  */
-public record FrontPlan(
+public record RoutingConfig(
         List<PoolPlan> pools,
         List<RoutePlan> routes,
         String unmatched,
@@ -96,7 +96,7 @@
         }
     }
 
-    public FrontPlan {
+    public RoutingConfig {
         pools = List.copyOf(pools);
         routes = List.copyOf(routes);
         Set<String> names = new HashSet<>();
--- a/core/src/main/java/loadbalancer/front/package-info.java
+++ b/core/src/main/java/loadbalancer/router/package-info.java
@@ -3,4 +3,4 @@
  * {@code routes} and {@code limits} into one pure module; which upstream of a pool, whether again, and what of a pool
  * is refused stays with each pool's decision module.
  */
-package loadbalancer.front;
+package loadbalancer.router;
--- a/core/src/main/java/loadbalancer/staleness/Staleness.java
+++ b/core/src/main/java/loadbalancer/staleness/ListStaleness.java
@@ -7,7 +7,7 @@
  *
  * <p>Pure: the caller brings the time. All times are in µs.
  */
-public final class Staleness {
+public final class ListStaleness {
     /** Between the empty lines of a watch on which nothing changes (the protocol page). */
     private static final long BEAT = 2_000_000;
     /** From the silence of a watch on: what it misses then counts as told (the standing terms). */
@@ -28,7 +28,7 @@
      * @param grace how long after a drain was told requests may still be sent
      * @param askWithin for how long the list of a balancer without a watch holds
      */
-    public Staleness(boolean pushed, long grace, long askWithin) {
+    public ListStaleness(boolean pushed, long grace, long askWithin) {
         this.pushed = pushed;
         limits(grace, askWithin);
     }
--- a/core/src/test/java/loadbalancer/policy/AdmissionTest.java
+++ b/core/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class AdmissionTest {
+class AdmissionControllerTest {
     private static final long STEP = 10_000; // µs
     private static final double AIM = 200_000; // µs
     private static final double[] ONE_TIER = {1};
@@ -23,7 +23,7 @@
 
         private static final long PATIENCE = 1_000_000;
         private final SplittableRandom random = new SplittableRandom(7);
-        private final List<Admission> balancers = new ArrayList<>();
+        private final List<AdmissionController> balancers = new ArrayList<>();
         private final ArrayDeque<Job> queue = new ArrayDeque<>();
         private final double[] perStep; // arrivals of each balancer
         private final double[] rate;
@@ -37,7 +37,7 @@
             perStep = new double[size];
             rate = new double[size];
             for (int i = 0; i < size; i++) {
-                balancers.add(new Admission(ONE_TIER, 1, random.split()));
+                balancers.add(new AdmissionController(ONE_TIER, 1, random.split()));
                 double part = 1 + spread * (2.0 * i / Math.max(1, size - 1) - 1);
                 rate[i] = part * perSecond / size;
                 perStep[i] = rate[i] * STEP / 1e6;
@@ -109,7 +109,7 @@
 
     @Test
     void aBurstFromRestIsAdmittedWhileItsAnswersCanNotBeThereYet() {
-        Admission admission = new Admission(ONE_TIER, 1, new SplittableRandom(1));
+        AdmissionController admission = new AdmissionController(ONE_TIER, 1, new SplittableRandom(1));
         admission.update(60_000_000, 0.1, 0);
         for (int pending = 1; pending <= 20; pending++) {
             assertTrue(admission.admits(0));
@@ -120,7 +120,7 @@
 
     @Test
     void failuresOfOtherKindsAreNoOverload() {
-        Admission admission = new Admission(ONE_TIER, 1, new SplittableRandom(1));
+        AdmissionController admission = new AdmissionController(ONE_TIER, 1, new SplittableRandom(1));
         for (int i = 0; i < 200; i++) {
             assertTrue(admission.admits(0));
             admission.completed();
@@ -130,7 +130,7 @@
 
     @Test
     void whatIsWorthLeastIsRefusedFirst() {
-        Admission admission = new Admission(new double[] {0.5, 1}, 0.5, new SplittableRandom(1));
+        AdmissionController admission = new AdmissionController(new double[] {0.5, 1}, 0.5, new SplittableRandom(1));
         for (int i = 0; i < 400; i++) { // half of each tier, and three quarters can be served
             admission.admits(i % 2);
             if (i % 4 != 3) {
@@ -145,14 +145,14 @@
     @Test
     void theSuccessorGoesOnAtTheSameLevelUnlessTheTiersDiffer() {
         double[] tiers = {0.1, 1};
-        Admission former = new Admission(tiers, 1, new SplittableRandom(1));
+        AdmissionController former = new AdmissionController(tiers, 1, new SplittableRandom(1));
         former.admits(1);
         former.overloaded();
         former.update(10_000, 1, 0);
-        Admission next = new Admission(tiers, 1, new SplittableRandom(2));
+        AdmissionController next = new AdmissionController(tiers, 1, new SplittableRandom(2));
         next.resume(former.learnt());
         assertArrayEquals(former.learnt(), next.learnt());
-        Admission other = new Admission(ONE_TIER, 1, new SplittableRandom(2));
+        AdmissionController other = new AdmissionController(ONE_TIER, 1, new SplittableRandom(2));
         double[] before = other.learnt();
         other.resume(former.learnt());
         assertArrayEquals(before, other.learnt());
@@ -160,7 +160,7 @@
 
     @Test
     void otherTiersKeepTheSumOfArrivals() {
-        Admission admission = new Admission(ONE_TIER, 1, new SplittableRandom(1));
+        AdmissionController admission = new AdmissionController(ONE_TIER, 1, new SplittableRandom(1));
         for (int i = 0; i < 6; i++) {
             admission.admits(0);
         }
--- a/core/src/test/java/loadbalancer/policy/Example.java
+++ b/core/src/test/java/loadbalancer/policy/Example.java
@@ -26,8 +26,8 @@
                 new SiteLimits(3, true, true, false, 250_000, 0),
                 new SafetyBounds(20_000, 1_000_000, 0, 0.2, 20_000_000, 2.5, 1_500_000, 100_000),
                 1_000);
-        Policy policy = new Balance(settings, 42);
-        Policy.Actions actions = new Sink(done);
+        LoadBalancingPolicy policy = new JsqDasPolicy(settings, 42);
+        LoadBalancingPolicy.Actions actions = new Sink(done);
 
         long now = 0;
         policy.servers(
@@ -43,7 +43,7 @@
     }
 
     /** Carries out what the module asks for; here it only writes sends down. */
-    private record Sink(List<String> done) implements Policy.Actions {
+    private record Sink(List<String> done) implements LoadBalancingPolicy.Actions {
         @Override
         public void send(String request, String server, long timeout) {
             done.add("send " + request + " to " + server);
--- a/core/src/test/java/loadbalancer/policy/Harness.java
+++ b/core/src/test/java/loadbalancer/policy/Harness.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** Drives one module by hand and writes down what it asks for. */
-final class Harness implements Policy.Actions {
+final class Harness implements LoadBalancingPolicy.Actions {
     static final long START = 1_000_000_000L;
     static final long AIM = 600_000;
     static final long DEADLINE = 3_000_000;
@@ -30,7 +30,7 @@
         }
     }
 
-    final Policy policy;
+    final LoadBalancingPolicy policy;
     final List<Sent> sends = new ArrayList<>();
     final Map<String, Integer> attempts = new LinkedHashMap<>();
     final Map<String, String> finals = new LinkedHashMap<>();
@@ -43,7 +43,7 @@
     double reported = Double.NaN; // in-flight figure that outcomes carry, if any
 
     Harness(PolicySettings settings, long seed) {
-        policy = new Balance(settings, seed);
+        policy = new JsqDasPolicy(settings, seed);
     }
 
     static RequestClass kind(Idempotency effect, KeyScope scope) {
--- a/core/src/test/java/loadbalancer/policy/LibraryTest.java
+++ b/core/src/test/java/loadbalancer/policy/LibraryTest.java
@@ -157,7 +157,7 @@
 
     @Test
     void theReadmeQuotesLogLinesThatTheModuleWrites() throws IOException {
-        String rules = Files.readString(Path.of("src/main/java/loadbalancer/policy/Balance.java"));
+        String rules = Files.readString(Path.of("src/main/java/loadbalancer/policy/JsqDasPolicy.java"));
         String page = Files.readString(Path.of("../README.md"));
         for (String line : List.of(
                 "overload: refusing, level ",
--- a/core/src/test/java/loadbalancer/policy/PolicyPackagesTest.java
+++ b/core/src/test/java/loadbalancer/policy/PolicyPackagesTest.java
@@ -34,7 +34,7 @@
     void allThatTheBalancersDecisionsRestOnLiesInThePackagesOfTheDeployFile() throws IOException {
         Set<String> named = namedPackages();
         Set<String> outside = new TreeSet<>();
-        for (JavaClass decides : reachableFrom(CORE.get(Balance.class))) {
+        for (JavaClass decides : reachableFrom(CORE.get(JsqDasPolicy.class))) {
             if (!named.contains(decides.getPackageName())) {
                 outside.add(decides.getName());
             }
--- a/core/src/test/java/loadbalancer/policy/AskAgainTest.java
+++ b/core/src/test/java/loadbalancer/policy/PollScheduleTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** When discovery is asked again after calls that failed: by the standing terms, however often it has failed. */
-class AskAgainTest {
+class PollScheduleTest {
     private static final long TOLD = 6_000_000; // after discovery can be reached again
     private static final long WAITING = 2_000_000; // that a call takes which fails by waiting
     private static final long TRY = 2_750_000; // what Staleness leaves for a failed try when a watch falls silent
--- a/core/src/test/java/loadbalancer/policy/PurityTest.java
+++ b/core/src/test/java/loadbalancer/policy/PurityTest.java
@@ -67,7 +67,7 @@
                 .should()
                 .notDependOnEachOther()
                 .ignoreDependency(
-                        resideInAPackage("loadbalancer.front"),
+                        resideInAPackage("loadbalancer.router"),
                         resideInAnyPackage("loadbalancer.routes", "loadbalancer.limits"))
                 .check(CORE);
     }
--- a/core/src/test/java/loadbalancer/front/FrontTest.java
+++ b/core/src/test/java/loadbalancer/router/RequestRouterTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.front;
+package loadbalancer.router;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -12,22 +12,22 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import loadbalancer.front.Front.Answer;
-import loadbalancer.front.Front.Arrival;
-import loadbalancer.front.Front.End;
-import loadbalancer.front.Front.Reason;
-import loadbalancer.front.Front.Ticket;
-import loadbalancer.front.Front.Verdict;
-import loadbalancer.front.FrontPlan.Advice;
-import loadbalancer.front.FrontPlan.PoolPlan;
-import loadbalancer.front.FrontPlan.Quotas;
-import loadbalancer.front.FrontPlan.Retries;
-import loadbalancer.front.FrontPlan.RoutePlan;
-import loadbalancer.front.FrontPlan.Spill;
-import loadbalancer.front.FrontPlan.TenantQuota;
-import loadbalancer.front.FrontPlan.Way;
 import loadbalancer.limits.ConcurrencyLimit;
 import loadbalancer.limits.TokenTree.Rate;
+import loadbalancer.router.RequestRouter.Answer;
+import loadbalancer.router.RequestRouter.Arrival;
+import loadbalancer.router.RequestRouter.End;
+import loadbalancer.router.RequestRouter.Reason;
+import loadbalancer.router.RequestRouter.RouteLease;
+import loadbalancer.router.RequestRouter.RoutingDecision;
+import loadbalancer.router.RoutingConfig.Advice;
+import loadbalancer.router.RoutingConfig.PoolPlan;
+import loadbalancer.router.RoutingConfig.Quotas;
+import loadbalancer.router.RoutingConfig.Retries;
+import loadbalancer.router.RoutingConfig.RoutePlan;
+import loadbalancer.router.RoutingConfig.Spill;
+import loadbalancer.router.RoutingConfig.TenantQuota;
+import loadbalancer.router.RoutingConfig.Way;
 import loadbalancer.routes.PathTemplate;
 import loadbalancer.routes.Route;
 import net.jqwik.api.ForAll;
@@ -35,7 +35,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-class FrontTest {
+class RequestRouterTest {
     private static final long SECOND = 1_000_000;
     private static final Advice ADVICE = new Advice(100_000, 1_500_000);
 
@@ -55,8 +55,8 @@
         return new PoolPlan(name, null, 0);
     }
 
-    private static FrontPlan plan(List<PoolPlan> pools, List<RoutePlan> routes, Quotas quotas, int instances) {
-        return new FrontPlan(pools, routes, null, quotas, instances, 0.2, ADVICE);
+    private static RoutingConfig plan(List<PoolPlan> pools, List<RoutePlan> routes, Quotas quotas, int instances) {
+        return new RoutingConfig(pools, routes, null, quotas, instances, 0.2, ADVICE);
     }
 
     private static Arrival get(String path, String key, String tenant) {
@@ -66,16 +66,19 @@
 
     @Test
     void whatCantBeRoutedIsSaidAtOnce() {
-        FrontPlan strict = plan(List.of(pool("a")), List.of(route("r", "/api/{key}", way("a", 1))), Quotas.none(), 1);
-        Front front = new Front(strict);
+        RoutingConfig strict =
+                plan(List.of(pool("a")), List.of(route("r", "/api/{key}", way("a", 1))), Quotas.none(), 1);
+        RequestRouter front = new RequestRouter(strict);
         assertEquals(
                 Answer.BAD_PATH, front.arrive(0, get("/api/../x", "k", null)).answer());
         assertEquals(Answer.NOT_FOUND, front.arrive(0, get("/other", "k", null)).answer());
         assertEquals(Answer.NOT_FOUND, front.arrive(0, get("/api//", "k", null)).answer(), "doubled slashes are two");
         assertEquals("a", front.arrive(0, get("/api/a%2Fb", "k", null)).ticket().pool(), "an encoded slash is none");
-        FrontPlan lenient = new FrontPlan(strict.pools(), strict.routes(), "a", Quotas.none(), 1, 0, ADVICE);
-        assertNull(
-                new Front(lenient).arrive(0, get("/other", "k", null)).ticket().route());
+        RoutingConfig lenient = new RoutingConfig(strict.pools(), strict.routes(), "a", Quotas.none(), 1, 0, ADVICE);
+        assertNull(new RequestRouter(lenient)
+                .arrive(0, get("/other", "k", null))
+                .ticket()
+                .route());
         assertThrows(
                 IllegalArgumentException.class,
                 () -> plan(List.of(pool("a")), List.of(route("r", "/x", way("agnets", 1))), Quotas.none(), 1));
@@ -83,12 +86,12 @@
 
     @Test
     void allWeightsNothingAndALimitOfNothingRefuse() {
-        Front front = new Front(plan(
+        RequestRouter front = new RequestRouter(plan(
                 List.of(pool("a"), pool("b"), new PoolPlan("shut", ConcurrencyLimit.Plan.fixed(0), 0)),
                 List.of(route("none", "/n", way("a", 0), way("b", 0)), route("shut", "/s", way("shut", 1))),
                 Quotas.none(),
                 1));
-        Verdict none = front.arrive(0, get("/n", "k", null));
+        RoutingDecision none = front.arrive(0, get("/n", "k", null));
         assertEquals(Reason.NO_POOL, none.reason());
         assertTrue(none.retryAfter() >= ADVICE.least() && none.retryAfter() <= ADVICE.most());
         assertEquals(Reason.POOL_LIMIT, front.arrive(0, get("/s", "k", null)).reason());
@@ -96,7 +99,7 @@
 
     @Test
     void theCheapestIsRefusedFirstAtAPoolsLimit() {
-        Front front = new Front(plan(
+        RequestRouter front = new RequestRouter(plan(
                 List.of(new PoolPlan("a", ConcurrencyLimit.Plan.fixed(10), 0)),
                 List.of(route("r", "/x", way("a", 1))),
                 Quotas.none(),
@@ -107,8 +110,9 @@
             cheap++;
         }
         assertEquals(8, cheap, "a fifth is kept for those worth more");
-        List<Ticket> dear = new ArrayList<>();
-        for (Ticket t = front.arrive(0, new Arrival(request, "k", 1, false, 0)).ticket();
+        List<RouteLease> dear = new ArrayList<>();
+        for (RouteLease t =
+                        front.arrive(0, new Arrival(request, "k", 1, false, 0)).ticket();
                 t != null;
                 t = front.arrive(0, new Arrival(request, "k", 1, false, 0)).ticket()) {
             dear.add(t);
@@ -125,7 +129,7 @@
                 new Rate(100, 10, 100),
                 Map.of("known", new TenantQuota(new Rate(50, 5, 50), Map.of("r", new Rate(10, 1, 10)))),
                 new Rate(5, 5, 5));
-        Front front = new Front(plan(
+        RequestRouter front = new RequestRouter(plan(
                 List.of(pool("a")), List.of(route("r", "/x", way("a", 1)), route("s", "/y", way("a", 1))), quotas, 1));
         int strangers = 0;
         for (int i = 0; i < 50; i++) {
@@ -141,7 +145,7 @@
     @Test
     void eachInstanceTakesItsPartOfASitesRate() {
         for (int n : new int[] {1, 2, 16}) {
-            Front front = new Front(plan(
+            RequestRouter front = new RequestRouter(plan(
                     List.of(pool("a")),
                     List.of(route("r", "/x", way("a", 1))),
                     new Quotas(new Rate(160, 16, 160), Map.of(), null),
@@ -158,10 +162,10 @@
     void clientsRetriesDrawOnTheBudgetAndSoDoThePools() {
         RoutePlan r = new RoutePlan(
                 match("r", "/x", 1), List.of(way("a", 1)), 1.2, 0.05, new Retries(0.2, 0, 10 * SECOND, true), null, 0);
-        Front front = new Front(plan(List.of(pool("a")), List.of(r), Quotas.none(), 1));
+        RequestRouter front = new RequestRouter(plan(List.of(pool("a")), List.of(r), Quotas.none(), 1));
         Arrival again = new Arrival(get("/x", "k", null).request(), "k", 1, true, 0.5);
         assertEquals(Reason.CLIENT_RETRIES, front.arrive(0, again).reason());
-        Ticket t = null;
+        RouteLease t = null;
         for (int i = 0; i < 11; i++) {
             t = front.arrive(0, get("/x", "k", null)).ticket();
         }
@@ -173,7 +177,7 @@
 
     @Test
     void trafficSpillsByDegreesAndTheSameKeysFirst() {
-        Front front = new Front(plan(
+        RequestRouter front = new RequestRouter(plan(
                 List.of(pool("first"), pool("second")),
                 List.of(route("r", "/x", way("first", 1, new Spill("second", 0.5)))),
                 Quotas.none(),
@@ -193,10 +197,10 @@
         assertEquals(0, of(front, 32 * SECOND, "first"), 1e-9, "a pool without upstreams");
     }
 
-    private static double of(Front front, long now, String pool) {
+    private static double of(RequestRouter front, long now, String pool) {
         int there = 0;
         for (long t = now; t < now + 200_000; t += 200) {
-            Verdict v = front.arrive(t, get("/x", "key" + t / 200, null));
+            RoutingDecision v = front.arrive(t, get("/x", "key" + t / 200, null));
             if (v.ticket() != null) {
                 there += v.ticket().pool().equals(pool) && t >= now ? 1 : 0;
                 front.ended(t, v.ticket(), End.SERVED);
@@ -207,7 +211,7 @@
 
     @Test
     void aPoolThatServesLittleOfWhatItGetsLosesTraffic() {
-        Front front = new Front(plan(
+        RequestRouter front = new RequestRouter(plan(
                 List.of(pool("first"), pool("second")),
                 List.of(route("r", "/x", way("first", 1, new Spill("second", 1)))),
                 Quotas.none(),
@@ -216,7 +220,7 @@
         front.listed(0, "second", 10);
         Map<String, Integer> got = new HashMap<>();
         for (long now = 0; now < 20 * SECOND; now += 1000) {
-            Ticket t = front.arrive(now, get("/x", "k" + now % 977, null)).ticket();
+            RouteLease t = front.arrive(now, get("/x", "k" + now % 977, null)).ticket();
             got.merge(t.pool(), now > 5 * SECOND ? 1 : 0, Integer::sum);
             // The first can do 500 a second, and turns the rest away.
             boolean fails = t.pool().equals("first") && now % 2000 != 0 && got.get("first") >= 0;
@@ -227,26 +231,26 @@
 
     @Test
     void aFrontThatIsReplacedAHundredTimesGrantsNoBurstAndLosesNoRequest() {
-        FrontPlan plan = plan(
+        RoutingConfig plan = plan(
                 List.of(new PoolPlan("a", ConcurrencyLimit.Plan.fixed(50), 0)),
                 List.of(route("r", "/x", way("a", 1))),
                 new Quotas(new Rate(10, 10, 10), Map.of(), null),
                 1);
-        Front front = new Front(plan);
-        List<Ticket> open = new ArrayList<>();
+        RequestRouter front = new RequestRouter(plan);
+        List<RouteLease> open = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            for (Ticket t = front.arrive(i, get("/x", "k", null)).ticket();
+            for (RouteLease t = front.arrive(i, get("/x", "k", null)).ticket();
                     t != null;
                     t = front.arrive(i, get("/x", "k", null)).ticket()) {
                 open.add(t);
             }
-            Front next = new Front(plan);
+            RequestRouter next = new RequestRouter(plan);
             next.resume(front);
             front = next;
         }
         assertEquals(10, open.size());
         assertEquals(10, front.view().get(0).open());
-        for (Ticket t : open) {
+        for (RouteLease t : open) {
             front.ended(200, t, End.SERVED);
         }
         assertEquals(0, front.view().get(0).open());
@@ -256,15 +260,15 @@
     @Property(tries = 300, seed = "11")
     void countsHold(@ForAll long seed, @ForAll @IntRange(min = 1, max = 20) int limit) {
         Random random = new Random(seed);
-        FrontPlan plan = plan(
+        RoutingConfig plan = plan(
                 List.of(
                         new PoolPlan("a", ConcurrencyLimit.Plan.fixed(limit), 0),
                         new PoolPlan("b", new ConcurrencyLimit.Plan(ConcurrencyLimit.Kind.AIMD, limit, 1, 20), 0)),
                 List.of(route("r", "/x", way("a", 1, new Spill("b", 0.7)), way("b", 1))),
                 Quotas.none(),
                 1);
-        Front front = new Front(plan);
-        ArrayDeque<Ticket> open = new ArrayDeque<>();
+        RequestRouter front = new RequestRouter(plan);
+        ArrayDeque<RouteLease> open = new ArrayDeque<>();
         Map<String, Integer> count = new HashMap<>(Map.of("a", 0, "b", 0));
         long now = 0;
         for (int i = 0; i < 400; i++) {
@@ -272,19 +276,19 @@
             switch (random.nextInt(8)) {
                 case 0 -> front.listed(now, random.nextBoolean() ? "a" : "b", random.nextInt(5));
                 case 1 -> {
-                    Front next = new Front(plan);
+                    RequestRouter next = new RequestRouter(plan);
                     next.resume(front);
                     front = next;
                 }
                 case 2, 3, 4 -> {
-                    Ticket t = open.poll();
+                    RouteLease t = open.poll();
                     if (t != null) {
                         count.merge(t.pool(), -1, Integer::sum);
                         front.ended(now, t, End.values()[random.nextInt(4)]);
                     }
                 }
                 default -> {
-                    Verdict v = front.arrive(
+                    RoutingDecision v = front.arrive(
                             now,
                             new Arrival(
                                     get("/x", "k", null).request(),
@@ -301,7 +305,7 @@
                     }
                 }
             }
-            for (Front.PoolView p : front.view()) {
+            for (RequestRouter.PoolView p : front.view()) {
                 assertEquals(count.get(p.name()), p.open(), p.name());
             }
             assertTrue(count.get("a") <= limit);
--- a/core/src/test/java/loadbalancer/staleness/StalenessTest.java
+++ b/core/src/test/java/loadbalancer/staleness/ListStalenessTest.java
@@ -6,11 +6,11 @@
 import org.junit.jupiter.api.Test;
 
 /** When news counts as told, by the terms' figures. */
-class StalenessTest {
+class ListStalenessTest {
     private static final long SECOND = 1_000_000;
 
-    private static Staleness asked(long grace) {
-        return new Staleness(false, grace, 10 * SECOND);
+    private static ListStaleness asked(long grace) {
+        return new ListStaleness(false, grace, 10 * SECOND);
     }
 
     /** One failed try of 2 s and the pause after it fit between the silence and the end of the grace. */
@@ -36,14 +36,14 @@
 
     @Test
     void whatComesInTimeIsToldAsItComes() {
-        Staleness staleness = asked(SECOND);
+        ListStaleness staleness = asked(SECOND);
         staleness.silentSince(10 * SECOND);
         assertEquals(14 * SECOND, staleness.told(14 * SECOND));
     }
 
     @Test
     void whatASilentWatchMissedCountsSixSecondsAfterItFellSilent() {
-        Staleness staleness = asked(SECOND);
+        ListStaleness staleness = asked(SECOND);
         staleness.silentSince(10 * SECOND);
         assertEquals(16 * SECOND, staleness.told(17 * SECOND));
         assertEquals(18 * SECOND, staleness.told(18 * SECOND)); // the new watch works
@@ -51,7 +51,7 @@
 
     @Test
     void aNewDiscoveryIsToldOfFourSecondsAfterItsConfiguration() {
-        Staleness staleness = asked(SECOND);
+        ListStaleness staleness = asked(SECOND);
         staleness.moved(10 * SECOND);
         assertEquals(14 * SECOND, staleness.told(15 * SECOND));
     }
@@ -59,7 +59,7 @@
     /** Neither a failed try nor a move gives what was missed before any more time. */
     @Test
     void theEarliestClockHolds() {
-        Staleness staleness = asked(SECOND);
+        ListStaleness staleness = asked(SECOND);
         staleness.silentSince(10 * SECOND);
         staleness.unwatched(13 * SECOND);
         staleness.moved(14 * SECOND);
@@ -68,31 +68,31 @@
 
     @Test
     void wherePushedWhatTheAgentHasCountsWithoutAWatch() {
-        Staleness staleness = new Staleness(true, SECOND, 0);
+        ListStaleness staleness = new ListStaleness(true, SECOND, 0);
         staleness.unwatched(10 * SECOND);
         assertEquals(10 * SECOND, staleness.told(11 * SECOND));
     }
 
     @Test
     void wherePushedNoGraceIsLeftOfWhatAnAgentHadAtTheStart() {
-        Staleness staleness = new Staleness(true, SECOND, 0);
+        ListStaleness staleness = new ListStaleness(true, SECOND, 0);
         staleness.started(10 * SECOND);
         assertEquals(0, staleness.told(11 * SECOND));
-        Staleness asked = asked(SECOND);
+        ListStaleness asked = asked(SECOND);
         asked.started(10 * SECOND);
         assertEquals(15 * SECOND, asked.told(15 * SECOND));
     }
 
     @Test
     void wherePushedACallThatHangsCostsHalfAGraceAtMost() {
-        assertEquals(500_000, new Staleness(true, 900_000, 0).answerWithin());
-        assertEquals(1_500_000, new Staleness(true, 3 * SECOND, 0).answerWithin());
+        assertEquals(500_000, new ListStaleness(true, 900_000, 0).answerWithin());
+        assertEquals(1_500_000, new ListStaleness(true, 3 * SECOND, 0).answerWithin());
         assertEquals(asked(900_000).patience(), asked(900_000).answerWithin());
     }
 
     @Test
     void whereAskedAListHoldsForTheTimeThatTheSettingsGive() {
-        Staleness staleness = new Staleness(false, SECOND, 3 * SECOND);
+        ListStaleness staleness = new ListStaleness(false, SECOND, 3 * SECOND);
         staleness.unwatched(10 * SECOND);
         assertEquals(13 * SECOND, staleness.told(15 * SECOND));
     }
--- a/discovery/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/discovery/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -33,7 +33,7 @@
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.SafetyBounds;
 import loadbalancer.settings.SettingsReader;
-import loadbalancer.staleness.Staleness;
+import loadbalancer.staleness.ListStaleness;
 
 /**
  * Asks discovery for the list and watches its changes: where discovery is asked, only as the module wishes;
@@ -48,12 +48,12 @@
     private final Set<Call> calls = new LinkedHashSet<>(); // under way
     private InetSocketAddress address;
     private SettingsReader.Boot boot;
-    private final Holding holding;
-    private final BiConsumer<EndpointListKind, Targets> news;
+    private final EndpointSubset holding;
+    private final BiConsumer<EndpointListKind, EndpointList> news;
     private final Consumer<String> log;
     private final boolean pushed;
     private final LongSupplier clock;
-    private final Staleness staleness;
+    private final ListStaleness staleness;
     private long rev;
     private Call watch;
     private boolean wanted; // a watch, whether one is open or not
@@ -68,10 +68,10 @@
             EventLoop loop,
             InetSocketAddress address,
             SettingsReader.Boot boot,
-            Holding holding,
+            EndpointSubset holding,
             long rev,
             LongSupplier clock,
-            BiConsumer<EndpointListKind, Targets> news,
+            BiConsumer<EndpointListKind, EndpointList> news,
             Consumer<String> log) {
         this.loop = loop;
         this.address = address;
@@ -83,7 +83,7 @@
         this.clock = clock;
         this.pushed = boot.settings().discovery() == DiscoveryMode.PUSH;
         SafetyBounds bounds = boot.settings().bounds();
-        this.staleness = new Staleness(pushed, bounds.drainGrace(), bounds.askWithin());
+        this.staleness = new ListStaleness(pushed, bounds.drainGrace(), bounds.askWithin());
     }
 
     /** Begins to watch unasked where lists are pushed. */
@@ -263,7 +263,7 @@
                 heard();
             }
             if (first) {
-                news(new Targets(rev, false, List.of()));
+                news(new EndpointList(rev, false, List.of()));
             } else {
                 lists.read(bytes, list -> {
                     if (!over) {
@@ -273,7 +273,7 @@
             }
         }
 
-        private void news(Targets targets) {
+        private void news(EndpointList targets) {
             rev = targets.rev();
             if (!answered) {
                 answered = true;
--- a/discovery/src/main/java/loadbalancer/discovery/Targets.java
+++ b/discovery/src/main/java/loadbalancer/discovery/EndpointList.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointState;
-import loadbalancer.settings.Endpoints;
 import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.SocketAddresses;
 import loadbalancer.subset.Subset;
 
 /**
@@ -16,28 +16,28 @@
  * as told at the latest, in µs; where it comes in time that is later than now, and means nothing. {@code part} says
  * which part of what discovery listed is here; null: all of it.
  */
-public record Targets(long rev, boolean all, List<Target> list, long toldAt, Part part) {
+public record EndpointList(long rev, boolean all, List<Target> list, long toldAt, Part part) {
     /** An upstream as the module knows it, and where this balancer reaches it. */
     public record Target(Endpoint server, InetSocketAddress endpoint) {}
 
     /** A part of a list that named so many upstreams. */
     public record Part(Subset subset, long named) {}
 
-    public Targets(long rev, boolean all, List<Target> list) {
+    public EndpointList(long rev, boolean all, List<Target> list) {
         this(rev, all, list, Long.MAX_VALUE);
     }
 
-    public Targets(long rev, boolean all, List<Target> list, long toldAt) {
+    public EndpointList(long rev, boolean all, List<Target> list, long toldAt) {
         this(rev, all, list, toldAt, null);
     }
 
     /** The same, told then. */
-    public Targets told(long at) {
-        return new Targets(rev, all, list, at, part);
+    public EndpointList told(long at) {
+        return new EndpointList(rev, all, list, at, part);
     }
 
     /** Throws IllegalArgumentException where it isn't such a list. */
-    public static Targets of(Object json, SettingsReader.Boot boot) {
+    public static EndpointList of(Object json, SettingsReader.Boot boot) {
         if (!(json instanceof Map<?, ?> map) || !(map.get("targets") instanceof List<?> entries)) {
             throw new IllegalArgumentException("no list of targets");
         }
@@ -46,7 +46,8 @@
             uid(entry);
             list.add(entry((Map<?, ?>) entry, boot));
         }
-        return new Targets((long) number(map.get("rev"), 0), Boolean.TRUE.equals(map.get("all")), List.copyOf(list));
+        return new EndpointList(
+                (long) number(map.get("rev"), 0), Boolean.TRUE.equals(map.get("all")), List.copyOf(list));
     }
 
     /** The id of an entry; throws IllegalArgumentException where it has none. */
@@ -70,7 +71,7 @@
         EndpointState state = state(e);
         InetSocketAddress endpoint = state == EndpointState.GONE && e.get("endpoint") == null
                 ? null
-                : Endpoints.address(String.valueOf(e.get("endpoint")));
+                : SocketAddresses.address(String.valueOf(e.get("endpoint")));
         double weight = number(e.get("capacity_hint"), 1);
         return new Target(
                 new Endpoint(
--- a/discovery/src/main/java/loadbalancer/discovery/Holding.java
+++ b/discovery/src/main/java/loadbalancer/discovery/EndpointSubset.java
@@ -9,7 +9,7 @@
  * How many upstreams of one list a process holds at most, and which part of a longer list it holds now. Shared by what
  * reads lists and what keeps them; not thread-safe, all of it runs on one event loop.
  */
-public final class Holding {
+public final class EndpointSubset {
     /** Bytes of heap for an upstream that is held: its entry, the module's books and its points on the ring. */
     private static final int EACH = 1_280;
     /** Of the heap, for what is held: reading a list, requests and answers need the rest. */
@@ -19,14 +19,14 @@
     private Subset subset;
     private Subset sought; // instead, of the next whole list; null: the same
     private long named;
-    private Consumer<Holding> changed = h -> {};
+    private Consumer<EndpointSubset> changed = h -> {};
 
     /**
      * For the balancer of that rank.
      *
      * @param most upstreams that may be held
      */
-    public Holding(int most, int rank) {
+    public EndpointSubset(int most, int rank) {
         this.most = most;
         subset = Subset.whole(rank);
     }
@@ -37,7 +37,7 @@
     }
 
     /** Whom to tell when it holds another part than before, or the first part of a list of another length. */
-    public void onChange(Consumer<Holding> then) {
+    public void onChange(Consumer<EndpointSubset> then) {
         changed = then;
     }
 
@@ -62,7 +62,7 @@
     }
 
     /** Begins to gather a list; {@code whole} where it says that it names all there are. */
-    AdaptiveSample<Targets.Target> gather(boolean whole) {
+    AdaptiveSample<EndpointList.Target> gather(boolean whole) {
         return new AdaptiveSample<>(
                 whole && sought != null ? sought : subset,
                 whole,
@@ -76,21 +76,25 @@
     }
 
     /** The same list, or what is held of it where it names more than that and nobody has looked yet. */
-    Targets of(Targets list) {
+    EndpointList of(EndpointList list) {
         if (list.part() != null || list.list().size() <= most) {
             return list;
         }
-        AdaptiveSample<Targets.Target> gathering = gather(list.all());
-        for (Targets.Target t : list.list()) {
+        AdaptiveSample<EndpointList.Target> gathering = gather(list.all());
+        for (EndpointList.Target t : list.list()) {
             if (gathering.wants(Subset.hash(t.server().id()))) {
                 gathering.add(t);
             } else {
                 gathering.pass();
             }
         }
-        List<Targets.Target> held = List.copyOf(gathering.end());
-        return new Targets(
-                list.rev(), list.all(), held, list.toldAt(), new Targets.Part(gathering.subset(), gathering.named()));
+        List<EndpointList.Target> held = List.copyOf(gathering.end());
+        return new EndpointList(
+                list.rev(),
+                list.all(),
+                held,
+                list.toldAt(),
+                new EndpointList.Part(gathering.subset(), gathering.named()));
     }
 
     /** Holds that part from here on, of a list that names so many; -1 where it isn't whole. */
--- a/discovery/src/main/java/loadbalancer/discovery/ListReader.java
+++ b/discovery/src/main/java/loadbalancer/discovery/ListReader.java
@@ -37,15 +37,15 @@
     private final JsonParser parser;
     private final ByteArrayFeeder feeder;
     private final Supplier<SettingsReader.Boot> boot;
-    private final Holding holding;
+    private final EndpointSubset holding;
     private final Deque<Object> open = new ArrayDeque<>(); // maps and lists that have begun, the innermost first
     private final Deque<String> names = new ArrayDeque<>(); // of what comes next in each open map
-    private AdaptiveSample<Targets.Target> gathering; // null before the first entry of a list
+    private AdaptiveSample<EndpointList.Target> gathering; // null before the first entry of a list
     private int length; // since an entry ended
     private long all; // of the list that is coming in
 
     /** Reads lists by the settings of the moment, what is held of them. */
-    ListReader(Supplier<SettingsReader.Boot> boot, Holding holding) {
+    ListReader(Supplier<SettingsReader.Boot> boot, EndpointSubset holding) {
         this.boot = boot;
         this.holding = holding;
         try {
@@ -56,7 +56,7 @@
         feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
     }
 
-    private ListReader(JsonParser parser, SettingsReader.Boot boot, Holding holding) {
+    private ListReader(JsonParser parser, SettingsReader.Boot boot, EndpointSubset holding) {
         this.parser = parser;
         this.feeder = null;
         this.boot = () -> boot;
@@ -69,12 +69,13 @@
      * @throws IllegalArgumentException where it isn't a list
      * @throws IOException where it can't be read, or isn't JSON
      */
-    public static Targets one(JsonParser parser, SettingsReader.Boot boot, Holding holding) throws IOException {
+    public static EndpointList one(JsonParser parser, SettingsReader.Boot boot, EndpointSubset holding)
+            throws IOException {
         if (parser.currentToken() != JsonToken.START_OBJECT) {
             throw new IllegalArgumentException("no list of targets");
         }
         ListReader reader = new ListReader(parser, boot, holding);
-        Targets[] found = new Targets[1];
+        EndpointList[] found = new EndpointList[1];
         reader.take(JsonToken.START_OBJECT, t -> found[0] = t);
         while (found[0] == null) {
             JsonToken token = parser.nextToken();
@@ -96,7 +97,7 @@
      *
      * @throws IllegalArgumentException where it isn't JSON, or isn't a list, or is longer than any list
      */
-    void read(byte[] bytes, Consumer<Targets> whole) {
+    void read(byte[] bytes, Consumer<EndpointList> whole) {
         try {
             length += bytes.length;
             all += bytes.length;
@@ -117,7 +118,7 @@
         }
     }
 
-    private void take(JsonToken token, Consumer<Targets> whole) throws IOException {
+    private void take(JsonToken token, Consumer<EndpointList> whole) throws IOException {
         if (open.isEmpty() && token != JsonToken.START_OBJECT) {
             throw new IllegalArgumentException("not an object: " + parser.getText());
         }
@@ -170,16 +171,16 @@
         if (gathering == null) {
             gathering = holding.gather(((Map<?, ?>) open.peekLast()).get("all") == Boolean.TRUE);
         }
-        if (gathering.wants(Subset.hash(Targets.uid(ended)))) {
-            gathering.add(Targets.entry((Map<?, ?>) ended, boot.get()));
+        if (gathering.wants(Subset.hash(EndpointList.uid(ended)))) {
+            gathering.add(EndpointList.entry((Map<?, ?>) ended, boot.get()));
         } else {
-            Targets.state((Map<?, ?>) ended); // what is not held must still be an entry
+            EndpointList.state((Map<?, ?>) ended); // what is not held must still be an entry
             gathering.pass();
         }
     }
 
-    private void list(Map<?, ?> ended, Consumer<Targets> whole) {
-        AdaptiveSample<Targets.Target> g = gathering;
+    private void list(Map<?, ?> ended, Consumer<EndpointList> whole) {
+        AdaptiveSample<EndpointList.Target> g = gathering;
         gathering = null;
         boolean complete = ended.get("all") == Boolean.TRUE;
         // What stands in it but an entry: a number, a word, a list.
@@ -190,12 +191,12 @@
         if (g == null) {
             g = holding.gather(complete);
         }
-        List<Targets.Target> held = List.copyOf(g.end());
-        whole.accept(new Targets(
-                (long) Targets.number(ended.get("rev"), 0),
+        List<EndpointList.Target> held = List.copyOf(g.end());
+        whole.accept(new EndpointList(
+                (long) EndpointList.number(ended.get("rev"), 0),
                 complete,
                 held,
                 Long.MAX_VALUE,
-                new Targets.Part(g.subset(), g.named())));
+                new EndpointList.Part(g.subset(), g.named())));
     }
 }
--- a/discovery/src/main/java/loadbalancer/discovery/Membership.java
+++ b/discovery/src/main/java/loadbalancer/discovery/Membership.java
@@ -10,7 +10,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.LongSupplier;
 import java.util.stream.Collectors;
-import loadbalancer.drain.TakenOut;
+import loadbalancer.drain.OperatorDrains;
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
 import loadbalancer.settings.SettingsReader;
@@ -21,11 +21,11 @@
  * out. All that the module and the connections hear of the list comes from here.
  */
 public final class Membership {
-    private final Map<String, Targets.Target> told = new LinkedHashMap<>(); // as discovery lists them
-    private final Holding holding;
-    private final TakenOut takenOut;
+    private final Map<String, EndpointList.Target> told = new LinkedHashMap<>(); // as discovery lists them
+    private final EndpointSubset holding;
+    private final OperatorDrains takenOut;
     private final LongSupplier clock;
-    private final BiConsumer<EndpointListKind, Targets> news;
+    private final BiConsumer<EndpointListKind, EndpointList> news;
     private long rev;
     private boolean held; // what is known is too old to go by
     private Runnable wanting = () -> {};
@@ -36,7 +36,10 @@
      * @param holding the bound of what is kept here, shared with what reads the lists
      */
     public Membership(
-            Holding holding, TakenOut takenOut, LongSupplier clock, BiConsumer<EndpointListKind, Targets> news) {
+            EndpointSubset holding,
+            OperatorDrains takenOut,
+            LongSupplier clock,
+            BiConsumer<EndpointListKind, EndpointList> news) {
         this.holding = holding;
         this.takenOut = takenOut;
         this.clock = clock;
@@ -44,24 +47,24 @@
     }
 
     /** What discovery tells; {@code all} is null where it has failed. */
-    public void listed(EndpointListKind kind, Targets all) {
+    public void listed(EndpointListKind kind, EndpointList all) {
         if (all == null) {
             news.accept(kind, null);
             return;
         }
-        Targets targets = holding.of(all);
+        EndpointList targets = holding.of(all);
         if (targets.all()) {
             told.clear();
         }
         rev = targets.rev();
-        for (Targets.Target t : targets.list()) {
+        for (EndpointList.Target t : targets.list()) {
             if (t.server().state() == EndpointState.GONE) {
                 told.remove(t.server().id());
             } else {
                 told.put(t.server().id(), t);
             }
         }
-        List<Targets.Target> passed = targets.list();
+        List<EndpointList.Target> passed = targets.list();
         Subset part = targets.part() == null ? holding.subset() : targets.part().subset();
         if (targets.all() && targets.part() != null) {
             holding.become(part, targets.part().named());
@@ -78,11 +81,11 @@
 
     // Changes may add up to more than may be held, though each of them is small. What is let go counts as gone here:
     // nothing is sent to it any more.
-    private List<Targets.Target> within(Subset part, List<Targets.Target> changes) {
+    private List<EndpointList.Target> within(Subset part, List<EndpointList.Target> changes) {
         if (part.equals(holding.subset()) && told.size() <= holding.most()) {
             return changes;
         }
-        Map<String, Targets.Target> passed = new LinkedHashMap<>();
+        Map<String, EndpointList.Target> passed = new LinkedHashMap<>();
         changes.forEach(t -> passed.put(t.server().id(), t));
         holding.become(part, -1);
         letGo(passed);
@@ -93,12 +96,12 @@
         return List.copyOf(passed.values());
     }
 
-    private void letGo(Map<String, Targets.Target> passed) {
-        for (Iterator<Targets.Target> all = told.values().iterator(); all.hasNext(); ) {
-            Targets.Target t = all.next();
+    private void letGo(Map<String, EndpointList.Target> passed) {
+        for (Iterator<EndpointList.Target> all = told.values().iterator(); all.hasNext(); ) {
+            EndpointList.Target t = all.next();
             if (!holding.holds(t.server().id())) {
                 all.remove();
-                passed.put(t.server().id(), new Targets.Target(t.server().in(EndpointState.GONE), t.endpoint()));
+                passed.put(t.server().id(), new EndpointList.Target(t.server().in(EndpointState.GONE), t.endpoint()));
             }
         }
     }
@@ -118,26 +121,27 @@
         return holding.subset().level() > 0 && !anyUp();
     }
 
-    private boolean usable(Targets.Target t) {
+    private boolean usable(EndpointList.Target t) {
         return t.server().state() == EndpointState.UP
                 && !takenOut.holds(t.server().id());
     }
 
     /** What is held at most, and which part. */
-    public Holding holding() {
+    public EndpointSubset holding() {
         return holding;
     }
 
-    private void pass(EndpointListKind kind, boolean all, Collection<Targets.Target> list, long toldAt) {
-        news.accept(kind, new Targets(rev, all, list.stream().map(this::here).toList(), toldAt));
+    private void pass(EndpointListKind kind, boolean all, Collection<EndpointList.Target> list, long toldAt) {
+        news.accept(
+                kind, new EndpointList(rev, all, list.stream().map(this::here).toList(), toldAt));
     }
 
     /**
      * Begins with a list that is too old to go by: it is passed on with what discovery has to say of it, as one, or by
      * {@link #release()}.
      */
-    public void hold(Targets known) {
-        Targets old = holding.of(known);
+    public void hold(EndpointList known) {
+        EndpointList old = holding.of(known);
         rev = old.rev();
         old.list().forEach(t -> told.put(t.server().id(), t));
         if (old.part() != null) {
@@ -161,30 +165,30 @@
     /** How many upstreams may be sent to. */
     public int up() {
         int many = 0;
-        for (Targets.Target t : told.values()) {
+        for (EndpointList.Target t : told.values()) {
             many += usable(t) ? 1 : 0;
         }
         return many;
     }
 
     /** All that discovery has told, whatever operators have taken out. */
-    public Targets told() {
-        return new Targets(rev, true, List.copyOf(told.values()));
+    public EndpointList told() {
+        return new EndpointList(rev, true, List.copyOf(told.values()));
     }
 
     /**
      * Takes over what another process of this balancer knows: its taken-out set, and its list where that is
      * the newer one. Discovery has told it to the balancer, if not to this process.
      */
-    public void inherit(Set<String> out, Map<String, Long> back, Targets theirs) {
+    public void inherit(Set<String> out, Map<String, Long> back, EndpointList theirs) {
         takenOut.become(out, back);
-        List<Targets.Target> now = new ArrayList<>();
+        List<EndpointList.Target> now = new ArrayList<>();
         if (theirs.rev() >= rev) {
             Set<String> listed =
                     theirs.list().stream().map(t -> t.server().id()).collect(Collectors.toSet());
-            for (Targets.Target t : told.values()) {
+            for (EndpointList.Target t : told.values()) {
                 if (!listed.contains(t.server().id())) {
-                    now.add(new Targets.Target(t.server().in(EndpointState.GONE), t.endpoint()));
+                    now.add(new EndpointList.Target(t.server().in(EndpointState.GONE), t.endpoint()));
                 }
             }
             told.clear();
@@ -194,7 +198,7 @@
             within(holding.subset(), List.of()); // the other may hold more: that process may have a larger heap
         }
         told.values().forEach(t -> now.add(here(t)));
-        news.accept(EndpointListKind.OWN, new Targets(rev, false, now));
+        news.accept(EndpointListKind.OWN, new EndpointList(rev, false, now));
     }
 
     /** The numbers of zones and kinds change with the settings; their names don't. */
@@ -202,11 +206,12 @@
         if (before.zones().equals(next.zones()) && before.kinds().equals(next.kinds())) {
             return;
         }
-        Targets again = Targets.of(told().toJson(before), next);
+        EndpointList again = EndpointList.of(told().toJson(before), next);
         again.list().forEach(t -> told.put(t.server().id(), t));
         news.accept(
                 EndpointListKind.OWN,
-                new Targets(rev, false, again.list().stream().map(this::here).toList()));
+                new EndpointList(
+                        rev, false, again.list().stream().map(this::here).toList()));
     }
 
     /** Takes an upstream out; false where nobody knows it. */
@@ -238,18 +243,18 @@
     }
 
     /** What operators have taken out. */
-    public TakenOut takenOut() {
+    public OperatorDrains takenOut() {
         return takenOut;
     }
 
     private void changed(String id) {
-        Targets.Target t = told.get(id);
+        EndpointList.Target t = told.get(id);
         if (t != null) {
-            news.accept(EndpointListKind.OWN, new Targets(rev, false, List.of(here(t))));
+            news.accept(EndpointListKind.OWN, new EndpointList(rev, false, List.of(here(t))));
         }
     }
 
-    private Targets.Target here(Targets.Target t) {
-        return new Targets.Target(takenOut.apply(t.server()), t.endpoint());
+    private EndpointList.Target here(EndpointList.Target t) {
+        return new EndpointList.Target(takenOut.apply(t.server()), t.endpoint());
     }
 }
--- a/discovery/src/main/java/loadbalancer/drain/TakenOut.java
+++ b/discovery/src/main/java/loadbalancer/drain/OperatorDrains.java
@@ -11,7 +11,7 @@
  * The upstreams that operators have taken out, and when those that came back did. A set, not a count: one
  * call back undoes any number of calls out. What it holds wins over whatever discovery lists.
  */
-public final class TakenOut {
+public final class OperatorDrains {
     private static final int BACK_MOST = 1_024; // remembered; the oldest are long warm
 
     private final Set<String> out = new TreeSet<>();
--- a/discovery/src/main/java/loadbalancer/settings/Endpoints.java
+++ b/discovery/src/main/java/loadbalancer/settings/SocketAddresses.java
@@ -5,8 +5,8 @@
 import java.net.UnknownHostException;
 
 /** Addresses as they are written in configurations and lists. */
-public final class Endpoints {
-    private Endpoints() {}
+public final class SocketAddresses {
+    private SocketAddresses() {}
 
     /**
      * Reads {@code address:port}.
--- a/discovery/src/test/java/loadbalancer/discovery/ListReaderTest.java
+++ b/discovery/src/test/java/loadbalancer/discovery/ListReaderTest.java
@@ -20,12 +20,12 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 7, 100_000})
     void aListThatFitsIsReadWholeWhereverItIsCut(int piece) {
-        Targets list = Lists.read(new Holding(100, 3), Lists.list(41, true, 0, 100, "in_service"), piece);
+        EndpointList list = Lists.read(new EndpointSubset(100, 3), Lists.list(41, true, 0, 100, "in_service"), piece);
         assertEquals(100, list.list().size());
         assertEquals(41, list.rev());
         assertTrue(list.all());
         assertEquals(0, list.part().subset().level());
-        Targets.Target t = list.list().get(5);
+        EndpointList.Target t = list.list().get(5);
         assertEquals(new Endpoint("s-5", EndpointState.UP, 7_000, 1.5, 1, 1, 1), t.server());
         assertEquals(1_005, t.endpoint().getPort());
     }
@@ -33,8 +33,8 @@
     /** The memory that a list takes doesn't grow with it. */
     @Test
     void ofALongListOnlyOnePartIsKept() {
-        Holding holding = new Holding(1_000, 3);
-        Targets list = Lists.read(holding, Lists.list(41, true, 0, 40_000, "in_service"), 9_973);
+        EndpointSubset holding = new EndpointSubset(1_000, 3);
+        EndpointList list = Lists.read(holding, Lists.list(41, true, 0, 40_000, "in_service"), 9_973);
         assertTrue(
                 list.list().size() <= 1_000 && list.list().size() > 250,
                 "held " + list.list().size());
@@ -49,7 +49,7 @@
     void theOrderOfTheFieldsIsFree() {
         String text = "{\"targets\":[" + Lists.entry(1, "in_service") + "],\"x\":[[1],{\"targets\":[{}]}],"
                 + "\"all\":true,\"rev\":9}";
-        Targets list = Lists.read(new Holding(5, 0), text, 3);
+        EndpointList list = Lists.read(new EndpointSubset(5, 0), text, 3);
         assertEquals(1, list.list().size());
         assertTrue(list.all());
         assertEquals(9, list.rev());
@@ -70,8 +70,8 @@
                 "{\"targets\":[nonsense]} | not JSON",
             })
     void whatIsNoListIsNamed(String text, String complaint) {
-        IllegalArgumentException e =
-                assertThrows(IllegalArgumentException.class, () -> Lists.read(new Holding(5, 0), text.strip(), 1_000));
+        IllegalArgumentException e = assertThrows(
+                IllegalArgumentException.class, () -> Lists.read(new EndpointSubset(5, 0), text.strip(), 1_000));
         assertEquals(complaint.strip(), e.getMessage());
     }
 
@@ -81,13 +81,13 @@
         String long200 = Lists.list(1, true, 0, 200, "in_service").strip();
         for (int i = 0; i < 200; i += 7) {
             String broken = long200.replace("\"uid\":\"s-" + i + "\"", "\"uid\":7");
-            assertThrows(IllegalArgumentException.class, () -> Lists.read(new Holding(2, 0), broken, 50_000));
+            assertThrows(IllegalArgumentException.class, () -> Lists.read(new EndpointSubset(2, 0), broken, 50_000));
         }
     }
 
     @Test
     void whatNeverBecomesAListIsGivenUp() {
-        ListReader reader = new ListReader(Lists::boot, new Holding(5, 0));
+        ListReader reader = new ListReader(Lists::boot, new EndpointSubset(5, 0));
         reader.read("{\"x\":[".getBytes(), t -> {});
         byte[] junk = "1,".repeat(1 << 18).getBytes();
         IllegalArgumentException e = assertThrows(IllegalArgumentException.class, () -> {
@@ -101,7 +101,8 @@
     /** A list of over 4 MB was once refused as too long. */
     @Test
     void aListMayBeLong() {
-        Targets list = Lists.read(new Holding(1_000_000, 0), Lists.list(1, true, 0, 50_000, "in_service"), 65_536);
+        EndpointList list =
+                Lists.read(new EndpointSubset(1_000_000, 0), Lists.list(1, true, 0, 50_000, "in_service"), 65_536);
         assertEquals(50_000, list.list().size());
     }
 
@@ -113,21 +114,21 @@
             while (p.nextToken() != JsonToken.START_OBJECT || !"known".equals(p.currentName())) {
                 assertTrue(p.currentToken() != null);
             }
-            Targets list = ListReader.one(p, Lists.boot(), new Holding(10, 0));
+            EndpointList list = ListReader.one(p, Lists.boot(), new EndpointSubset(10, 0));
             assertEquals(50, list.part().named());
             assertTrue(list.list().size() <= 10);
             assertEquals("b", p.nextFieldName());
         }
         try (JsonParser p = new JsonFactory().createParser("{\"rev\":1,\"targets\":[")) {
             p.nextToken();
-            assertThrows(IOException.class, () -> ListReader.one(p, Lists.boot(), new Holding(10, 0)));
+            assertThrows(IOException.class, () -> ListReader.one(p, Lists.boot(), new EndpointSubset(10, 0)));
         }
     }
 
     @Test
     void aDeltaDoesNotCountAsAWholeList() {
-        Targets list = Lists.read(new Holding(10, 0), Lists.list(3, false, 0, 50, "in_service"), 1_000);
+        EndpointList list = Lists.read(new EndpointSubset(10, 0), Lists.list(3, false, 0, 50, "in_service"), 1_000);
         assertTrue(!list.all() && list.list().size() <= 10);
-        assertNull(Lists.read(new Holding(10, 0), "{\"rev\":1", 3));
+        assertNull(Lists.read(new EndpointSubset(10, 0), "{\"rev\":1", 3));
     }
 }
--- a/discovery/src/test/java/loadbalancer/discovery/Lists.java
+++ b/discovery/src/test/java/loadbalancer/discovery/Lists.java
@@ -65,8 +65,8 @@
     }
 
     /** Reads one list in pieces of that size. */
-    static Targets read(Holding holding, String text, int piece) {
-        Targets[] found = new Targets[1];
+    static EndpointList read(EndpointSubset holding, String text, int piece) {
+        EndpointList[] found = new EndpointList[1];
         ListReader reader = new ListReader(Lists::boot, holding);
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         for (int i = 0; i < bytes.length; i += piece) {
--- a/discovery/src/test/java/loadbalancer/discovery/MembershipTest.java
+++ b/discovery/src/test/java/loadbalancer/discovery/MembershipTest.java
@@ -13,7 +13,7 @@
 import java.util.TreeSet;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import loadbalancer.drain.TakenOut;
+import loadbalancer.drain.OperatorDrains;
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
@@ -26,7 +26,7 @@
 class MembershipTest {
     private static final int MOST = 20;
 
-    private Holding holding;
+    private EndpointSubset holding;
     private Membership membership;
     private final Map<String, EndpointState> module = new LinkedHashMap<>(); // as the module knows it
     private final List<String> changes = new ArrayList<>();
@@ -36,8 +36,8 @@
     }
 
     private MembershipTest begin(int rank) {
-        holding = new Holding(MOST, rank);
-        membership = new Membership(holding, new TakenOut(), () -> 0, (kind, targets) -> {
+        holding = new EndpointSubset(MOST, rank);
+        membership = new Membership(holding, new OperatorDrains(), () -> 0, (kind, targets) -> {
             if (targets.all()) {
                 module.clear();
             }
@@ -54,7 +54,7 @@
     }
 
     private void told(String json) {
-        Targets t = Lists.read(holding, json, 10_000);
+        EndpointList t = Lists.read(holding, json, 10_000);
         membership.listed(t.all() ? EndpointListKind.COMPLETE : EndpointListKind.PARTIAL, t);
     }
 
@@ -166,8 +166,8 @@
 
     @Test
     void aListThatIsHeldBackIsBoundedToo() {
-        Targets known = Lists.read(holding, Lists.list(1, true, 0, 1_000, "in_service"), 10_000);
-        membership.listed(EndpointListKind.PERSISTED, new Targets(1, true, List.of()));
+        EndpointList known = Lists.read(holding, Lists.list(1, true, 0, 1_000, "in_service"), 10_000);
+        membership.listed(EndpointListKind.PERSISTED, new EndpointList(1, true, List.of()));
         membership.hold(known);
         assertTrue(module.isEmpty());
         membership.release();
@@ -180,11 +180,11 @@
     void aListThatNobodyHasLookedAtIsBoundedToo() {
         membership.listed(
                 EndpointListKind.COMPLETE,
-                new Targets(
+                new EndpointList(
                         9,
                         true,
                         IntStream.range(0, 500)
-                                .mapToObj(i -> new Targets.Target(
+                                .mapToObj(i -> new EndpointList.Target(
                                         new Endpoint("s-" + i, EndpointState.UP, 0, 1, 0, 0, 0), null))
                                 .toList()));
         assertEquals(all(0, 500), new TreeSet<>(module.keySet()));
@@ -196,12 +196,12 @@
         MembershipTest other = new MembershipTest().begin(4);
         other.whole(15);
         whole(1_000);
-        Targets theirs = new Targets(
+        EndpointList theirs = new EndpointList(
                 9,
                 true,
                 IntStream.range(0, 500)
-                        .mapToObj(
-                                i -> new Targets.Target(new Endpoint("s-" + i, EndpointState.UP, 0, 1, 0, 0, 0), null))
+                        .mapToObj(i ->
+                                new EndpointList.Target(new Endpoint("s-" + i, EndpointState.UP, 0, 1, 0, 0, 0), null))
                         .toList());
         membership.inherit(Set.of(), Map.of(), theirs);
         assertTrue(membership.told().list().size() <= MOST);
--- a/simulator/src/main/java/loadbalancer/simulator/cli/ScaleCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/ScaleCommand.java
@@ -11,7 +11,7 @@
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
-import loadbalancer.policy.Policy;
+import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.PolicySettings;
 import loadbalancer.simulator.experiment.Experiment;
 import loadbalancer.simulator.experiment.ExperimentReader;
@@ -161,10 +161,10 @@
         List<Endpoint> fleet = IntStream.range(0, upstreams)
                 .mapToObj(i -> new Endpoint("u" + i, EndpointState.UP, 0, 1, i / 4, i % 2, i % 3))
                 .toList();
-        List<Policy> modules = new ArrayList<>();
+        List<LoadBalancingPolicy> modules = new ArrayList<>();
         long before = used();
         for (int m = 0; m < MODULES; m++) {
-            Policy p = maker.make(settings, m, null);
+            LoadBalancingPolicy p = maker.make(settings, m, null);
             Quiet out = new Quiet();
             p.servers(1, EndpointListKind.PERSISTED, fleet, out);
             for (int i = 0; i < 2_000; i++) {
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/FleetReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/FleetReader.java
@@ -6,7 +6,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import loadbalancer.discovery.Holding;
+import loadbalancer.discovery.EndpointSubset;
 import loadbalancer.toml.Faults;
 import loadbalancer.toml.Section;
 import loadbalancer.toml.Section.Measure;
@@ -77,7 +77,7 @@
                 f.time("idle", 10_000_000),
                 f.time("length", 20_000_000),
                 f.time("reach", 60_000_000),
-                count(f, "upstreams_most", Holding.most(RUN_HEAP)));
+                count(f, "upstreams_most", EndpointSubset.most(RUN_HEAP)));
         f.done();
         return fleet;
     }
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/HollowBalancer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/HollowBalancer.java
@@ -9,15 +9,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongConsumer;
 import loadbalancer.discovery.DiscoveryClient;
-import loadbalancer.discovery.Holding;
+import loadbalancer.discovery.EndpointList;
+import loadbalancer.discovery.EndpointSubset;
 import loadbalancer.discovery.Membership;
 import loadbalancer.discovery.PartialListRetry;
-import loadbalancer.discovery.Targets;
-import loadbalancer.drain.TakenOut;
+import loadbalancer.drain.OperatorDrains;
 import loadbalancer.policy.AttemptOutcome;
-import loadbalancer.policy.Balance;
 import loadbalancer.policy.EndpointListKind;
-import loadbalancer.policy.Policy;
+import loadbalancer.policy.JsqDasPolicy;
+import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.settings.SettingsReader;
 
 /**
@@ -25,17 +25,17 @@
  * joined as in the balancer. Requests, where there are any, come from a clock, and whatever is sent is answered at
  * once. It ends with its event loop, as a process does: its sockets close and nothing is said.
  */
-final class HollowBalancer implements Policy.Actions {
+final class HollowBalancer implements LoadBalancingPolicy.Actions {
     private static final long LIST_MS = 10_000; // as the balancer: how long a start waits for a push
     private static final long LATENCY_US = 2_000; // of what is answered at once, as the module is told
 
     private final EventLoop loop;
     private final FleetPlan.Fleet plan;
     private final Tally tally;
-    private final Policy policy;
+    private final LoadBalancingPolicy policy;
     private final Membership membership;
     private final DiscoveryClient client;
-    private final Targets known;
+    private final EndpointList known;
     private final int rank;
     private final long unixAtStart = System.currentTimeMillis() * 1000;
     private final long nanosAtStart = System.nanoTime();
@@ -54,7 +54,7 @@
             int many,
             InetSocketAddress discovery,
             long seed,
-            Targets known,
+            EndpointList known,
             Tally tally) {
         SettingsReader.Boot boot = Site.boot(plan, rank, many);
         this.loop = loop;
@@ -62,11 +62,11 @@
         this.rank = rank;
         this.tally = tally;
         this.known = known;
-        this.policy = new Balance(boot.settings(), seed);
-        Holding holding = new Holding(plan.upstreamsMost(), rank);
+        this.policy = new JsqDasPolicy(boot.settings(), seed);
+        EndpointSubset holding = new EndpointSubset(plan.upstreamsMost(), rank);
         this.client = new DiscoveryClient(
                 loop, discovery, boot, holding, known.rev(), this::now, this::heard, this::complain);
-        this.membership = new Membership(holding, new TakenOut(), this::now, this::news);
+        this.membership = new Membership(holding, new OperatorDrains(), this::now, this::news);
         holding.onChange(h -> hand(now -> policy.share(Math.min(many, h.subset().parts()))));
         new PartialListRetry(loop, membership, client, seed);
     }
@@ -76,7 +76,7 @@
         if (plan.ask()) {
             membership.listed(EndpointListKind.PERSISTED, known);
         } else {
-            membership.listed(EndpointListKind.PERSISTED, new Targets(known.rev(), true, List.of()));
+            membership.listed(EndpointListKind.PERSISTED, new EndpointList(known.rev(), true, List.of()));
             membership.hold(known);
             loop.schedule(membership::release, LIST_MS, TimeUnit.MILLISECONDS);
         }
@@ -97,7 +97,7 @@
     }
 
     /** All that it holds; on the loop's thread. */
-    Targets held() {
+    EndpointList held() {
         return membership.told();
     }
 
@@ -106,7 +106,7 @@
         return membership.up();
     }
 
-    private void heard(EndpointListKind kind, Targets targets) {
+    private void heard(EndpointListKind kind, EndpointList targets) {
         long before = rev;
         membership.listed(kind, targets);
         if (targets == null) {
@@ -123,7 +123,7 @@
         tally.complaint = line;
     }
 
-    private void news(EndpointListKind kind, Targets targets) {
+    private void news(EndpointListKind kind, EndpointList targets) {
         if (kind == EndpointListKind.COMPLETE || kind == EndpointListKind.PARTIAL) {
             tally.lists += targets.all() ? 1 : 0;
             tally.changes += targets.all() || targets.list().isEmpty() ? 0 : 1;
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/HollowFleet.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/HollowFleet.java
@@ -8,12 +8,12 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.discovery.Targets;
+import loadbalancer.discovery.EndpointList;
 import loadbalancer.simulator.sim.Streams;
 
 /** Many hollow balancers on a few event loops. Not thread-safe: for the thread of the run. */
 final class HollowFleet implements AutoCloseable {
-    private static final Targets NOTHING = new Targets(0, true, List.of());
+    private static final EndpointList NOTHING = new EndpointList(0, true, List.of());
 
     private final FleetPlan plan;
     private final StandInDiscovery discovery;
@@ -47,7 +47,7 @@
         start(balancers.size(), many, List.of());
     }
 
-    private void start(int from, int many, List<Targets> known) {
+    private void start(int from, int many, List<EndpointList> known) {
         List<HollowBalancer> fresh = new ArrayList<>();
         int all = Math.max(plan.fleet().balancers(), from + many) + plan.fleet().real();
         for (int i = 0; i < many; i++) {
@@ -72,7 +72,7 @@
     /** Ends all of them as a crash does and starts as many anew, with the lists that they had or with none. */
     void restart(boolean known) {
         int many = balancers.size();
-        List<Targets> lists = known ? ask(HollowBalancer::held) : List.of();
+        List<EndpointList> lists = known ? ask(HollowBalancer::held) : List.of();
         end();
         balancers.clear();
         open();
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/RoutesAxis.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/RoutesAxis.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import loadbalancer.front.Front;
-import loadbalancer.front.FrontPlan;
 import loadbalancer.limits.ConcurrencyLimit;
+import loadbalancer.router.RequestRouter;
+import loadbalancer.router.RoutingConfig;
 import loadbalancer.routes.PathTemplate;
 import loadbalancer.routes.Route;
 import loadbalancer.routes.RouteTable;
@@ -60,8 +60,8 @@
         }
         int[] next = {0};
         figures.put("match_ns", Repeated.nanos(() -> table.find(requests[next[0] = next[0] + 1 & PATHS - 1])));
-        figures.put("front_heap_per_route_bytes", Repeated.retained(() -> new Front(plan(routes))) / size);
-        figures.put("front_made_ms", Repeated.millis(() -> new Front(plan(routes))));
+        figures.put("front_heap_per_route_bytes", Repeated.retained(() -> new RequestRouter(plan(routes))) / size);
+        figures.put("front_made_ms", Repeated.millis(() -> new RequestRouter(plan(routes))));
         Path file = Files.createTempFile("routes", ".toml");
         try {
             write(file, size);
@@ -83,21 +83,21 @@
         return "/service" + i % 97 + "/part" + i + (i % 3 == 0 ? "/{key}" : "/seats");
     }
 
-    private static FrontPlan plan(List<Route> routes) {
+    private static RoutingConfig plan(List<Route> routes) {
         ConcurrencyLimit.Plan limit = new ConcurrencyLimit.Plan(ConcurrencyLimit.Kind.FIXED, 100, 10, 1000);
-        List<FrontPlan.RoutePlan> plans = new ArrayList<>();
+        List<RoutingConfig.RoutePlan> plans = new ArrayList<>();
         for (Route r : routes) {
-            plans.add(new FrontPlan.RoutePlan(
-                    r, List.of(new FrontPlan.Way("site", 1, List.of())), 1.2, 0.05, null, null, 0));
+            plans.add(new RoutingConfig.RoutePlan(
+                    r, List.of(new RoutingConfig.Way("site", 1, List.of())), 1.2, 0.05, null, null, 0));
         }
-        return new FrontPlan(
-                List.of(new FrontPlan.PoolPlan("site", limit, 10)),
+        return new RoutingConfig(
+                List.of(new RoutingConfig.PoolPlan("site", limit, 10)),
                 plans,
                 "site",
-                FrontPlan.Quotas.none(),
+                RoutingConfig.Quotas.none(),
                 1,
                 0.1,
-                new FrontPlan.Advice(100_000, 1_500_000));
+                new RoutingConfig.Advice(100_000, 1_500_000));
     }
 
     private static void write(Path file, long size) throws IOException {
--- a/simulator/src/main/java/loadbalancer/simulator/policies/Quiet.java
+++ b/simulator/src/main/java/loadbalancer/simulator/policies/Quiet.java
@@ -1,9 +1,9 @@
 package loadbalancer.simulator.policies;
 
-import loadbalancer.policy.Policy;
+import loadbalancer.policy.LoadBalancingPolicy;
 
 /** Takes what a module asks for and does nothing: callers override what they care for. */
-public class Quiet implements Policy.Actions {
+public class Quiet implements LoadBalancingPolicy.Actions {
     @Override
     public void send(String request, String server, long timeout) {}
 
--- a/simulator/src/main/java/loadbalancer/simulator/queue/QueueModel.java
+++ b/simulator/src/main/java/loadbalancer/simulator/queue/QueueModel.java
@@ -3,15 +3,15 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import loadbalancer.policy.AttemptOutcome;
-import loadbalancer.policy.Balance;
 import loadbalancer.policy.DiscoveryMode;
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
 import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.JsqDasPolicy;
 import loadbalancer.policy.KeyScope;
+import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.LoadReporting;
-import loadbalancer.policy.Policy;
 import loadbalancer.policy.PolicySettings;
 import loadbalancer.policy.RequestClass;
 import loadbalancer.policy.SafetyBounds;
@@ -285,11 +285,11 @@
 
     /** The program's own module, told of the fleet without kinds or weights and with deadlines out of reach. */
     private final class ByModule extends Quiet implements Dispatcher {
-        private final Policy policy;
+        private final LoadBalancingPolicy policy;
 
         ByModule(long seed) {
             RequestClass only = new RequestClass(Idempotency.SAFE, KeyScope.ALL, 0, FAR / 2, FAR, 0, 1, 1, false);
-            policy = new Balance(
+            policy = new JsqDasPolicy(
                     new PolicySettings(
                             1,
                             0,
--- a/simulator/src/main/java/loadbalancer/simulator/variants/FrontSpec.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/FrontSpec.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import loadbalancer.front.FrontPlan;
 import loadbalancer.limits.ConcurrencyLimit;
 import loadbalancer.limits.TokenTree.Rate;
 import loadbalancer.policy.PolicySettings;
+import loadbalancer.router.RoutingConfig;
 import loadbalancer.routes.PathTemplate;
 import loadbalancer.routes.Route;
 
@@ -19,7 +19,7 @@
  * @param tenantRate a tenant's own rate, as a multiple of its allowance; 0: no rates
  * @param tenantCeiling what it may borrow up to, as a multiple of the same
  * @param siteRate of all together, as a multiple of all allowances
- * @param reserve as {@link FrontPlan} has it
+ * @param reserve as {@link RoutingConfig} has it
  */
 public record FrontSpec(
         List<Pool> pools, List<Way> routes, double tenantRate, double tenantCeiling, double siteRate, double reserve) {
@@ -65,7 +65,7 @@
     private static final long ADVICE_LEAST = 50_000;
 
     /** The plan for a balancer with those settings, where each pool has so many upstreams, at that time of the day. */
-    FrontPlan plan(
+    RoutingConfig plan(
             Use use,
             PolicySettings settings,
             List<String> classes,
@@ -73,7 +73,7 @@
             Map<String, Integer> upstreams,
             long time) {
         int told = Math.max(1, (int) Math.round(settings.balancers() * use.toldTimes) + use.toldMore);
-        List<FrontPlan.PoolPlan> all = new ArrayList<>();
+        List<RoutingConfig.PoolPlan> all = new ArrayList<>();
         for (Pool p : pools) {
             double each = Math.max(1, upstreams.getOrDefault(p.name, 1)) / (double) settings.balancers();
             ConcurrencyLimit.Kind kind = use.limit != null ? use.limit : p.limit;
@@ -82,33 +82,34 @@
             ConcurrencyLimit.Plan limit = kind == null || use.without.contains("limits")
                     ? null
                     : new ConcurrencyLimit.Plan(kind, start, least, Math.max(start, (int) Math.round(p.most * each)));
-            all.add(new FrontPlan.PoolPlan(p.name, limit, p.fullStrength));
+            all.add(new RoutingConfig.PoolPlan(p.name, limit, p.fullStrength));
         }
-        List<FrontPlan.RoutePlan> ways = new ArrayList<>();
+        List<RoutingConfig.RoutePlan> ways = new ArrayList<>();
         for (int i = 0; i < routes.size(); i++) {
             ways.add(route(routes.get(i), use, i, time));
         }
-        FrontPlan.Quotas quotas = FrontPlan.Quotas.none();
+        RoutingConfig.Quotas quotas = RoutingConfig.Quotas.none();
         if (tenantRate > 0 && !use.without.contains("quotas")) {
-            Map<String, FrontPlan.TenantQuota> own = new LinkedHashMap<>();
+            Map<String, RoutingConfig.TenantQuota> own = new LinkedHashMap<>();
             double sum = 0;
             for (int i = 0; i < tenants.size(); i++) {
                 double allowance = settings.tenants().get(i).allowancePerSecond();
                 sum += allowance;
                 own.put(
                         tenants.get(i),
-                        new FrontPlan.TenantQuota(rate(allowance * tenantRate, allowance * tenantCeiling), Map.of()));
+                        new RoutingConfig.TenantQuota(
+                                rate(allowance * tenantRate, allowance * tenantCeiling), Map.of()));
             }
-            quotas = new FrontPlan.Quotas(rate(sum * siteRate, sum * siteRate), own, null);
+            quotas = new RoutingConfig.Quotas(rate(sum * siteRate, sum * siteRate), own, null);
         }
-        return new FrontPlan(
+        return new RoutingConfig(
                 all,
                 ways,
                 null,
                 quotas,
                 told,
                 reserve,
-                new FrontPlan.Advice(ADVICE_LEAST, settings.limits().retryAfterMax()));
+                new RoutingConfig.Advice(ADVICE_LEAST, settings.limits().retryAfterMax()));
     }
 
     // A second's worth may come at once: shares are counted over a second as well.
@@ -116,22 +117,24 @@
         return new Rate(perSecond, Math.max(1, perSecond), Math.max(perSecond, ceiling));
     }
 
-    private FrontPlan.RoutePlan route(Way w, Use use, int place, long time) {
+    private RoutingConfig.RoutePlan route(Way w, Use use, int place, long time) {
         double moved = w.steps == 0 || time < w.stepsFrom || use.without.contains("steps")
                 ? 0
                 : Math.min(1, Math.floor((time - w.stepsFrom) * (double) w.steps / w.stepsLength + 1) / w.steps);
-        List<FrontPlan.Spill> spills = use.without.contains("spill")
+        List<RoutingConfig.Spill> spills = use.without.contains("spill")
                 ? List.of()
-                : w.spill.stream().map(s -> new FrontPlan.Spill(s, w.spillMost)).toList();
-        List<FrontPlan.Way> ways = new ArrayList<>();
+                : w.spill.stream()
+                        .map(s -> new RoutingConfig.Spill(s, w.spillMost))
+                        .toList();
+        List<RoutingConfig.Way> ways = new ArrayList<>();
         for (int i = 0; i < w.to.size(); i++) {
             double weight = w.steps == 0 ? w.weights.get(i) : i == 0 ? 1 - moved : i == w.to.size() - 1 ? moved : 0;
-            ways.add(new FrontPlan.Way(w.to.get(i), weight, spills));
+            ways.add(new RoutingConfig.Way(w.to.get(i), weight, spills));
         }
-        FrontPlan.Retries retries = w.retryShare < 0 || use.without.contains("retries")
+        RoutingConfig.Retries retries = w.retryShare < 0 || use.without.contains("retries")
                 ? null
-                : new FrontPlan.Retries(w.retryShare, 1, RETRY_WINDOW, w.countClients);
-        return new FrontPlan.RoutePlan(
+                : new RoutingConfig.Retries(w.retryShare, 1, RETRY_WINDOW, w.countClients);
+        return new RoutingConfig.RoutePlan(
                 new Route(w.name, PathTemplate.of("/**"), Set.of(), Map.of(), Set.of(), w.classes, place),
                 ways,
                 w.spare,
--- a/simulator/src/main/java/loadbalancer/simulator/variants/FrontedPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/FrontedPolicy.java
@@ -8,15 +8,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
-import loadbalancer.front.Front;
-import loadbalancer.front.Front.End;
 import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
+import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.LoadReport;
-import loadbalancer.policy.Policy;
 import loadbalancer.policy.PolicySettings;
+import loadbalancer.router.RequestRouter;
+import loadbalancer.router.RequestRouter.End;
 import loadbalancer.routes.Route;
 import loadbalancer.simulator.sim.Draws;
 
@@ -24,17 +24,17 @@
  * A front before several pools, each with a module of its own, played as one module: what the balancer does on
  * sockets. The kind of an upstream tells its pool. One module, the first pool's, speaks with discovery; all hear.
  */
-final class FrontedPolicy implements Policy {
+final class FrontedPolicy implements LoadBalancingPolicy {
     /** What the world's numbers stand for. */
     record Names(List<String> classes, List<String> tenants, List<String> kindPools, List<Double> worths) {}
 
     private record Wake(long at, String pool) {}
 
     private static final class Open {
-        final Front.Ticket ticket;
+        final RequestRouter.RouteLease ticket;
         int attempts;
 
-        Open(Front.Ticket ticket) {
+        Open(RequestRouter.RouteLease ticket) {
             this.ticket = ticket;
         }
     }
@@ -46,13 +46,13 @@
     private final Names names;
     private final Draws draws;
     private final long begin;
-    private final Map<String, Policy> modules = new LinkedHashMap<>();
+    private final Map<String, LoadBalancingPolicy> modules = new LinkedHashMap<>();
     private final Map<String, Map<String, EndpointState>> states = new HashMap<>();
     private final Map<String, String> poolOf = new HashMap<>();
     private final Map<String, Open> open = new HashMap<>();
     private final List<Wake> wakes = new ArrayList<>();
     private final ArrayDeque<Runnable> later = new ArrayDeque<>();
-    private Front front;
+    private RequestRouter front;
     private int step;
     private Actions out;
     private long time;
@@ -63,7 +63,7 @@
             Names names,
             Draws draws,
             long begin,
-            Function<String, Policy> module) {
+            Function<String, LoadBalancingPolicy> module) {
         this.use = use;
         this.settings = settings;
         this.names = names;
@@ -208,7 +208,7 @@
             some.forEach(s -> known.put(s.id(), s.state()));
         });
         if (front == null) {
-            front = new Front(plan(now));
+            front = new RequestRouter(plan(now));
         }
         own.forEach((pool, some) -> {
             if (kind != EndpointListKind.FAILED) {
@@ -223,7 +223,7 @@
         settle();
     }
 
-    private loadbalancer.front.FrontPlan plan(long now) {
+    private loadbalancer.router.RoutingConfig plan(long now) {
         Map<String, Integer> sizes = new HashMap<>();
         states.forEach((pool, known) -> sizes.put(pool, known.size()));
         step = use.spec().step(now - begin);
@@ -243,7 +243,7 @@
             Actions to) {
         begin(now, to);
         if (use.spec().step(now - begin) != step) {
-            Front next = new Front(plan(now));
+            RequestRouter next = new RequestRouter(plan(now));
             next.resume(front);
             front = next;
         }
@@ -251,9 +251,9 @@
         double least = worths.stream().mapToDouble(w -> w).min().orElse(1);
         double most = worths.stream().mapToDouble(w -> w).max().orElse(1);
         double rank = most > least ? (worths.get(kind) - least) / (most - least) : 1;
-        Front.Verdict v = front.arrive(
+        RequestRouter.RoutingDecision v = front.arrive(
                 now,
-                new Front.Arrival(
+                new RequestRouter.Arrival(
                         new Route.Request(
                                 "GET",
                                 ROOT,
--- a/simulator/src/main/java/loadbalancer/simulator/variants/Metered.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/Metered.java
@@ -5,11 +5,11 @@
 import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.LoadReport;
-import loadbalancer.policy.Policy;
 
 /** A module with a meter: how long its calls took, by a clock that the caller brings. */
-public final class Metered implements Policy {
+public final class Metered implements LoadBalancingPolicy {
     /** What the calls of all modules that share it took, in ns. */
     public static final class Meter {
         private long decisions;
@@ -37,11 +37,11 @@
         }
     }
 
-    private final Policy policy;
+    private final LoadBalancingPolicy policy;
     private final Meter meter;
     private final LongSupplier clock;
 
-    public Metered(Policy policy, Meter meter, LongSupplier clock) {
+    public Metered(LoadBalancingPolicy policy, Meter meter, LongSupplier clock) {
         this.policy = policy;
         this.meter = meter;
         this.clock = clock;
--- a/simulator/src/main/java/loadbalancer/simulator/variants/TextbookPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/TextbookPolicy.java
@@ -11,8 +11,8 @@
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
 import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.LoadReport;
-import loadbalancer.policy.Policy;
 import loadbalancer.policy.PolicySettings;
 import loadbalancer.policy.SafetyBounds;
 import loadbalancer.simulator.policies.Chooser;
@@ -26,7 +26,7 @@
  * It neither sheds load nor learns health. Cold servers are met in proportion to their warmth as the rules
  * promise it, or textbook policies would push each of them over.
  */
-final class TextbookPolicy implements Policy {
+final class TextbookPolicy implements LoadBalancingPolicy {
     private static final int COLD_DRAWS = 4;
     private static final long WAKE = 1_000_000;
 
--- a/simulator/src/main/java/loadbalancer/simulator/variants/Variants.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/Variants.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.policy.Balance;
+import loadbalancer.policy.JsqDasPolicy;
 import loadbalancer.simulator.policies.Chooser;
 import loadbalancer.simulator.policies.Choosers;
 import loadbalancer.simulator.policies.ServerView;
@@ -51,7 +51,7 @@
      */
     public static PolicyMaker maker(Variant v) {
         if (v.policy.equals(OWN)) {
-            return (settings, seed, truth) -> new Balance(settings, seed);
+            return (settings, seed, truth) -> new JsqDasPolicy(settings, seed);
         }
         if (!names().contains(v.policy)) {
             throw new IllegalArgumentException("no policy '" + v.policy + "'");
--- a/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
@@ -9,13 +9,13 @@
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
-import loadbalancer.policy.Policy;
+import loadbalancer.policy.LoadBalancingPolicy;
 
 /**
  * One process of a balancer: carries out what its module asks for, on the simulated network. It decides nothing.
  * A restarted balancer is a new object.
  */
-public final class Balancer implements Policy.Actions {
+public final class Balancer implements LoadBalancingPolicy.Actions {
     private static final int REMEMBERED = 512;
 
     final int rank;
@@ -23,7 +23,7 @@
     final int incarnation;
     final Register.Subscriber subscriber;
     private final World world;
-    private final Policy policy;
+    private final LoadBalancingPolicy policy;
     private final Map<String, Taken> taken = new HashMap<>();
     private final Map<Upstream, Links> links = new HashMap<>();
     private final Map<String, Endpoint> list = new HashMap<>();
@@ -39,7 +39,7 @@
     };
     private boolean alive = true;
 
-    Balancer(World world, int rank, int zone, int incarnation, Policy policy) {
+    Balancer(World world, int rank, int zone, int incarnation, LoadBalancingPolicy policy) {
         this.world = world;
         this.rank = rank;
         this.zone = zone;
@@ -68,7 +68,7 @@
         return alive;
     }
 
-    Policy policy() {
+    LoadBalancingPolicy policy() {
         return policy;
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/world/PolicyMaker.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/PolicyMaker.java
@@ -1,11 +1,11 @@
 package loadbalancer.simulator.world;
 
-import loadbalancer.policy.Policy;
+import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.PolicySettings;
 
 /** Makes the module of a balancer that starts. */
 @FunctionalInterface
 public interface PolicyMaker {
     /** {@code truth} is for policies that are allowed to see everything; the others don't look. */
-    Policy make(PolicySettings settings, long seed, Truth truth);
+    LoadBalancingPolicy make(PolicySettings settings, long seed, Truth truth);
 }
--- a/simulator/src/main/java/loadbalancer/simulator/world/World.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/World.java
@@ -11,8 +11,8 @@
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointState;
 import loadbalancer.policy.KeyScope;
+import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.LoadReporting;
-import loadbalancer.policy.Policy;
 import loadbalancer.policy.PolicySettings;
 import loadbalancer.policy.RequestClass;
 import loadbalancer.policy.SafetyBounds;
@@ -337,7 +337,7 @@
     Balancer boot(BalancerSlot slot, Map<String, double[]> learnt) {
         int incarnation = slot.nextIncarnation();
         long now = simulation.now();
-        Policy policy = maker.make(
+        LoadBalancingPolicy policy = maker.make(
                 settings(slot.rank, slot.zone), streams.seed("balancer", slot.rank * 1000L + incarnation), this);
         Balancer b = new Balancer(this, slot.rank, slot.zone, incarnation, policy);
         processes.removeIf(p -> !p.alive());
--- a/simulator/src/test/java/loadbalancer/simulator/LayersTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/LayersTest.java
@@ -29,12 +29,18 @@
                 .resideInAnyPackage("..lab.sim..", "..lab.world..", "..lab.judge..")
                 .should()
                 .dependOnClassesThat()
-                .haveFullyQualifiedName("loadbalancer.policy.Balance")
+                .haveFullyQualifiedName("loadbalancer.policy.JsqDasPolicy")
                 .check(LAB);
         noClasses()
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage("loadbalancer.net..", "loadbalancer.wire..")
+                .resideInAnyPackage(
+                        "loadbalancer.http..",
+                        "loadbalancer.upstream..",
+                        "loadbalancer.dispatch..",
+                        "loadbalancer.routing..",
+                        "loadbalancer.process..",
+                        "loadbalancer.wire..")
                 .check(LAB);
     }
 
--- a/simulator/src/test/java/loadbalancer/simulator/judge/JudgeTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/judge/JudgeTest.java
@@ -15,8 +15,8 @@
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
 import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.LoadReport;
-import loadbalancer.policy.Policy;
 import loadbalancer.simulator.judge.Broken.Rule;
 import loadbalancer.simulator.world.WorldPlan;
 import loadbalancer.simulator.world.Worlds;
@@ -27,7 +27,7 @@
 /** For each rule a policy that breaks just that rule, and the judge names it. */
 class JudgeTest {
     /** Sends each request to the next upstream, once; keeps every rule but the planted one. */
-    private static final class Planted implements Policy {
+    private static final class Planted implements LoadBalancingPolicy {
         private final Rule rule;
         private final Map<String, Endpoint> up = new LinkedHashMap<>();
         private final Map<String, Boolean> open = new HashMap<>();
--- a/simulator/src/test/java/loadbalancer/simulator/world/HardCasesTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/world/HardCasesTest.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 import loadbalancer.limits.ConcurrencyLimit;
 import loadbalancer.policy.AttemptOutcome;
-import loadbalancer.policy.Balance;
 import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.JsqDasPolicy;
 import loadbalancer.simulator.judge.Broken;
 import loadbalancer.simulator.judge.Day;
 import loadbalancer.simulator.policies.Choosers;
@@ -209,7 +209,7 @@
             }
         };
         WorldPlan plan = Worlds.small(0.6, 6, Idempotency.SAFE, Worlds.trouble("balancers_killed", 4, 3, 0.3, 0, 0));
-        World world = new World(plan, 9, (settings, seed, truth) -> new Balance(settings, seed), recorder);
+        World world = new World(plan, 9, (settings, seed, truth) -> new JsqDasPolicy(settings, seed), recorder);
         world.run();
         assertEquals(List.of(), outcomesAfter);
         assertTrue(deaths.size() > 3, "clients of the killed one were served by others: " + deaths.size());
@@ -221,7 +221,7 @@
         World world = new World(
                 Worlds.small(0.7, 6, Idempotency.SAFE),
                 2,
-                (settings, seed, truth) -> new Balance(settings, seed),
+                (settings, seed, truth) -> new JsqDasPolicy(settings, seed),
                 new Recorder());
         world.run();
         for (Balancer b : world.processes()) {
@@ -244,7 +244,7 @@
         new World(
                         Worlds.small(0.5, 4, Idempotency.SAFE, Worlds.trouble("same_address", 3, 1, 0.5, 0, 0)),
                         3,
-                        (settings, seed, truth) -> new Balance(settings, seed),
+                        (settings, seed, truth) -> new JsqDasPolicy(settings, seed),
                         recorder)
                 .run();
         assertTrue(targets.size() > 0, "until the register tells, the old id leads to the new process");
@@ -262,9 +262,9 @@
             }
         };
         WorldPlan plan = Worlds.small(0.0001, 1, Idempotency.SAFE);
-        World world = new World(plan, 1, (settings, seed, truth) -> new Balance(settings, seed), recorder);
+        World world = new World(plan, 1, (settings, seed, truth) -> new JsqDasPolicy(settings, seed), recorder);
         Upstream u = world.upstreams.get(0);
-        Balancer b = new Balancer(world, 0, u.zone, 0, new Balance(world.settings(0, 0), 1));
+        Balancer b = new Balancer(world, 0, u.zone, 0, new JsqDasPolicy(world.settings(0, 0), 1));
         world.simulation.at(100, now -> {
             for (int i = 0; i < jobs; i++) {
                 ClientRequest c = new ClientRequest(i, 0, 0, 0, -1, 20_000, now, now + Worlds.SECOND, false);
