--- a/balancer/src/main/java/loadbalancer/dispatch/InboundRequest.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/InboundRequest.java
@@ -21,16 +21,16 @@
         String key,
         long timeLeft,
         long work,
-        boolean resubmission) {
+        boolean clientRetry) {
     /** The same with less time. */
     public InboundRequest within(long other) {
         return new InboundRequest(
-                id, method, uri, headers, body, rest, requestClass, tenant, key, other, work, resubmission);
+                id, method, uri, headers, body, rest, requestClass, tenant, key, other, work, clientRetry);
     }
 
     /** The same for another path. */
     public InboundRequest to(String other) {
         return new InboundRequest(
-                id, method, other, headers, body, rest, requestClass, tenant, key, timeLeft, work, resubmission);
+                id, method, other, headers, body, rest, requestClass, tenant, key, timeLeft, work, clientRetry);
     }
 }
--- a/balancer/src/main/java/loadbalancer/dispatch/RequestDispatcher.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/RequestDispatcher.java
@@ -189,7 +189,7 @@
                 order.key(),
                 Math.max(0, x.deadline - now),
                 order.work(),
-                order.resubmission(),
+                order.clientRetry(),
                 this));
         return () -> gone(x);
     }
@@ -294,7 +294,7 @@
         if (targets != null) {
             upstreams.listed(targets, now());
         }
-        hand(now -> policy.servers(now, kind, targets == null ? List.of() : targets.servers(), this));
+        hand(now -> policy.endpoints(now, kind, targets == null ? List.of() : targets.servers(), this));
     }
 
     /** Takes new settings, for requests that come from here on; what there was before is matched by name. */
@@ -313,13 +313,13 @@
     }
 
     /** What the module has learnt, for a process that is to go on in its place. */
-    public Map<String, double[]> learnt() {
-        return policy.learnt(now());
+    public Map<String, double[]> learnedState() {
+        return policy.learnedState(now());
     }
 
     /** Gives the module what another has learnt. */
-    public void resume(Map<String, double[]> learnt) {
-        hand(now -> policy.resume(now, learnt));
+    public void restore(Map<String, double[]> learnedState) {
+        hand(now -> policy.restore(now, learnedState));
     }
 
     /** This process may use that part of what the balancer may send to cold upstreams. */
@@ -471,7 +471,7 @@
 
     /** Balancers share nothing here: the module sends no messages, and there is no way for one. */
     @Override
-    public void tell(int peer, byte[] data) {
+    public void sendToPeer(int peer, byte[] data) {
         throw new UnsupportedOperationException("messages between balancers");
     }
 
@@ -481,7 +481,7 @@
     }
 
     @Override
-    public void remark(String line) {
+    public void log(String line) {
         log.accept(line);
     }
 }
--- a/balancer/src/main/java/loadbalancer/handover/HandoverLink.java
+++ b/balancer/src/main/java/loadbalancer/handover/HandoverLink.java
@@ -97,7 +97,7 @@
             return;
         }
         awaiting = then;
-        tell(Map.of("want", "state"));
+        sendToPeer(Map.of("want", "state"));
         loop.schedule(
                 () -> {
                     if (awaiting != null) {
@@ -150,7 +150,7 @@
     }
 
     /** Says something to the other process, if there is one. */
-    public void tell(Map<String, Object> message) {
+    public void sendToPeer(Map<String, Object> message) {
         try {
             String line = JSON.std.asString(message) + "\n";
             for (Channel peer : peers) {
@@ -202,7 +202,7 @@
         protected void channelRead0(ChannelHandlerContext context, String line) throws IOException {
             Map<String, Object> message = JSON.std.mapFrom(line);
             if (message.containsKey("want")) {
-                tell(Map.of("state", owner.state()));
+                sendToPeer(Map.of("state", owner.state()));
             } else if (message.get("state") instanceof Map<?, ?> state) {
                 answered(JSON.std.mapFrom(JSON.std.asString(state)));
             } else {
--- a/balancer/src/main/java/loadbalancer/http/RequestValidator.java
+++ b/balancer/src/main/java/loadbalancer/http/RequestValidator.java
@@ -99,10 +99,10 @@
             throw new IllegalArgumentException("unknown Req-Kind");
         }
         Idempotency effect = boot.settings().classes().get(number).effect();
-        HttpMethod method = effect == Idempotency.SAFE ? HttpMethod.GET : HttpMethod.POST;
+        HttpMethod method = effect == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
         String repeat = headers.get("Idempotency-Key");
         if (!request.method().equals(method)
-                || (repeat != null) != (effect == Idempotency.KEYED)
+                || (repeat != null) != (effect == Idempotency.IDEMPOTENT_WITH_KEY)
                 || repeat != null && !named(repeat)) {
             throw new IllegalArgumentException("method or Idempotency-Key contradicts the Req-Kind");
         }
--- a/balancer/src/main/java/loadbalancer/operator/PoolSpec.java
+++ b/balancer/src/main/java/loadbalancer/operator/PoolSpec.java
@@ -30,7 +30,7 @@
     }
 
     /** Settings that differ from the platform's; null: as they are there. Times in µs. */
-    public record Overrides(Integer maxAttempts, Long connectTimeout, Long idleClose, Boolean probes) {
+    public record Overrides(Integer maxAttempts, Long connectTimeoutMicros, Long idleClose, Boolean probes) {
         /** None. */
         public static final Overrides NONE = new Overrides(null, null, null, null);
     }
--- a/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
@@ -154,7 +154,7 @@
                     "classes",
                     config.boot().classes(),
                     "learnt",
-                    dispatcher.learnt());
+                    dispatcher.learnedState());
             if (gateway == null) {
                 return site;
             }
@@ -180,7 +180,7 @@
         public void accompanied(boolean by) {
             if (by && counting == null) {
                 counting = loop.scheduleWithFixedDelay(
-                        () -> link.tell(Map.of("open", descriptors.open())), 0, COUNT_MS, TimeUnit.MILLISECONDS);
+                        () -> link.sendToPeer(Map.of("open", descriptors.open())), 0, COUNT_MS, TimeUnit.MILLISECONDS);
             } else if (!by && counting != null) {
                 counting.cancel(false);
                 counting = null;
@@ -195,7 +195,7 @@
             try {
                 HandoverState site = HandoverState.of(state, config.boot());
                 membership.inherit(site.out(), site.back(), site.list());
-                dispatcher.resume(site.learnt());
+                dispatcher.restore(site.learnedState());
                 if (gateway != null && state.get("pools") instanceof Map<?, ?> pools) {
                     gateway.inherit(pools);
                 }
@@ -235,7 +235,7 @@
         public boolean setDown(String id) {
             boolean known = down(id);
             if (known) {
-                link.tell(Map.of("down", id));
+                link.sendToPeer(Map.of("down", id));
             }
             log.event(
                     "set-down " + id + (known ? "" : ": no such upstream"),
@@ -252,7 +252,7 @@
         public boolean setUp(String id) {
             boolean known = up(id);
             if (known) {
-                link.tell(Map.of("up", id));
+                link.sendToPeer(Map.of("up", id));
             }
             log.event(
                     "set-up " + id + (known ? "" : ": no such upstream"),
@@ -370,12 +370,12 @@
     // would go to upstreams that have left. An agent that is down is not waited for without end. Long before that the
     // process is ready: what comes meanwhile waits in the module, or is refused in time, as where no upstream is free.
     private void begin() {
-        if (config.boot().settings().discovery() == DiscoveryMode.ASK) {
-            listed(EndpointListKind.PERSISTED, config.known());
+        if (config.boot().settings().discovery() == DiscoveryMode.POLL) {
+            listed(EndpointListKind.CACHED, config.known());
             return;
         }
         membership.listed(
-                EndpointListKind.PERSISTED, new EndpointList(config.known().rev(), true, List.of()));
+                EndpointListKind.CACHED, new EndpointList(config.known().rev(), true, List.of()));
         membership.hold(config.known());
         loop.schedule(
                 () -> {
@@ -520,7 +520,7 @@
     // Ready once an upstream may be sent to: what was known from before will do until discovery answers.
     public void listed(EndpointListKind kind, EndpointList targets) {
         membership.listed(kind, targets);
-        boolean usable = kind == EndpointListKind.COMPLETE || targets != null && membership.anyUp();
+        boolean usable = kind == EndpointListKind.SNAPSHOT || targets != null && membership.anyUp();
         if (usable) {
             hasList = true;
             readyIfSo();
@@ -532,7 +532,7 @@
             clients.accept();
             clients.ready();
             readied.countDown();
-            link.tell(Map.of("serving", true));
+            link.sendToPeer(Map.of("serving", true));
             link.offer();
         }
     }
--- a/balancer/src/main/java/loadbalancer/process/HandoverState.java
+++ b/balancer/src/main/java/loadbalancer/process/HandoverState.java
@@ -9,7 +9,8 @@
 import loadbalancer.settings.SettingsReader;
 
 /** What a process tells the one that goes on in its place, of one pool: read strictly, or not at all. */
-public record HandoverState(Set<String> out, Map<String, Long> back, EndpointList list, Map<String, double[]> learnt) {
+public record HandoverState(
+        Set<String> out, Map<String, Long> back, EndpointList list, Map<String, double[]> learnedState) {
     /**
      * Reads what was told.
      *
@@ -21,17 +22,17 @@
         Map<String, Long> back = new LinkedHashMap<>();
         ((Map<?, ?>) state.get("back")).forEach((id, at) -> back.put((String) id, ((Number) at).longValue()));
         EndpointList list = EndpointList.of(state.get("list"), boot);
-        Map<String, double[]> learnt = new LinkedHashMap<>();
+        Map<String, double[]> learnedState = new LinkedHashMap<>();
         ((Map<?, ?>) state.get("learnt"))
-                .forEach((name, figures) -> learnt.put(
+                .forEach((name, figures) -> learnedState.put(
                         (String) name,
                         ((List<?>) figures)
                                 .stream()
                                         .mapToDouble(f -> ((Number) f).doubleValue())
                                         .toArray()));
         if (!boot.classes().equals(state.get("classes"))) {
-            learnt.keySet().removeIf(name -> !name.startsWith("server "));
+            learnedState.keySet().removeIf(name -> !name.startsWith("server "));
         }
-        return new HandoverState(out, back, list, learnt);
+        return new HandoverState(out, back, list, learnedState);
     }
 }
--- a/balancer/src/main/java/loadbalancer/process/OperatorFileLoader.java
+++ b/balancer/src/main/java/loadbalancer/process/OperatorFileLoader.java
@@ -27,7 +27,7 @@
                 boot.classes(),
                 boot.tenants().isEmpty() ? null : boot.tenants(),
                 boot.settings().balancers(),
-                boot.settings().limits().retryAfterMax());
+                boot.settings().limits().maxRetryAfterMicros());
     }
 
     /**
--- a/balancer/src/main/java/loadbalancer/process/WarmUp.java
+++ b/balancer/src/main/java/loadbalancer/process/WarmUp.java
@@ -102,7 +102,7 @@
         }
         EndpointList all = new EndpointList(0, true, targets);
         front.listed(all, dispatcher.now());
-        dispatcher.listed(EndpointListKind.PERSISTED, all);
+        dispatcher.listed(EndpointListKind.CACHED, all);
         loop.schedule(this::end, MOST_MS, TimeUnit.MILLISECONDS);
         for (int i = 0; i < AT_ONCE; i++) {
             next();
@@ -126,11 +126,11 @@
                 .set("Req-Id", "rehearsal-" + begun)
                 .set("Req-Kind", boot.classes().get(number))
                 .set("Req-Cost", Integer.toString(begun));
-        if (effect == Idempotency.KEYED) {
+        if (effect == Idempotency.IDEMPOTENT_WITH_KEY) {
             headers.set("Idempotency-Key", "rehearsal-" + begun);
         }
-        HttpMethod method = effect == Idempotency.SAFE ? HttpMethod.GET : HttpMethod.POST;
-        byte[] body = new byte[effect == Idempotency.SAFE ? 0 : 200];
+        HttpMethod method = effect == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
+        byte[] body = new byte[effect == Idempotency.IDEMPOTENT ? 0 : 200];
         InboundRequest order = new InboundRequest(
                 "rehearsal-" + begun, method, PATH, headers, body, null, number, 0, null, WAIT, -1, false);
         front.send("rehearsal-0", order, WAIT, (outcome, answer, load) -> {
--- a/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
@@ -115,7 +115,7 @@
         }
         RequestRouter fresh = new RequestRouter(next.front());
         if (front != null) {
-            fresh.resume(front);
+            fresh.restore(front);
             swaps++;
         }
         front = fresh;
@@ -138,10 +138,12 @@
 
     private void rank() {
         List<RequestClass> classes = boot.settings().classes();
-        double least = classes.stream().mapToDouble(RequestClass::worth).min().orElse(0);
-        double most = classes.stream().mapToDouble(RequestClass::worth).max().orElse(0);
+        double least =
+                classes.stream().mapToDouble(RequestClass::priorityWeight).min().orElse(0);
+        double most =
+                classes.stream().mapToDouble(RequestClass::priorityWeight).max().orElse(0);
         ranks = classes.stream()
-                .mapToDouble(c -> most > least ? (c.worth() - least) / (most - least) : 1)
+                .mapToDouble(c -> most > least ? (c.priorityWeight() - least) / (most - least) : 1)
                 .toArray();
     }
 
@@ -237,7 +239,7 @@
                 tenant,
                 boot.classes().get(order.requestClass()));
         return new RequestRouter.Arrival(
-                request, order.key(), ranks[order.requestClass()], order.resubmission(), random.nextDouble());
+                request, order.key(), ranks[order.requestClass()], order.clientRetry(), random.nextDouble());
     }
 
     // One line for each power of two: a storm is not to fill the log.
--- a/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
+++ b/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
@@ -82,10 +82,9 @@
 
     /** Begins to learn its list; on the loop's thread. */
     public void start() {
-        membership.listed(
-                EndpointListKind.PERSISTED, discovery == null ? fixed() : new EndpointList(0, true, List.of()));
+        membership.listed(EndpointListKind.CACHED, discovery == null ? fixed() : new EndpointList(0, true, List.of()));
         if (discovery == null) {
-            membership.listed(EndpointListKind.COMPLETE, fixed());
+            membership.listed(EndpointListKind.SNAPSHOT, fixed());
         } else {
             discovery.start();
         }
@@ -110,27 +109,27 @@
         PoolSpec.Overrides o = spec.settings();
         SiteLimits limits = new SiteLimits(
                 o.maxAttempts() == null ? l.maxAttempts() : o.maxAttempts(),
-                l.mayDuplicate(),
-                l.mayCancel(),
-                o.probes() == null ? l.mayProbe() : o.probes(),
-                o.connectTimeout() == null ? l.connectTimeout() : o.connectTimeout(),
-                l.retryAfterMax());
+                l.hedgingAllowed(),
+                l.cancellationAllowed(),
+                o.probes() == null ? l.probingAllowed() : o.probes(),
+                o.connectTimeoutMicros() == null ? l.connectTimeoutMicros() : o.connectTimeoutMicros(),
+                l.maxRetryAfterMicros());
         PolicySettings own = new PolicySettings(
                 s.balancers(),
                 s.rank(),
                 s.zone(),
                 s.classes(),
                 s.tenants(),
-                s.overShareWorth(),
+                s.overQuotaWeight(),
                 s.goal(),
                 s.prices(),
-                s.worthByWork(),
+                s.weightByWork(),
                 spec.discovery() == null ? DiscoveryMode.PUSH : s.discovery(),
                 s.reports(),
-                s.warmKeys(),
+                s.keyAffinity(),
                 limits,
                 s.bounds(),
-                s.tick());
+                s.tickMicros());
         return new SettingsReader.Boot(
                 own,
                 site.loadFields(),
@@ -164,7 +163,7 @@
         if (discovery != null) {
             discovery.moveTo(next.discovery());
         } else if (!before.sameSource(next)) {
-            membership.listed(EndpointListKind.COMPLETE, fixed());
+            membership.listed(EndpointListKind.SNAPSHOT, fixed());
         }
     }
 
@@ -193,14 +192,14 @@
                 "classes",
                 boot.classes(),
                 "learnt",
-                dispatcher.learnt());
+                dispatcher.learnedState());
     }
 
     /** Goes on from what another process of this balancer knows of the pool of that name. */
     public void inherit(HandoverState of) {
         // A list in the file is this process's own: the other may have had another file.
         membership.inherit(of.out(), of.back(), discovery == null ? new EndpointList(-1, true, List.of()) : of.list());
-        dispatcher.resume(of.learnt());
+        dispatcher.restore(of.learnedState());
     }
 
     public SettingsReader.Boot boot() {
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamConnectionPool.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamConnectionPool.java
@@ -126,7 +126,7 @@
     }
 
     private int connectMillis() {
-        long limit = boot.settings().limits().connectTimeout();
+        long limit = boot.settings().limits().connectTimeoutMicros();
         return limit > 0 ? (int) Math.max(1, Math.min(Integer.MAX_VALUE, limit / 1000)) : CONNECT_MS;
     }
 
@@ -154,7 +154,7 @@
     }
 
     private void stop(Upstream u, long now) {
-        long grace = boot.settings().bounds().drainGrace();
+        long grace = boot.settings().bounds().drainGracePeriodMicros();
         u.stopAt = Math.min(u.stopAt, now + Math.max(0, grace - Math.min(DRAIN_MARGIN, grace / 2)));
         closeIdle(u);
     }
--- a/balancer/src/main/java/loadbalancer/wire/Adapter.java
+++ b/balancer/src/main/java/loadbalancer/wire/Adapter.java
@@ -128,21 +128,21 @@
                 f.expect("How", "SeqNo", "Buffer");
                 EndpointListKind kind =
                         switch (f.text(1, "How")) {
-                            case "Persisted" -> EndpointListKind.PERSISTED;
-                            case "Complete" -> EndpointListKind.COMPLETE;
-                            case "Partial" -> EndpointListKind.PARTIAL;
-                            case "Error" -> EndpointListKind.FAILED;
+                            case "Persisted" -> EndpointListKind.CACHED;
+                            case "Complete" -> EndpointListKind.SNAPSHOT;
+                            case "Partial" -> EndpointListKind.DELTA;
+                            case "Error" -> EndpointListKind.UNAVAILABLE;
                             default -> throw f.bad("How", "unknown word: '" + f.raw(1, "How") + "'");
                         };
                 f.number(2, "SeqNo", 0);
                 List<Endpoint> list = List.of();
-                if (kind != EndpointListKind.FAILED) {
+                if (kind != EndpointListKind.UNAVAILABLE) {
                     list = buffers.get(f.index(3, "Buffer", BUFFERS));
                     if (list == null) {
                         throw f.bad("Buffer", "no LIST has that number: " + f.raw(3, "Buffer"));
                     }
                 }
-                policy.servers(now, kind, list, reply);
+                policy.endpoints(now, kind, list, reply);
             }
             case "INBOUND" -> {
                 f.expect("Req", "Priority", "Account", "NameKey", "Ttl", "Hint", "Options");
@@ -331,7 +331,7 @@
         }
 
         @Override
-        public void tell(int peer, byte[] data) {
+        public void sendToPeer(int peer, byte[] data) {
             String bytes = data.length == 0 ? "-" : Base64.getEncoder().encodeToString(data);
             line("BROADCAST_TO", peer < 0 ? "*" : peer, bytes);
         }
@@ -342,7 +342,7 @@
         }
 
         @Override
-        public void remark(String line) {
+        public void log(String line) {
             line("REMARK", clean(line));
         }
     }
--- a/balancer/src/test/java/loadbalancer/process/AnswersTest.java
+++ b/balancer/src/test/java/loadbalancer/process/AnswersTest.java
@@ -20,7 +20,7 @@
         byte[] big = new byte[64 * 1024];
         new Random(1).nextBytes(big);
         try (Client client = new Client(at)) {
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             assertEquals("0 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
             FakeUpstream.Got got = upstream.next();
             assertEquals("GET /api/k1?x=%20y HTTP/1.1", got.line());
@@ -55,7 +55,7 @@
             throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             upstream.next().answer(status, header.isEmpty() ? "" : header + "\r\n", "");
             assertEquals(told, module.next());
             assertEquals(passed, client.status());
@@ -66,11 +66,11 @@
     void aBrokenConnectionIsAResetOnceTheRequestIsWritten() throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             upstream.next().reset();
             assertEquals("RESET", module.next());
             assertEquals(502, client.status());
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             FakeUpstream.Got half = upstream.next();
             half.raw("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
             half.socket().close();
@@ -84,7 +84,7 @@
         start();
         upstream.close();
         try (Client client = new Client(at)) {
-            assertEquals(502, client.send(SAFE).status());
+            assertEquals(502, client.send(IDEMPOTENT).status());
             assertEquals("CONNECT_FAILED", module.next());
         }
     }
@@ -94,7 +94,7 @@
         start();
         module.timeout = 100_000;
         try (Client client = new Client(at)) {
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             FakeUpstream.Got got = upstream.next();
             assertTrue(Integer.parseInt(got.header("Req-Deadline-Ms")) <= 100);
             assertEquals("TIMEOUT", module.next());
@@ -106,7 +106,7 @@
     @Test
     void aClientThatLeavesIsToldToTheModuleAndItsAttemptIsGivenUp() throws IOException, InterruptedException {
         start();
-        Client client = new Client(at).send(SAFE);
+        Client client = new Client(at).send(IDEMPOTENT);
         FakeUpstream.Got got = upstream.next();
         client.close();
         assertEquals("gone", module.next());
@@ -119,7 +119,7 @@
         start();
         module.server = null;
         try (Client client = new Client(at)) {
-            client.send(SAFE.replace("20000", "150"));
+            client.send(IDEMPOTENT.replace("20000", "150"));
             assertEquals(502, client.status());
             assertEquals("gone", module.next());
         }
@@ -133,13 +133,13 @@
         start();
         module.broken = true;
         try (Client client = new Client(at)) {
-            assertEquals(502, client.send(SAFE.replace("20000", "150")).status());
+            assertEquals(502, client.send(IDEMPOTENT.replace("20000", "150")).status());
             assertEquals("gone", module.next());
             synchronized (log) {
                 assertTrue(log.get(log.size() - 2).startsWith("fault 1: "), log.toString());
             }
             module.broken = false;
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             upstream.next().answer(200, "", "ok");
             assertEquals(200, client.status());
         }
--- a/balancer/src/test/java/loadbalancer/process/BalancerFixture.java
+++ b/balancer/src/test/java/loadbalancer/process/BalancerFixture.java
@@ -34,7 +34,7 @@
         public final BlockingQueue<String> told = new LinkedBlockingQueue<>();
         public final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
         public final Map<String, Long> startedAt = new ConcurrentHashMap<>();
-        public volatile Map<String, double[]> learnt = Map.of();
+        public volatile Map<String, double[]> learnedState = Map.of();
         public volatile long timeout;
         public volatile boolean broken;
         public volatile boolean again;
@@ -44,7 +44,7 @@
         public volatile LoadBalancingPolicy.Actions actions;
 
         @Override
-        public void servers(long now, EndpointListKind kind, List<Endpoint> servers, Actions out) {
+        public void endpoints(long now, EndpointListKind kind, List<Endpoint> servers, Actions out) {
             actions = out;
             servers.forEach(s -> startedAt.put(s.id(), s.startedAt()));
             told.add(kind + " "
@@ -60,9 +60,9 @@
                 String key,
                 long timeLeft,
                 long work,
-                boolean resubmission,
+                boolean clientRetry,
                 Actions out) {
-            requests.add(requestClass + " " + key + " " + work + " " + resubmission);
+            requests.add(requestClass + " " + key + " " + work + " " + clientRetry);
             if (broken) {
                 throw new IllegalStateException("broken");
             }
@@ -113,12 +113,12 @@
         }
 
         @Override
-        public Map<String, double[]> learnt(long now) {
-            return learnt;
+        public Map<String, double[]> learnedState(long now) {
+            return learnedState;
         }
 
         @Override
-        public void resume(long now, Map<String, double[]> from) {
+        public void restore(long now, Map<String, double[]> from) {
             if (!from.isEmpty()) {
                 told.add("resumed " + from.get("own")[0]);
             }
@@ -179,7 +179,7 @@
         }
     }
 
-    public static final String SAFE = "GET /api/k1?x=%20y HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\n"
+    public static final String IDEMPOTENT = "GET /api/k1?x=%20y HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\n"
             + "Req-Kind: read\r\nReq-Deadline-Ms: 20000\r\nReq-Cost: 700\r\nReq-Retry: 1\r\n\r\n";
 
     public final Scripted module = new Scripted();
@@ -330,7 +330,7 @@
             }
         });
         at = node.start();
-        assertEquals(membership.equals("ask") ? "PERSISTED [s1=UP]" : "PERSISTED []", module.next());
+        assertEquals(membership.equals("ask") ? "CACHED [s1=UP]" : "CACHED []", module.next());
     }
 
     public static String post(String kind, String extra, String body) {
--- a/balancer/src/test/java/loadbalancer/process/ClientsTest.java
+++ b/balancer/src/test/java/loadbalancer/process/ClientsTest.java
@@ -50,7 +50,7 @@
     void descriptorsAreKeptFreeByClosingIdleConnectionsFirst() throws IOException, InterruptedException {
         start(Map.of(), 4); // a reserve of two, two for use
         try (Client client = new Client(at)) {
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             FakeUpstream.Got got = upstream.next();
             got.answer(200, "", "ok");
             assertEquals(200, client.status());
@@ -69,7 +69,7 @@
         start(Map.of(), 24); // twelve for use, seven of them for clients
         List<Client> crowd = new ArrayList<>();
         try (Client client = new Client(at)) {
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             upstream.next().answer(200, "", "ok");
             assertEquals(200, client.status());
             for (int i = 0; i < 20; i++) { // each asks once and stays
@@ -80,7 +80,7 @@
                         one.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
             }
             try (Client late = new Client(at)) {
-                late.send(SAFE.replace("r1", "r2"));
+                late.send(IDEMPOTENT.replace("r1", "r2"));
                 upstream.next().answer(200, "", "ok");
                 assertEquals(200, late.status());
             }
@@ -178,14 +178,14 @@
         start();
         try (Client client = new Client(at);
                 Client thief = new Client(at)) {
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             FakeUpstream.Got got = upstream.next();
-            assertEquals(409, thief.send(SAFE).status());
+            assertEquals(409, thief.send(IDEMPOTENT).status());
             assertNull(thief.answer());
             got.answer(200, "", "mine");
             assertEquals(200, client.status());
             assertEquals("mine", new String(client.body, StandardCharsets.UTF_8));
-            client.send(SAFE); // free again
+            client.send(IDEMPOTENT); // free again
             upstream.next().answer(200, "", "ok");
             assertEquals(200, client.status());
         }
@@ -211,7 +211,7 @@
     void aFewRequestsSentAheadAreServedInTurnAndHundredsAreNot() throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
-            client.send(SAFE + SAFE.replace("r1", "r2") + "NONSENSE\r\n\r\n");
+            client.send(IDEMPOTENT + IDEMPOTENT.replace("r1", "r2") + "NONSENSE\r\n\r\n");
             upstream.next().answer(200, "", "one");
             assertEquals(200, client.status());
             assertEquals("one", new String(client.body, StandardCharsets.UTF_8));
@@ -223,7 +223,7 @@
         try (Client client = new Client(at)) {
             StringBuilder many = new StringBuilder();
             for (int i = 0; i < 300; i++) {
-                many.append(SAFE.replace("r1", "m" + i));
+                many.append(IDEMPOTENT.replace("r1", "m" + i));
             }
             client.send(many.toString());
             int served = 0;
@@ -253,10 +253,10 @@
                 Thread.currentThread().interrupt();
             }
         });
-        new Client(at).send(SAFE.replace("r1", "left")).close();
+        new Client(at).send(IDEMPOTENT.replace("r1", "left")).close();
         held.countDown();
         try (Client stays = new Client(at)) {
-            stays.send(SAFE);
+            stays.send(IDEMPOTENT);
             FakeUpstream.Got got = upstream.next();
             assertEquals("r1", got.header("Req-Id"));
             got.answer(200, "", "ok");
@@ -271,11 +271,11 @@
         start();
         FakeUpstream.Got first;
         try (Client client = new Client(at)) {
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             first = upstream.next();
             StringBuilder ahead = new StringBuilder();
             for (int i = 0; i < 16; i++) {
-                ahead.append(SAFE.replace("r1", "a" + i));
+                ahead.append(IDEMPOTENT.replace("r1", "a" + i));
             }
             client.send(ahead.toString());
         }
@@ -298,7 +298,7 @@
             assertEquals(
                     200, usual.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
             try (Client late = new Client(at)) {
-                late.send(SAFE);
+                late.send(IDEMPOTENT);
                 upstream.next().answer(200, "", "ok");
                 assertEquals(200, late.status());
             }
--- a/balancer/src/test/java/loadbalancer/process/DiscoveryTest.java
+++ b/balancer/src/test/java/loadbalancer/process/DiscoveryTest.java
@@ -23,12 +23,12 @@
         watch.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         watch.raw(chunk(first.substring(0, 30)));
         watch.raw(chunk(first.substring(30)));
-        assertEquals("COMPLETE [s1=UP]", module.next());
+        assertEquals("SNAPSHOT [s1=UP]", module.next());
         watch.raw(chunk("\n")); // nothing has changed
         watch.raw(chunk(list(44, false, "terminating")));
-        assertEquals("PARTIAL [s1=DRAINING]", module.next());
+        assertEquals("DELTA [s1=DRAINING]", module.next());
         watch.raw(chunk("{not json\n"));
-        assertEquals("FAILED []", module.next());
+        assertEquals("UNAVAILABLE []", module.next());
         onLoop(() -> module.actions.watch(true));
         assertEquals(
                 "GET /api/targets?watch=1&from=44 HTTP/1.1", discovery.next().line());
@@ -36,10 +36,10 @@
         FakeUpstream.Got fetch = discovery.next();
         assertEquals("GET /api/targets HTTP/1.1", fetch.line());
         fetch.answer(200, "", list(45, true, "in_service").strip());
-        assertEquals("COMPLETE [s1=UP]", module.next());
+        assertEquals("SNAPSHOT [s1=UP]", module.next());
         onLoop(() -> module.actions.fetchList());
         discovery.next().answer(503, "", "");
-        assertEquals("FAILED []", module.next());
+        assertEquals("UNAVAILABLE []", module.next());
     }
 
     private static final String OPEN = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -55,14 +55,14 @@
         for (int i = 0; i < indented.length(); i += 7) {
             watch.raw(chunk(indented.substring(i, Math.min(indented.length(), i + 7))));
         }
-        assertEquals("COMPLETE [s1=UP]", module.next());
+        assertEquals("SNAPSHOT [s1=UP]", module.next());
         watch.raw(chunk("\n" + list(44, false, "terminating") + "\n" + list(45, false, "in_service")));
-        assertEquals("PARTIAL [s1=DRAINING]", module.next());
-        assertEquals("PARTIAL [s1=UP]", module.next());
+        assertEquals("DELTA [s1=DRAINING]", module.next());
+        assertEquals("DELTA [s1=UP]", module.next());
         onLoop(() -> module.actions.fetchList());
         String half = indented.substring(0, indented.length() / 2);
         discovery.next().answer(200, "", half);
-        assertEquals("FAILED []", module.next());
+        assertEquals("UNAVAILABLE []", module.next());
     }
 
     /** Empty lines go on behind half a list: they must not make it look alive. */
@@ -82,7 +82,7 @@
             }
             told = told != null ? told : module.told.poll(100, TimeUnit.MILLISECONDS);
         }
-        assertEquals("FAILED []", told);
+        assertEquals("UNAVAILABLE []", told);
     }
 
     /**
@@ -96,13 +96,13 @@
         onLoop(() -> module.actions.watch(true));
         FakeUpstream.Got watch = discovery.next();
         watch.raw(OPEN + chunk("\n"));
-        assertEquals("PARTIAL []", module.next());
+        assertEquals("DELTA []", module.next());
         node.loop()
                 .schedule(
                         () -> module.told.add("two failed calls of 2 s later"),
                         6_000 + 1_000 - 2_500,
                         TimeUnit.MILLISECONDS);
-        assertEquals("FAILED []", module.next());
+        assertEquals("UNAVAILABLE []", module.next());
         assertEquals("two failed calls of 2 s later", module.next());
     }
 
@@ -116,18 +116,18 @@
         try (Client client = new Client(at)) {
             assertEquals(
                     503, client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
-            client.send(SAFE); // the module of this test sends it all the same
+            client.send(IDEMPOTENT); // the module of this test sends it all the same
             assertEquals("NOT_SENT", module.next());
             assertEquals(502, client.status());
             watch.raw(OPEN + chunk(list(42, false, "terminating")));
-            assertEquals("COMPLETE [s1=DRAINING]", module.next());
-            client.send(SAFE);
+            assertEquals("SNAPSHOT [s1=DRAINING]", module.next());
+            client.send(IDEMPOTENT);
             assertEquals("NOT_SENT", module.next());
             assertEquals(502, client.status());
             assertEquals(
                     503, client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
             watch.raw(chunk(list(43, false, "in_service")));
-            assertEquals("PARTIAL [s1=UP]", module.next());
+            assertEquals("DELTA [s1=UP]", module.next());
             assertEquals(
                     200, client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
         }
@@ -143,7 +143,7 @@
     void whereListsArePushedAnEmptyLineIsEnoughForAStart() throws IOException, InterruptedException {
         start(Map.of(), 1024, "push");
         discovery.next().raw(OPEN + chunk("\n"));
-        assertEquals("COMPLETE [s1=UP]", module.next());
+        assertEquals("SNAPSHOT [s1=UP]", module.next());
         try (Client client = new Client(at)) {
             assertEquals(
                     200, client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
@@ -172,7 +172,7 @@
         try (Client client = new Client(at)) {
             assertEquals(
                     200, client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
-            client.send(SAFE); // the module of this test sends it all the same
+            client.send(IDEMPOTENT); // the module of this test sends it all the same
             assertEquals("NOT_SENT", module.next());
             assertEquals(502, client.status());
         }
@@ -186,7 +186,7 @@
                     told = null;
                 }
             }
-            assertEquals("COMPLETE [s1=DRAINING]", told);
+            assertEquals("SNAPSHOT [s1=DRAINING]", told);
         }
         assertEquals(0, upstream.connections());
     }
@@ -215,11 +215,11 @@
         onLoop(() -> module.actions.watch(true));
         FakeUpstream.Got old = discovery.next();
         old.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list(42, true, "in_service")));
-        assertEquals("COMPLETE [s1=UP]", module.next());
+        assertEquals("SNAPSHOT [s1=UP]", module.next());
         try (FakeUpstream second = new FakeUpstream();
                 FakeUpstream third = new FakeUpstream();
                 Client client = new Client(at)) {
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             FakeUpstream.Got held = upstream.next();
             node.reload(() -> {
                 throw new BalancerConfig.Bad("no good");
@@ -232,16 +232,16 @@
             held.answer(200, "", "ok");
             assertEquals("OK closed", module.next()); // and no FAILED before it
             assertEquals(200, client.status());
-            client.send(SAFE); // by the old list, meanwhile
+            client.send(IDEMPOTENT); // by the old list, meanwhile
             upstream.next().answer(200, "", "ok");
             assertEquals(200, client.status());
             assertEquals("OK closed", module.next());
             watch.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list(7, true, "terminating")));
-            assertEquals("COMPLETE [s1=DRAINING]", module.next());
+            assertEquals("SNAPSHOT [s1=DRAINING]", module.next());
             node.reload(() -> config(third.address()));
             assertTrue(watch.closedByPeer());
             third.next().socket().close();
-            assertEquals("FAILED []", module.next()); // the new one's end is one
+            assertEquals("UNAVAILABLE []", module.next()); // the new one's end is one
             assertTrue(second.isEmpty());
         }
         synchronized (log) {
--- a/balancer/src/test/java/loadbalancer/process/HandoverTest.java
+++ b/balancer/src/test/java/loadbalancer/process/HandoverTest.java
@@ -54,7 +54,7 @@
                 false,
                 line -> {});
         at = process.start();
-        assertEquals("PERSISTED [s1=UP]", with.next());
+        assertEquals("CACHED [s1=UP]", with.next());
         assertTrue(process.awaitReady(20_000));
         return process;
     }
@@ -68,20 +68,20 @@
 
     @Test
     void theSuccessorKnowsWhatIsOutAndWhatWasLearnt() throws Exception {
-        module.learnt = Map.of("own", new double[] {0.25});
+        module.learnedState = Map.of("own", new double[] {0.25});
         node = process(module);
         awaitOffer();
         node.loop().submit(() -> node.operations().setDown("s1")).get(20, TimeUnit.SECONDS);
-        assertEquals("OWN [s1=DRAINING]", module.next());
+        assertEquals("LOCAL_OVERRIDE [s1=DRAINING]", module.next());
         successor = process(next);
-        assertEquals("OWN [s1=DRAINING]", next.next());
+        assertEquals("LOCAL_OVERRIDE [s1=DRAINING]", next.next());
         assertEquals("resumed 0.25", next.next());
         assertEquals("share 0.5", next.next());
         assertEquals("share 0.5", module.next());
         // A call to either of them holds for both.
         successor.loop().submit(() -> successor.operations().setUp("s1")).get(20, TimeUnit.SECONDS);
-        assertEquals("OWN [s1=UP]", next.next());
-        assertEquals("OWN [s1=UP]", module.next());
+        assertEquals("LOCAL_OVERRIDE [s1=UP]", next.next());
+        assertEquals("LOCAL_OVERRIDE [s1=UP]", module.next());
         node.stop();
         node = null;
         assertEquals("share 1.0", next.next());
@@ -138,7 +138,7 @@
     void theOldProcessAnswersWhatItHoldsAndTakesNoNewConnections() throws Exception {
         node = process(module);
         awaitOffer();
-        Client held = new Client(at).send(SAFE);
+        Client held = new Client(at).send(IDEMPOTENT);
         FakeUpstream.Got got = upstream.next();
         successor = process(next);
         Thread stop = new Thread(node::stop);
@@ -166,7 +166,7 @@
         node = process(module);
         awaitOffer();
         successor = process(next); // the name has been taken over
-        assertEquals("OWN [s1=UP]", next.next());
+        assertEquals("LOCAL_OVERRIDE [s1=UP]", next.next());
     }
 
     @Test
--- a/balancer/src/test/java/loadbalancer/process/LargeBodiesTest.java
+++ b/balancer/src/test/java/loadbalancer/process/LargeBodiesTest.java
@@ -40,7 +40,7 @@
         byte[] big = noise(MANY);
         try (Client client = new Client(at)) {
             for (int i = 0; i < 2; i++) {
-                client.send(SAFE);
+                client.send(IDEMPOTENT);
                 FakeUpstream.Got got = upstream.next();
                 CompletableFuture<Void> answering = CompletableFuture.runAsync(() -> {
                     try {
@@ -63,7 +63,7 @@
         start();
         byte[] piece = noise(1 << 16);
         try (Client client = new Client(at)) {
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             FakeUpstream.Got got = upstream.next();
             got.raw("HTTP/1.1 200 X\r\nContent-Length: " + (30 << 20) + "\r\n\r\n");
             long[] sent = new long[1];
@@ -91,7 +91,7 @@
         start();
         byte[] big = noise(200_000);
         try (Client client = new Client(at)) {
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             FakeUpstream.Got got = upstream.next();
             got.raw("HTTP/1.1 200 X\r\nConnection: close\r\n\r\n");
             got.raw(big);
@@ -174,7 +174,7 @@
     void anAnswerThatBreaksOffIsSeenToBeBroken() throws Exception {
         start();
         try (Client client = new Client(at)) {
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             FakeUpstream.Got got = upstream.next();
             got.raw("HTTP/1.1 200 X\r\nContent-Length: 500000\r\n\r\n");
             got.raw(noise(100_000));
@@ -255,7 +255,7 @@
             String second = module.next();
             assertTrue(second.equals("NOT_SENT"), second);
             assertEquals(502, client.status());
-            client.send(SAFE); // what follows on the connection is read as before
+            client.send(IDEMPOTENT); // what follows on the connection is read as before
             upstream.next().answer(200, "", "ok");
             assertEquals(200, client.status());
             assertNull(got.header("Transfer-Encoding"));
@@ -275,7 +275,7 @@
     void aTargetThatNamesItsHostIsTaken() throws Exception {
         start();
         try (Client client = new Client(at)) {
-            client.send(SAFE.replace("GET /api", "GET http://backend.local/api"));
+            client.send(IDEMPOTENT.replace("GET /api", "GET http://backend.local/api"));
             FakeUpstream.Got got = upstream.next();
             assertEquals("GET /api/k1?x=%20y HTTP/1.1", got.line());
             got.answer(200, "", "ok");
--- a/balancer/src/test/java/loadbalancer/process/LifeCycleTest.java
+++ b/balancer/src/test/java/loadbalancer/process/LifeCycleTest.java
@@ -53,10 +53,11 @@
                     client.send("GET /-/rehearsed HTTP/1.1\r\nHost: x\r\n\r\n").status());
             assertEquals(
                     404,
-                    client.send(SAFE.replace("/api/k1?x=%20y", "/-/rehearsal")).status());
+                    client.send(IDEMPOTENT.replace("/api/k1?x=%20y", "/-/rehearsal"))
+                            .status());
             assertTrue(module.requests.isEmpty());
             assertEquals(0, upstream.connections());
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             upstream.next().answer(200, "", "ok");
             assertEquals(200, client.status());
         }
@@ -67,7 +68,7 @@
         start();
         Client idle = new Client(at);
         assertEquals(200, idle.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
-        Client held = new Client(at).send(SAFE);
+        Client held = new Client(at).send(IDEMPOTENT);
         FakeUpstream.Got got = upstream.next();
         Thread stop = new Thread(node::stop);
         stop.start();
@@ -93,13 +94,13 @@
     void aRequestThatIsNotWholeAtTheEndIsRefusedAndNotCutOff() throws IOException, InterruptedException {
         start();
         try (Client part = new Client(at)) {
-            part.send(SAFE.substring(0, 40));
+            part.send(IDEMPOTENT.substring(0, 40));
             Thread stop = new Thread(node::stop);
             stop.start();
             String head = part.answer();
             assertNotNull(head, "ended without an answer");
             assertTrue(head.startsWith("HTTP/1.1 503"), head);
-            part.send(SAFE.substring(40));
+            part.send(IDEMPOTENT.substring(40));
             assertNull(part.answer());
             stop.join();
             node = null;
--- a/balancer/src/test/java/loadbalancer/process/LongListTest.java
+++ b/balancer/src/test/java/loadbalancer/process/LongListTest.java
@@ -123,7 +123,7 @@
     @Test
     void aLongListOverAWatchIsHeldInPartAndItsDrainsBind() throws IOException, InterruptedException {
         startBounded(list(41, true, "in_service"));
-        assertEquals("PERSISTED [s1=UP]", persisted());
+        assertEquals("CACHED [s1=UP]", persisted());
         onLoop(() -> module.actions.watch(true));
         FakeUpstream.Got watch = discovery.next();
         watch.raw(OPEN);
--- a/balancer/src/test/java/loadbalancer/process/ReloadTest.java
+++ b/balancer/src/test/java/loadbalancer/process/ReloadTest.java
@@ -30,7 +30,7 @@
     }
 
     private static String get(String kind) {
-        return SAFE.replace("Req-Kind: read", "Req-Kind: " + kind);
+        return IDEMPOTENT.replace("Req-Kind: read", "Req-Kind: " + kind);
     }
 
     @Test
@@ -38,7 +38,7 @@
         start();
         try (Client open = new Client(at);
                 Client other = new Client(at)) {
-            open.send(SAFE);
+            open.send(IDEMPOTENT);
             FakeUpstream.Got got = upstream.next();
             assertEquals("0 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
             reload(with(Map.of("Classes", List.of(kind("book", "unsafe"), kind("look", "safe")))));
@@ -49,7 +49,7 @@
             assertEquals("1 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
             upstream.next().answer(200, "", "of the new class");
             assertEquals(200, other.status());
-            assertEquals(400, open.send(SAFE).status());
+            assertEquals(400, open.send(IDEMPOTENT).status());
         }
     }
 
@@ -58,7 +58,7 @@
         start();
         module.again = true;
         try (Client client = new Client(at)) {
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             FakeUpstream.Got first = upstream.next();
             reload(with(Map.of(
                     "Limits",
@@ -108,7 +108,7 @@
         }
         assertTrue(module.told.stream().noneMatch(t -> t.startsWith("reconfigured")));
         try (Client client = new Client(at)) {
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             upstream.next().answer(200, "", "as before");
             assertEquals(200, client.status());
         }
--- a/balancer/src/test/java/loadbalancer/process/ShortOfDescriptorsTest.java
+++ b/balancer/src/test/java/loadbalancer/process/ShortOfDescriptorsTest.java
@@ -96,7 +96,7 @@
 
     private void served() throws IOException, InterruptedException {
         try (BalancerFixture.Client client = new BalancerFixture.Client(at)) {
-            client.send(BalancerFixture.SAFE);
+            client.send(BalancerFixture.IDEMPOTENT);
             upstream.next().answer(200, "", "ok");
             assertEquals(200, client.status());
         }
@@ -154,20 +154,20 @@
         FakeUpstream.Got watch = discovery.next();
         watch.raw(OPEN + BalancerFixture.chunk("\n"));
         try (BalancerFixture.Client client = new BalancerFixture.Client(at)) {
-            client.send(BalancerFixture.SAFE);
+            client.send(BalancerFixture.IDEMPOTENT);
             FakeUpstream.Got got = upstream.next();
             got.answer(200, "Connection: close\r\n", "ok");
             assertEquals(200, client.status());
             run("prlimit", "--pid", String.valueOf(process.pid()), "--nofile=1:256");
             watch.socket().close();
             for (int i = 0; i < 200; i++) { // more tries than the balancer may have descriptors
-                client.send(BalancerFixture.SAFE);
+                client.send(BalancerFixture.IDEMPOTENT);
                 int status = client.status();
                 assertTrue(status == 503 || status == 502, "status " + status);
             }
             run("prlimit", "--pid", String.valueOf(process.pid()), "--nofile=256:256");
             discovery.next().raw(OPEN + BalancerFixture.chunk("\n"));
-            client.send(BalancerFixture.SAFE);
+            client.send(BalancerFixture.IDEMPOTENT);
             upstream.next().answer(200, "", "ok");
             assertEquals(200, client.status());
         }
--- a/balancer/src/test/java/loadbalancer/process/TimeLeftTest.java
+++ b/balancer/src/test/java/loadbalancer/process/TimeLeftTest.java
@@ -37,7 +37,7 @@
                 busy();
             });
             held.await();
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             sent.countDown();
             assertTrue(told() <= TIME_MS - BUSY_MS);
         }
@@ -49,7 +49,7 @@
         start();
         module.server = null;
         try (Client client = new Client(at)) {
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             module.requests.take();
             onLoop(() -> {
                 module.actions.send("1", "s1", 0);
@@ -65,7 +65,7 @@
     void theTimeThatARequestWaitedBehindAnotherIsOver() throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
-            client.send(SAFE + SAFE.replace("Req-Id: r1", "Req-Id: r2"));
+            client.send(IDEMPOTENT + IDEMPOTENT.replace("Req-Id: r1", "Req-Id: r2"));
             FakeUpstream.Got first = upstream.next();
             busy();
             first.answer(200, "", "ok");
--- a/balancer/src/test/java/loadbalancer/upstream/ResponseReaderTest.java
+++ b/balancer/src/test/java/loadbalancer/upstream/ResponseReaderTest.java
@@ -34,12 +34,12 @@
     void aSpoiltAnswerIsAFailedAttemptThatMayHaveRun(String answer) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             FakeUpstream.Got got = upstream.next();
             got.raw(answer);
             assertEquals("RESET", module.next());
             assertEquals(502, client.status());
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             upstream.next().answer(200, "", "good");
             assertEquals(200, client.status());
             assertEquals("good", new String(client.body, StandardCharsets.UTF_8));
@@ -52,7 +52,7 @@
     void whatDoesNotEndIsCutOff(String endless) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             String begin = endless.startsWith("X") ? "HTTP/1.1 200 OK\r\n" : "";
             upstream.next().raw(begin + endless.repeat(1_000));
             assertEquals("RESET", module.next());
@@ -66,7 +66,7 @@
     void whatComesBehindAnAnswerIsNobodysAnswer(String behind) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
-            client.send(SAFE + SAFE.replace("r1", "r2"));
+            client.send(IDEMPOTENT + IDEMPOTENT.replace("r1", "r2"));
             upstream.next().raw("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst" + behind);
             assertEquals(200, client.status());
             assertEquals("first", new String(client.body, StandardCharsets.UTF_8));
@@ -81,7 +81,7 @@
     void noiseOnAConnectionAtRestEndsIt() throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             FakeUpstream.Got got = upstream.next();
             got.answer(200, "", "ok");
             assertEquals(200, client.status());
@@ -93,7 +93,7 @@
     void hintsAheadAndOddReportsSpoilNothing() throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             upstream.next()
                     .raw("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
                             + "HTTP/1.1 102 Processing\r\n\r\n"
@@ -101,7 +101,7 @@
                             + "Content-Length: 2\r\n\r\nok");
             assertEquals("OK closed", module.next());
             assertEquals(200, client.status());
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             upstream.next().answer(200, "Srv-Load: {\"\r\n", "ok");
             assertEquals("OK closed", module.next());
             assertEquals(200, client.status());
--- a/balancer/src/test/java/loadbalancer/upstream/UpstreamConnectionPoolTest.java
+++ b/balancer/src/test/java/loadbalancer/upstream/UpstreamConnectionPoolTest.java
@@ -31,7 +31,7 @@
     void idleConnectionsAreClosedWellBeforeTheUpstreamWould() throws IOException, InterruptedException {
         start(Map.of("IdleClose", 400_000), 1024);
         try (Client client = new Client(at)) {
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             FakeUpstream.Got got = upstream.next();
             got.answer(200, "", "ok");
             assertEquals(200, client.status());
@@ -45,12 +45,12 @@
         start(Map.of(), 1024);
         onLoop(() -> module.actions.fetchList());
         discovery.next().answer(200, "", "{\"rev\":50,\"all\":true,\"targets\":[]}");
-        assertEquals("COMPLETE []", module.next());
+        assertEquals("SNAPSHOT []", module.next());
         // The grace is over at last; the module of this test goes on sending all the same.
         try (Client client = new Client(at)) {
             String told = "OK closed";
             while (told.startsWith("OK")) {
-                client.send(SAFE);
+                client.send(IDEMPOTENT);
                 told = module.told.poll(10, TimeUnit.MILLISECONDS);
                 while (told == null) {
                     if (!upstream.isEmpty()) {
@@ -76,14 +76,14 @@
             }
             endpoint = "127.0.0.1:" + slow.getLocalPort();
             start(Map.of("DialTimeout", 30_000_000), 1024);
-            clients.add(new Client(at).send(SAFE.replace("r1", "r0")));
+            clients.add(new Client(at).send(IDEMPOTENT.replace("r1", "r0")));
             assertEquals("0 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
             onLoop(() -> module.actions.fetchList());
             discovery.next().answer(200, "", "{\"rev\":50,\"all\":true,\"targets\":[]}");
-            assertEquals("COMPLETE []", module.next());
+            assertEquals("SNAPSHOT []", module.next());
             String told = null;
             while (told == null) { // until new attempts show that the grace is over
-                clients.add(new Client(at).send(SAFE.replace("r1", "r" + clients.size())));
+                clients.add(new Client(at).send(IDEMPOTENT.replace("r1", "r" + clients.size())));
                 told = module.told.poll(100, TimeUnit.MILLISECONDS);
             }
             assertEquals("NOT_SENT", told);
@@ -133,7 +133,7 @@
             endpoint = "127.0.0.1:" + slow.getLocalPort();
             start(Map.of("DialTimeout", 30_000_000), 1024);
             try (Client client = new Client(at)) {
-                client.send(SAFE.replace("20000", "500000")); // its time is not what ends it
+                client.send(IDEMPOTENT.replace("20000", "500000")); // its time is not what ends it
                 assertEquals("0 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
             }
             assertEquals("gone", module.next());
@@ -153,10 +153,10 @@
         CountDownLatch held = new CountDownLatch(1);
         try (Client client = new Client(at);
                 Client next = new Client(at)) {
-            client.send(SAFE);
+            client.send(IDEMPOTENT);
             FakeUpstream.Got got = upstream.next();
             module.server = null; // the next one is held, and sent once the first is served
-            next.send(SAFE.replace("r1", "r2"));
+            next.send(IDEMPOTENT.replace("r1", "r2"));
             assertEquals("0 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
             assertEquals("0 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
             module.onOutcome = () -> {
--- a/core/src/main/java/loadbalancer/limits/RetryBudget.java
+++ b/core/src/main/java/loadbalancer/limits/RetryBudget.java
@@ -39,7 +39,7 @@
     }
 
     /** Goes on from another budget, with what that one had left. */
-    public void resume(RetryBudget former) {
+    public void restore(RetryBudget former) {
         balance = former.balance;
         at = former.at;
     }
--- a/core/src/main/java/loadbalancer/limits/TokenTree.java
+++ b/core/src/main/java/loadbalancer/limits/TokenTree.java
@@ -138,7 +138,7 @@
      * Goes on from another tree, by name: a node begins with what its namesake had left, at most its own burst. So
      * limits that are changed often don't grant a burst each time.
      */
-    public void resume(TokenTree former) {
+    public void restore(TokenTree former) {
         former.nodes.forEach((name, before) -> {
             Node node = nodes.get(name);
             if (node != null) {
--- a/core/src/main/java/loadbalancer/policy/AdmissionController.java
+++ b/core/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -163,24 +163,24 @@
         cheapLevel = Math.min(cheapTiers, cheapLevel);
     }
 
-    /** What {@link #resume} of another process goes on from. */
-    double[] learnt() {
+    /** What {@link #restore} of another process goes on from. */
+    double[] learnedState() {
         double[] all = Arrays.copyOf(arrivals, arrivals.length + 5);
         System.arraycopy(new double[] {completed, scored, scores, cheapLevel, level}, 0, all, arrivals.length, 5);
         return all;
     }
 
     /** Takes over what has been learnt elsewhere, if it has as many tiers. */
-    void resume(double[] learnt) {
+    void restore(double[] learnedState) {
         int tiers = arrivals.length;
-        if (learnt == null || learnt.length != tiers + 5) {
+        if (learnedState == null || learnedState.length != tiers + 5) {
             return;
         }
-        System.arraycopy(learnt, 0, arrivals, 0, tiers);
-        completed = learnt[tiers];
-        scored = learnt[tiers + 1];
-        scores = learnt[tiers + 2];
-        cheapLevel = Math.max(0, Math.min(cheapTiers, learnt[tiers + 3]));
-        level = Math.max(0, Math.min(tiers - LEVEL_ROOM, learnt[tiers + 4]));
+        System.arraycopy(learnedState, 0, arrivals, 0, tiers);
+        completed = learnedState[tiers];
+        scored = learnedState[tiers + 1];
+        scores = learnedState[tiers + 2];
+        cheapLevel = Math.max(0, Math.min(cheapTiers, learnedState[tiers + 3]));
+        level = Math.max(0, Math.min(tiers - LEVEL_ROOM, learnedState[tiers + 4]));
     }
 }
--- a/core/src/main/java/loadbalancer/policy/BalanceState.java
+++ b/core/src/main/java/loadbalancer/policy/BalanceState.java
@@ -41,8 +41,8 @@
             this.order = order;
         }
 
-        /** What {@link #resume} of another process goes on from; {@code scale} is that of the faded counts. */
-        double[] learnt(long now, double scale, double slownessNow) {
+        /** What {@link #restore} of another process goes on from; {@code scale} is that of the faded counts. */
+        double[] learnedState(long now, double scale, double slownessNow) {
             return new double[] {
                 server.startedAt(),
                 count / scale,
@@ -59,22 +59,24 @@
         }
 
         /** Takes over what has been learnt elsewhere about the same start of this server; else nothing. */
-        void resume(double[] learnt, long now, double scale) {
-            if (learnt == null || learnt.length != LEARNT_FIGURES || (long) learnt[0] != server.startedAt()) {
+        void restore(double[] learnedState, long now, double scale) {
+            if (learnedState == null
+                    || learnedState.length != LEARNT_FIGURES
+                    || (long) learnedState[0] != server.startedAt()) {
                 return;
             }
-            count = learnt[1] * scale;
-            oks = learnt[2] * scale;
-            fails = learnt[3] * scale;
-            slowness = learnt[4];
+            count = learnedState[1] * scale;
+            oks = learnedState[2] * scale;
+            fails = learnedState[3] * scale;
+            slowness = learnedState[4];
             slownessAt = now;
-            ejectedUntil = learnt[5] > 0 ? now + (long) learnt[5] : 0;
-            ejections = (int) learnt[6];
-            trial = (int) learnt[7];
-            tokens = learnt[8];
+            ejectedUntil = learnedState[5] > 0 ? now + (long) learnedState[5] : 0;
+            ejections = (int) learnedState[6];
+            trial = (int) learnedState[7];
+            tokens = learnedState[8];
             tokensAt = now;
-            lastOk = now - (long) learnt[9];
-            tryBy = learnt[10] > 0 ? tryBy : Long.MAX_VALUE;
+            lastOk = now - (long) learnedState[9];
+            tryBy = learnedState[10] > 0 ? tryBy : Long.MAX_VALUE;
         }
     }
 
--- a/core/src/main/java/loadbalancer/policy/EndpointListKind.java
+++ b/core/src/main/java/loadbalancer/policy/EndpointListKind.java
@@ -2,12 +2,12 @@
 
 /**
  * What a list holds: the one kept over a restart, the complete one, changes only or, failed, nothing.
- * {@code OWN}: changes that this balancer's operators made, which say nothing of discovery.
+ * {@code LOCAL_OVERRIDE}: changes that this balancer's operators made, which say nothing of discovery.
  */
 public enum EndpointListKind {
-    PERSISTED,
-    COMPLETE,
-    PARTIAL,
-    FAILED,
-    OWN
+    CACHED,
+    SNAPSHOT,
+    DELTA,
+    UNAVAILABLE,
+    LOCAL_OVERRIDE
 }
--- a/core/src/main/java/loadbalancer/policy/Idempotency.java
+++ b/core/src/main/java/loadbalancer/policy/Idempotency.java
@@ -2,7 +2,7 @@
 
 /** What a class of requests allows once an attempt may have run. */
 public enum Idempotency {
-    SAFE,
-    KEYED,
-    UNSAFE
+    IDEMPOTENT,
+    IDEMPOTENT_WITH_KEY,
+    NON_IDEMPOTENT
 }
--- a/core/src/main/java/loadbalancer/policy/JsqDasPolicy.java
+++ b/core/src/main/java/loadbalancer/policy/JsqDasPolicy.java
@@ -80,7 +80,7 @@
     private PolicySettings settings;
     private final SplittableRandom random;
     private final SplittableRandom advice; // apart, so that no choice hangs on a refusal
-    private long tick;
+    private long tickMicros;
     private long shortestAim;
     private boolean anySafe; // whether any class may simply be repeated
     private final Map<String, Node> nodes = new LinkedHashMap<>();
@@ -141,9 +141,11 @@
 
     private void configure(PolicySettings next) {
         settings = next;
-        shortestAim =
-                settings.classes().stream().mapToLong(RequestClass::aim).min().getAsLong();
-        anySafe = settings.classes().stream().anyMatch(c -> c.effect() == Idempotency.SAFE);
+        shortestAim = settings.classes().stream()
+                .mapToLong(RequestClass::latencyObjectiveMicros)
+                .min()
+                .getAsLong();
+        anySafe = settings.classes().stream().anyMatch(c -> c.effect() == Idempotency.IDEMPOTENT);
         home = (long) ((settings.rank() + 0.5) / settings.balancers() * 0x1p64 - 0x1p63);
         tiers = settings.classes().stream()
                 .flatMapToDouble(c -> DoubleStream.of(value(c, false), value(c, true)))
@@ -151,7 +153,7 @@
                 .sorted()
                 .toArray();
         hedgeLevel = Arrays.binarySearch(tiers, leastInShare()) + 0.05;
-        tick = Math.max(settings.tick(), Math.min(TICK_MOST, shortestAim / 16));
+        tickMicros = Math.max(settings.tickMicros(), Math.min(TICK_MOST, shortestAim / 16));
     }
 
     private double leastInShare() {
@@ -162,7 +164,9 @@
     }
 
     private double[] freshUsual() {
-        return settings.classes().stream().mapToDouble(c -> c.aim() / 4.0).toArray();
+        return settings.classes().stream()
+                .mapToDouble(c -> c.latencyObjectiveMicros() / 4.0)
+                .toArray();
     }
 
     // Figures of classes move to their new numbers. One that has been dropped keeps a place behind the others
@@ -312,7 +316,7 @@
         List<Node> fresh = new ArrayList<>();
         List<Node> tried = new ArrayList<>();
         double rate = arrivals / FADE * 1e6;
-        boolean keyed = settings.warmKeys() && r.key != 0 && listed.size() <= KEYED_FLEET;
+        boolean keyed = settings.keyAffinity() && r.key != 0 && listed.size() <= KEYED_FLEET;
         double visits = settings.prices().handshake() > 0 ? DEAR_VISITS : SUBSET_VISITS;
         int wanted = (int)
                 (keyed
@@ -335,7 +339,7 @@
             }
             n.walk = walk;
             if (permitted(r.kind, n.server)
-                    && mayRunOn(r, first, n, now, tick)
+                    && mayRunOn(r, first, n, now, tickMicros)
                     && hasColdBudget(n, now)
                     && (allLookBad || healthy(n, r, now))) {
                 (wasTried(r, n) ? tried : fresh).add(n);
@@ -366,7 +370,7 @@
     // One on trial gets one attempt at a time, and none that could not be repeated where others can be.
     private boolean healthy(Node n, Request r, long now) {
         return !looksBad(n, now)
-                && (n.trial == 0 || n.inFlight == 0 && (r.kind.effect() == Idempotency.SAFE || !anySafe));
+                && (n.trial == 0 || n.inFlight == 0 && (r.kind.effect() == Idempotency.IDEMPOTENT || !anySafe));
     }
 
     private boolean looksBad(Node n, long now) {
@@ -385,7 +389,7 @@
         if (oldest == null) {
             return false;
         }
-        double patience = SILENCE * usual[oldest.request.number] + tick;
+        double patience = SILENCE * usual[oldest.request.number] + tickMicros;
         return now - oldest.at > patience && now - n.lastOk > patience;
     }
 
@@ -406,11 +410,12 @@
     }
 
     // Rule 2: a request that may have run goes again only where its class allows.
-    private static boolean mayRunOn(Request r, Attempt first, Node n, long now, long tick) {
-        if (first == null || r.kind.effect() == Idempotency.SAFE) {
+    private static boolean mayRunOn(Request r, Attempt first, Node n, long now, long tickMicros) {
+        if (first == null || r.kind.effect() == Idempotency.IDEMPOTENT) {
             return true;
         }
-        if (r.kind.effect() == Idempotency.UNSAFE || now - first.at >= r.kind.keyMemory() - tick) {
+        if (r.kind.effect() == Idempotency.NON_IDEMPOTENT
+                || now - first.at >= r.kind.keyRetentionMicros() - tickMicros) {
             return false;
         }
         return switch (r.kind.scope()) {
@@ -438,7 +443,7 @@
             return true;
         }
         double rate = ownShare * part * COLD_MARGIN * warmRate(n);
-        double most = rate * settings.bounds().fallWindow() / 3e6;
+        double most = rate * settings.bounds().overloadWindowMicros() / 3e6;
         n.tokens += rate * (now - n.tokensAt) / 1e6;
         n.tokensAt = now;
         if (most >= 1) {
@@ -452,10 +457,11 @@
     private double warmth(Node n, long now) {
         SafetyBounds b = settings.bounds();
         long age = now - n.server.startedAt();
-        if (n.server.startedAt() <= 0 || b.rampTime() <= 0 || age >= b.rampTime()) {
+        if (n.server.startedAt() <= 0 || b.slowStartDurationMicros() <= 0 || age >= b.slowStartDurationMicros()) {
             return 1;
         }
-        return b.coldFrom() + (1 - b.coldFrom()) * Math.max(0, age) / b.rampTime();
+        return b.slowStartInitialWeight()
+                + (1 - b.slowStartInitialWeight()) * Math.max(0, age) / b.slowStartDurationMicros();
     }
 
     // Answers per second that a warm server of n's weight gives this balancer.
@@ -503,15 +509,16 @@
             String key,
             long timeLeft,
             long work,
-            boolean resubmission,
+            boolean clientRetry,
             Actions out) {
         RequestClass kind = settings.classes().get(requestClass);
-        if (settings.warmKeys() && key != null && !resubmission) {
+        if (settings.keyAffinity() && key != null && !clientRetry) {
             keyCounts.merge(Hashing.hash(key), scale, Double::sum);
         }
-        arrivals += resubmission ? 0 : 1;
-        brought[tenant] += resubmission ? 0 : 1;
-        long aim = kind.aim() + (work > 0 ? (long) (kind.aimStretch() * work) : 0);
+        arrivals += clientRetry ? 0 : 1;
+        brought[tenant] += clientRetry ? 0 : 1;
+        long latencyObjectiveMicros =
+                kind.latencyObjectiveMicros() + (work > 0 ? (long) (kind.objectiveStretch() * work) : 0);
         Request r = new Request(
                 id,
                 requestClass,
@@ -519,7 +526,7 @@
                 key == null ? 0 : Hashing.hash(key),
                 now,
                 timeLeft,
-                now + aim - spent(requestClass, timeLeft, resubmission),
+                now + latencyObjectiveMicros - spent(requestClass, timeLeft, clientRetry),
                 overShare(tenant, now),
                 settings.limits().maxAttempts());
         open.put(id, r);
@@ -528,11 +535,11 @@
             meanWork[requestClass] += (mean > 0 ? SMOOTH : 1) * (work - mean);
             r.size = 1 + HINTED * (work / meanWork[requestClass] - 1);
         }
-        wakeBy(now, tick, out);
+        wakeBy(now, tickMicros, out);
         retryBudget = Math.min(BUDGET_MOST, retryBudget + RETRY_SHARE);
         if (!admission.admits(tierOf(r))) {
             if (now >= remarkAt) { // the text is not made up for each of many refusals
-                remark(
+                log(
                         now,
                         String.format(
                                 Locale.ROOT,
@@ -544,7 +551,7 @@
             end(r, out);
             return;
         }
-        if (kind.inOrder() && key != null) {
+        if (kind.orderedDelivery() && key != null) {
             r.turn = turns.computeIfAbsent(r.key, k -> new Turn());
             r.turn.line.add(r);
         }
@@ -561,7 +568,7 @@
     // request, the dear ones are as a rule the heavy ones, and classes are turned away alike: turned away
     // by worth, the light class starved while the fleet served a fraction of the requests it could.
     private double value(RequestClass kind, boolean overShare) {
-        return (settings.worthByWork() ? kind.worth() : 1) * (overShare ? settings.overShareWorth() : 1);
+        return (settings.weightByWork() ? kind.priorityWeight() : 1) * (overShare ? settings.overQuotaWeight() : 1);
     }
 
     // This balancer's part of the traffic: even, or more where its middle tenant brings more. Traffic is not
@@ -578,12 +585,12 @@
 
     // Time gone since the client's first try, where a marked resubmission shows it. Each try gets the same
     // time, or what is left of the class's deadline: one with another time than first tries tells its age.
-    private long spent(int requestClass, long timeLeft, boolean resubmission) {
+    private long spent(int requestClass, long timeLeft, boolean clientRetry) {
         long deadline = settings.classes().get(requestClass).deadline();
-        if (!resubmission) {
+        if (!clientRetry) {
             firstTry[requestClass] = Math.max(firstTry[requestClass], timeLeft);
         }
-        boolean tells = resubmission && Math.abs(timeLeft - firstTry[requestClass]) > deadline / 32;
+        boolean tells = clientRetry && Math.abs(timeLeft - firstTry[requestClass]) > deadline / 32;
         return tells ? Math.max(0, deadline - timeLeft) : 0;
     }
 
@@ -613,7 +620,7 @@
 
     // Keeps a request for which no server may be used now; one whose time is all but over is answered.
     private void hold(Request r, long now, Actions out) {
-        if (now >= r.deadline - 2 * tick) {
+        if (now >= r.deadline - 2 * tickMicros) {
             finish(r, out);
         } else if (!r.held) {
             r.held = true;
@@ -646,7 +653,7 @@
     // Guards against a server that has just come or was put back and that the draw leaves out: where the
     // traffic is thin, the ranking may not find it for long. It gets one request that may be repeated.
     private Node untried(Request r, long now) {
-        if (r.kind.effect() != Idempotency.SAFE && anySafe) {
+        if (r.kind.effect() != Idempotency.IDEMPOTENT && anySafe) {
             return null;
         }
         for (Node n : listed) {
@@ -676,8 +683,8 @@
     // tenth of the worth of every day on which anything was slow.
     private static long timeout(Request r, long now) {
         boolean cut = !r.kind.streamed()
-                && r.kind.effect() != Idempotency.SAFE
-                && r.kind.lateShare() < LATE_WORTH
+                && r.kind.effect() != Idempotency.IDEMPOTENT
+                && r.kind.lateFraction() < LATE_WORTH
                 && r.aimAt > now;
         return cut ? r.aimAt - now : 0;
     }
@@ -712,8 +719,8 @@
     private void end(Request r, Actions out) {
         r.closed = true;
         boolean harmless = firstThatMayHaveRun(r) == null
-                || r.kind.effect() == Idempotency.SAFE
-                || r.kind.effect() == Idempotency.KEYED && r.kind.scope() == KeyScope.ALL;
+                || r.kind.effect() == Idempotency.IDEMPOTENT
+                || r.kind.effect() == Idempotency.IDEMPOTENT_WITH_KEY && r.kind.scope() == KeyScope.ALL;
         if (harmless) {
             out.refuse(r.id, comeBackAfter());
         } else {
@@ -727,7 +734,7 @@
     private long comeBackAfter() {
         double spread = 1 + COME_SPREAD * (2 * advice.nextDouble() - 1);
         double wait = (COME_LEAST + COME_LEVEL * admission.level()) * spread;
-        return (long) Math.min(settings.limits().retryAfterMax(), wait);
+        return (long) Math.min(settings.limits().maxRetryAfterMicros(), wait);
     }
 
     private void forget(Request r) {
@@ -763,7 +770,7 @@
         inFlight--;
         if (r.turn != null && a.mayHaveRun && outcome != AttemptOutcome.OK && outcome != AttemptOutcome.ERROR) {
             r.turn.restUntil =
-                    Math.max(r.turn.restUntil, now + settings.bounds().orderPause());
+                    Math.max(r.turn.restUntil, now + settings.bounds().keySequencePauseMicros());
         }
         report(a.node, load, now);
         learn(a, outcome, latency, now, out);
@@ -779,7 +786,7 @@
     private void close(Request r, Actions out) {
         r.closed = true;
         for (int i = 0; i < r.attempts.size(); i++) {
-            if (r.attempts.get(i).out && settings.limits().mayCancel() && !r.streaming) {
+            if (r.attempts.get(i).out && settings.limits().cancellationAllowed() && !r.streaming) {
                 out.cancel(r.id, i);
             }
         }
@@ -787,11 +794,11 @@
 
     // After a failed attempt: another one, if the class, the deadline and the retry budget allow it.
     private void again(Request r, AttemptOutcome outcome, long now, Actions out) {
-        boolean allowed = outcome.neverRan() || r.kind.effect() != Idempotency.UNSAFE && retryBudget >= 1;
+        boolean allowed = outcome.neverRan() || r.kind.effect() != Idempotency.NON_IDEMPOTENT && retryBudget >= 1;
         if (!allowed
                 || outcome == AttemptOutcome.NOT_SENT
                 || r.attempts.size() >= r.attemptsMost
-                || now >= (r.kind.effect() == Idempotency.SAFE ? r.deadline : r.aimAt) - tick) {
+                || now >= (r.kind.effect() == Idempotency.IDEMPOTENT ? r.deadline : r.aimAt) - tickMicros) {
             finish(r, out);
             return;
         }
@@ -811,7 +818,7 @@
         if (r.out != 1
                 || r.closed
                 || r.streaming
-                || r.kind.effect() != Idempotency.SAFE
+                || r.kind.effect() != Idempotency.IDEMPOTENT
                 || now >= r.aimAt
                 || r.attempts.size() >= r.attemptsMost
                 || retryBudget < HEDGE_LEAST) {
@@ -883,10 +890,10 @@
                 if (n.trial > 0 && --n.trial == 0) {
                     n.ejections = 0;
                     n.fails = 0;
-                    remark(now, "recovered " + n.server.id(), out);
+                    log(now, "recovered " + n.server.id(), out);
                 }
                 admission.completed();
-                admission.latency(latency / (double) kind.aim());
+                admission.latency(latency / (double) kind.latencyObjectiveMicros());
             }
             case CANCELLED -> { // the copy came first, or the client left
                 if (latency > 2 * usually) { // its server may well be at it still
@@ -930,16 +937,16 @@
         long length = EJECT_FIRST << Math.min(EJECT_DOUBLINGS, n.ejections++);
         n.ejectedUntil = now + length + random.nextLong(length / 4);
         n.trial = TRIALS_OK;
-        remark(now, "ejected " + n.server.id() + " for " + length / 1000 + " ms after failures", out);
+        log(now, "ejected " + n.server.id() + " for " + length / 1000 + " ms after failures", out);
     }
 
     @Override
     public void probed(long now, String server, AttemptOutcome outcome, long latency, LoadReport load, Actions out) {}
 
-    private void remark(long now, String line, Actions out) {
+    private void log(long now, String line, Actions out) {
         if (now >= remarkAt) {
             remarkAt = now + 1_000_000;
-            out.remark(line);
+            out.log(line);
         }
     }
 
@@ -969,20 +976,22 @@
                 sweep(r, now, out);
             }
         }
-        if (settings.limits().mayDuplicate() && admission.level() < hedgeLevel && turnedAway <= HEDGE_FULL * arrivals) {
+        if (settings.limits().hedgingAllowed()
+                && admission.level() < hedgeLevel
+                && turnedAway <= HEDGE_FULL * arrivals) {
             open.values().forEach(r -> hedge(r, now, out));
         }
         if (asking.due(now)) {
             ask(now, out);
         }
-        wakeBy(now, open.isEmpty() ? REFRESH : tick, out);
+        wakeBy(now, open.isEmpty() ? REFRESH : tickMicros, out);
     }
 
     // Requests that wait for an answer for no longer than one may well take: overload does not show in them.
     private int pending(long now) {
         int pending = 0;
         for (Request r : open.values()) {
-            pending += !r.closed && now - r.arrived < r.kind.aim() * PENDING ? 1 : 0;
+            pending += !r.closed && now - r.arrived < r.kind.latencyObjectiveMicros() * PENDING ? 1 : 0;
         }
         return pending;
     }
@@ -1002,7 +1011,7 @@
 
     // Rule 1: answers held requests in time, new ones as soon as they can't be answered within their aim.
     private void sweep(Request r, long now, Actions out) {
-        long until = r.deadline - 2 * tick;
+        long until = r.deadline - 2 * tickMicros;
         if (now >= (r.attempts.isEmpty() ? Math.min(until, latestStart(r)) : until)) {
             unhold(r);
             finish(r, out);
@@ -1012,42 +1021,42 @@
     // ---------------------------------------------------------------- what passes on to a successor
 
     @Override
-    public Map<String, double[]> learnt(long now) {
+    public Map<String, double[]> learnedState(long now) {
         Map<String, double[]> all = new HashMap<>();
         all.put("usual", usual.clone());
         all.put("work", meanWork.clone());
         all.put("first", Arrays.stream(firstTry).asDoubleStream().toArray());
-        all.put("admission", admission.learnt());
+        all.put("admission", admission.learnedState());
         all.put("brought", brought.clone());
         all.put("share", shareTokens.clone());
         all.put("own", new double[] {arrivals, turnedAway, retryBudget, ownMean});
         for (Node n : nodes.values()) {
-            all.put("server " + n.server.id(), n.learnt(now, scale, slowness(n, now)));
+            all.put("server " + n.server.id(), n.learnedState(now, scale, slowness(n, now)));
         }
         return all;
     }
 
     @Override
-    public void resume(long now, Map<String, double[]> learnt) {
-        take(learnt.get("usual"), usual);
-        take(learnt.get("work"), meanWork);
-        admission.resume(learnt.get("admission"));
-        take(learnt.get("brought"), brought);
-        take(learnt.get("share"), shareTokens);
+    public void restore(long now, Map<String, double[]> learnedState) {
+        take(learnedState.get("usual"), usual);
+        take(learnedState.get("work"), meanWork);
+        admission.restore(learnedState.get("admission"));
+        take(learnedState.get("brought"), brought);
+        take(learnedState.get("share"), shareTokens);
         double[] first = new double[firstTry.length];
-        take(learnt.get("first"), first);
+        take(learnedState.get("first"), first);
         for (int i = 0; i < first.length; i++) {
             firstTry[i] = Math.max(firstTry[i], (long) first[i]);
         }
         double[] own = new double[4];
-        if (take(learnt.get("own"), own)) {
+        if (take(learnedState.get("own"), own)) {
             arrivals = own[0];
             turnedAway = own[1];
             retryBudget = Math.min(BUDGET_MOST, own[2]);
             ownMean = own[3];
         }
         for (Node n : nodes.values()) {
-            n.resume(learnt.get("server " + n.server.id()), now, scale);
+            n.restore(learnedState.get("server " + n.server.id()), now, scale);
         }
         refresh(now);
     }
@@ -1068,23 +1077,23 @@
     // ---------------------------------------------------------------- membership
 
     @Override
-    public void servers(long now, EndpointListKind kind, List<Endpoint> servers, Actions out) {
+    public void endpoints(long now, EndpointListKind kind, List<Endpoint> servers, Actions out) {
         if (wakeAt == Long.MAX_VALUE) {
             Arrays.fill(shareAt, now);
             fadedAt = now;
-            wakeBy(now, tick, out);
+            wakeBy(now, tickMicros, out);
         }
-        if (kind == EndpointListKind.FAILED) {
-            int failures = asking.failed(now, settings.bounds().askWithin());
-            remark(now, "discovery failed " + failures + " times, asking again", out);
+        if (kind == EndpointListKind.UNAVAILABLE) {
+            int failures = asking.failed(now, settings.bounds().pollIntervalMicros());
+            log(now, "discovery failed " + failures + " times, asking again", out);
             return;
         }
-        boolean complete = kind == EndpointListKind.PERSISTED || kind == EndpointListKind.COMPLETE;
-        if (kind == EndpointListKind.PERSISTED) {
-            if (settings.discovery() == DiscoveryMode.ASK) {
+        boolean complete = kind == EndpointListKind.CACHED || kind == EndpointListKind.SNAPSHOT;
+        if (kind == EndpointListKind.CACHED) {
+            if (settings.discovery() == DiscoveryMode.POLL) {
                 ask(now, out);
             }
-        } else if (kind != EndpointListKind.OWN) {
+        } else if (kind != EndpointListKind.LOCAL_OVERRIDE) {
             asking.answered();
         }
         if (!complete && servers.isEmpty()) {
@@ -1160,7 +1169,7 @@
 
     // Subscribes; asks again if nothing answers.
     private void ask(long now, Actions out) {
-        asking.asked(now, settings.bounds().askWithin());
+        asking.asked(now, settings.bounds().pollIntervalMicros());
         out.watch(true);
     }
 }
--- a/core/src/main/java/loadbalancer/policy/LoadBalancingPolicy.java
+++ b/core/src/main/java/loadbalancer/policy/LoadBalancingPolicy.java
@@ -11,13 +11,13 @@
  * are opaque. One object serves one balancer and is not thread-safe: events are handed over one at a time, in
  * the order in which they happened, and each returns before the next. Actions are carried out in the order in
  * which they are asked for, at the time {@code now}. A new or restarted balancer is a new object, and its
- * first event is {@link #servers} with {@link EndpointListKind#PERSISTED}. Events about requests, attempts or servers
+ * first event is {@link #endpoints} with {@link EndpointListKind#CACHED}. Events about requests, attempts or servers
  * that the module no longer holds are legal and passed over.
  */
 public interface LoadBalancingPolicy {
 
     /** News of the list of servers; {@code servers} is empty for {@link EndpointListKind#FAILED}. */
-    void servers(long now, EndpointListKind kind, List<Endpoint> servers, Actions out);
+    void endpoints(long now, EndpointListKind kind, List<Endpoint> servers, Actions out);
 
     /**
      * A request has come in and is owed one final answer before {@code timeLeft} is over.
@@ -25,7 +25,7 @@
      * @param tenant 0 where there are none
      * @param key what the request concerns, or null
      * @param work the client's guess of the work, or -1
-     * @param resubmission the client says that it has tried before
+     * @param clientRetry the client says that it has tried before
      */
     void request(
             long now,
@@ -35,7 +35,7 @@
             String key,
             long timeLeft,
             long work,
-            boolean resubmission,
+            boolean clientRetry,
             Actions out);
 
     /**
@@ -79,12 +79,12 @@
     default void reconfigure(long now, PolicySettings settings, int[] formerClasses, int[] formerTenants) {}
 
     /** What has been learnt so far, by names of the module's own, for another module to go on from. */
-    default Map<String, double[]> learnt(long now) {
+    default Map<String, double[]> learnedState(long now) {
         return Map.of();
     }
 
     /** Goes on from what another module has learnt; what doesn't fit is passed over. */
-    default void resume(long now, Map<String, double[]> learnt) {}
+    default void restore(long now, Map<String, double[]> learnedState) {}
 
     /**
      * From here on this module may use that part of what its balancer may send to cold servers: another
@@ -119,12 +119,12 @@
         void closeIdle(String server);
 
         /** Send at most 256 bytes to the balancer of that number, or to all where {@code peer} is -1. */
-        void tell(int peer, byte[] data);
+        void sendToPeer(int peer, byte[] data);
 
         /** Call {@link LoadBalancingPolicy#wake} once after {@code delay}. */
         void wakeAfter(long delay);
 
         /** A line for the operators. */
-        void remark(String line);
+        void log(String line);
     }
 }
--- a/core/src/main/java/loadbalancer/policy/LoadReporting.java
+++ b/core/src/main/java/loadbalancer/policy/LoadReporting.java
@@ -2,7 +2,7 @@
 
 /** When servers report their load. */
 public enum LoadReporting {
-    ANSWERS,
+    WITH_RESPONSES,
     PROBE,
     NONE
 }
--- a/core/src/main/java/loadbalancer/policy/PolicySettings.java
+++ b/core/src/main/java/loadbalancer/policy/PolicySettings.java
@@ -4,7 +4,7 @@
 
 /**
  * All that a balancer is told at its start. {@code rank} is its number among all, from 0;
- * {@code warmKeys}: a server needs less work for a key that it served lately; {@code tick} is the
+ * {@code keyAffinity}: a server needs less work for a key that it served lately; {@code tickMicros} is the
  * shortest step of the clock.
  */
 public record PolicySettings(
@@ -13,22 +13,22 @@
         int zone,
         List<RequestClass> classes,
         List<TenantQuota> tenants,
-        double overShareWorth,
+        double overQuotaWeight,
         ServiceObjective goal,
         TrafficCosts prices,
-        boolean worthByWork,
+        boolean weightByWork,
         DiscoveryMode discovery,
         LoadReporting reports,
-        boolean warmKeys,
+        boolean keyAffinity,
         SiteLimits limits,
         SafetyBounds bounds,
-        long tick) {
+        long tickMicros) {
     public PolicySettings {
         classes = List.copyOf(classes);
         tenants = List.copyOf(tenants);
         Requirements.require(balancers > 0, "balancers", balancers);
         Requirements.require(rank >= 0 && rank < balancers, "rank", rank);
         Requirements.require(!classes.isEmpty(), "classes", "none");
-        Requirements.require(tick > 0, "tick", tick);
+        Requirements.require(tickMicros > 0, "tick", tickMicros);
     }
 }
--- a/core/src/main/java/loadbalancer/policy/PollSchedule.java
+++ b/core/src/main/java/loadbalancer/policy/PollSchedule.java
@@ -23,14 +23,15 @@
         return now >= dueAt;
     }
 
-    /** A subscription was asked for; it is asked for again well within {@code askWithin} unless something answers. */
-    void asked(long now, long askWithin) {
-        dueAt = now + askWithin / 2 + random.nextLong(1 + askWithin / 8);
+    /** A subscription was asked for; it is asked for again well within {@code pollIntervalMicros} unless something answers. */
+    void asked(long now, long pollIntervalMicros) {
+        dueAt = now + pollIntervalMicros / 2 + random.nextLong(1 + pollIntervalMicros / 8);
     }
 
     /** A call failed; returns how many have failed in a row. */
-    int failed(long now, long askWithin) {
-        long pause = Math.min(Math.min(askWithin / 2, PAUSE_MOST), PAUSE_FIRST << Math.min(DOUBLINGS, failures++));
+    int failed(long now, long pollIntervalMicros) {
+        long pause =
+                Math.min(Math.min(pollIntervalMicros / 2, PAUSE_MOST), PAUSE_FIRST << Math.min(DOUBLINGS, failures++));
         dueAt = Math.min(dueAt, now + pause / 2 + random.nextLong(Math.max(1, pause)));
         return failures;
     }
--- a/core/src/main/java/loadbalancer/policy/RequestClass.java
+++ b/core/src/main/java/loadbalancer/policy/RequestClass.java
@@ -3,53 +3,53 @@
 import java.util.Set;
 
 /**
- * A class of requests: an answer within {@code aim} earns {@code worth}, one before {@code deadline} the
- * {@code lateShare} of it. {@code aimStretch} lengthens the aim by that multiple of the request's work.
- * {@code inOrder}: requests with one key run one at a time, in the order taken. {@code zones} and
+ * A class of requests: an answer within {@code latencyObjectiveMicros} earns {@code priorityWeight}, one before {@code deadline} the
+ * {@code lateFraction} of it. {@code objectiveStretch} lengthens the aim by that multiple of the request's work.
+ * {@code orderedDelivery}: requests with one key run one at a time, in the order taken. {@code zones} and
  * {@code machineKinds} are the only ones whose servers may be sent to; empty: all.
  */
 public record RequestClass(
         Idempotency effect,
         KeyScope scope,
-        long keyMemory,
-        long aim,
+        long keyRetentionMicros,
+        long latencyObjectiveMicros,
         long deadline,
-        double aimStretch,
-        double worth,
-        double lateShare,
+        double objectiveStretch,
+        double priorityWeight,
+        double lateFraction,
         boolean streamed,
-        boolean inOrder,
+        boolean orderedDelivery,
         Set<Integer> zones,
         Set<Integer> machineKinds) {
     public RequestClass {
         zones = Set.copyOf(zones);
         machineKinds = Set.copyOf(machineKinds);
-        Requirements.require(aim > 0, "aim", aim);
+        Requirements.require(latencyObjectiveMicros > 0, "aim", latencyObjectiveMicros);
         Requirements.require(deadline > 0, "deadline", deadline);
-        Requirements.require(keyMemory >= 0, "keyMemory", keyMemory);
-        Requirements.require(aimStretch >= 0, "aimStretch", aimStretch);
+        Requirements.require(keyRetentionMicros >= 0, "keyMemory", keyRetentionMicros);
+        Requirements.require(objectiveStretch >= 0, "aimStretch", objectiveStretch);
     }
 
     /** A class without order or placement. */
     public RequestClass(
             Idempotency effect,
             KeyScope scope,
-            long keyMemory,
-            long aim,
+            long keyRetentionMicros,
+            long latencyObjectiveMicros,
             long deadline,
-            double aimStretch,
-            double worth,
-            double lateShare,
+            double objectiveStretch,
+            double priorityWeight,
+            double lateFraction,
             boolean streamed) {
         this(
                 effect,
                 scope,
-                keyMemory,
-                aim,
+                keyRetentionMicros,
+                latencyObjectiveMicros,
                 deadline,
-                aimStretch,
-                worth,
-                lateShare,
+                objectiveStretch,
+                priorityWeight,
+                lateFraction,
                 streamed,
                 false,
                 Set.of(),
--- a/core/src/main/java/loadbalancer/policy/SafetyBounds.java
+++ b/core/src/main/java/loadbalancer/policy/SafetyBounds.java
@@ -1,20 +1,21 @@
 package loadbalancer.policy;
 
-/** The figures of the rules; {@code orderPause}: a key's rest after an attempt that may still run. */
+/** The figures of the rules; {@code keySequencePauseMicros}: a key's rest after an attempt that may still run. */
 public record SafetyBounds(
-        long answerSlack,
-        long drainGrace,
-        long askWithin,
-        double coldFrom,
-        long rampTime,
+        long responseSlackMicros,
+        long drainGracePeriodMicros,
+        long pollIntervalMicros,
+        double slowStartInitialWeight,
+        long slowStartDurationMicros,
         double overloadFactor,
-        long fallWindow,
-        long orderPause) {
+        long overloadWindowMicros,
+        long keySequencePauseMicros) {
     public SafetyBounds {
-        Requirements.require(orderPause >= 0, "orderPause", orderPause);
-        Requirements.require(coldFrom > 0 && coldFrom <= 1, "coldFrom", coldFrom);
-        Requirements.require(rampTime >= 0, "rampTime", rampTime);
+        Requirements.require(keySequencePauseMicros >= 0, "orderPause", keySequencePauseMicros);
+        Requirements.require(
+                slowStartInitialWeight > 0 && slowStartInitialWeight <= 1, "coldFrom", slowStartInitialWeight);
+        Requirements.require(slowStartDurationMicros >= 0, "rampTime", slowStartDurationMicros);
         Requirements.require(overloadFactor > 0, "overloadFactor", overloadFactor);
-        Requirements.require(fallWindow >= 0, "fallWindow", fallWindow);
+        Requirements.require(overloadWindowMicros >= 0, "fallWindow", overloadWindowMicros);
     }
 }
--- a/core/src/main/java/loadbalancer/router/RequestRouter.java
+++ b/core/src/main/java/loadbalancer/router/RequestRouter.java
@@ -249,7 +249,7 @@
      * Goes on from another front: pools, rates, budgets and shares keep what they had by name. Requests that the other
      * took end here as well as there. The other must not be asked any more.
      */
-    public void resume(RequestRouter former) {
+    public void restore(RequestRouter former) {
         for (Map.Entry<String, PoolState> e : former.pools.entrySet()) {
             PoolState now = pools.get(e.getKey());
             if (now != null) {
@@ -265,21 +265,21 @@
                 continue;
             }
             if (r.budget != null && old.budget != null) {
-                r.budget.resume(old.budget);
+                r.budget.restore(old.budget);
             }
             if (r.rate != null && old.rate != null) {
-                r.rate.resume(old.rate);
+                r.rate.restore(old.rate);
             }
             for (WayState w : r.ways) {
                 for (WayState o : old.ways) {
                     if (names(w).equals(names(o))) {
-                        w.overflow.resume(o.overflow);
+                        w.overflow.restore(o.overflow);
                     }
                 }
             }
         }
         if (quotas != null && former.quotas != null) {
-            quotas.resume(former.quotas);
+            quotas.restore(former.quotas);
         }
     }
 
--- a/core/src/main/java/loadbalancer/routes/Overflow.java
+++ b/core/src/main/java/loadbalancer/routes/Overflow.java
@@ -62,7 +62,7 @@
     }
 
     /** Goes on from another's shares, where it is between as many pools. */
-    public void resume(Overflow former) {
+    public void restore(Overflow former) {
         if (former.shares.length == shares.length) {
             System.arraycopy(former.shares, 0, shares, 0, shares.length);
             at = former.at;
--- a/core/src/main/java/loadbalancer/staleness/ListStaleness.java
+++ b/core/src/main/java/loadbalancer/staleness/ListStaleness.java
@@ -19,24 +19,24 @@
 
     private final boolean pushed;
     private long grace;
-    private long askWithin;
+    private long pollIntervalMicros;
     private long due = Long.MAX_VALUE; // when what has been missed counts as told
 
     /**
      * Where lists are pushed, what there is counts as told at once, also before a watch is open.
      *
      * @param grace how long after a drain was told requests may still be sent
-     * @param askWithin for how long the list of a balancer without a watch holds
+     * @param pollIntervalMicros for how long the list of a balancer without a watch holds
      */
-    public ListStaleness(boolean pushed, long grace, long askWithin) {
+    public ListStaleness(boolean pushed, long grace, long pollIntervalMicros) {
         this.pushed = pushed;
-        limits(grace, askWithin);
+        limits(grace, pollIntervalMicros);
     }
 
     /** Goes by other settings from here on. */
     public void limits(long newGrace, long newAskWithin) {
         grace = newGrace;
-        askWithin = newAskWithin;
+        pollIntervalMicros = newAskWithin;
     }
 
     /**
@@ -79,7 +79,7 @@
 
     /** The watch has ended for all to see. */
     public void unwatched(long now) {
-        miss(now + (pushed ? 0 : Math.min(askWithin, SILENT)));
+        miss(now + (pushed ? 0 : Math.min(pollIntervalMicros, SILENT)));
     }
 
     /** The watch has said nothing since then. */
--- a/core/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
+++ b/core/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
@@ -150,12 +150,12 @@
         former.overloaded();
         former.update(10_000, 1, 0);
         AdmissionController next = new AdmissionController(tiers, 1, new SplittableRandom(2));
-        next.resume(former.learnt());
-        assertArrayEquals(former.learnt(), next.learnt());
+        next.restore(former.learnedState());
+        assertArrayEquals(former.learnedState(), next.learnedState());
         AdmissionController other = new AdmissionController(ONE_TIER, 1, new SplittableRandom(2));
-        double[] before = other.learnt();
-        other.resume(former.learnt());
-        assertArrayEquals(before, other.learnt());
+        double[] before = other.learnedState();
+        other.restore(former.learnedState());
+        assertArrayEquals(before, other.learnedState());
     }
 
     @Test
@@ -165,7 +165,7 @@
             admission.admits(0);
         }
         admission.retier(new double[] {0.1, 0.5, 1}, 0.5);
-        double[] learnt = admission.learnt();
-        assertArrayEquals(new double[] {2, 2, 2}, java.util.Arrays.copyOf(learnt, 3));
+        double[] learnedState = admission.learnedState();
+        assertArrayEquals(new double[] {2, 2, 2}, java.util.Arrays.copyOf(learnedState, 3));
     }
 }
--- a/core/src/test/java/loadbalancer/policy/DispatchTest.java
+++ b/core/src/test/java/loadbalancer/policy/DispatchTest.java
@@ -14,7 +14,8 @@
 
 /** The ordinary path is JSQ-DAS. */
 class DispatchTest {
-    private static final PolicySettings SAFE = Harness.settings(Harness.kind(Idempotency.SAFE, KeyScope.ALL));
+    private static final PolicySettings IDEMPOTENT =
+            Harness.settings(Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL));
 
     /** Six servers, as many as a subset holds, three of them of a heavier kind, so that p is one half. */
     private static Harness halves(long seed) {
@@ -22,7 +23,7 @@
         for (int i = 0; i < 6; i++) {
             list.add(new Endpoint("s" + i, EndpointState.UP, 0, i < 3 ? 2 : 1, 0, i < 3 ? 0 : 1, 0));
         }
-        return new Harness(SAFE, seed).list(EndpointListKind.PERSISTED, list);
+        return new Harness(IDEMPOTENT, seed).list(EndpointListKind.CACHED, list);
     }
 
     @Test
@@ -86,7 +87,7 @@
     @Test
     void twoServersAndFewerThanSampledAreUsedToo() {
         for (int size = 1; size <= 3; size++) {
-            Harness harness = new Harness(SAFE, 7).list(EndpointListKind.PERSISTED, Harness.fleet(size));
+            Harness harness = new Harness(IDEMPOTENT, 7).list(EndpointListKind.CACHED, Harness.fleet(size));
             assertNotNull(harness.request("r", 0));
         }
     }
@@ -112,7 +113,7 @@
 
     @Test
     void aFastFailureKeepsItsSlotAndEarnsNoRank() {
-        Harness harness = new Harness(SAFE, 3).list(EndpointListKind.PERSISTED, Harness.fleet(4));
+        Harness harness = new Harness(IDEMPOTENT, 3).list(EndpointListKind.CACHED, Harness.fleet(4));
         harness.warmUp(40, 0, 50_000);
         Harness.Sent bad = harness.request("bad", 0);
         harness.now += 500;
--- a/core/src/test/java/loadbalancer/policy/Example.java
+++ b/core/src/test/java/loadbalancer/policy/Example.java
@@ -9,7 +9,8 @@
 
     static List<String> run() {
         List<String> done = new ArrayList<>();
-        RequestClass reads = new RequestClass(Idempotency.SAFE, KeyScope.ALL, 0, 300_000, 1_000_000, 0, 1, 0, false);
+        RequestClass reads =
+                new RequestClass(Idempotency.IDEMPOTENT, KeyScope.ALL, 0, 300_000, 1_000_000, 0, 1, 0, false);
         PolicySettings settings = new PolicySettings(
                 2,
                 0,
@@ -30,11 +31,8 @@
         LoadBalancingPolicy.Actions actions = new Sink(done);
 
         long now = 0;
-        policy.servers(
-                now,
-                EndpointListKind.PERSISTED,
-                List.of(new Endpoint("a:80", EndpointState.UP, 0, 1, 0, 0, 0)),
-                actions);
+        policy.endpoints(
+                now, EndpointListKind.CACHED, List.of(new Endpoint("a:80", EndpointState.UP, 0, 1, 0, 0, 0)), actions);
         // Asks for send("r1", "a:80", ..).
         policy.request(now, "r1", 0, 0, null, 1_000_000, -1, false, actions);
         now = 40_000;
@@ -71,12 +69,12 @@
         public void closeIdle(String server) {}
 
         @Override
-        public void tell(int peer, byte[] data) {}
+        public void sendToPeer(int peer, byte[] data) {}
 
         @Override
         public void wakeAfter(long delay) {}
 
         @Override
-        public void remark(String line) {}
+        public void log(String line) {}
     }
 }
--- a/core/src/test/java/loadbalancer/policy/FleetColdTest.java
+++ b/core/src/test/java/loadbalancer/policy/FleetColdTest.java
@@ -45,7 +45,12 @@
         double part(long now, SafetyBounds b) {
             return !cold()
                     ? 1
-                    : Math.min(1, b.coldFrom() + (1 - b.coldFrom()) * (now - server.startedAt()) / b.rampTime());
+                    : Math.min(
+                            1,
+                            b.slowStartInitialWeight()
+                                    + (1 - b.slowStartInitialWeight())
+                                            * (now - server.startedAt())
+                                            / b.slowStartDurationMicros());
         }
     }
 
@@ -68,7 +73,7 @@
 
     private void fleet(int balancers, long seed) {
         PolicySettings of = Harness.settings(
-                balancers, false, DiscoveryMode.PUSH, List.of(), Harness.kind(Idempotency.SAFE, KeyScope.ALL));
+                balancers, false, DiscoveryMode.PUSH, List.of(), Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL));
         bounds = of.bounds();
         for (int i = 0; i < balancers; i++) {
             fleet.add(new Harness(
@@ -78,16 +83,16 @@
                             of.zone(),
                             of.classes(),
                             of.tenants(),
-                            of.overShareWorth(),
+                            of.overQuotaWeight(),
                             of.goal(),
                             of.prices(),
-                            of.worthByWork(),
+                            of.weightByWork(),
                             of.discovery(),
                             of.reports(),
-                            of.warmKeys(),
+                            of.keyAffinity(),
                             of.limits(),
                             of.bounds(),
-                            of.tick()),
+                            of.tickMicros()),
                     seed * 100 + i));
             looked.add(0);
         }
@@ -143,10 +148,11 @@
     private static double excess(List<Long> came, Box box, SafetyBounds b) {
         double worst = Double.NEGATIVE_INFINITY;
         for (int from = 0, to = 0; from < came.size() && box.part(came.get(from), b) < 1; from++) {
-            while (to < came.size() && came.get(to) < came.get(from) + b.fallWindow()) {
+            while (to < came.size() && came.get(to) < came.get(from) + b.overloadWindowMicros()) {
                 to++;
             }
-            double allowed = b.overloadFactor() * box.part(came.get(from), b) * box.perSecond * b.fallWindow() / 1e6;
+            double allowed =
+                    b.overloadFactor() * box.part(came.get(from), b) * box.perSecond * b.overloadWindowMicros() / 1e6;
             worst = Math.max(worst, to - from - (allowed + 2 * Math.sqrt(allowed) + 2));
         }
         return worst;
@@ -189,7 +195,7 @@
         for (int i = 0; i < many; i++) {
             list.add(join("s" + i, 0, perSecond));
         }
-        tell(EndpointListKind.COMPLETE, list);
+        tell(EndpointListKind.SNAPSHOT, list);
         double load = 0.7 * many * perSecond;
         if (!day.equals("RESTART")) {
             while (now < Harness.START + AT) {
@@ -206,7 +212,7 @@
                     }
                     news.add(join("cold" + i, now, perSecond));
                 }
-                tell(EndpointListKind.PARTIAL, news);
+                tell(EndpointListKind.DELTA, news);
             }
             step(now < from + LENGTH / 2 ? 1.5 * load : load, parts, random);
         }
--- a/core/src/test/java/loadbalancer/policy/FourRulesTest.java
+++ b/core/src/test/java/loadbalancer/policy/FourRulesTest.java
@@ -17,11 +17,11 @@
 
 /** The four rules, class kind by class kind, and over random but legal sequences of events. */
 class FourRulesTest {
-    private static final RequestClass UNSAFE = Harness.kind(Idempotency.UNSAFE, KeyScope.ALL);
-    private static final RequestClass SAFE = Harness.kind(Idempotency.SAFE, KeyScope.ALL);
+    private static final RequestClass NON_IDEMPOTENT = Harness.kind(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
+    private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
 
     private static Harness warm(RequestClass kind) {
-        Harness harness = new Harness(Harness.settings(kind), 5).list(EndpointListKind.PERSISTED, Harness.fleet(6));
+        Harness harness = new Harness(Harness.settings(kind), 5).list(EndpointListKind.CACHED, Harness.fleet(6));
         harness.warmUp(60, 0, 40_000);
         return harness;
     }
@@ -31,7 +31,7 @@
             value = AttemptOutcome.class,
             names = {"ERROR", "TIMEOUT", "RESET", "CANCELLED"})
     void anUnsafeRequestThatMayHaveRunFails(AttemptOutcome outcome) {
-        Harness harness = warm(UNSAFE);
+        Harness harness = warm(NON_IDEMPOTENT);
         harness.end(harness.request("r", 0), outcome);
         assertEquals("failed", harness.finals.get("r"));
         assertEquals(1, harness.sentFor("r").size());
@@ -42,7 +42,7 @@
             value = AttemptOutcome.class,
             names = {"FULL", "CONNECT_FAILED"})
     void anUnsafeRequestThatNeverRanGoesElsewhere(AttemptOutcome outcome) {
-        Harness harness = warm(UNSAFE);
+        Harness harness = warm(NON_IDEMPOTENT);
         Harness.Sent first = harness.request("r", 0);
         harness.end(first, outcome);
         assertEquals(2, harness.sentFor("r").size());
@@ -51,7 +51,7 @@
 
     @Test
     void anUnsafeRequestGetsNoSecondCopy() {
-        Harness harness = warm(UNSAFE);
+        Harness harness = warm(NON_IDEMPOTENT);
         harness.request("r", 0);
         harness.pass(Harness.DEADLINE - 100_000);
         assertEquals(1, harness.sentFor("r").size());
@@ -59,8 +59,8 @@
 
     @Test
     void noSecondCopyWhereTheSiteForbidsIt() {
-        Harness harness = new Harness(Harness.settings(1, false, DiscoveryMode.PUSH, List.of(), SAFE), 5)
-                .list(EndpointListKind.PERSISTED, Harness.fleet(6));
+        Harness harness = new Harness(Harness.settings(1, false, DiscoveryMode.PUSH, List.of(), IDEMPOTENT), 5)
+                .list(EndpointListKind.CACHED, Harness.fleet(6));
         harness.warmUp(60, 0, 40_000);
         Harness.Sent first = harness.request("r", 0);
         assertEquals(0, first.timeout, "what may be repeated is not cut: its work would be done twice");
@@ -72,8 +72,8 @@
     @EnumSource(KeyScope.class)
     void aKeyedRequestStaysWithinTheGroupThatRemembersIt(KeyScope scope) {
         for (int seed = 0; seed < 20; seed++) {
-            Harness harness = new Harness(Harness.settings(Harness.kind(Idempotency.KEYED, scope)), seed)
-                    .list(EndpointListKind.PERSISTED, Harness.fleet(6));
+            Harness harness = new Harness(Harness.settings(Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, scope)), seed)
+                    .list(EndpointListKind.CACHED, Harness.fleet(6));
             harness.warmUp(40, 0, 40_000);
             Harness.Sent first = harness.request("r", 0);
             harness.end(first, AttemptOutcome.ERROR);
@@ -87,7 +87,7 @@
     @ParameterizedTest
     @EnumSource(KeyScope.class)
     void aKeyedRequestIsNotSentAgainAfterItsWindow(KeyScope scope) {
-        Harness harness = warm(Harness.kind(Idempotency.KEYED, scope));
+        Harness harness = warm(Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, scope));
         Harness.Sent first = harness.request("r", 0);
         harness.pass(2_500_000); // the window is 2 s from the first send
         for (Harness.Sent copy : harness.sentFor("r")) {
@@ -102,22 +102,23 @@
 
     @Test
     void nothingNewGoesToADrainingOrGoneServer() {
-        Harness harness = new Harness(Harness.settings(SAFE), 1).list(EndpointListKind.PERSISTED, Harness.fleet(3));
-        harness.list(EndpointListKind.PARTIAL, List.of(new Endpoint("s0", EndpointState.DRAINING, 0, 1, 0, 0, 0)));
-        harness.list(EndpointListKind.PARTIAL, List.of(new Endpoint("s1", EndpointState.GONE, 0, 1, 1, 1, 1)));
+        Harness harness = new Harness(Harness.settings(IDEMPOTENT), 1).list(EndpointListKind.CACHED, Harness.fleet(3));
+        harness.list(EndpointListKind.DELTA, List.of(new Endpoint("s0", EndpointState.DRAINING, 0, 1, 0, 0, 0)));
+        harness.list(EndpointListKind.DELTA, List.of(new Endpoint("s1", EndpointState.GONE, 0, 1, 1, 1, 1)));
         for (int i = 0; i < 30; i++) {
             Harness.Sent sent = harness.request("r" + i, 0);
             assertEquals("s2", sent.server);
             harness.pass(30_000);
             harness.end(sent, AttemptOutcome.OK);
         }
-        harness.list(EndpointListKind.COMPLETE, List.of(Harness.up("s1")));
+        harness.list(EndpointListKind.SNAPSHOT, List.of(Harness.up("s1")));
         assertEquals("s1", harness.request("x", 0).server, "missing in a complete list is gone");
     }
 
     @Test
     void everyRequestIsAnsweredWhenNoServerIsListed() {
-        Harness harness = new Harness(Harness.settings(SAFE, UNSAFE), 1).list(EndpointListKind.PERSISTED, List.of());
+        Harness harness =
+                new Harness(Harness.settings(IDEMPOTENT, NON_IDEMPOTENT), 1).list(EndpointListKind.CACHED, List.of());
         assertNull(harness.request("a", 0));
         assertNull(harness.request("b", 1, 0, 6_000));
         harness.pass(30_000);
@@ -130,11 +131,10 @@
     @ValueSource(ints = {1, 3, 8})
     void aColdServerGetsLessThanItsPart(int balancers) {
         // One warm server gives 50 answers a second to this balancer; the cold one may take its part of that.
-        PolicySettings settings = Harness.settings(balancers, true, DiscoveryMode.PUSH, List.of(), SAFE);
-        Harness harness = new Harness(settings, 1).list(EndpointListKind.PERSISTED, Harness.fleet(4));
+        PolicySettings settings = Harness.settings(balancers, true, DiscoveryMode.PUSH, List.of(), IDEMPOTENT);
+        Harness harness = new Harness(settings, 1).list(EndpointListKind.CACHED, Harness.fleet(4));
         harness.warmUp(300, 0, 20_000);
-        harness.list(
-                EndpointListKind.PARTIAL, List.of(new Endpoint("cold", EndpointState.UP, harness.now, 1, 0, 0, 0)));
+        harness.list(EndpointListKind.DELTA, List.of(new Endpoint("cold", EndpointState.UP, harness.now, 1, 0, 0, 0)));
         long born = harness.now;
         harness.warmUp(150, 0, 20_000);
         long sent = harness.sentTo("cold", born);
@@ -145,9 +145,9 @@
 
     @Test
     void aRestartUnderTheSameIdIsColdAgain() {
-        Harness harness = new Harness(Harness.settings(SAFE), 1).list(EndpointListKind.PERSISTED, Harness.fleet(2));
+        Harness harness = new Harness(Harness.settings(IDEMPOTENT), 1).list(EndpointListKind.CACHED, Harness.fleet(2));
         harness.warmUp(100, 0, 20_000);
-        harness.list(EndpointListKind.PARTIAL, List.of(new Endpoint("s0", EndpointState.UP, harness.now, 1, 0, 0, 0)));
+        harness.list(EndpointListKind.DELTA, List.of(new Endpoint("s0", EndpointState.UP, harness.now, 1, 0, 0, 0)));
         long restarted = harness.now;
         harness.warmUp(50, 0, 20_000);
         long cold = harness.sentTo("s0", restarted);
@@ -160,17 +160,17 @@
     void randomEventsKeepTheRules(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<RequestClass> kinds = List.of(
-                SAFE,
-                UNSAFE,
-                Harness.kind(Idempotency.KEYED, KeyScope.ALL),
-                Harness.kind(Idempotency.KEYED, KeyScope.CELL),
-                Harness.kind(Idempotency.KEYED, KeyScope.ZONE));
+                IDEMPOTENT,
+                NON_IDEMPOTENT,
+                Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.ALL),
+                Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.CELL),
+                Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.ZONE));
         boolean copies = random.nextBoolean();
         Harness harness = new Harness(
                 Harness.settings(
                         1 + random.nextInt(4),
                         copies,
-                        random.nextBoolean() ? DiscoveryMode.ASK : DiscoveryMode.PUSH,
+                        random.nextBoolean() ? DiscoveryMode.POLL : DiscoveryMode.PUSH,
                         List.of(new TenantQuota(5), new TenantQuota(50)),
                         kinds.toArray(new RequestClass[0])),
                 seed);
@@ -180,7 +180,7 @@
         Map<String, Long> unusable = new TreeMap<>();
         Map<String, Map<Integer, AttemptOutcome>> ended = new TreeMap<>();
         List<String> gone = new ArrayList<>();
-        harness.list(EndpointListKind.PERSISTED, Harness.fleet(random.nextInt(8)));
+        harness.list(EndpointListKind.CACHED, Harness.fleet(random.nextInt(8)));
         Harness.fleet(8).forEach(s -> truth.put(s.id(), s));
         int checked = 0;
         for (int step = 0; step < 6000; step++) {
@@ -226,14 +226,14 @@
                         random.nextInt(2),
                         random.nextInt(2));
                 truth.put(id, s);
-                harness.list(EndpointListKind.PARTIAL, List.of(s));
+                harness.list(EndpointListKind.DELTA, List.of(s));
                 if (state == EndpointState.UP) {
                     unusable.remove(id);
                 } else {
                     unusable.put(id, harness.now);
                 }
             } else if (what < 94) {
-                harness.list(EndpointListKind.FAILED, List.of());
+                harness.list(EndpointListKind.UNAVAILABLE, List.of());
             } else {
                 harness.pass(random.nextLong(60_000));
             }
@@ -280,9 +280,10 @@
             boolean open = outcome == null;
             assertTrue(copies || !open, "two attempts at once");
             if (open || !outcome.neverRan()) {
-                assertTrue(kind.effect() != Idempotency.UNSAFE, "an unsafe request went out twice");
+                assertTrue(kind.effect() != Idempotency.NON_IDEMPOTENT, "an unsafe request went out twice");
                 assertTrue(
-                        kind.effect() != Idempotency.KEYED || s.at - earlier.at < kind.keyMemory(),
+                        kind.effect() != Idempotency.IDEMPOTENT_WITH_KEY
+                                || s.at - earlier.at < kind.keyRetentionMicros(),
                         "sent after its window");
             }
             assertTrue(outcome != AttemptOutcome.OK, "sent after it was served");
--- a/core/src/test/java/loadbalancer/policy/FurtherRulesTest.java
+++ b/core/src/test/java/loadbalancer/policy/FurtherRulesTest.java
@@ -12,7 +12,7 @@
 
 /** Order by key and placement. */
 class FurtherRulesTest {
-    private static final RequestClass SAFE = Harness.kind(Idempotency.SAFE, KeyScope.ALL);
+    private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
 
     private static RequestClass ordered(Idempotency effect) {
         return new RequestClass(
@@ -32,7 +32,7 @@
 
     private static RequestClass bound(Set<Integer> zones, Set<Integer> kinds) {
         return new RequestClass(
-                Idempotency.SAFE,
+                Idempotency.IDEMPOTENT,
                 KeyScope.ALL,
                 0,
                 Harness.AIM,
@@ -47,14 +47,14 @@
     }
 
     private static Harness fleet(RequestClass... kinds) {
-        Harness harness = new Harness(Harness.settings(kinds), 3).list(EndpointListKind.PERSISTED, Harness.fleet(6));
+        Harness harness = new Harness(Harness.settings(kinds), 3).list(EndpointListKind.CACHED, Harness.fleet(6));
         harness.warmUp(30, 0, 20_000);
         return harness;
     }
 
     @Test
     void aKeysRequestsGoOneByOneInTheOrderTaken() {
-        Harness harness = fleet(ordered(Idempotency.KEYED), ordered(Idempotency.SAFE));
+        Harness harness = fleet(ordered(Idempotency.IDEMPOTENT_WITH_KEY), ordered(Idempotency.IDEMPOTENT));
         Harness.Sent first = harness.keyed("a", 0, "k");
         assertNull(harness.keyed("b", 1, "k"), "all ordered classes share their keys");
         assertNull(harness.keyed("c", 0, "k"));
@@ -73,7 +73,7 @@
             value = AttemptOutcome.class,
             names = {"TIMEOUT", "RESET", "CANCELLED"})
     void aKeyRestsAfterAnAttemptThatMayStillRun(AttemptOutcome outcome) {
-        Harness harness = fleet(ordered(Idempotency.UNSAFE));
+        Harness harness = fleet(ordered(Idempotency.NON_IDEMPOTENT));
         Harness.Sent first = harness.keyed("a", 0, "k");
         harness.keyed("b", 0, "k");
         harness.pass(30_000);
@@ -87,7 +87,7 @@
 
     @Test
     void theKeyRestsAlsoWhenTheClientHasLeft() {
-        Harness harness = fleet(ordered(Idempotency.SAFE));
+        Harness harness = fleet(ordered(Idempotency.IDEMPOTENT));
         Harness.Sent first = harness.keyed("a", 0, "k");
         harness.keyed("b", 0, "k");
         harness.finals.put("a", "gone");
@@ -103,14 +103,14 @@
 
     @Test
     void theOneThatHasTheTurnIsTriedAgainWithoutAWait() {
-        Harness harness = fleet(ordered(Idempotency.SAFE));
+        Harness harness = fleet(ordered(Idempotency.IDEMPOTENT));
         harness.end(harness.keyed("a", 0, "k"), AttemptOutcome.RESET);
         assertEquals(2, harness.sentFor("a").size());
     }
 
     @Test
     void aRequestWhoseTurnNeverComesIsAnsweredInTime() {
-        Harness harness = fleet(ordered(Idempotency.SAFE));
+        Harness harness = fleet(ordered(Idempotency.IDEMPOTENT));
         harness.keyed("a", 0, "k");
         long from = harness.now;
         harness.keyed("b", 0, "k");
@@ -121,7 +121,7 @@
 
     @Test
     void aBoundClassGoesNowhereElse() {
-        Harness harness = fleet(SAFE, bound(Set.of(1), Set.of()), bound(Set.of(), Set.of(0)));
+        Harness harness = fleet(IDEMPOTENT, bound(Set.of(1), Set.of()), bound(Set.of(), Set.of(0)));
         for (int i = 0; i < 40; i++) { // zones and kinds alternate over the fleet
             assertEquals(1, harness.request("z" + i, 1).server.charAt(1) % 2);
             assertEquals(0, harness.request("k" + i, 2).server.charAt(1) % 2);
@@ -139,17 +139,17 @@
 
     @Test
     void aBoundRequestWaitsForAServerOfItsOwnWithoutHoldingUpOthers() {
-        Harness harness = new Harness(Harness.settings(SAFE, bound(Set.of(7), Set.of())), 3)
-                .list(EndpointListKind.PERSISTED, List.of());
+        Harness harness = new Harness(Harness.settings(IDEMPOTENT, bound(Set.of(7), Set.of())), 3)
+                .list(EndpointListKind.CACHED, List.of());
         harness.request("bound", 1);
         harness.request("free", 0);
-        harness.list(EndpointListKind.PARTIAL, Harness.fleet(4));
+        harness.list(EndpointListKind.DELTA, Harness.fleet(4));
         assertEquals(1, harness.sentFor("free").size());
         assertEquals(0, harness.sentFor("bound").size());
-        harness.list(EndpointListKind.PARTIAL, List.of(new Endpoint("own", EndpointState.UP, 0, 1, 0, 0, 7)));
+        harness.list(EndpointListKind.DELTA, List.of(new Endpoint("own", EndpointState.UP, 0, 1, 0, 0, 7)));
         assertEquals("own", harness.sentFor("bound").get(0).server);
         harness.request("bound2", 1);
-        harness.list(EndpointListKind.PARTIAL, List.of(new Endpoint("own", EndpointState.GONE, 0, 1, 0, 0, 7)));
+        harness.list(EndpointListKind.DELTA, List.of(new Endpoint("own", EndpointState.GONE, 0, 1, 0, 0, 7)));
         harness.request("bound3", 1);
         harness.pass(Harness.DEADLINE);
         assertEquals("refused", harness.finals.get("bound3"), "held, then answered in time");
--- a/core/src/test/java/loadbalancer/policy/Harness.java
+++ b/core/src/test/java/loadbalancer/policy/Harness.java
@@ -91,7 +91,7 @@
     }
 
     Harness list(EndpointListKind kind, List<Endpoint> servers) {
-        policy.servers(now, kind, servers, this);
+        policy.endpoints(now, kind, servers, this);
         return this;
     }
 
@@ -114,13 +114,13 @@
         return request(id, requestClass, 0, key, DEADLINE, false);
     }
 
-    private Sent request(String id, int requestClass, int tenant, long timeLeft, boolean resubmission) {
-        return request(id, requestClass, tenant, null, timeLeft, resubmission);
+    private Sent request(String id, int requestClass, int tenant, long timeLeft, boolean clientRetry) {
+        return request(id, requestClass, tenant, null, timeLeft, clientRetry);
     }
 
-    Sent request(String id, int requestClass, int tenant, String key, long timeLeft, boolean resubmission) {
+    Sent request(String id, int requestClass, int tenant, String key, long timeLeft, boolean clientRetry) {
         int before = sends.size();
-        policy.request(now, id, requestClass, tenant, key, timeLeft, -1, resubmission, this);
+        policy.request(now, id, requestClass, tenant, key, timeLeft, -1, clientRetry, this);
         return sends.size() > before ? sends.get(sends.size() - 1) : null;
     }
 
@@ -223,7 +223,7 @@
     }
 
     @Override
-    public void tell(int peer, byte[] data) {
+    public void sendToPeer(int peer, byte[] data) {
         log.add(now + " tell " + peer);
     }
 
@@ -233,7 +233,7 @@
     }
 
     @Override
-    public void remark(String line) {
+    public void log(String line) {
         log.add(now + " remark " + line);
     }
 }
--- a/core/src/test/java/loadbalancer/policy/LearnedTest.java
+++ b/core/src/test/java/loadbalancer/policy/LearnedTest.java
@@ -16,11 +16,11 @@
 
 /** One test for each failure found: it fails without the answer to it in Rules. */
 class LearnedTest {
-    private static final RequestClass SAFE = Harness.kind(Idempotency.SAFE, KeyScope.ALL);
-    private static final RequestClass UNSAFE = Harness.kind(Idempotency.UNSAFE, KeyScope.ALL);
+    private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
+    private static final RequestClass NON_IDEMPOTENT = Harness.kind(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
 
     private static Harness harness(int servers, RequestClass... kinds) {
-        return new Harness(Harness.settings(kinds), 11).list(EndpointListKind.PERSISTED, Harness.fleet(servers));
+        return new Harness(Harness.settings(kinds), 11).list(EndpointListKind.CACHED, Harness.fleet(servers));
     }
 
     /** Serves four requests at a time for a while; attempts on the bad servers end as told. */
@@ -39,7 +39,7 @@
 
     @Test
     void aServerThatFailsFastIsEjectedTriedAndTakenBack() {
-        Harness harness = harness(6, SAFE);
+        Harness harness = harness(6, IDEMPOTENT);
         serve(harness, 100, 20_000, Map.of());
         long from = harness.now;
         serve(harness, 200, 20_000, Map.of("s1", AttemptOutcome.ERROR));
@@ -52,7 +52,7 @@
     @Test
     void aServerThatOnlyTurnsAwayIsEjected() {
         // A hung server fills up, then turns attempts away: 8% of attempts were lost on such ones.
-        Harness harness = harness(6, UNSAFE);
+        Harness harness = harness(6, NON_IDEMPOTENT);
         serve(harness, 100, 20_000, Map.of());
         long from = harness.now;
         serve(harness, 300, 20_000, Map.of("s1", AttemptOutcome.FULL));
@@ -62,7 +62,7 @@
 
     @Test
     void aStalledServerGetsNothingNewBeforeItsTimeOutsTell() {
-        Harness harness = harness(3, UNSAFE);
+        Harness harness = harness(3, NON_IDEMPOTENT);
         serve(harness, 100, 30_000, Map.of());
         Harness.Sent stuck = harness.request("stuck", 0);
         harness.pass(200_000);
@@ -82,7 +82,7 @@
 
     @Test
     void serviceResumesAfterAllServersHaveFailed() {
-        Harness harness = harness(4, SAFE);
+        Harness harness = harness(4, IDEMPOTENT);
         serve(harness, 60, 20_000, Map.of());
         Map<String, AttemptOutcome> bad = new HashMap<>();
         List.of("s0", "s1", "s2", "s3").forEach(s -> bad.put(s, AttemptOutcome.ERROR));
@@ -95,7 +95,7 @@
     @Test
     void theLimitRecoversAfterOverload() {
         // Idle servers kept their old strain, which held the limit down for 20 s after the load had gone.
-        Harness harness = harness(6, SAFE);
+        Harness harness = harness(6, IDEMPOTENT);
         serve(harness, 200, 30_000, Map.of());
         for (int i = 0; i < 60; i++) { // everything takes ten times as long
             harness.request("slow" + i, 0);
@@ -124,9 +124,13 @@
         // All requests of a tenant over its share were marked, so its share starved too.
         Harness harness = new Harness(
                         Harness.settings(
-                                1, true, DiscoveryMode.PUSH, List.of(new TenantQuota(20), new TenantQuota(20)), UNSAFE),
+                                1,
+                                true,
+                                DiscoveryMode.PUSH,
+                                List.of(new TenantQuota(20), new TenantQuota(20)),
+                                NON_IDEMPOTENT),
                         3)
-                .list(EndpointListKind.PERSISTED, Harness.fleet(2));
+                .list(EndpointListKind.CACHED, Harness.fleet(2));
         Map<Integer, int[]> served = Map.of(0, new int[2], 1, new int[2]);
         for (int i = 0; i < 1200; i++) { // tenant 0 brings 80 a second, tenant 1 20
             int tenant = i % 5 == 4 ? 1 : 0;
@@ -152,7 +156,7 @@
     @Test
     void aCallerThatSleptForLongIsNoFailure() {
         // With every server idle for 13 minutes all weights of the middle strain are 0.
-        Harness harness = harness(1, SAFE);
+        Harness harness = harness(1, IDEMPOTENT);
         for (int i = 0; i < 10; i++) {
             harness.end(harness.request("r" + i, 0), AttemptOutcome.OK);
         }
@@ -163,13 +167,13 @@
 
     /** A harness without a usable server: what comes in is held. */
     private static Harness holding(RequestClass... kinds) {
-        return new Harness(Harness.settings(kinds), 11).list(EndpointListKind.PERSISTED, List.of());
+        return new Harness(Harness.settings(kinds), 11).list(EndpointListKind.CACHED, List.of());
     }
 
     @Test
     void aNextTryThatIsLateAlreadyGivesWay() {
         // A third of all answers came after the first try's aim: worthless work that crowded out the rest.
-        Harness harness = harness(6, SAFE);
+        Harness harness = harness(6, IDEMPOTENT);
         serve(harness, 20, 20_000, Map.of());
         int refused = 0;
         int sent = 0;
@@ -185,7 +189,7 @@
 
     @Test
     void aNextTryThatMayBeInTimeIsServedLikeAnyOther() {
-        Harness harness = harness(6, SAFE);
+        Harness harness = harness(6, IDEMPOTENT);
         serve(harness, 20, 20_000, Map.of());
         harness.again("again", 0, Harness.DEADLINE); // as much time as a first try: age unknown
         assertEquals(1, harness.sentFor("again").size());
@@ -195,11 +199,11 @@
     void theMostUrgentHeldRequestGoesFirst() {
         // In order of arrival requests with a short aim ran out behind those with a long one.
         RequestClass patient = new RequestClass(
-                Idempotency.SAFE, KeyScope.ALL, 0, 4 * Harness.AIM, 4 * Harness.DEADLINE, 0, 1, 0, false);
-        Harness harness = holding(SAFE, patient);
+                Idempotency.IDEMPOTENT, KeyScope.ALL, 0, 4 * Harness.AIM, 4 * Harness.DEADLINE, 0, 1, 0, false);
+        Harness harness = holding(IDEMPOTENT, patient);
         harness.request("patient", 1, 0, 4 * Harness.DEADLINE);
         harness.request("urgent", 0);
-        harness.list(EndpointListKind.PARTIAL, Harness.fleet(1));
+        harness.list(EndpointListKind.DELTA, Harness.fleet(1));
         assertEquals(
                 List.of("urgent", "patient"),
                 harness.sends.stream().map(s -> s.request).toList());
@@ -207,22 +211,22 @@
 
     @Test
     void discoveryIsAskedAgainAfterErrorsAndSilenceButNotHammered() {
-        Harness harness = new Harness(Harness.settings(2, true, DiscoveryMode.ASK, List.of(), SAFE), 3)
-                .list(EndpointListKind.PERSISTED, Harness.fleet(2));
+        Harness harness = new Harness(Harness.settings(2, true, DiscoveryMode.POLL, List.of(), IDEMPOTENT), 3)
+                .list(EndpointListKind.CACHED, Harness.fleet(2));
         assertEquals(1, harness.watches);
         harness.pass(7_000_000); // silence: asked again within AskWithin
         assertEquals(2, harness.watches);
         for (int i = 0; i < 20; i++) { // 20 s of errors
-            harness.list(EndpointListKind.FAILED, List.of());
+            harness.list(EndpointListKind.UNAVAILABLE, List.of());
             harness.pass(1_000_000);
         }
         assertTrue(harness.watches >= 5 && harness.watches <= 16, "asked " + harness.watches + " times in 27 s");
         int before = harness.watches;
-        harness.list(EndpointListKind.PARTIAL, List.of());
+        harness.list(EndpointListKind.DELTA, List.of());
         harness.pass(60_000_000);
         assertEquals(before, harness.watches, "subscribed: nothing more to ask");
-        Harness empty = new Harness(Harness.settings(SAFE), 3);
-        assertNull(empty.list(EndpointListKind.PERSISTED, List.of()).request("r", 0));
+        Harness empty = new Harness(Harness.settings(IDEMPOTENT), 3);
+        assertNull(empty.list(EndpointListKind.CACHED, List.of()).request("r", 0));
     }
 
     /** Serves requests one by one, each answered after its latency; returns how many of them were sent. */
@@ -245,7 +249,7 @@
     @Test
     void strainTurnsAwayAShareAndCalmTakesItBack() {
         // A limit on attempts in flight, about one for most balancers, refused most of a calm day.
-        Harness harness = harness(6, SAFE);
+        Harness harness = harness(6, IDEMPOTENT);
         assertEquals(40, sentOf(harness, 40, 0, 0, 50_000), "a calm day is served whole");
         sentOf(harness, 30, 0, 0, 900_000);
         int late = sentOf(harness, 20, 0, 0, 900_000);
@@ -257,7 +261,7 @@
     @Test
     void strainWithoutNewsIsForgotten() {
         // Refusing nearly all left no answers to learn from: the balancer never came back.
-        Harness harness = harness(6, SAFE);
+        Harness harness = harness(6, IDEMPOTENT);
         sentOf(harness, 60, 0, 0, 1_800_000);
         harness.pass(20_000_000);
         assertTrue(sentOf(harness, 20, 0, 0, 50_000) >= 19);
@@ -265,9 +269,9 @@
 
     @Test
     void theCheapestAreTurnedAwayFirst() {
-        RequestClass dear =
-                new RequestClass(Idempotency.UNSAFE, KeyScope.ALL, 0, Harness.AIM, Harness.DEADLINE, 0, 9, 0, false);
-        Harness harness = harness(6, UNSAFE, dear);
+        RequestClass dear = new RequestClass(
+                Idempotency.NON_IDEMPOTENT, KeyScope.ALL, 0, Harness.AIM, Harness.DEADLINE, 0, 9, 0, false);
+        Harness harness = harness(6, NON_IDEMPOTENT, dear);
         for (int i = 0; i < 30; i++) {
             sentOf(harness, 1, 0, 0, 350_000);
             sentOf(harness, 1, 1, 0, 350_000);
@@ -281,8 +285,8 @@
     void oneTenantsExcessDoesNotWidenTheSharesOfAll() {
         // A tenant at three times its share made all shares 1.75 times as wide: servers were overdriven.
         List<TenantQuota> tenants = List.of(new TenantQuota(8.4), new TenantQuota(8.4), new TenantQuota(8.4));
-        Harness harness = new Harness(Harness.settings(10, true, DiscoveryMode.PUSH, tenants, UNSAFE), 3)
-                .list(EndpointListKind.PERSISTED, Harness.fleet(6));
+        Harness harness = new Harness(Harness.settings(10, true, DiscoveryMode.PUSH, tenants, NON_IDEMPOTENT), 3)
+                .list(EndpointListKind.CACHED, Harness.fleet(6));
         int sent = 0;
         for (int i = 0; i < 60; i++) { // 71 s of 270 ms each: this balancer's part of a share is 60
             sent += sentOf(harness, 3, 0, 0, 270_000);
@@ -295,7 +299,7 @@
     @Test
     void aBalancerUsesASubsetThatGrowsWhenItsServersFail() {
         // Every balancer opened a connection to every server: handshakes overran servers at a start.
-        Harness harness = harness(40, SAFE);
+        Harness harness = harness(40, IDEMPOTENT);
         serve(harness, 4, 20_000, Map.of());
         List<String> used = harness.sends.stream().map(s -> s.server).distinct().toList();
         assertTrue(used.size() <= 7, "a subset of six: " + used);
@@ -320,7 +324,7 @@
 
     private static List<String> used(int servers, long seed) {
         Harness harness =
-                new Harness(Harness.settings(SAFE), seed).list(EndpointListKind.PERSISTED, Harness.fleet(servers));
+                new Harness(Harness.settings(IDEMPOTENT), seed).list(EndpointListKind.CACHED, Harness.fleet(servers));
         for (int i = 0; i < 40; i++) {
             harness.request("r" + i, 0);
         }
@@ -331,7 +335,7 @@
     void reportsSteerTheQueueAndAbsurdOnesDoNot() {
         // Own queues are empty nearly always: ties sent 94% of all to half of the servers.
         for (double filled : new double[] {50, Double.NaN, -3, 1e18}) {
-            Harness harness = harness(4, SAFE);
+            Harness harness = harness(4, IDEMPOTENT);
             for (int i = 0; i < 200; i++) {
                 Harness.Sent s = harness.request("r" + i, 0);
                 harness.now += 20_000;
@@ -349,7 +353,7 @@
     @Test
     void whatIsNotSafeToRepeatIsGivenUpAtItsAim() {
         // After a burst work whose aim had passed filled the queues before work that could be in time.
-        Harness harness = harness(6, SAFE, UNSAFE);
+        Harness harness = harness(6, IDEMPOTENT, NON_IDEMPOTENT);
         assertEquals(Harness.AIM, harness.request("once", 1).timeout);
         assertEquals(0, harness.request("safe", 0).timeout, "its client would only come again");
         Harness.Sent late = harness.sentFor("once").get(0);
@@ -361,7 +365,7 @@
     @Test
     void aFullServerRestsForAMoment() {
         // It answers in no time, so it won again and again: two of five attempts were turned away.
-        Harness harness = harness(6, UNSAFE);
+        Harness harness = harness(6, NON_IDEMPOTENT);
         serve(harness, 50, 50_000, Map.of());
         Harness.Sent full = harness.request("full", 0);
         harness.now += 300;
@@ -377,7 +381,7 @@
     @Test
     void aRequestWithNoTimeLeftIsAnsweredAtOnce() {
         // Held until the next sweep it got its answer after its deadline: rule 1 was broken.
-        Harness harness = holding(SAFE);
+        Harness harness = holding(IDEMPOTENT);
         harness.request("spent", 0, 0, 2_000);
         assertEquals("refused", harness.finals.get("spent"));
     }
@@ -385,13 +389,13 @@
     @Test
     void silenceIsHedgedOnceWhereARepeatIsAllowed() {
         // Answers that never came were waited out to the deadline: a third of the worth of some days.
-        for (RequestClass kind : List.of(SAFE, UNSAFE)) {
+        for (RequestClass kind : List.of(IDEMPOTENT, NON_IDEMPOTENT)) {
             Harness harness = harness(6, kind);
             serve(harness, 60, 20_000, Map.of());
             Harness.Sent silent = harness.request("silent", 0);
             harness.pass(Harness.AIM - 5_000);
             int copies = harness.sentFor("silent").size() - 1;
-            assertEquals(kind == SAFE ? 1 : 0, copies, "copies of " + kind.effect());
+            assertEquals(kind == IDEMPOTENT ? 1 : 0, copies, "copies of " + kind.effect());
             assertTrue(harness.sentFor("silent").stream().skip(1).noneMatch(s -> s.server.equals(silent.server)));
         }
     }
@@ -399,7 +403,7 @@
     @Test
     void hedgesAreBoundedAndRestWhileAttemptsAreTurnedAway() {
         // Copies at a full fleet fed the overload: Kano lost 0.18 of its figure to them.
-        Harness harness = harness(6, SAFE);
+        Harness harness = harness(6, IDEMPOTENT);
         serve(harness, 60, 20_000, Map.of());
         for (int i = 0; i < 60; i++) {
             harness.request("burst" + i, 0);
@@ -409,7 +413,7 @@
                 .filter(s -> s.request.startsWith("burst") && s.number > 0)
                 .count();
         assertTrue(copies > 0 && copies <= 10, "a budget of ten at most, not one for each of 60: " + copies);
-        Harness full = harness(6, SAFE);
+        Harness full = harness(6, IDEMPOTENT);
         serve(full, 60, 20_000, Map.of());
         List<Harness.Sent> turned =
                 IntStream.range(0, 8).mapToObj(i -> full.request("full" + i, 0)).toList();
@@ -422,9 +426,9 @@
     @Test
     void whereWorthGoesByRequestClassesAreTurnedAwayAlike() {
         // The light class starved for the heavy one: 10% of its worth was served by a half idle fleet.
-        RequestClass dear =
-                new RequestClass(Idempotency.UNSAFE, KeyScope.ALL, 0, Harness.AIM, Harness.DEADLINE, 0, 9, 0, false);
-        PolicySettings s = Harness.settings(UNSAFE, dear);
+        RequestClass dear = new RequestClass(
+                Idempotency.NON_IDEMPOTENT, KeyScope.ALL, 0, Harness.AIM, Harness.DEADLINE, 0, 9, 0, false);
+        PolicySettings s = Harness.settings(NON_IDEMPOTENT, dear);
         Harness harness = new Harness(
                         new PolicySettings(
                                 1,
@@ -441,9 +445,9 @@
                                 false,
                                 s.limits(),
                                 s.bounds(),
-                                s.tick()),
+                                s.tickMicros()),
                         3)
-                .list(EndpointListKind.PERSISTED, Harness.fleet(6));
+                .list(EndpointListKind.CACHED, Harness.fleet(6));
         for (int i = 0; i < 40; i++) {
             sentOf(harness, 1, 0, 0, 500_000);
             sentOf(harness, 1, 1, 0, 500_000);
@@ -456,7 +460,7 @@
     @Test
     void aHotKeyGetsMoreServersThanAColdOne() {
         // Four of fifty servers took a seventh of all requests: as many as the hottest key brought.
-        PolicySettings s = Harness.settings(SAFE);
+        PolicySettings s = Harness.settings(IDEMPOTENT);
         Harness harness = new Harness(
                         new PolicySettings(
                                 1,
@@ -473,9 +477,9 @@
                                 true,
                                 s.limits(),
                                 s.bounds(),
-                                s.tick()),
+                                s.tickMicros()),
                         3)
-                .list(EndpointListKind.PERSISTED, Harness.fleet(20));
+                .list(EndpointListKind.CACHED, Harness.fleet(20));
         for (int i = 0; i < 600; i++) {
             Harness.Sent sent = harness.keyed("r" + i, 0, i % 2 == 0 ? "hot" : "k" + i % 75);
             harness.pass(10_000);
@@ -496,7 +500,7 @@
             names = {"NOT_SENT", "CONNECT_FAILED", "RESET", "ERROR"})
     void requestsThatFailedForOtherReasonsThanLoadCloseNoDoor(AttemptOutcome outcome) {
         // 200 that found no descriptor in a moment were taken for demand that the servers can't meet.
-        Harness harness = harness(6, UNSAFE);
+        Harness harness = harness(6, NON_IDEMPOTENT);
         serve(harness, 20, 20_000, Map.of());
         for (int i = 0; i < 200; i++) {
             Harness.Sent sent = harness.request("failed" + i, 0);
@@ -514,13 +518,13 @@
 
     @Test
     void aTimeWithoutServersClosesNoDoor() {
-        Harness harness = holding(UNSAFE);
+        Harness harness = holding(NON_IDEMPOTENT);
         for (int i = 0; i < 200; i++) {
             harness.request("held" + i, 0);
             harness.pass(10_000);
         }
         harness.pass(Harness.DEADLINE);
-        harness.list(EndpointListKind.PARTIAL, Harness.fleet(3));
+        harness.list(EndpointListKind.DELTA, Harness.fleet(3));
         for (int i = 0; i < 5; i++) {
             assertTrue(harness.request("after" + i, 0) != null, "sent as soon as there are servers");
         }
@@ -529,7 +533,7 @@
     @Test
     void aHotKeyAddsLittleToTheLoadOfEachOfItsServers() {
         // With half of their load from one key, its servers were late in a burst that the others bore.
-        PolicySettings s = Harness.settings(SAFE);
+        PolicySettings s = Harness.settings(IDEMPOTENT);
         Harness harness = new Harness(
                         new PolicySettings(
                                 100,
@@ -546,9 +550,9 @@
                                 true,
                                 s.limits(),
                                 s.bounds(),
-                                s.tick()),
+                                s.tickMicros()),
                         3)
-                .list(EndpointListKind.PERSISTED, Harness.fleet(60));
+                .list(EndpointListKind.CACHED, Harness.fleet(60));
         for (int i = 0; i < 600; i++) { // ten a second, one in twelve for the hot key
             Harness.Sent sent = harness.keyed("r" + i, 0, i % 12 == 0 ? "hot" : "k" + i % 75);
             harness.pass(60_000);
@@ -562,7 +566,7 @@
     @Test
     void balancersOfThinTrafficSendAKeyToTheSameFewServers() {
         // A hundred balancers, each with a few requests a second, sent every key to all servers: none of them knew it.
-        PolicySettings s = Harness.settings(SAFE);
+        PolicySettings s = Harness.settings(IDEMPOTENT);
         Set<String> used = new HashSet<>();
         for (int rank = 0; rank < 100; rank++) {
             Harness harness = new Harness(
@@ -581,9 +585,9 @@
                                     true,
                                     s.limits(),
                                     s.bounds(),
-                                    s.tick()),
+                                    s.tickMicros()),
                             3 + rank)
-                    .list(EndpointListKind.PERSISTED, Harness.fleet(60));
+                    .list(EndpointListKind.CACHED, Harness.fleet(60));
             Harness.Sent sent = harness.keyed("r" + rank, 0, "key");
             harness.pass(30_000);
             harness.end(sent, AttemptOutcome.OK);
@@ -603,7 +607,7 @@
     @Test
     void goodNewsIsBelievedAsSoonAsBadNews() {
         // Refusal that rose within seconds and fell slowly turned a third of the requests away around restarts.
-        Harness harness = harness(6, SAFE);
+        Harness harness = harness(6, IDEMPOTENT);
         sentOf(harness, 40, 0, 0, 50_000);
         for (int i = 0; i < 20; i++) { // two seconds of late answers, ten a second
             Harness.Sent sent = harness.request("late" + i, 0);
--- a/core/src/test/java/loadbalancer/policy/LibraryTest.java
+++ b/core/src/test/java/loadbalancer/policy/LibraryTest.java
@@ -17,7 +17,7 @@
 
 /** What users of the library rely on. */
 class LibraryTest {
-    private static final RequestClass SAFE = Harness.kind(Idempotency.SAFE, KeyScope.ALL);
+    private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
 
     @Test
     void theExampleOfTheReadmeRuns() throws IOException {
@@ -35,7 +35,7 @@
                 "impossible aim: 0",
                 assertThrows(
                                 IllegalArgumentException.class,
-                                () -> new RequestClass(Idempotency.SAFE, KeyScope.ALL, 0, 0, 1, 0, 1, 0, false))
+                                () -> new RequestClass(Idempotency.IDEMPOTENT, KeyScope.ALL, 0, 0, 1, 0, 1, 0, false))
                         .getMessage());
         assertEquals(
                 "impossible coldFrom: 0.0",
@@ -54,7 +54,7 @@
     @ParameterizedTest
     @CsvSource({"0, 0, impossible balancers: 0", "2, 2, impossible rank: 2", "2, -1, impossible rank: -1"})
     void impossibleNumbersOfBalancersAreNamed(int balancers, int rank, String complaint) {
-        PolicySettings s = Harness.settings(SAFE);
+        PolicySettings s = Harness.settings(IDEMPOTENT);
         assertEquals(
                 complaint,
                 assertThrows(
@@ -89,9 +89,17 @@
         "6, 1, 600000, 1200000, 1, false, 50, 30000",
     })
     void oddSettingsAreServed(
-            int servers, int balancers, long aim, long deadline, int attempts, boolean copies, int rate, long latency) {
+            int servers,
+            int balancers,
+            long latencyObjectiveMicros,
+            long deadline,
+            int attempts,
+            boolean copies,
+            int rate,
+            long latency) {
         for (Idempotency effect : Idempotency.values()) {
-            RequestClass kind = new RequestClass(effect, KeyScope.CELL, deadline, aim, deadline, 0, 1, 0, false);
+            RequestClass kind =
+                    new RequestClass(effect, KeyScope.CELL, deadline, latencyObjectiveMicros, deadline, 0, 1, 0, false);
             PolicySettings base = Harness.settings(balancers, copies, DiscoveryMode.PUSH, List.of(), kind);
             Harness harness = new Harness(
                     new PolicySettings(
@@ -111,7 +119,7 @@
                             base.bounds(),
                             1_000),
                     9);
-            harness.list(EndpointListKind.PERSISTED, Harness.fleet(servers));
+            harness.list(EndpointListKind.CACHED, Harness.fleet(servers));
             for (int i = 0; i < 400; i++) {
                 harness.request("r" + i, 0, 0, deadline);
                 harness.pass(1_000_000 / rate);
@@ -132,7 +140,7 @@
 
     @Test
     void memoryDoesNotGrowWithTime() throws ReflectiveOperationException {
-        Harness harness = new Harness(Harness.settings(SAFE), 1).list(EndpointListKind.PERSISTED, Harness.fleet(4));
+        Harness harness = new Harness(Harness.settings(IDEMPOTENT), 1).list(EndpointListKind.CACHED, Harness.fleet(4));
         for (int i = 0; i < 30_000; i++) {
             Harness.Sent sent = harness.request("r" + i, 0);
             harness.pass(5_000);
@@ -142,7 +150,7 @@
                     .forEach(s -> harness.end(s, s.number % 7 == 6 ? AttemptOutcome.ERROR : AttemptOutcome.OK));
             if (i % 50 == 0) { // machines come and go under new names
                 harness.list(
-                        EndpointListKind.COMPLETE, List.of(Harness.up("a" + i), Harness.up("b" + i), Harness.up("c")));
+                        EndpointListKind.SNAPSHOT, List.of(Harness.up("a" + i), Harness.up("b" + i), Harness.up("c")));
                 harness.sends.clear();
                 harness.attempts.clear();
                 harness.finals.clear();
@@ -150,7 +158,7 @@
             }
             assertTrue(sent == null || sent.ended);
         }
-        harness.list(EndpointListKind.COMPLETE, List.of(new Endpoint("c", EndpointState.UP, 0, 1, 0, 0, 0)));
+        harness.list(EndpointListKind.SNAPSHOT, List.of(new Endpoint("c", EndpointState.UP, 0, 1, 0, 0, 0)));
         assertEquals(0, size(harness.policy, "open"));
         assertTrue(size(harness.policy, "nodes") <= 1);
     }
--- a/core/src/test/java/loadbalancer/policy/PollScheduleTest.java
+++ b/core/src/test/java/loadbalancer/policy/PollScheduleTest.java
@@ -18,15 +18,16 @@
     /** The pauses after so many failures in a row; the first of them ends a watch that has worked. */
     private static long[] pauses(long seed) {
         Harness harness = new Harness(
-                Harness.settings(20, true, DiscoveryMode.ASK, List.of(), Harness.kind(Idempotency.SAFE, KeyScope.ALL)),
+                Harness.settings(
+                        20, true, DiscoveryMode.POLL, List.of(), Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL)),
                 seed);
-        harness.list(EndpointListKind.PERSISTED, Harness.fleet(3)).list(EndpointListKind.COMPLETE, Harness.fleet(3));
+        harness.list(EndpointListKind.CACHED, Harness.fleet(3)).list(EndpointListKind.SNAPSHOT, Harness.fleet(3));
         harness.pass(10_000_000);
         long[] pauses = new long[CALLS];
         for (int i = 0; i < CALLS; i++) {
             int before = harness.watches;
             long failed = harness.now;
-            harness.list(EndpointListKind.FAILED, List.of());
+            harness.list(EndpointListKind.UNAVAILABLE, List.of());
             while (harness.watches == before) {
                 harness.pass(1_000);
             }
--- a/core/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
+++ b/core/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
@@ -49,15 +49,15 @@
             }
             for (int i = 0; i < k.ended.size(); i++) {
                 boolean mayHaveRun = k.ended.get(i) == null || !k.ended.get(i).neverRan();
-                if (mayHaveRun && k.kind.effect() == Idempotency.UNSAFE) {
+                if (mayHaveRun && k.kind.effect() == Idempotency.NON_IDEMPOTENT) {
                     return "an unsafe effect may happen twice";
                 }
                 boolean outside = k.kind.scope() == KeyScope.CELL
                                 && k.servers.get(i).cell() != to.cell()
                         || k.kind.scope() == KeyScope.ZONE && k.servers.get(i).zone() != to.zone();
                 if (mayHaveRun
-                        && k.kind.effect() == Idempotency.KEYED
-                        && (outside || now - k.at.get(i) >= k.kind.keyMemory())) {
+                        && k.kind.effect() == Idempotency.IDEMPOTENT_WITH_KEY
+                        && (outside || now - k.at.get(i) >= k.kind.keyRetentionMicros())) {
                     return "a keyed request left its group or window";
                 }
             }
@@ -77,8 +77,8 @@
                 return "answered too late";
             }
             boolean mayHaveRun = k.ended.stream().anyMatch(o -> o == null || !o.neverRan());
-            boolean harmless = k.kind.effect() == Idempotency.SAFE
-                    || k.kind.effect() == Idempotency.KEYED && k.kind.scope() == KeyScope.ALL;
+            boolean harmless = k.kind.effect() == Idempotency.IDEMPOTENT
+                    || k.kind.effect() == Idempotency.IDEMPOTENT_WITH_KEY && k.kind.scope() == KeyScope.ALL;
             return how.equals("refused") && mayHaveRun && !harmless ? "refused though it may have run" : null;
         }
 
@@ -93,11 +93,12 @@
     static String cold(List<Long> sends, long started, double warmPerSecond, SafetyBounds b) {
         for (int i = 0; i < sends.size(); i++) {
             long from = sends.get(i);
-            double part = b.coldFrom() + (1 - b.coldFrom()) * (from - started) / b.rampTime();
-            long until = from + b.fallWindow();
+            double part = b.slowStartInitialWeight()
+                    + (1 - b.slowStartInitialWeight()) * (from - started) / b.slowStartDurationMicros();
+            long until = from + b.overloadWindowMicros();
             long many = sends.stream().filter(t -> t >= from && t < until).count();
-            double most = b.overloadFactor() * part * warmPerSecond * b.fallWindow() / 1e6 + 2;
-            if (many > most && from - started < b.rampTime()) {
+            double most = b.overloadFactor() * part * warmPerSecond * b.overloadWindowMicros() / 1e6 + 2;
+            if (many > most && from - started < b.slowStartDurationMicros()) {
                 return many + " sends in a window that bears " + most;
             }
         }
@@ -109,21 +110,21 @@
         Endpoint one = new Endpoint("a", EndpointState.UP, 0, 1, 0, 0, 0);
         Endpoint two = new Endpoint("b", EndpointState.UP, 0, 1, 1, 0, 1);
         Checker c = new Checker();
-        c.taken("u", Harness.kind(Idempotency.UNSAFE, KeyScope.ALL), 100);
+        c.taken("u", Harness.kind(Idempotency.NON_IDEMPOTENT, KeyScope.ALL), 100);
         assertNull(c.sent("u", one, true, 0));
         assertTrue(c.sent("u", two, true, 1).contains("twice"));
         assertTrue(c.answered("u", "refused", 1).contains("may have run"));
         assertTrue(c.answered("u", "failed", 1).contains("answered twice"));
         assertTrue(c.sent("u", one, true, 2).contains("after its answer"));
-        c.taken("k", Harness.kind(Idempotency.KEYED, KeyScope.CELL), 100);
+        c.taken("k", Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.CELL), 100);
         assertTrue(c.sent("k", one, false, 0).contains("draining"));
         assertNull(c.sent("k", one, true, 0));
         assertTrue(c.sent("k", two, true, 0).contains("group"));
         assertTrue(c.sent("k", one, true, 2_000_000).contains("window"));
         assertTrue(c.atTheEnd(100 + SLACK + 1).contains("lost"));
         assertTrue(c.answered("k", "failed", 100 + SLACK + 1).contains("too late"));
-        SafetyBounds b =
-                Harness.settings(Harness.kind(Idempotency.SAFE, KeyScope.ALL)).bounds();
+        SafetyBounds b = Harness.settings(Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL))
+                .bounds();
         assertTrue(cold(LongStream.range(0, 30).boxed().toList(), 0, 10, b) != null);
         assertNull(cold(List.of(0L, 900_000L), 0, 10, b));
     }
@@ -133,16 +134,16 @@
     void randomEventsKeepTheRules(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<RequestClass> kinds = List.of(
-                Harness.kind(Idempotency.SAFE, KeyScope.ALL),
-                Harness.kind(Idempotency.UNSAFE, KeyScope.ALL),
-                Harness.kind(Idempotency.KEYED, KeyScope.ALL),
-                Harness.kind(Idempotency.KEYED, KeyScope.CELL),
-                Harness.kind(Idempotency.KEYED, KeyScope.ZONE));
+                Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL),
+                Harness.kind(Idempotency.NON_IDEMPOTENT, KeyScope.ALL),
+                Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.ALL),
+                Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.CELL),
+                Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.ZONE));
         Harness harness = new Harness(Harness.settings(kinds.toArray(new RequestClass[0])), seed);
         Checker checker = new Checker();
         Map<String, Endpoint> servers = new HashMap<>();
         Harness.fleet(8).forEach(s -> servers.put(s.id(), s));
-        harness.list(EndpointListKind.PERSISTED, Harness.fleet(8));
+        harness.list(EndpointListKind.CACHED, Harness.fleet(8));
         int seen = 0;
         int answers = 0;
         for (int step = 0; step < 4000; step++) {
@@ -165,7 +166,7 @@
             } else if (what < 84) {
                 String id = "s" + random.nextInt(8);
                 servers.computeIfPresent(id, (i, s) -> s.in(EndpointState.values()[random.nextInt(3)]));
-                harness.list(EndpointListKind.PARTIAL, List.of(servers.get(id)));
+                harness.list(EndpointListKind.DELTA, List.of(servers.get(id)));
             } else {
                 harness.pass(random.nextLong(20_000));
             }
@@ -205,13 +206,13 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void coldServersBearWhatRandomTrafficSends(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        PolicySettings settings = Harness.settings(Harness.kind(Idempotency.SAFE, KeyScope.ALL));
-        Harness harness = new Harness(settings, seed).list(EndpointListKind.PERSISTED, Harness.fleet(5));
+        PolicySettings settings = Harness.settings(Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL));
+        Harness harness = new Harness(settings, seed).list(EndpointListKind.CACHED, Harness.fleet(5));
         long started = 0;
         for (int i = 0; i < 1500; i++) { // 40 answers a second from each of 5
             if (i == 500) {
                 harness.list(
-                        EndpointListKind.PARTIAL,
+                        EndpointListKind.DELTA,
                         List.of(new Endpoint("cold", EndpointState.UP, harness.now, 1, 0, 0, 0)));
             }
             for (int j = 0; j < 4; j++) {
--- a/core/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
+++ b/core/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
@@ -73,13 +73,14 @@
         checker.ended("a", AttemptOutcome.TIMEOUT, 2);
         assertTrue(checker.send("b", 3).contains("rests"));
         assertEquals(null, checker.send("b", 2 + Harness.PAUSE));
-        RequestClass bound = kind(Idempotency.SAFE, false, Set.of(1), Set.of(0));
+        RequestClass bound = kind(Idempotency.IDEMPOTENT, false, Set.of(1), Set.of(0));
         assertTrue(Checker.placed(bound, new Endpoint("s", EndpointState.UP, 0, 1, 0, 0, 0)) != null);
         assertTrue(Checker.placed(bound, new Endpoint("s", EndpointState.UP, 0, 1, 0, 1, 1)) != null);
         assertEquals(null, Checker.placed(bound, new Endpoint("s", EndpointState.UP, 0, 1, 0, 0, 1)));
     }
 
-    private static RequestClass kind(Idempotency effect, boolean inOrder, Set<Integer> zones, Set<Integer> kinds) {
+    private static RequestClass kind(
+            Idempotency effect, boolean orderedDelivery, Set<Integer> zones, Set<Integer> kinds) {
         return new RequestClass(
                 effect,
                 KeyScope.ALL,
@@ -90,7 +91,7 @@
                 1,
                 0.3,
                 false,
-                inOrder,
+                orderedDelivery,
                 zones,
                 kinds);
     }
@@ -100,10 +101,10 @@
     void randomEventsKeepOrderAndPlacement(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<RequestClass> kinds = List.of(
-                kind(Idempotency.SAFE, true, Set.of(), Set.of()),
-                kind(Idempotency.UNSAFE, true, Set.of(0), Set.of()),
-                kind(Idempotency.KEYED, false, Set.of(), Set.of(1)),
-                kind(Idempotency.SAFE, false, Set.of(1), Set.of(0)));
+                kind(Idempotency.IDEMPOTENT, true, Set.of(), Set.of()),
+                kind(Idempotency.NON_IDEMPOTENT, true, Set.of(0), Set.of()),
+                kind(Idempotency.IDEMPOTENT_WITH_KEY, false, Set.of(), Set.of(1)),
+                kind(Idempotency.IDEMPOTENT, false, Set.of(1), Set.of(0)));
         Harness harness = new Harness(Harness.settings(kinds.toArray(new RequestClass[0])), seed);
         Checker checker = new Checker();
         Map<String, Integer> classOf = new LinkedHashMap<>();
@@ -111,7 +112,7 @@
         for (int i = 0; i < 8; i++) {
             servers.put("s" + i, new Endpoint("s" + i, EndpointState.UP, 0, 1, 0, i / 2 % 2, i % 2));
         }
-        harness.list(EndpointListKind.PERSISTED, List.copyOf(servers.values()));
+        harness.list(EndpointListKind.CACHED, List.copyOf(servers.values()));
         int checked = 0;
         for (int step = 0; step < 3000; step++) {
             int what = random.nextInt(100);
@@ -120,7 +121,7 @@
                 String id = "r" + step;
                 int number = random.nextInt(kinds.size());
                 classOf.put(id, number);
-                if (kinds.get(number).inOrder()) {
+                if (kinds.get(number).orderedDelivery()) {
                     checker.taken(id, key);
                 }
                 harness.request(id, number, 0, key, 500_000 + random.nextLong(2_000_000), false);
@@ -136,7 +137,7 @@
                 }
             } else if (what < 84) {
                 Endpoint s = servers.get("s" + random.nextInt(8));
-                harness.list(EndpointListKind.PARTIAL, List.of(s.in(EndpointState.values()[random.nextInt(3)])));
+                harness.list(EndpointListKind.DELTA, List.of(s.in(EndpointState.values()[random.nextInt(3)])));
             } else if (what < 86 && !classOf.isEmpty()) {
                 String id = List.copyOf(classOf.keySet()).get(random.nextInt(classOf.size()));
                 if (harness.finals.putIfAbsent(id, "gone") == null) {
--- a/core/src/test/java/loadbalancer/router/RequestRouterTest.java
+++ b/core/src/test/java/loadbalancer/router/RequestRouterTest.java
@@ -245,7 +245,7 @@
                 open.add(t);
             }
             RequestRouter next = new RequestRouter(plan);
-            next.resume(front);
+            next.restore(front);
             front = next;
         }
         assertEquals(10, open.size());
@@ -277,7 +277,7 @@
                 case 0 -> front.listed(now, random.nextBoolean() ? "a" : "b", random.nextInt(5));
                 case 1 -> {
                     RequestRouter next = new RequestRouter(plan);
-                    next.resume(front);
+                    next.restore(front);
                     front = next;
                 }
                 case 2, 3, 4 -> {
--- a/core/src/test/java/loadbalancer/routes/PoolHealthTest.java
+++ b/core/src/test/java/loadbalancer/routes/PoolHealthTest.java
@@ -14,13 +14,13 @@
         assertEquals(0, stated.healthy(0, 1, 1.2), "nothing is listed yet");
         stated.listed(0, 4);
         assertEquals(0.4, stated.healthy(3600 * SECOND, 1, 1.2), 1e-9);
-        PoolHealth learnt = new PoolHealth(0);
-        learnt.listed(0, 10);
-        learnt.listed(1, 5);
-        assertEquals(0.5, learnt.healthy(2, 1, 1.2), 1e-6);
-        assertTrue(learnt.healthy(3600 * SECOND, 1, 1.2) > 0.99);
-        learnt.listed(3600 * SECOND, 0);
-        assertEquals(0, learnt.healthy(3600 * SECOND, 1, 1.2));
+        PoolHealth learnedState = new PoolHealth(0);
+        learnedState.listed(0, 10);
+        learnedState.listed(1, 5);
+        assertEquals(0.5, learnedState.healthy(2, 1, 1.2), 1e-6);
+        assertTrue(learnedState.healthy(3600 * SECOND, 1, 1.2) > 0.99);
+        learnedState.listed(3600 * SECOND, 0);
+        assertEquals(0, learnedState.healthy(3600 * SECOND, 1, 1.2));
     }
 
     @Test
--- a/discovery/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/discovery/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -83,7 +83,7 @@
         this.clock = clock;
         this.pushed = boot.settings().discovery() == DiscoveryMode.PUSH;
         SafetyBounds bounds = boot.settings().bounds();
-        this.staleness = new ListStaleness(pushed, bounds.drainGrace(), bounds.askWithin());
+        this.staleness = new ListStaleness(pushed, bounds.drainGracePeriodMicros(), bounds.pollIntervalMicros());
     }
 
     /** Begins to watch unasked where lists are pushed. */
@@ -116,7 +116,8 @@
     public void reconfigure(SettingsReader.Boot next) {
         boot = next;
         staleness.limits(
-                next.settings().bounds().drainGrace(), next.settings().bounds().askWithin());
+                next.settings().bounds().drainGracePeriodMicros(),
+                next.settings().bounds().pollIntervalMicros());
     }
 
     /** Asks for the whole list once. */
@@ -279,7 +280,7 @@
                 answered = true;
                 heard(); // from here on the time between two lines counts
             }
-            EndpointListKind kind = targets.all() ? EndpointListKind.COMPLETE : EndpointListKind.PARTIAL;
+            EndpointListKind kind = targets.all() ? EndpointListKind.SNAPSHOT : EndpointListKind.DELTA;
             news.accept(kind, watching ? targets.told(staleness.told(clock.getAsLong())) : targets);
             if (!watching) {
                 drop();
@@ -300,7 +301,7 @@
                 staleness.unwatched(clock.getAsLong());
             }
             if (!pushed) {
-                news.accept(EndpointListKind.FAILED, null);
+                news.accept(EndpointListKind.UNAVAILABLE, null);
             } else if (watching) {
                 // One that has worked is soon opened anew: what its agent has counts as told meanwhile.
                 loop.schedule(
--- a/discovery/src/main/java/loadbalancer/discovery/Membership.java
+++ b/discovery/src/main/java/loadbalancer/discovery/Membership.java
@@ -159,7 +159,7 @@
 
     private void release(long toldAt) {
         held = false;
-        pass(EndpointListKind.COMPLETE, true, told.values(), toldAt);
+        pass(EndpointListKind.SNAPSHOT, true, told.values(), toldAt);
     }
 
     /** How many upstreams may be sent to. */
@@ -198,7 +198,7 @@
             within(holding.subset(), List.of()); // the other may hold more: that process may have a larger heap
         }
         told.values().forEach(t -> now.add(here(t)));
-        news.accept(EndpointListKind.OWN, new EndpointList(rev, false, now));
+        news.accept(EndpointListKind.LOCAL_OVERRIDE, new EndpointList(rev, false, now));
     }
 
     /** The numbers of zones and kinds change with the settings; their names don't. */
@@ -209,7 +209,7 @@
         EndpointList again = EndpointList.of(told().toJson(before), next);
         again.list().forEach(t -> told.put(t.server().id(), t));
         news.accept(
-                EndpointListKind.OWN,
+                EndpointListKind.LOCAL_OVERRIDE,
                 new EndpointList(
                         rev, false, again.list().stream().map(this::here).toList()));
     }
@@ -250,7 +250,7 @@
     private void changed(String id) {
         EndpointList.Target t = told.get(id);
         if (t != null) {
-            news.accept(EndpointListKind.OWN, new EndpointList(rev, false, List.of(here(t))));
+            news.accept(EndpointListKind.LOCAL_OVERRIDE, new EndpointList(rev, false, List.of(here(t))));
         }
     }
 
--- a/discovery/src/main/java/loadbalancer/settings/SettingsReader.java
+++ b/discovery/src/main/java/loadbalancer/settings/SettingsReader.java
@@ -9,9 +9,6 @@
 import java.util.function.BiFunction;
 import java.util.stream.Collectors;
 import loadbalancer.policy.DiscoveryMode;
-import loadbalancer.policy.Idempotency;
-import loadbalancer.policy.KeyScope;
-import loadbalancer.policy.LoadReporting;
 import loadbalancer.policy.PolicySettings;
 import loadbalancer.policy.RequestClass;
 import loadbalancer.policy.SafetyBounds;
@@ -112,8 +109,8 @@
         for (int i = 0; i < count("Classes", true); i++) {
             String at = "Classes." + i + ".";
             classes.add(new RequestClass(
-                    word(Idempotency.class, at + "Idempotency", null),
-                    word(KeyScope.class, at + "DedupScope", "all"),
+                    word(ProtocolNames.IDEMPOTENCY, at + "Idempotency", null),
+                    word(ProtocolNames.KEY_SCOPE, at + "DedupScope", "all"),
                     whole(at + "KeyTtl", 0L),
                     whole(at + "GoalTime", null),
                     whole(at + "GiveUp", null),
@@ -137,7 +134,7 @@
                 flag("Limits.Probes", null),
                 whole("Limits.DialTimeout", 0L),
                 whole("Limits.MaxRetryAfter", 0L));
-        boolean ask = word(DiscoveryMode.class, "MembershipMode", null) == DiscoveryMode.ASK;
+        boolean ask = word(ProtocolNames.DISCOVERY_MODE, "MembershipMode", null) == DiscoveryMode.POLL;
         SafetyBounds bounds = new SafetyBounds(
                 whole("Rules.AnswerSlack", null),
                 whole("Rules.DrainGrace", null),
@@ -162,8 +159,8 @@
                 goal,
                 new TrafficCosts(decimal("Prices.CrossZone", 0.0), decimal("Prices.Handshake", 0.0)),
                 text("WorthBy", "request").equals("work"),
-                ask ? DiscoveryMode.ASK : DiscoveryMode.PUSH,
-                word(LoadReporting.class, "Stats.How", "none"),
+                ask ? DiscoveryMode.POLL : DiscoveryMode.PUSH,
+                word(ProtocolNames.LOAD_REPORTING, "Stats.How", "none"),
                 flag("Specifics.WarmKeys", false),
                 limits,
                 bounds,
@@ -242,12 +239,12 @@
         return found;
     }
 
-    private <E extends Enum<E>> E word(Class<E> type, String path, String otherwise) {
+    private <E> E word(Map<String, E> words, String path, String otherwise) {
         String value = text(path, otherwise);
-        try {
-            return Enum.valueOf(type, value.toUpperCase(Locale.ROOT));
-        } catch (IllegalArgumentException e) {
+        E found = words.get(value.toLowerCase(Locale.ROOT));
+        if (found == null) {
             throw complaint.apply(path, "unknown word: '" + value + "'");
         }
+        return found;
     }
 }
--- a/discovery/src/test/java/loadbalancer/discovery/MembershipTest.java
+++ b/discovery/src/test/java/loadbalancer/discovery/MembershipTest.java
@@ -55,7 +55,7 @@
 
     private void told(String json) {
         EndpointList t = Lists.read(holding, json, 10_000);
-        membership.listed(t.all() ? EndpointListKind.COMPLETE : EndpointListKind.PARTIAL, t);
+        membership.listed(t.all() ? EndpointListKind.SNAPSHOT : EndpointListKind.DELTA, t);
     }
 
     private void whole(int many) {
@@ -167,7 +167,7 @@
     @Test
     void aListThatIsHeldBackIsBoundedToo() {
         EndpointList known = Lists.read(holding, Lists.list(1, true, 0, 1_000, "in_service"), 10_000);
-        membership.listed(EndpointListKind.PERSISTED, new EndpointList(1, true, List.of()));
+        membership.listed(EndpointListKind.CACHED, new EndpointList(1, true, List.of()));
         membership.hold(known);
         assertTrue(module.isEmpty());
         membership.release();
@@ -179,7 +179,7 @@
     @Test
     void aListThatNobodyHasLookedAtIsBoundedToo() {
         membership.listed(
-                EndpointListKind.COMPLETE,
+                EndpointListKind.SNAPSHOT,
                 new EndpointList(
                         9,
                         true,
--- a/simulator/src/main/java/loadbalancer/simulator/cli/ScaleCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/ScaleCommand.java
@@ -166,7 +166,7 @@
         for (int m = 0; m < MODULES; m++) {
             LoadBalancingPolicy p = maker.make(settings, m, null);
             Quiet out = new Quiet();
-            p.servers(1, EndpointListKind.PERSISTED, fleet, out);
+            p.endpoints(1, EndpointListKind.CACHED, fleet, out);
             for (int i = 0; i < 2_000; i++) {
                 long now = 1_000 + i * 10_000L;
                 p.request(now, "r" + i, 0, 0, Integer.toHexString(i % 300), 1_000_000, -1, false, out);
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/ExperimentReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/ExperimentReader.java
@@ -8,6 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import loadbalancer.policy.Idempotency;
+import loadbalancer.settings.ProtocolNames;
 import loadbalancer.simulator.judge.Score;
 import loadbalancer.simulator.policies.Choosers;
 import loadbalancer.simulator.variants.FrontSpec;
@@ -264,9 +265,9 @@
     private static List<WorldPlan.RequestKind> classes(Section root) {
         List<WorldPlan.RequestKind> all = new ArrayList<>();
         for (Section k : root.tables("class")) {
-            long aim = k.time("aim");
+            long latencyObjectiveMicros = k.time("aim");
             long deadline = k.time("deadline");
-            if (aim <= 0 || deadline < aim) {
+            if (latencyObjectiveMicros <= 0 || deadline < latencyObjectiveMicros) {
                 k.fault("deadline", "'deadline' is before the aim");
             }
             all.add(new WorldPlan.RequestKind(
@@ -276,11 +277,11 @@
                     k.word("dist", WorldPlan.Spread.class, WorldPlan.Spread.EXPONENTIAL),
                     range(k, "cv", Measure.NUMBER, ONE),
                     range(k, "attempt_noise", Measure.NUMBER, NONE),
-                    aim,
-                    Math.max(aim, deadline),
+                    latencyObjectiveMicros,
+                    Math.max(latencyObjectiveMicros, deadline),
                     k.number("worth", Measure.NUMBER, 1),
                     k.number("late_worth", Measure.SHARE, 0),
-                    k.word("effect", Idempotency.class, Idempotency.SAFE)));
+                    k.word("effect", ProtocolNames.IDEMPOTENCY, Idempotency.IDEMPOTENT)));
             k.done();
         }
         if (all.isEmpty()) {
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/HollowBalancer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/HollowBalancer.java
@@ -74,9 +74,9 @@
     /** Begins, on the loop's thread. */
     void start() {
         if (plan.ask()) {
-            membership.listed(EndpointListKind.PERSISTED, known);
+            membership.listed(EndpointListKind.CACHED, known);
         } else {
-            membership.listed(EndpointListKind.PERSISTED, new EndpointList(known.rev(), true, List.of()));
+            membership.listed(EndpointListKind.CACHED, new EndpointList(known.rev(), true, List.of()));
             membership.hold(known);
             loop.schedule(membership::release, LIST_MS, TimeUnit.MILLISECONDS);
         }
@@ -124,12 +124,12 @@
     }
 
     private void news(EndpointListKind kind, EndpointList targets) {
-        if (kind == EndpointListKind.COMPLETE || kind == EndpointListKind.PARTIAL) {
+        if (kind == EndpointListKind.SNAPSHOT || kind == EndpointListKind.DELTA) {
             tally.lists += targets.all() ? 1 : 0;
             tally.changes += targets.all() || targets.list().isEmpty() ? 0 : 1;
             tally.entries += targets.list().size();
         }
-        hand(now -> policy.servers(now, kind, targets == null ? List.of() : targets.servers(), this));
+        hand(now -> policy.endpoints(now, kind, targets == null ? List.of() : targets.servers(), this));
     }
 
     private void decide() {
@@ -194,7 +194,7 @@
     public void closeIdle(String server) {}
 
     @Override
-    public void tell(int peer, byte[] data) {}
+    public void sendToPeer(int peer, byte[] data) {}
 
     @Override
     public void wakeAfter(long delay) {
@@ -202,5 +202,5 @@
     }
 
     @Override
-    public void remark(String line) {}
+    public void log(String line) {}
 }
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/Site.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/Site.java
@@ -2,10 +2,10 @@
 
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
 import loadbalancer.policy.Idempotency;
+import loadbalancer.settings.ProtocolNames;
 import loadbalancer.settings.SettingsReader;
 import loadbalancer.simulator.world.Range;
 import loadbalancer.simulator.world.WorldPlan;
@@ -24,7 +24,7 @@
             1_000_000,
             1,
             0,
-            Idempotency.SAFE);
+            Idempotency.IDEMPOTENT);
 
     private Site() {}
 
@@ -44,9 +44,9 @@
                         "Name",
                         LOOKUP.name(),
                         "Idempotency",
-                        LOOKUP.effect().name().toLowerCase(Locale.ROOT),
+                        ProtocolNames.of(LOOKUP.effect()),
                         "GoalTime",
-                        LOOKUP.aim(),
+                        LOOKUP.latencyObjectiveMicros(),
                         "GiveUp",
                         LOOKUP.deadline())));
         s.put(
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/TenantsAxis.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/TenantsAxis.java
@@ -59,7 +59,7 @@
         figures.put("module_heap_per_tenant_bytes", Repeated.retained(() -> new JsqDasPolicy(settings, 1)) / size);
         JsqDasPolicy module = new JsqDasPolicy(settings, 1);
         Quiet out = new Quiet();
-        module.servers(1, EndpointListKind.PERSISTED, List.of(new Endpoint("a", EndpointState.UP, 0, 1, 0, 0, 0)), out);
+        module.endpoints(1, EndpointListKind.CACHED, List.of(new Endpoint("a", EndpointState.UP, 0, 1, 0, 0, 0)), out);
         long[] now = {1};
         figures.put(
                 "module_wake_us",
--- a/simulator/src/main/java/loadbalancer/simulator/hunt/ExperimentWriter.java
+++ b/simulator/src/main/java/loadbalancer/simulator/hunt/ExperimentWriter.java
@@ -2,6 +2,7 @@
 
 import java.util.Locale;
 import java.util.stream.Collectors;
+import loadbalancer.settings.ProtocolNames;
 import loadbalancer.simulator.world.Range;
 import loadbalancer.simulator.world.WorldPlan;
 
@@ -90,16 +91,16 @@
 
     private void rules(WorldPlan.Rules r) {
         head("rules");
-        time("answer_slack", r.answerSlack());
-        time("drain_grace", r.drainGrace());
-        time("ask_within", r.askWithin());
+        time("answer_slack", r.responseSlackMicros());
+        time("drain_grace", r.drainGracePeriodMicros());
+        time("ask_within", r.pollIntervalMicros());
         number("fall_multiple", Range.of(r.overloadFactor()));
         time("fall", r.fall());
         number("max_attempts", Range.of(r.maxAttempts()));
         flag("second_copies", r.secondCopies());
         flag("cancel", r.cancel());
         flag("probes", r.probes());
-        time("max_retry_after", r.retryAfterMax());
+        time("max_retry_after", r.maxRetryAfterMicros());
     }
 
     private void fleet(WorldPlan.Fleet f) {
@@ -110,11 +111,11 @@
         number("handshake_rtts", f.handshakeRtts());
         time("handshake_work", f.handshakeWork());
         time("idle", f.idle());
-        time("connect_timeout", f.connectTimeout());
+        time("connect_timeout", f.connectTimeoutMicros());
         number("connections_per_core", f.connectionsPerCore());
         number("full_tax", f.fullTax());
         number("key_gain", f.keyGain());
-        time("key_memory", f.keyMemory());
+        time("key_memory", f.keyRetentionMicros());
         number("keys_per_core", f.keysPerCore());
     }
 
@@ -129,7 +130,7 @@
         number("queue_per_core", k.roomPerCore());
         number("thrash", Range.of(k.crowding()));
         number("thrash_at", k.crowdedAt());
-        number("cold_from", k.coldFrom());
+        number("cold_from", k.slowStartInitialWeight());
         time("cold", k.coldTime());
         text("warm_by", k.warmBy().name().toLowerCase(Locale.ROOT));
         number("errors", k.errors());
@@ -145,11 +146,11 @@
         text("dist", k.spread().name().toLowerCase(Locale.ROOT));
         number("cv", k.variation());
         number("attempt_noise", k.attemptNoise());
-        time("aim", k.aim());
+        time("aim", k.latencyObjectiveMicros());
         time("deadline", k.deadline());
-        number("worth", Range.of(k.worth()));
+        number("worth", Range.of(k.priorityWeight()));
         number("late_worth", Range.of(k.lateWorth()));
-        text("effect", k.effect().name().toLowerCase(Locale.ROOT));
+        text("effect", ProtocolNames.of(k.effect()));
     }
 
     private void trouble(WorldPlan.Trouble t) {
--- a/simulator/src/main/java/loadbalancer/simulator/hunt/Hunt.java
+++ b/simulator/src/main/java/loadbalancer/simulator/hunt/Hunt.java
@@ -154,12 +154,12 @@
     }
 
     private static double atTheEnd(Day day) {
-        int seconds = day.series().worth().length;
+        int seconds = day.series().priorityWeight().length;
         return mean(day, Math.max(0, seconds - LAST), seconds);
     }
 
     private static double mean(Day day, int from, int to) {
-        double[] values = day.series().worth();
+        double[] values = day.series().priorityWeight();
         double sum = 0;
         for (int i = from; i < to; i++) {
             sum += values[i];
--- a/simulator/src/main/java/loadbalancer/simulator/judge/Judge.java
+++ b/simulator/src/main/java/loadbalancer/simulator/judge/Judge.java
@@ -94,7 +94,7 @@
             breach(Rule.TWO_AT_ONCE, now, t.id(), "sent to " + a.target() + " while another attempt is out", t);
         }
         boolean mayHaveRun = t.attempts().stream().anyMatch(Attempt::mayHaveRun);
-        if (mayHaveRun && plan.classes().get(t.client().kind()).effect() == Idempotency.UNSAFE) {
+        if (mayHaveRun && plan.classes().get(t.client().kind()).effect() == Idempotency.NON_IDEMPOTENT) {
             breach(Rule.DUPLICATE, now, t.id(), "sent again to " + a.target() + " though it may have run", t);
         }
         Map<String, Told> known = told.get(t.at());
@@ -104,7 +104,7 @@
         if (since != Long.MAX_VALUE) {
             score.sentWhileDraining(now - since);
         }
-        if (since != Long.MAX_VALUE && now - since > plan.rules().drainGrace()) {
+        if (since != Long.MAX_VALUE && now - since > plan.rules().drainGracePeriodMicros()) {
             breach(
                     Rule.DRAIN,
                     now,
@@ -123,12 +123,12 @@
     @Override
     public void answered(Taken t, Clients.End end, long retryAfter, long now) {
         score.answered(end, now);
-        score.answerMargin(t.deadline() + plan.rules().answerSlack() - now);
-        boolean unsafe = plan.classes().get(t.client().kind()).effect() == Idempotency.UNSAFE;
+        score.answerMargin(t.deadline() + plan.rules().responseSlackMicros() - now);
+        boolean unsafe = plan.classes().get(t.client().kind()).effect() == Idempotency.NON_IDEMPOTENT;
         if (end == Clients.End.REFUSED && unsafe && t.attempts().stream().anyMatch(Attempt::mayHaveRun)) {
             breach(Rule.DUPLICATE, now, t.id(), "refused, which invites another try, though it may have run", t);
         }
-        if (end == Clients.End.REFUSED && retryAfter > plan.rules().retryAfterMax()) {
+        if (end == Clients.End.REFUSED && retryAfter > plan.rules().maxRetryAfterMicros()) {
             breach(Rule.MALFORMED, now, t.id(), "told to come back after " + retryAfter + " µs, more than allowed", t);
         }
     }
@@ -145,7 +145,7 @@
 
     @Override
     public void told(Balancer b, EndpointListKind kind, List<Endpoint> servers, long now) {
-        if (kind == EndpointListKind.PERSISTED) {
+        if (kind == EndpointListKind.CACHED) {
             told.keySet().removeIf(other -> other.rank() == b.rank() && other.incarnation() < b.incarnation() - 1);
         }
         Map<String, Told> known = told.computeIfAbsent(b, x -> new HashMap<>());
@@ -159,7 +159,7 @@
             t.state = s.state();
             t.start = s.startedAt();
         }
-        if (kind == EndpointListKind.COMPLETE || kind == EndpointListKind.PERSISTED) {
+        if (kind == EndpointListKind.SNAPSHOT || kind == EndpointListKind.CACHED) {
             known.forEach((id, t) -> {
                 if (!listed.contains(id) && t.state == EndpointState.UP) {
                     t.state = EndpointState.GONE;
--- a/simulator/src/main/java/loadbalancer/simulator/judge/Score.java
+++ b/simulator/src/main/java/loadbalancer/simulator/judge/Score.java
@@ -58,7 +58,7 @@
      * {@code sentTo}: attempts by the id they were sent to.
      */
     public record Series(
-            double[] worth,
+            double[] priorityWeight,
             long[] arrivals,
             long[] refusals,
             long[] attempts,
@@ -96,27 +96,27 @@
         return (int) Math.max(0, Math.min(seconds - 1, (now - World.began()) / SECOND));
     }
 
-    private double worth(ClientRequest r) {
-        return plan.classes().get(r.kind()).worth() * (r.overShare() ? OVER_SHARE : 1);
+    private double priorityWeight(ClientRequest r) {
+        return plan.classes().get(r.kind()).priorityWeight() * (r.overShare() ? OVER_SHARE : 1);
     }
 
     void asked(ClientRequest r, long now) {
-        double worth = worth(r);
+        double priorityWeight = priorityWeight(r);
         firstTries++;
-        asked[second(now)] += worth;
+        asked[second(now)] += priorityWeight;
         arrivals[second(now)]++;
-        classes[r.kind()][0] += worth;
+        classes[r.kind()][0] += priorityWeight;
         if (tenants.length > 0 && !r.overShare()) {
-            tenants[r.tenant()][0] += worth;
+            tenants[r.tenant()][0] += priorityWeight;
         }
     }
 
     void over(ClientRequest r, boolean wasServed, long now) {
         WorldPlan.RequestKind kind = plan.classes().get(r.kind());
         long latency = now - r.firstAt();
-        double worth = worth(r);
+        double priorityWeight = priorityWeight(r);
         if (!wasServed) {
-            lateLost += latency > kind.aim() ? worth : 0;
+            lateLost += latency > kind.latencyObjectiveMicros() ? priorityWeight : 0;
             return;
         }
         served++;
@@ -124,7 +124,9 @@
             done[second(now)] += r.work();
         }
         latencies[r.kind()].recordValue(Math.max(1, Math.min(LONGEST, latency)));
-        double gained = latency <= kind.aim() ? worth : latency <= kind.deadline() ? worth * kind.lateWorth() : 0;
+        double gained = latency <= kind.latencyObjectiveMicros()
+                ? priorityWeight
+                : latency <= kind.deadline() ? priorityWeight * kind.lateWorth() : 0;
         got[second(r.firstAt())] += gained;
         classes[r.kind()][1] += gained;
         if (tenants.length > 0 && !r.overShare()) {
@@ -187,9 +189,9 @@
     }
 
     Series series(World world) {
-        double[] worth = new double[seconds];
+        double[] priorityWeight = new double[seconds];
         for (int i = 0; i < seconds; i++) {
-            worth[i] = asked[i] <= 0 ? 1 : got[i] / asked[i];
+            priorityWeight[i] = asked[i] <= 0 ? 1 : got[i] / asked[i];
         }
         List<double[]> percentiles = new ArrayList<>();
         for (Histogram h : latencies) {
@@ -199,7 +201,8 @@
             }
             percentiles.add(ms);
         }
-        return new Series(worth, arrivals, refusals, attempts, held, world.ids(), sentTo, world.spells(), percentiles);
+        return new Series(
+                priorityWeight, arrivals, refusals, attempts, held, world.ids(), sentTo, world.spells(), percentiles);
     }
 
     /** All figures of the day by name; shares from 0 to 1, times in the unit that the name ends with. */
@@ -263,7 +266,7 @@
         f.put("lists", (double) lists);
         f.put("fallen", (double) fallen);
         f.put("margin.cold", 1 - coldPressure);
-        f.put("margin.drain_ms", (plan.rules().drainGrace() - latestToDraining) / 1000.0);
+        f.put("margin.drain_ms", (plan.rules().drainGracePeriodMicros() - latestToDraining) / 1000.0);
         f.put("margin.answer_ms", leastAnswerMargin / 1000.0);
         f.put("requests", (double) firstTries);
         f.put("events", (double) costs.events());
--- a/simulator/src/main/java/loadbalancer/simulator/policies/Quiet.java
+++ b/simulator/src/main/java/loadbalancer/simulator/policies/Quiet.java
@@ -29,11 +29,11 @@
     public void closeIdle(String server) {}
 
     @Override
-    public void tell(int peer, byte[] data) {}
+    public void sendToPeer(int peer, byte[] data) {}
 
     @Override
     public void wakeAfter(long delay) {}
 
     @Override
-    public void remark(String line) {}
+    public void log(String line) {}
 }
--- a/simulator/src/main/java/loadbalancer/simulator/queue/QueueModel.java
+++ b/simulator/src/main/java/loadbalancer/simulator/queue/QueueModel.java
@@ -288,7 +288,7 @@
         private final LoadBalancingPolicy policy;
 
         ByModule(long seed) {
-            RequestClass only = new RequestClass(Idempotency.SAFE, KeyScope.ALL, 0, FAR / 2, FAR, 0, 1, 1, false);
+            RequestClass only = new RequestClass(Idempotency.IDEMPOTENT, KeyScope.ALL, 0, FAR / 2, FAR, 0, 1, 1, false);
             policy = new JsqDasPolicy(
                     new PolicySettings(
                             1,
@@ -311,9 +311,9 @@
 
         @Override
         public void begin() {
-            policy.servers(
+            policy.endpoints(
                     0,
-                    EndpointListKind.PERSISTED,
+                    EndpointListKind.CACHED,
                     IntStream.range(0, servers.length)
                             .mapToObj(i -> new Endpoint(Integer.toString(i), EndpointState.UP, 0, 1, 0, 0, 0))
                             .toList(),
--- a/simulator/src/main/java/loadbalancer/simulator/report/HtmlReport.java
+++ b/simulator/src/main/java/loadbalancer/simulator/report/HtmlReport.java
@@ -83,7 +83,12 @@
                 .append("<p class=\"note\">Shaded: ")
                 .append(text(spells(seed)))
                 .append("</p>");
-        overTime("Worth answered in time, as a share of what was asked for", "share", seed, s -> s.worth(), 1.05);
+        overTime(
+                "Worth answered in time, as a share of what was asked for",
+                "share",
+                seed,
+                s -> s.priorityWeight(),
+                1.05);
         overTime("Attempts sent per second", "attempts / s", seed, s -> doubles(s.attempts()), Double.NaN);
         overTime("Refused per second", "refusals / s", seed, s -> doubles(s.refusals()), Double.NaN);
         latencies(seed);
--- a/simulator/src/main/java/loadbalancer/simulator/report/JsonReport.java
+++ b/simulator/src/main/java/loadbalancer/simulator/report/JsonReport.java
@@ -74,8 +74,9 @@
     }
 
     private static void series(ObjectNode node, Score.Series series) {
-        ArrayNode worth = node.putArray("worth");
-        DoubleStream.of(series.worth()).forEach(share -> worth.add(Math.round(share * THOUSAND) / THOUSAND));
+        ArrayNode priorityWeight = node.putArray("worth");
+        DoubleStream.of(series.priorityWeight())
+                .forEach(share -> priorityWeight.add(Math.round(share * THOUSAND) / THOUSAND));
         LongStream.of(series.arrivals()).forEach(node.putArray("arrivals")::add);
         LongStream.of(series.attempts()).forEach(node.putArray("attempts")::add);
         LongStream.of(series.refusals()).forEach(node.putArray("refusals")::add);
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/DemoPage.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/DemoPage.java
@@ -30,7 +30,7 @@
         for (Load.Outcome o : load.outcomes()) {
             int ran =
                     o.ids().stream().mapToInt(id -> ledger.getOrDefault(id, 0)).sum();
-            if (plan.classes().get(o.kind()).effect() == Idempotency.UNSAFE && ran > 1) {
+            if (plan.classes().get(o.kind()).effect() == Idempotency.NON_IDEMPOTENT && ran > 1) {
                 broken.add(o.ids() + " ran " + ran + " times");
             }
             if (o.served() && ran == 0) {
@@ -52,7 +52,7 @@
                     load.outcomes().stream().filter(o -> o.kind() == kind).toList();
             long served = own.stream().filter(Load.Outcome::served).count();
             long inAim = own.stream()
-                    .filter(o -> o.served() && o.micros() <= k.aim())
+                    .filter(o -> o.served() && o.micros() <= k.latencyObjectiveMicros())
                     .count();
             Histogram h = load.latencies(i);
             lines.add(String.format(
@@ -80,9 +80,11 @@
         double[] good = new double[seconds];
         for (Load.Outcome o : load.outcomes()) {
             int s = (int) Math.min(seconds - 1, o.second());
-            double worth = plan.classes().get(o.kind()).worth();
-            asked[s] += worth;
-            good[s] += o.served() && o.micros() <= plan.classes().get(o.kind()).aim() ? worth : 0;
+            double priorityWeight = plan.classes().get(o.kind()).priorityWeight();
+            asked[s] += priorityWeight;
+            good[s] += o.served() && o.micros() <= plan.classes().get(o.kind()).latencyObjectiveMicros()
+                    ? priorityWeight
+                    : 0;
         }
         StringBuilder line = new StringBuilder();
         for (int i = 0; i < seconds; i++) {
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/Load.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/Load.java
@@ -174,7 +174,7 @@
 
     // A refusal and a connection that never came up are harmless; anything else only for what may be repeated.
     private void again(Want w, int status) {
-        boolean harmless = status == 503 || status == -1 || kinds.get(w.kind).effect() == Idempotency.SAFE;
+        boolean harmless = status == 503 || status == -1 || kinds.get(w.kind).effect() == Idempotency.IDEMPOTENT;
         if (harmless && w.ids.size() < plan.tries) {
             w.balancer = (w.balancer + 1) % plan.balancers.size();
             long wait = Math.round(draws.exponential(20_000.0 * w.ids.size()));
@@ -214,7 +214,7 @@
         void ask(Want w) {
             want = w;
             WorldPlan.RequestKind kind = kinds.get(w.kind);
-            boolean safe = kind.effect() == Idempotency.SAFE;
+            boolean safe = kind.effect() == Idempotency.IDEMPOTENT;
             byte[] body = safe ? new byte[0] : ("{\"seat\":\"" + w.key + "\"}").getBytes(StandardCharsets.US_ASCII);
             DefaultFullHttpRequest r = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
