--- a/simulator/src/main/java/loadbalancer/simulator/sockets/SiteSettings.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/SiteSettings.java
@@ -4,6 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import loadbalancer.settings.ProtocolNames;
 import loadbalancer.simulator.world.WorldPlan;
 
 /** A balancer's configuration for a world, in the form that the deployment gives it. */
@@ -26,13 +27,13 @@
                     "Name",
                     k.name(),
                     "Idempotency",
-                    k.effect().name().toLowerCase(java.util.Locale.ROOT),
+                    ProtocolNames.of(k.effect()),
                     "GoalTime",
-                    k.aim(),
+                    k.latencyObjectiveMicros(),
                     "GiveUp",
                     k.deadline(),
                     "Gain",
-                    k.worth(),
+                    k.priorityWeight(),
                     "KeyTtl",
                     5_000_000));
         }
@@ -50,13 +51,13 @@
                         "Probes",
                         r.probes(),
                         "DialTimeout",
-                        plan.fleet().connectTimeout(),
+                        plan.fleet().connectTimeoutMicros(),
                         "MaxRetryAfter",
-                        r.retryAfterMax(),
+                        r.maxRetryAfterMicros(),
                         "IdleClose",
                         plan.fleet().idle()));
-        double coldFrom = plan.kinds().stream()
-                .mapToDouble(k -> k.coldFrom().least())
+        double slowStartInitialWeight = plan.kinds().stream()
+                .mapToDouble(k -> k.slowStartInitialWeight().least())
                 .min()
                 .orElse(1);
         double ramp = plan.kinds().stream()
@@ -67,13 +68,13 @@
                 "Rules",
                 Map.of(
                         "AnswerSlack",
-                        r.answerSlack(),
+                        r.responseSlackMicros(),
                         "DrainGrace",
-                        r.drainGrace(),
+                        r.drainGracePeriodMicros(),
                         "AskWithin",
-                        r.askWithin(),
+                        r.pollIntervalMicros(),
                         "ColdFrom",
-                        Math.max(0.01, Math.min(1, coldFrom)),
+                        Math.max(0.01, Math.min(1, slowStartInitialWeight)),
                         "RampTime",
                         Math.round(ramp),
                         "OverloadFactor",
--- a/simulator/src/main/java/loadbalancer/simulator/variants/FrontSpec.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/FrontSpec.java
@@ -109,7 +109,7 @@
                 quotas,
                 told,
                 reserve,
-                new RoutingConfig.Advice(ADVICE_LEAST, settings.limits().retryAfterMax()));
+                new RoutingConfig.Advice(ADVICE_LEAST, settings.limits().maxRetryAfterMicros()));
     }
 
     // A second's worth may come at once: shares are counted over a second as well.
--- a/simulator/src/main/java/loadbalancer/simulator/variants/FrontedPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/FrontedPolicy.java
@@ -146,8 +146,8 @@
         }
 
         @Override
-        public void tell(int peer, byte[] data) {
-            out.tell(peer, data);
+        public void sendToPeer(int peer, byte[] data) {
+            out.sendToPeer(peer, data);
         }
 
         @Override
@@ -157,8 +157,8 @@
         }
 
         @Override
-        public void remark(String line) {
-            out.remark(pool + ": " + line);
+        public void log(String line) {
+            out.log(pool + ": " + line);
         }
     }
 
@@ -189,7 +189,7 @@
     // ---- the world tells
 
     @Override
-    public void servers(long now, EndpointListKind kind, List<Endpoint> list, Actions to) {
+    public void endpoints(long now, EndpointListKind kind, List<Endpoint> list, Actions to) {
         begin(now, to);
         Map<String, List<Endpoint>> own = new LinkedHashMap<>();
         modules.keySet().forEach(p -> own.put(p, new ArrayList<>()));
@@ -202,7 +202,7 @@
         }
         own.forEach((pool, some) -> {
             Map<String, EndpointState> known = states.get(pool);
-            if (kind == EndpointListKind.COMPLETE) {
+            if (kind == EndpointListKind.SNAPSHOT) {
                 known.clear();
             }
             some.forEach(s -> known.put(s.id(), s.state()));
@@ -211,13 +211,13 @@
             front = new RequestRouter(plan(now));
         }
         own.forEach((pool, some) -> {
-            if (kind != EndpointListKind.FAILED) {
+            if (kind != EndpointListKind.UNAVAILABLE) {
                 front.listed(now, pool, (int) states.get(pool).values().stream()
                         .filter(s -> s == EndpointState.UP)
                         .count());
             }
-            if (kind != EndpointListKind.OWN || !some.isEmpty()) {
-                modules.get(pool).servers(now, kind, some, actions(pool));
+            if (kind != EndpointListKind.LOCAL_OVERRIDE || !some.isEmpty()) {
+                modules.get(pool).endpoints(now, kind, some, actions(pool));
             }
         });
         settle();
@@ -239,12 +239,12 @@
             String key,
             long timeLeft,
             long work,
-            boolean resubmission,
+            boolean clientRetry,
             Actions to) {
         begin(now, to);
         if (use.spec().step(now - begin) != step) {
             RequestRouter next = new RequestRouter(plan(now));
-            next.resume(front);
+            next.restore(front);
             front = next;
         }
         List<Double> worths = names.worths;
@@ -262,7 +262,7 @@
                                 names.classes.get(kind)),
                         key,
                         rank,
-                        resubmission,
+                        clientRetry,
                         draws.uniform()));
         if (v.ticket() == null) {
             to.refuse(id, v.retryAfter());
@@ -270,7 +270,7 @@
         }
         open.put(id, new Open(v.ticket()));
         String pool = v.ticket().pool();
-        modules.get(pool).request(now, id, kind, tenant, key, timeLeft, work, resubmission, actions(pool));
+        modules.get(pool).request(now, id, kind, tenant, key, timeLeft, work, clientRetry, actions(pool));
         settle();
     }
 
@@ -351,22 +351,22 @@
     }
 
     @Override
-    public Map<String, double[]> learnt(long now) {
+    public Map<String, double[]> learnedState(long now) {
         Map<String, double[]> all = new HashMap<>();
-        modules.forEach((pool, m) -> m.learnt(now).forEach((k, v) -> all.put(pool + "\n" + k, v)));
+        modules.forEach((pool, m) -> m.learnedState(now).forEach((k, v) -> all.put(pool + "\n" + k, v)));
         return all;
     }
 
     @Override
-    public void resume(long now, Map<String, double[]> learnt) {
+    public void restore(long now, Map<String, double[]> learnedState) {
         modules.forEach((pool, m) -> {
             Map<String, double[]> own = new HashMap<>();
-            learnt.forEach((k, v) -> {
+            learnedState.forEach((k, v) -> {
                 if (k.startsWith(pool + "\n")) {
                     own.put(k.substring(pool.length() + 1), v);
                 }
             });
-            m.resume(now, own);
+            m.restore(now, own);
         });
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/variants/Metered.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/Metered.java
@@ -48,9 +48,9 @@
     }
 
     @Override
-    public void servers(long now, EndpointListKind kind, List<Endpoint> servers, Actions out) {
+    public void endpoints(long now, EndpointListKind kind, List<Endpoint> servers, Actions out) {
         long began = clock.getAsLong();
-        policy.servers(now, kind, servers, out);
+        policy.endpoints(now, kind, servers, out);
         meter.lists += clock.getAsLong() - began;
         meter.listCalls++;
     }
@@ -64,10 +64,10 @@
             String key,
             long timeLeft,
             long work,
-            boolean resubmission,
+            boolean clientRetry,
             Actions out) {
         long began = clock.getAsLong();
-        policy.request(now, request, requestClass, tenant, key, timeLeft, work, resubmission, out);
+        policy.request(now, request, requestClass, tenant, key, timeLeft, work, clientRetry, out);
         meter.decisions += clock.getAsLong() - began;
     }
 
@@ -109,13 +109,13 @@
     }
 
     @Override
-    public java.util.Map<String, double[]> learnt(long now) {
-        return policy.learnt(now);
+    public java.util.Map<String, double[]> learnedState(long now) {
+        return policy.learnedState(now);
     }
 
     @Override
-    public void resume(long now, java.util.Map<String, double[]> learnt) {
-        policy.resume(now, learnt);
+    public void restore(long now, java.util.Map<String, double[]> learnedState) {
+        policy.restore(now, learnedState);
     }
 
     @Override
--- a/simulator/src/main/java/loadbalancer/simulator/variants/TextbookPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/TextbookPolicy.java
@@ -97,23 +97,23 @@
     }
 
     @Override
-    public void servers(long now, EndpointListKind kind, List<Endpoint> list, Actions out) {
-        if (kind == EndpointListKind.FAILED) {
+    public void endpoints(long now, EndpointListKind kind, List<Endpoint> list, Actions out) {
+        if (kind == EndpointListKind.UNAVAILABLE) {
             askAt = now + 500_000 + draws.below(500_000);
-        } else if (kind == EndpointListKind.PERSISTED) {
+        } else if (kind == EndpointListKind.CACHED) {
             ask(now, out);
-        } else if (kind != EndpointListKind.OWN) {
+        } else if (kind != EndpointListKind.LOCAL_OVERRIDE) {
             askAt = Long.MAX_VALUE;
         }
         if (!waking) {
             waking = true;
             out.wakeAfter(WAKE);
         }
-        if (kind == EndpointListKind.FAILED) {
+        if (kind == EndpointListKind.UNAVAILABLE) {
             return;
         }
         List<Server> before = up;
-        if (kind == EndpointListKind.COMPLETE) {
+        if (kind == EndpointListKind.SNAPSHOT) {
             servers.keySet().retainAll(list.stream().map(Endpoint::id).toList());
         }
         for (Endpoint s : list) {
@@ -136,8 +136,8 @@
     }
 
     private void ask(long now, Actions out) {
-        if (settings.discovery() == DiscoveryMode.ASK) {
-            askAt = now + settings.bounds().askWithin() / 2;
+        if (settings.discovery() == DiscoveryMode.POLL) {
+            askAt = now + settings.bounds().pollIntervalMicros() / 2;
             out.watch(true);
         }
     }
@@ -151,7 +151,7 @@
             String key,
             long timeLeft,
             long work,
-            boolean resubmission,
+            boolean clientRetry,
             Actions out) {
         Open o = new Open(kind, now + timeLeft);
         open.put(id, o);
@@ -197,15 +197,15 @@
     private double promisedWarmth(Endpoint s, long now) {
         SafetyBounds b = settings.bounds();
         long age = now - s.startedAt();
-        if (s.startedAt() <= 0 || age >= b.rampTime()) {
+        if (s.startedAt() <= 0 || age >= b.slowStartDurationMicros()) {
             return 1;
         }
-        return b.coldFrom() * Math.max(0.1, age / (double) b.rampTime());
+        return b.slowStartInitialWeight() * Math.max(0.1, age / (double) b.slowStartDurationMicros());
     }
 
     private void finish(String id, Open o, Actions out) {
         open.remove(id);
-        boolean harmless = !o.mayHaveRun || settings.classes().get(o.kind).effect() == Idempotency.SAFE;
+        boolean harmless = !o.mayHaveRun || settings.classes().get(o.kind).effect() == Idempotency.IDEMPOTENT;
         if (harmless) {
             out.refuse(id, 0);
         } else {
@@ -238,7 +238,7 @@
             open.remove(id);
             return;
         }
-        boolean may = outcome.neverRan() || settings.classes().get(o.kind).effect() == Idempotency.SAFE;
+        boolean may = outcome.neverRan() || settings.classes().get(o.kind).effect() == Idempotency.IDEMPOTENT;
         if (may
                 && outcome != AttemptOutcome.NOT_SENT
                 && now < o.deadline
@@ -255,7 +255,7 @@
         if (o != null && !o.tried.isEmpty()) {
             Server s = o.tried.get(o.tried.size() - 1);
             s.inFlight = Math.max(0, s.inFlight - 1);
-            if (settings.limits().mayCancel()) {
+            if (settings.limits().cancellationAllowed()) {
                 out.cancel(id, o.tried.size() - 1);
             }
         }
--- a/simulator/src/main/java/loadbalancer/simulator/variants/Variants.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/Variants.java
@@ -78,7 +78,9 @@
                 plan.classes().stream().map(WorldPlan.RequestKind::name).toList(),
                 plan.tenants().stream().map(WorldPlan.Tenant::name).toList(),
                 plan.kinds().stream().map(WorldPlan.Kind::pool).toList(),
-                plan.classes().stream().map(WorldPlan.RequestKind::worth).toList());
+                plan.classes().stream()
+                        .map(WorldPlan.RequestKind::priorityWeight)
+                        .toList());
         return (settings, seed, truth) -> {
             Streams streams = new Streams(seed);
             return new FrontedPolicy(
--- a/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
@@ -61,7 +61,7 @@
     /** When it counts as told that the upstream drains or is gone, whatever reached it; or the largest long. */
     public long deemedTold(String id) {
         return subscriber.deemedTold(
-                world.register.endListedAt(id), world.plan.rules().askWithin());
+                world.register.endListedAt(id), world.plan.rules().pollIntervalMicros());
     }
 
     boolean alive() {
@@ -80,15 +80,15 @@
 
     void begin(List<Endpoint> known, long now) {
         known.forEach(s -> list.put(s.id(), s));
-        world.judge.told(this, EndpointListKind.PERSISTED, known, now);
-        policy.servers(now, EndpointListKind.PERSISTED, known, this);
+        world.judge.told(this, EndpointListKind.CACHED, known, now);
+        policy.endpoints(now, EndpointListKind.CACHED, known, this);
     }
 
     void news(EndpointListKind kind, List<Endpoint> servers, long now) {
         if (!alive) {
             return;
         }
-        if (kind == EndpointListKind.COMPLETE) {
+        if (kind == EndpointListKind.SNAPSHOT) {
             list.clear();
         }
         List<Endpoint> laid = new ArrayList<>(servers.size());
@@ -99,10 +99,10 @@
                             ? s.in(EndpointState.DRAINING)
                             : s);
         }
-        if (kind != EndpointListKind.FAILED) {
+        if (kind != EndpointListKind.UNAVAILABLE) {
             world.judge.told(this, kind, laid, now);
         }
-        policy.servers(now, kind, laid, this);
+        policy.endpoints(now, kind, laid, this);
     }
 
     /** An operator takes an upstream out, or puts it back as freshly started. */
@@ -117,14 +117,15 @@
             outByOperators.remove(id);
         }
         Endpoint laid = out ? s.in(EndpointState.DRAINING) : s.startedAt(now);
-        world.judge.told(this, EndpointListKind.OWN, List.of(laid), now);
-        policy.servers(now, EndpointListKind.OWN, List.of(laid), this);
+        world.judge.told(this, EndpointListKind.LOCAL_OVERRIDE, List.of(laid), now);
+        policy.endpoints(now, EndpointListKind.LOCAL_OVERRIDE, List.of(laid), this);
     }
 
     void take(Taken t, long patience, boolean marked, long now) {
         taken.put(t.id(), t);
         world.judge.taken(t, now);
-        t.overdue = world.simulation.timer(t.deadline() + world.plan.rules().answerSlack() + 1, at -> overdue(t, at));
+        t.overdue = world.simulation.timer(
+                t.deadline() + world.plan.rules().responseSlackMicros() + 1, at -> overdue(t, at));
         ClientRequest c = t.client();
         policy.request(
                 now,
@@ -352,7 +353,7 @@
     }
 
     @Override
-    public void tell(int peer, byte[] data) {
+    public void sendToPeer(int peer, byte[] data) {
         world.judge.malformed(this, "a message to a peer: none are carried here", null, world.simulation.now());
     }
 
@@ -366,7 +367,7 @@
     }
 
     @Override
-    public void remark(String line) {
-        world.remark(rank, line);
+    public void log(String line) {
+        world.log(rank, line);
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/world/Clients.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Clients.java
@@ -306,7 +306,7 @@
             double mean = backoff * (1L << Math.min(MAX_BACKOFF_DOUBLINGS, r.tries - 1));
             double wait = hasty ? 1_000 : mean * Chance.exponential(world.chanceSeed, serial, 4);
             if (retryAfter > 0 && !hasty && Chance.uniform(world.chanceSeed, serial, 5) < honour) {
-                wait = Math.max(wait, Math.min(retryAfter, plan.rules().retryAfterMax()));
+                wait = Math.max(wait, Math.min(retryAfter, plan.rules().maxRetryAfterMicros()));
             }
             if (now + wait >= r.deadline) {
                 over(r, false, now);
@@ -320,7 +320,7 @@
         if (r.tries > Math.min(15, retries + moreRetries)) {
             return false;
         }
-        boolean safe = plan.classes().get(r.kind).effect() != Idempotency.UNSAFE;
+        boolean safe = plan.classes().get(r.kind).effect() != Idempotency.NON_IDEMPOTENT;
         return safe || end == End.REFUSED || end == End.UNREACHABLE;
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/world/Register.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Register.java
@@ -36,11 +36,11 @@
         }
 
         /** When it counts as told of what was listed at {@code listedAt}, whatever reached it. */
-        long deemedTold(long listedAt, long askWithin) {
-            if (watching || askWithin <= 0 || listedAt == Long.MAX_VALUE) {
+        long deemedTold(long listedAt, long pollIntervalMicros) {
+            if (watching || pollIntervalMicros <= 0 || listedAt == Long.MAX_VALUE) {
                 return Long.MAX_VALUE;
             }
-            return Math.max(listedAt, askedAt) + askWithin * (failed ? 4 : 1);
+            return Math.max(listedAt, askedAt) + pollIntervalMicros * (failed ? 4 : 1);
         }
     }
 
@@ -209,7 +209,7 @@
     private void fail(Subscriber s, int generation, long now) {
         if (s.generation == generation) {
             s.failed = true;
-            s.balancer.news(EndpointListKind.FAILED, List.of(), now);
+            s.balancer.news(EndpointListKind.UNAVAILABLE, List.of(), now);
             again(s);
         }
     }
@@ -219,13 +219,13 @@
         long from = s.version;
         s.version = version;
         if (gap) {
-            s.balancer.news(EndpointListKind.COMPLETE, list(), now);
+            s.balancer.news(EndpointListKind.SNAPSHOT, list(), now);
         } else {
             List<Endpoint> news = new ArrayList<>(changes.tailMap(from, false).values());
             if (listsTwice) {
                 news.addAll(List.copyOf(news));
             }
-            s.balancer.news(EndpointListKind.PARTIAL, news, now);
+            s.balancer.news(EndpointListKind.DELTA, news, now);
         }
     }
 
@@ -238,7 +238,7 @@
                 if (s.watching) {
                     s.end();
                     s.failed = true;
-                    s.balancer.news(EndpointListKind.FAILED, List.of(), at);
+                    s.balancer.news(EndpointListKind.UNAVAILABLE, List.of(), at);
                     again(s);
                 }
             }
--- a/simulator/src/main/java/loadbalancer/simulator/world/Timeline.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Timeline.java
@@ -398,7 +398,7 @@
                 if (old == null) {
                     return;
                 }
-                Balancer next = world.boot(s, old.policy().learnt(now));
+                Balancer next = world.boot(s, old.policy().learnedState(now));
                 old.policy().share(0.5);
                 next.policy().share(0.5);
                 world.simulation.at(now + longestDeadline() + 700_000, at -> {
--- a/simulator/src/main/java/loadbalancer/simulator/world/Upstream.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Upstream.java
@@ -49,7 +49,7 @@
     private final int room;
     private final int connectionsMost;
     private final double crowdedAt;
-    private final double coldFrom;
+    private final double slowStartInitialWeight;
     private final long coldTime;
     private final double errors;
     private final boolean cancelDrops;
@@ -94,7 +94,7 @@
         this.room = (int) Math.round(kind.roomPerCore().draw(draws) * cores);
         this.connectionsMost = (int) Math.round(world.connectionsPerCore * cores);
         this.crowdedAt = kind.crowdedAt().draw(draws);
-        this.coldFrom = kind.coldFrom().draw(draws);
+        this.slowStartInitialWeight = kind.slowStartInitialWeight().draw(draws);
         this.coldTime = Math.round(kind.coldTime().draw(draws));
         this.errors = kind.errors().draw(draws);
         this.cancelDrops = world.cancelDrops[kindNumber];
@@ -194,7 +194,7 @@
         }
         double byTime = (now - startedAt) / (double) coldTime;
         double byWork = kind.warmBy() == WorldPlan.WarmBy.REQUESTS ? done / (nominal() * coldTime) : 0;
-        return Math.min(1, coldFrom + (1 - coldFrom) * Math.max(byTime, byWork));
+        return Math.min(1, slowStartInitialWeight + (1 - slowStartInitialWeight) * Math.max(byTime, byWork));
     }
 
     /** Work that is in it, in µs of a standard core. */
@@ -255,7 +255,7 @@
             return false;
         }
         Long met = keys.put(key, now);
-        return met != null && now - met <= world.keyMemory;
+        return met != null && now - met <= world.keyRetentionMicros;
     }
 
     /** Nobody waits for that attempt any more: running work goes on, waiting work is dropped at some sites. */
--- a/simulator/src/main/java/loadbalancer/simulator/world/World.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/World.java
@@ -48,7 +48,7 @@
     final double handshakeWork;
     final double handshakeRtts;
     final double keyGain;
-    final long keyMemory;
+    final long keyRetentionMicros;
     final long notice;
     final List<BalancerSlot> slots = new ArrayList<>();
     final List<Rack> racks = new ArrayList<>();
@@ -103,7 +103,7 @@
         handshakeWork = f.handshakeWork().draw(figures);
         handshakeRtts = f.handshakeRtts().draw(figures);
         keyGain = f.keyGain().draw(figures);
-        keyMemory = Math.round(f.keyMemory().draw(figures));
+        keyRetentionMicros = Math.round(f.keyRetentionMicros().draw(figures));
         notice = Math.round(plan.clients().notice().draw(figures));
         kindSpeed =
                 plan.kinds().stream().mapToDouble(k -> k.speed().draw(figures)).toArray();
@@ -235,10 +235,10 @@
                         k.effect(),
                         KeyScope.ALL,
                         5 * SECOND,
-                        k.aim(),
+                        k.latencyObjectiveMicros(),
                         k.deadline(),
                         0,
-                        k.worth(),
+                        k.priorityWeight(),
                         k.lateWorth(),
                         false,
                         false,
@@ -249,8 +249,8 @@
         for (double a : clients.allowances) {
             tenants.add(new TenantQuota(Math.round(a)));
         }
-        double coldFrom = plan.kinds().stream()
-                .mapToDouble(k -> k.coldFrom().least())
+        double slowStartInitialWeight = plan.kinds().stream()
+                .mapToDouble(k -> k.slowStartInitialWeight().least())
                 .min()
                 .orElse(1);
         double ramp = plan.kinds().stream()
@@ -268,7 +268,7 @@
                 new ServiceObjective(g.whole(), g.worstWindow(), g.worstClass(), g.worstTenant()),
                 new TrafficCosts(plan.prices().crossZone(), plan.prices().handshake()),
                 false,
-                plan.discovery().ask() ? DiscoveryMode.ASK : DiscoveryMode.PUSH,
+                plan.discovery().ask() ? DiscoveryMode.POLL : DiscoveryMode.PUSH,
                 LoadReporting.NONE,
                 keyGain > 0 && plan.load().keys().most() > 0,
                 new SiteLimits(
@@ -276,13 +276,13 @@
                         r.secondCopies(),
                         r.cancel(),
                         r.probes(),
-                        plan.fleet().connectTimeout(),
-                        r.retryAfterMax()),
+                        plan.fleet().connectTimeoutMicros(),
+                        r.maxRetryAfterMicros()),
                 new SafetyBounds(
-                        r.answerSlack(),
-                        r.drainGrace(),
-                        r.askWithin(),
-                        Math.max(0.01, Math.min(1, coldFrom)),
+                        r.responseSlackMicros(),
+                        r.drainGracePeriodMicros(),
+                        r.pollIntervalMicros(),
+                        Math.max(0.01, Math.min(1, slowStartInitialWeight)),
                         Math.round(ramp),
                         r.overloadFactor(),
                         r.fall(),
@@ -334,7 +334,7 @@
     // ---- balancers
 
     /** Starts a process of that balancer, with the list as {@code former} or the register last had it. */
-    Balancer boot(BalancerSlot slot, Map<String, double[]> learnt) {
+    Balancer boot(BalancerSlot slot, Map<String, double[]> learnedState) {
         int incarnation = slot.nextIncarnation();
         long now = simulation.now();
         LoadBalancingPolicy policy = maker.make(
@@ -345,8 +345,8 @@
         slot.serving(b);
         b.begin(register.list(), now);
         register.booted(b.subscriber);
-        if (learnt != null) {
-            policy.resume(now, learnt);
+        if (learnedState != null) {
+            policy.restore(now, learnedState);
         }
         return b;
     }
@@ -393,7 +393,7 @@
         long before = 0;
         if (fresh) {
             handshakes++;
-            long connect = plan.fleet().connectTimeout();
+            long connect = plan.fleet().connectTimeoutMicros();
             long round = network.between(b.zone, u.zone, a.serial, 2) + network.between(u.zone, b.zone, a.serial, 3);
             if (blocked || !u.alive() || u.fallen() || u.full() || round > connect) {
                 long heard = blocked ? connect : Math.min(round, connect);
@@ -442,14 +442,14 @@
         probes++;
         long round = network.mean(b.zone, u.zone) + network.mean(u.zone, b.zone);
         boolean lost = blocked(b, u);
-        long heard = lost ? plan.fleet().connectTimeout() : round;
+        long heard = lost ? plan.fleet().connectTimeoutMicros() : round;
         AttemptOutcome outcome = lost
                 ? AttemptOutcome.TIMEOUT
                 : !u.alive() || u.fallen() ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK;
         simulation.after(heard, at -> b.probed(id, outcome, heard, at));
     }
 
-    void remark(int rank, String line) {
+    void log(int rank, String line) {
         if (remarks.size() < 500) {
             remarks.add(String.format(
                     java.util.Locale.ROOT, "%.3f s balancer %d: %s", (simulation.now() - BEGIN) / 1e6, rank, line));
--- a/simulator/src/main/java/loadbalancer/simulator/world/WorldPlan.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/WorldPlan.java
@@ -83,16 +83,16 @@
 
     /** Figures of the rules and limits, as {@link SafetyBounds} and {@link SiteLimits} name them. */
     public record Rules(
-            long answerSlack,
-            long drainGrace,
-            long askWithin,
+            long responseSlackMicros,
+            long drainGracePeriodMicros,
+            long pollIntervalMicros,
             double overloadFactor,
             long fall,
             int maxAttempts,
             boolean secondCopies,
             boolean cancel,
             boolean probes,
-            long retryAfterMax) {}
+            long maxRetryAfterMicros) {}
 
     /** Weights of the parts of G; they add up to 1. */
     public record Goal(double whole, double worstWindow, double worstClass, double worstTenant) {}
@@ -111,11 +111,11 @@
             Range handshakeRtts,
             Range handshakeWork,
             long idle,
-            long connectTimeout,
+            long connectTimeoutMicros,
             Range connectionsPerCore,
             Range fullTax,
             Range keyGain,
-            Range keyMemory,
+            Range keyRetentionMicros,
             Range keysPerCore) {}
 
     /**
@@ -132,7 +132,7 @@
             Range roomPerCore,
             double crowding,
             Range crowdedAt,
-            Range coldFrom,
+            Range slowStartInitialWeight,
             Range coldTime,
             WarmBy warmBy,
             Range errors,
@@ -152,7 +152,7 @@
                 Range roomPerCore,
                 double crowding,
                 Range crowdedAt,
-                Range coldFrom,
+                Range slowStartInitialWeight,
                 Range coldTime,
                 WarmBy warmBy,
                 Range errors,
@@ -167,7 +167,7 @@
                     roomPerCore,
                     crowding,
                     crowdedAt,
-                    coldFrom,
+                    slowStartInitialWeight,
                     coldTime,
                     warmBy,
                     errors,
@@ -184,9 +184,9 @@
             Spread spread,
             Range variation,
             Range attemptNoise,
-            long aim,
+            long latencyObjectiveMicros,
             long deadline,
-            double worth,
+            double priorityWeight,
             double lateWorth,
             Idempotency effect) {}
 
--- a/simulator/src/test/java/loadbalancer/simulator/experiment/OverloadedFleetTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/experiment/OverloadedFleetTest.java
@@ -23,10 +23,10 @@
         return day.series();
     }
 
-    private static double worth(Score.Series day, int from, int to) {
+    private static double priorityWeight(Score.Series day, int from, int to) {
         double sum = 0;
         for (int second = from; second < to; second++) {
-            sum += day.worth()[second];
+            sum += day.priorityWeight()[second];
         }
         return sum / (to - from);
     }
@@ -39,8 +39,8 @@
             double sent = day.attempts()[second] / (double) day.arrivals()[second];
             assertTrue(sent > 0.5, "sent in second " + second + ", of what arrived: " + sent);
         }
-        assertTrue(worth(day, 10, 17) > 0.4, "of the worth while slower: " + worth(day, 10, 17));
-        assertTrue(worth(day, 19, 30) > 0.9, "of the worth from 2 s after: " + worth(day, 19, 30));
+        assertTrue(priorityWeight(day, 10, 17) > 0.4, "of the worth while slower: " + priorityWeight(day, 10, 17));
+        assertTrue(priorityWeight(day, 19, 30) > 0.9, "of the worth from 2 s after: " + priorityWeight(day, 19, 30));
     }
 
     /**
@@ -52,8 +52,8 @@
     void aFleetThatIsReplacedWithinSecondsServesOn(long seed) throws IOException {
         Score.Series day = play("replaced-100", seed); // from 6 s to 13 s
         for (int third = 0; third < 3; third++) {
-            double worth = worth(day, 10 * third, 10 * third + 10);
-            assertTrue(worth > 0.92, "of the worth in third " + third + ": " + worth);
+            double priorityWeight = priorityWeight(day, 10 * third, 10 * third + 10);
+            assertTrue(priorityWeight > 0.92, "of the worth in third " + third + ": " + priorityWeight);
         }
     }
 
--- a/simulator/src/test/java/loadbalancer/simulator/hunt/HuntTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/hunt/HuntTest.java
@@ -22,7 +22,13 @@
 
     private static Experiment experiment(String policy) {
         return new Experiment(
-                "hunted", "", Worlds.small(0.6, 6, Idempotency.SAFE), 1, 1, List.of(Worlds.variant(policy)), List.of());
+                "hunted",
+                "",
+                Worlds.small(0.6, 6, Idempotency.IDEMPOTENT),
+                1,
+                1,
+                List.of(Worlds.variant(policy)),
+                List.of());
     }
 
     /** Least in flight by itself pushes a cold successor over in some worlds: that is found, and shrinks. */
--- a/simulator/src/test/java/loadbalancer/simulator/judge/JudgeTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/judge/JudgeTest.java
@@ -39,8 +39,8 @@
         }
 
         @Override
-        public void servers(long now, EndpointListKind kind, List<Endpoint> servers, Actions out) {
-            if (kind == EndpointListKind.PERSISTED) {
+        public void endpoints(long now, EndpointListKind kind, List<Endpoint> servers, Actions out) {
+            if (kind == EndpointListKind.CACHED) {
                 out.watch(true);
             }
             for (Endpoint s : servers) {
@@ -71,7 +71,7 @@
                 String key,
                 long timeLeft,
                 long work,
-                boolean resubmission,
+                boolean clientRetry,
                 Actions out) {
             open.put(id, false);
             String server = pick(now);
@@ -143,7 +143,7 @@
         WorldPlan plan = Worlds.small(
                 0.3,
                 8,
-                twoMayRun ? Idempotency.SAFE : Idempotency.UNSAFE,
+                twoMayRun ? Idempotency.IDEMPOTENT : Idempotency.NON_IDEMPOTENT,
                 Worlds.trouble("fast_errors", 1, 10, 0.25, 0.5, 0),
                 Worlds.trouble("deploy", 2, 3, 0.25, 0.25, 4));
         return Day.play(plan, 6, (settings, seed, truth) -> new Planted(rule));
--- a/simulator/src/test/java/loadbalancer/simulator/sockets/LiveSiteTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/sockets/LiveSiteTest.java
@@ -18,7 +18,7 @@
 
 class LiveSiteTest {
     private static WorldPlan plan(WorldPlan.Trouble... troubles) {
-        return Worlds.small(0.2, 3, Idempotency.UNSAFE, troubles);
+        return Worlds.small(0.2, 3, Idempotency.NON_IDEMPOTENT, troubles);
     }
 
     @SuppressWarnings("unchecked")
--- a/simulator/src/test/java/loadbalancer/simulator/world/HardCasesTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/world/HardCasesTest.java
@@ -32,18 +32,19 @@
 
     @Test
     void aCalmDayIsServedWhole() {
-        Day day = own(Worlds.small(0.4, 6, Idempotency.SAFE));
+        Day day = own(Worlds.small(0.4, 6, Idempotency.IDEMPOTENT));
         assertEquals("", rules(day));
         assertTrue(day.figures().get("served") > 0.95, day.figures().toString());
     }
 
     @Test
     void withoutUpstreamsEveryRequestIsRefusedAndNoneLost() {
-        WorldPlan plan = Worlds.small(0.4, 1, Idempotency.SAFE, Worlds.trouble("death", 2, 9, 1, 0, 0));
+        WorldPlan plan = Worlds.small(0.4, 1, Idempotency.IDEMPOTENT, Worlds.trouble("death", 2, 9, 1, 0, 0));
         Day day = own(plan);
         assertEquals("", rules(day));
         assertTrue(day.figures().get("refused") > 0.3, day.figures().toString());
-        assertEquals(0.0, own(Worlds.small(0.4, 0, Idempotency.SAFE)).figures().get("rules.broken"));
+        assertEquals(
+                0.0, own(Worlds.small(0.4, 0, Idempotency.IDEMPOTENT)).figures().get("rules.broken"));
     }
 
     /** Each trouble alone, with requests that may be repeated and with those that must not run twice. */
@@ -85,7 +86,7 @@
                     case "loss" -> 0.02;
                     default -> 2;
                 };
-        for (Idempotency effect : List.of(Idempotency.SAFE, Idempotency.UNSAFE)) {
+        for (Idempotency effect : List.of(Idempotency.IDEMPOTENT, Idempotency.NON_IDEMPOTENT)) {
             Day day = own(Worlds.small(0.5, 9, effect, Worlds.trouble(kind, 3, 4, 0.34, size, 1.5)));
             assertEquals("", rules(day), kind + " " + effect);
             assertTrue(day.figures().get("whole") > 0.3, kind + " " + effect + ": " + day.figures());
@@ -126,7 +127,7 @@
                 "register_down"
             })
     void aFrontKeepsTheRulesAsWellAndTheSameSeedTheSameDay(String kind) {
-        WorldPlan plan = Worlds.small(0.7, 9, Idempotency.UNSAFE, Worlds.trouble(kind, 3, 4, 0.34, 2, 1.5));
+        WorldPlan plan = Worlds.small(0.7, 9, Idempotency.NON_IDEMPOTENT, Worlds.trouble(kind, 3, 4, 0.34, 2, 1.5));
         Day day = fronted(plan);
         assertEquals("", rules(day), kind);
         assertTrue(day.figures().get("whole") > 0.3, kind + ": " + day.figures());
@@ -135,7 +136,7 @@
 
     @Test
     void whereListsArePushedADeathIsHeardOf() {
-        WorldPlan asked = Worlds.small(0.4, 6, Idempotency.SAFE, Worlds.trouble("death", 3, 4, 0.34, 0, 0));
+        WorldPlan asked = Worlds.small(0.4, 6, Idempotency.IDEMPOTENT, Worlds.trouble("death", 3, 4, 0.34, 0, 0));
         WorldPlan.Discovery d = asked.discovery();
         WorldPlan pushed = new WorldPlan(
                 asked.length(),
@@ -173,7 +174,7 @@
         WorldPlan plan = Worlds.small(
                 0.8,
                 6,
-                Idempotency.SAFE,
+                Idempotency.IDEMPOTENT,
                 Worlds.trouble("deploy", 2, 5, 0.6, 0.2, 1.5),
                 Worlds.trouble("balancers_killed", 4, 2, 0.3, 0, 0));
         assertEquals(own(plan).figures(), own(plan).figures());
@@ -181,7 +182,7 @@
 
     @Test
     void anotherPolicyMeetsTheSameArrivals() {
-        WorldPlan plan = Worlds.small(0.7, 6, Idempotency.SAFE, Worlds.trouble("slow", 2, 5, 0.3, 4, 0));
+        WorldPlan plan = Worlds.small(0.7, 6, Idempotency.IDEMPOTENT, Worlds.trouble("slow", 2, 5, 0.3, 4, 0));
         Day other = Day.play(plan, 4, Variants.maker(Worlds.variant("random")));
         assertEquals(
                 List.of(own(plan).series().arrivals()[3], own(plan).series().arrivals()[9]),
@@ -208,7 +209,8 @@
                 }
             }
         };
-        WorldPlan plan = Worlds.small(0.6, 6, Idempotency.SAFE, Worlds.trouble("balancers_killed", 4, 3, 0.3, 0, 0));
+        WorldPlan plan =
+                Worlds.small(0.6, 6, Idempotency.IDEMPOTENT, Worlds.trouble("balancers_killed", 4, 3, 0.3, 0, 0));
         World world = new World(plan, 9, (settings, seed, truth) -> new JsqDasPolicy(settings, seed), recorder);
         world.run();
         assertEquals(List.of(), outcomesAfter);
@@ -219,7 +221,7 @@
     @Test
     void aDayDoesNotKeepWhatIsOver() {
         World world = new World(
-                Worlds.small(0.7, 6, Idempotency.SAFE),
+                Worlds.small(0.7, 6, Idempotency.IDEMPOTENT),
                 2,
                 (settings, seed, truth) -> new JsqDasPolicy(settings, seed),
                 new Recorder());
@@ -242,7 +244,7 @@
             }
         };
         new World(
-                        Worlds.small(0.5, 4, Idempotency.SAFE, Worlds.trouble("same_address", 3, 1, 0.5, 0, 0)),
+                        Worlds.small(0.5, 4, Idempotency.IDEMPOTENT, Worlds.trouble("same_address", 3, 1, 0.5, 0, 0)),
                         3,
                         (settings, seed, truth) -> new JsqDasPolicy(settings, seed),
                         recorder)
@@ -261,7 +263,7 @@
                 ends.add(now);
             }
         };
-        WorldPlan plan = Worlds.small(0.0001, 1, Idempotency.SAFE);
+        WorldPlan plan = Worlds.small(0.0001, 1, Idempotency.IDEMPOTENT);
         World world = new World(plan, 1, (settings, seed, truth) -> new JsqDasPolicy(settings, seed), recorder);
         Upstream u = world.upstreams.get(0);
         Balancer b = new Balancer(world, 0, u.zone, 0, new JsqDasPolicy(world.settings(0, 0), 1));
--- a/simulator/src/test/java/loadbalancer/simulator/world/RandomWorldsTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/world/RandomWorldsTest.java
@@ -31,7 +31,7 @@
             double size = share ? 0.2 : 2;
             troubles.add(Worlds.trouble(name, 1 + kind % 3, 2, 0.4, size, 1.2));
         }
-        return Worlds.small(load / 10.0, upstreams, one % 2 == 0 ? Idempotency.SAFE : Idempotency.UNSAFE)
+        return Worlds.small(load / 10.0, upstreams, one % 2 == 0 ? Idempotency.IDEMPOTENT : Idempotency.NON_IDEMPOTENT)
                 .lasting(6 * Worlds.SECOND)
                 .with(troubles);
     }
--- a/toml/src/main/java/loadbalancer/toml/Section.java
+++ b/toml/src/main/java/loadbalancer/toml/Section.java
@@ -6,8 +6,10 @@
 import java.util.Collection;
 import java.util.HashSet;
 import java.util.Iterator;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
+import java.util.Map;
 import java.util.Set;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
@@ -180,20 +182,27 @@
 
     /** One of the words of an enumeration, in lower case. */
     public <E extends Enum<E>> E word(String key, Class<E> words, E otherwise) {
-        String text = text(key, otherwise == null ? null : otherwise.name());
-        return choice(key, text, words, otherwise);
+        Map<String, E> table = new LinkedHashMap<>();
+        for (E e : words.getEnumConstants()) {
+            table.put(e.name().toLowerCase(Locale.ROOT), e);
+        }
+        return word(key, table, otherwise);
     }
 
-    private <E extends Enum<E>> E choice(String key, String text, Class<E> words, E otherwise) {
-        List<String> names = new ArrayList<>();
-        for (E e : words.getEnumConstants()) {
-            if (e.name().equalsIgnoreCase(text)) {
-                return e;
-            }
-            names.add(e.name().toLowerCase(Locale.ROOT));
+    /** The value of one of the words of a table, whose keys are in lower case. */
+    public <E> E word(String key, Map<String, E> words, E otherwise) {
+        String word = words.keySet().stream()
+                .filter(known -> words.get(known) == otherwise)
+                .findFirst()
+                .orElse(null);
+        String text = text(key, word);
+        E found = words.get(text.toLowerCase(Locale.ROOT));
+        if (found != null) {
+            return found;
         }
+        List<String> names = List.copyOf(words.keySet());
         fault(key, "'" + key + "' is \"" + text + "\"; there are " + String.join(", ", names) + meant(text, names));
-        return otherwise == null ? words.getEnumConstants()[0] : otherwise;
+        return otherwise == null ? words.values().iterator().next() : otherwise;
     }
 
     /** A list of texts. */
