--- a/balancer/src/main/java/loadbalancer/http/BodyStream.java
+++ b/balancer/src/main/java/loadbalancer/http/BodyStream.java
@@ -10,7 +10,8 @@
 /**
  * A body that is passed on as it comes, from the connection that brings it to one that takes it. What comes
  * before there is a taker waits here; the connection that brings it is read only while the taker has room. Where there
- * is a {@link BodyMemoryBudget} it is read for a while also before there is a taker: the end of a connection shows only behind all
+ * is a {@link BodyMemoryBudget} it is read for a while also before there is a taker: the end of a connection shows
+ * only behind all
  * that came before it, and nothing is to be sent on for a client that has left.
  */
 public final class BodyStream {
--- a/balancer/src/main/java/loadbalancer/logs/Slf4jProvider.java
+++ b/balancer/src/main/java/loadbalancer/logs/Slf4jProvider.java
@@ -16,7 +16,8 @@
 import org.slf4j.spi.SLF4JServiceProvider;
 
 /**
- * What SLF4J logs through here: every logger writes to one {@link AsyncLogWriter} on the process's standard error. Chosen over
+ * What SLF4J logs through here: every logger writes to one {@link AsyncLogWriter} on the process's standard error.
+ * Chosen over
  * Logback by measured start time, see docs/design/routes-and-limits.md.
  */
 public final class Slf4jProvider implements SLF4JServiceProvider {
--- a/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
@@ -31,7 +31,8 @@
 import loadbalancer.upstream.ResponseReader;
 
 /**
- * The front on sockets: hands each request to the dispatcher of the pool that {@link RequestRouter} names, and refuses what
+ * The front on sockets: hands each request to the dispatcher of the pool that {@link RequestRouter} names, and
+ * refuses what
  * that refuses. It decides nothing. All of it runs on the event loop's thread; it is there only with an operator file.
  */
 public final class RoutingGateway implements RequestHandler {
--- a/core/src/main/java/loadbalancer/policy/PollSchedule.java
+++ b/core/src/main/java/loadbalancer/policy/PollSchedule.java
@@ -23,7 +23,7 @@
         return now >= dueAt;
     }
 
-    /** A subscription was asked for; it is asked for again well within {@code pollIntervalMicros} unless something answers. */
+    /** Subscribed just now; it is due again well within {@code pollIntervalMicros} unless something answers. */
     void asked(long now, long pollIntervalMicros) {
         dueAt = now + pollIntervalMicros / 2 + random.nextLong(1 + pollIntervalMicros / 8);
     }
--- a/core/src/main/java/loadbalancer/policy/RequestClass.java
+++ b/core/src/main/java/loadbalancer/policy/RequestClass.java
@@ -3,7 +3,8 @@
 import java.util.Set;
 
 /**
- * A class of requests: an answer within {@code latencyObjectiveMicros} earns {@code priorityWeight}, one before {@code deadline} the
+ * A class of requests: an answer within {@code latencyObjectiveMicros} earns {@code priorityWeight}, one before
+ * {@code deadline} the
  * {@code lateFraction} of it. {@code objectiveStretch} lengthens the aim by that multiple of the request's work.
  * {@code orderedDelivery}: requests with one key run one at a time, in the order taken. {@code zones} and
  * {@code machineKinds} are the only ones whose servers may be sent to; empty: all.
