--- a/core/src/main/java/loadbalancer/policy/AdmissionController.java
+++ b/core/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -4,183 +4,230 @@
 import java.util.SplittableRandom;
 
 /**
- * Admission control of one balancer, by adaptive throttling: what comes in a short window is admitted up to a multiple
- * of what has been completed in it, and the rest is refused, the tier of least value first.
+ * Admission control of one balancer, by adaptive throttling: what arrives in a short window is admitted up to a
+ * multiple of what has been completed in it. The rest is rejected, from the lowest priority tier on.
  *
  * <p>The multiple is a gradient: the latency that a tier may cause over the latency seen, within bounds. The rate of
- * answers tells what the servers can do, so that there is no integral to wind up: an integral of the latency turned
- * away 19 of 20 requests for seconds after the queues had gone, as a balancer that admits little hears little. Here at
- * least half of what was completed is admitted, and what was heard a while ago counts for little.
+ * answers tells what the endpoints can do, so there is no integral to wind up: a balancer that admits little hears
+ * little, and an integral would go on rejecting for long after the queues have gone. At least half of what was
+ * completed is admitted, and what was heard a while ago counts for little.
  *
- * <p>The window is short on purpose. The estimate of one balancer is rough, but errors of many balancers cancel out; a
- * longer window would make all of them late together.
+ * <p>The window is short on purpose. The estimate of one balancer is rough, but errors of many balancers cancel out,
+ * while a longer window would make all of them late together.
  *
- * <p>Tiers of little value, as a rule what tenants ask for beyond their shares, are refused at first and come back by
- * degrees: what crowding costs outweighs a cheap request.
+ * <p>Tiers of low weight, as a rule what tenants ask for over their quotas, are rejected at first and come back by
+ * degrees: what crowding costs outweighs a request of low weight.
  *
  * <p>Source: B. Beyer et al., Site Reliability Engineering, chapter 21 (client-side throttling).
  */
 final class AdmissionController {
-    private static final double WINDOW = 1e6; // µs, time constant of all counts
-    private static final double WINDOW_MOST = 8e6; // the same where traffic is thin
-    private static final double WINDOW_ARRIVALS = 8; // that a window holds at least, if it may be as long
-    private static final double TARGET_LOWEST = 0.40; // latency / aim that a request of no value may cause
-    private static final double TARGET_HIGHEST = 0.60; // and one of the highest tier
-    private static final double MULTIPLE_LEAST = 0.5; // a queue is drained with half of the capacity at most
-    private static final double MULTIPLE_MOST = 2;
-    private static final double SCORE_MOST = 1.2; // of one attempt: beyond the aim all are equally late
-    private static final double SCORE_UNKNOWN = 0.25; // latency / aim where nothing has been heard
-    private static final double UNKNOWN_WEIGHT = 1; // attempts that this guess counts for
-    private static final double SPARE = 1; // requests admitted besides, so that one proves nothing
-    private static final double LEVEL_ROOM = 0.05; // of the highest tier: it is never refused whole
-    // Tiers of little value.
-    private static final double CHEAP = 0.3; // of the highest value
-    private static final double CHEAP_RETURN = 1; // times value: share of arrivals, per second and unit of score
-    private static final double CHEAP_SHARE = 0.1; // of arrivals that a tier is taken for at least
+    /** Time constant of all counts. */
+    private static final double WINDOW_MICROS = 1e6;
+
+    /** Longest time constant, used where traffic is thin. */
+    private static final double MAX_WINDOW_MICROS = 8e6;
+
+    /** Arrivals that a window holds at least, as far as it may be as long as that. */
+    private static final double MIN_WINDOW_ARRIVALS = 8;
+
+    /** Latency, as a fraction of the latency objective, that a request of no weight may cause. */
+    private static final double LOWEST_TIER_SCORE = 0.40;
+
+    /** The same for a request of the highest tier. */
+    private static final double HIGHEST_TIER_SCORE = 0.60;
+
+    /** A queue is drained with half of the capacity at most. */
+    private static final double MIN_MULTIPLE = 0.5;
+
+    private static final double MAX_MULTIPLE = 2;
+
+    /** Score of one attempt at most: beyond the latency objective all are equally late. */
+    private static final double MAX_SCORE = 1.2;
+
+    /** Score that is assumed where nothing has been heard. */
+    private static final double PRIOR_SCORE = 0.25;
+
+    /** Attempts that the assumed score counts for. */
+    private static final double PRIOR_WEIGHT = 1;
+
+    /** Requests that are admitted besides, as a single one proves nothing. */
+    private static final double SPARE_REQUESTS = 1;
+
+    /** Part of the highest tier that is always admitted. */
+    private static final double MIN_ADMITTED_FRACTION = 0.05;
+
+    /** Tiers whose weight is below this fraction of the highest one count as low. */
+    private static final double LOW_WEIGHT_FRACTION = 0.3;
+
+    /** Part of the arrivals that a low tier of full weight regains per second and unit of score. */
+    private static final double LOW_TIER_RETURN_PER_SECOND = 1;
+
+    /** Part of the arrivals that a low tier is taken for at least. */
+    private static final double MIN_LOW_TIER_FRACTION = 0.1;
+
+    private static final double MICROS_PER_SECOND = 1e6;
 
     private final SplittableRandom random;
-    private double[] arrivals; // faded, by tier
-    private double completed; // faded requests
-    private double scored; // faded attempts with a score
-    private double scores; // faded sum of latency / aim
-    private double[] values; // of the tiers, as parts of the highest
-    private int cheapTiers;
-    private double cheapLevel;
+
+    /** Decayed number of arrivals by tier. */
+    private double[] arrivals;
+
+    /** Decayed number of requests. */
+    private double completed;
+
+    /** Decayed number of attempts with a score. */
+    private double scored;
+
+    /** Decayed sum of latency over latency objective. */
+    private double scoreSum;
+
+    /** Weights of the tiers, as fractions of the highest one. */
+    private double[] relativeWeights;
+
+    private int lowTiers;
+    private double lowTierLevel;
     private double level;
 
     /**
-     * Tiers are numbered by value, from the lowest.
+     * Makes a controller that rejects the tiers of low weight.
      *
-     * @param ordinary the least value of a request within its tenant's share
+     * @param tierWeights of the tiers, which are numbered from the lowest
+     * @param lowestWithinQuota the least weight of a request within its tenant's quota: none above it is low
      */
-    AdmissionController(double[] tierValues, double ordinary, SplittableRandom random) {
-        this.arrivals = new double[tierValues.length];
+    AdmissionController(double[] tierWeights, double lowestWithinQuota, SplittableRandom random) {
+        this.arrivals = new double[tierWeights.length];
         this.random = random;
-        value(tierValues, ordinary);
-        cheapLevel = cheapTiers;
-        level = cheapTiers;
+        setWeights(tierWeights, lowestWithinQuota);
+        lowTierLevel = lowTiers;
+        level = lowTiers;
     }
 
-    private void value(double[] tierValues, double ordinary) {
-        double highest = tierValues[tierValues.length - 1];
-        values = Arrays.stream(tierValues).map(value -> value / highest).toArray();
-        double cheap = Math.min(ordinary, CHEAP * highest);
-        cheapTiers =
-                (int) Arrays.stream(tierValues).filter(value -> value < cheap).count();
+    private void setWeights(double[] tierWeights, double lowestWithinQuota) {
+        double highest = tierWeights[tierWeights.length - 1];
+        relativeWeights =
+                Arrays.stream(tierWeights).map(weight -> weight / highest).toArray();
+        double lowWeight = Math.min(lowestWithinQuota, LOW_WEIGHT_FRACTION * highest);
+        lowTiers = (int)
+                Arrays.stream(tierWeights).filter(weight -> weight < lowWeight).count();
     }
 
-    /** Tiers that are refused: the whole part in full, and of the next one the fraction. */
+    /** The shed level: how many tiers are rejected in whole, and as its fraction the part of the next one. */
     double level() {
         return level;
     }
 
-    /** Mean of latency / aim, as far as it is known. */
+    /** The overload score: mean of latency over latency objective, as far as it is known. */
     double score() {
-        return (scores + SCORE_UNKNOWN * UNKNOWN_WEIGHT) / (scored + UNKNOWN_WEIGHT);
+        return (scoreSum + PRIOR_SCORE * PRIOR_WEIGHT) / (scored + PRIOR_WEIGHT);
     }
 
-    /** Counts a request of that tier; false where it is to be refused. */
+    /** Counts a request of that tier; false where it is to be rejected. */
     boolean admits(int tier) {
         arrivals[tier]++;
         return tier + random.nextDouble() >= level;
     }
 
-    /** A request has ended with success, or has failed for another reason than want of capacity. */
+    /** Counts a request that has ended with success, or has failed for another reason than want of capacity. */
     void completed() {
         completed++;
     }
 
-    /** An attempt that succeeded took that multiple of its aim. */
-    void latency(double ofAim) {
-        scores += Math.min(SCORE_MOST, ofAim);
+    /** Takes the latency of an attempt that succeeded, in multiples of the latency objective. */
+    void latency(double objectiveMultiple) {
+        scoreSum += Math.min(MAX_SCORE, objectiveMultiple);
         scored++;
     }
 
-    /** An attempt was turned away as one too many, or had no answer in its time. */
+    /** Counts an attempt that an endpoint rejected, or that had no answer in its time. */
     void overloaded() {
-        latency(SCORE_MOST);
+        latency(MAX_SCORE);
     }
 
     /**
-     * Fades what is older and sets the level anew.
+     * Lets time pass and sets the level anew.
      *
-     * @param elapsed µs since the last time
-     * @param perSecond requests that come in a second, as a mean over a longer time
+     * @param elapsedMicros time since the last call
+     * @param arrivalsPerSecond mean over a longer time
      * @param pending attempts whose answer can't be expected yet
      */
-    void update(long elapsed, double perSecond, int pending) {
-        double window = Math.max(WINDOW, Math.min(WINDOW_MOST, WINDOW_ARRIVALS / perSecond * 1e6));
-        fade(Math.exp(-elapsed / window));
-        double throttle = throttle(pending);
-        cheapLevel = Math.min(cheapTiers, Math.max(throttle, cheapLevel - cheapReturn(elapsed / 1e6)));
-        level = Math.min(Math.max(cheapLevel, throttle), arrivals.length - LEVEL_ROOM);
-    }
-
-    private double throttle(int pending) {
-        double left = Arrays.stream(arrivals).sum();
+    void update(long elapsedMicros, double arrivalsPerSecond, int pending) {
+        double window = Math.max(
+                WINDOW_MICROS,
+                Math.min(MAX_WINDOW_MICROS, MIN_WINDOW_ARRIVALS / arrivalsPerSecond * MICROS_PER_SECOND));
+        decay(Math.exp(-elapsedMicros / window));
+        double throttleLevel = throttleLevel(pending);
+        double easedLevel = lowTierLevel - lowTierReturn(elapsedMicros / MICROS_PER_SECOND);
+        lowTierLevel = Math.min(lowTiers, Math.max(throttleLevel, easedLevel));
+        level = Math.min(Math.max(lowTierLevel, throttleLevel), arrivals.length - MIN_ADMITTED_FRACTION);
+    }
+
+    private double throttleLevel(int pending) {
+        double remaining = Arrays.stream(arrivals).sum();
         for (int tier = 0; tier < arrivals.length; tier++) {
-            double multiple = Math.max(MULTIPLE_LEAST, Math.min(MULTIPLE_MOST, target(tier) / score()));
-            double excess = left - multiple * completed - pending - SPARE;
+            double multiple = Math.max(MIN_MULTIPLE, Math.min(MAX_MULTIPLE, targetScore(tier) / score()));
+            double excess = remaining - multiple * completed - pending - SPARE_REQUESTS;
             if (excess < arrivals[tier]) {
                 return tier + Math.max(0, excess / arrivals[tier]);
             }
-            left -= arrivals[tier];
+            remaining -= arrivals[tier];
         }
         return arrivals.length;
     }
 
-    private double target(int tier) {
-        return TARGET_LOWEST + (TARGET_HIGHEST - TARGET_LOWEST) * values[tier];
+    private double targetScore(int tier) {
+        return LOWEST_TIER_SCORE + (HIGHEST_TIER_SCORE - LOWEST_TIER_SCORE) * relativeWeights[tier];
     }
 
-    // How much of the highest tier among the cheap that are refused is admitted again after so long.
-    private double cheapReturn(double seconds) {
-        int edge = (int) Math.max(0, Math.ceil(cheapLevel) - 1);
-        double share = arrivals[edge] / Math.max(1, Arrays.stream(arrivals).sum());
-        double calm = Math.max(0, target(edge) - score());
-        return seconds * CHEAP_RETURN * values[edge] * calm / Math.max(CHEAP_SHARE, share);
+    // How much of the highest low tier that is rejected is admitted again after that time.
+    private double lowTierReturn(double elapsedSeconds) {
+        int tier = (int) Math.max(0, Math.ceil(lowTierLevel) - 1);
+        double fraction = arrivals[tier] / Math.max(1, Arrays.stream(arrivals).sum());
+        double slack = Math.max(0, targetScore(tier) - score());
+        return elapsedSeconds
+                * LOW_TIER_RETURN_PER_SECOND
+                * relativeWeights[tier]
+                * slack
+                / Math.max(MIN_LOW_TIER_FRACTION, fraction);
     }
 
-    private void fade(double keep) {
+    private void decay(double retained) {
         for (int tier = 0; tier < arrivals.length; tier++) {
-            arrivals[tier] *= keep;
+            arrivals[tier] *= retained;
         }
-        completed *= keep;
-        scored *= keep;
-        scores *= keep;
+        completed *= retained;
+        scored *= retained;
+        scoreSum *= retained;
     }
 
-    /** Goes on with other tiers. Where their number differs arrivals are spread over them evenly. */
-    void retier(double[] tierValues, double ordinary) {
-        int tiers = tierValues.length;
+    /** Goes on with other tiers. Where their number differs, arrivals are spread over them evenly. */
+    void retier(double[] tierWeights, double lowestWithinQuota) {
+        int tiers = tierWeights.length;
         if (tiers != arrivals.length) {
-            double each = Arrays.stream(arrivals).sum() / tiers;
+            double arrivalsPerTier = Arrays.stream(arrivals).sum() / tiers;
             level *= tiers / (double) arrivals.length;
             arrivals = new double[tiers];
-            Arrays.fill(arrivals, each);
+            Arrays.fill(arrivals, arrivalsPerTier);
         }
-        value(tierValues, ordinary);
-        cheapLevel = Math.min(cheapTiers, cheapLevel);
+        setWeights(tierWeights, lowestWithinQuota);
+        lowTierLevel = Math.min(lowTiers, lowTierLevel);
     }
 
-    /** What {@link #restore} of another process goes on from. */
-    double[] learnedState() {
-        double[] all = Arrays.copyOf(arrivals, arrivals.length + 5);
-        System.arraycopy(new double[] {completed, scored, scores, cheapLevel, level}, 0, all, arrivals.length, 5);
-        return all;
+    /** What {@link #restore} of a successor goes on from. */
+    LearnedState.Admission learnedState() {
+        return new LearnedState.Admission(arrivals.clone(), completed, scored, scoreSum, lowTierLevel, level);
     }
 
-    /** Takes over what has been learnt elsewhere, if it has as many tiers. */
-    void restore(double[] learnedState) {
+    /** Takes over what a predecessor has learned; passed over where it is null or of another number of tiers. */
+    void restore(LearnedState.Admission learned) {
         int tiers = arrivals.length;
-        if (learnedState == null || learnedState.length != tiers + 5) {
+        if (learned == null || learned.arrivals().length != tiers) {
             return;
         }
-        System.arraycopy(learnedState, 0, arrivals, 0, tiers);
-        completed = learnedState[tiers];
-        scored = learnedState[tiers + 1];
-        scores = learnedState[tiers + 2];
-        cheapLevel = Math.max(0, Math.min(cheapTiers, learnedState[tiers + 3]));
-        level = Math.max(0, Math.min(tiers - LEVEL_ROOM, learnedState[tiers + 4]));
+        arrivals = learned.arrivals().clone();
+        completed = learned.completed();
+        scored = learned.scored();
+        scoreSum = learned.scoreSum();
+        lowTierLevel = Math.max(0, Math.min(lowTiers, learned.lowTierLevel()));
+        level = Math.max(0, Math.min(tiers - MIN_ADMITTED_FRACTION, learned.level()));
     }
 }
--- /dev/null
+++ b/core/src/main/java/loadbalancer/policy/AttemptDispatcher.java
@@ -0,0 +1,68 @@
+package loadbalancer.policy;
+
+import java.util.List;
+
+/**
+ * Sends requests to endpoints, as the rules say, and queues those that can't be sent now. It holds what leads from a
+ * request to an attempt: order, candidates, selection, and the books that an attempt is entered in.
+ */
+final class AttemptDispatcher {
+    private final PolicyComponents components;
+
+    AttemptDispatcher(PolicyComponents components) {
+        this.components = components;
+    }
+
+    /** Sends the request if an endpoint may be used for it now; else queues it, or ends it where its time is over. */
+    void sendOrQueue(RequestState request, long now, LoadBalancingPolicy.Actions actions) {
+        if (sendIfPossible(request, now, actions)) {
+            return;
+        }
+        if (components.queue.isOutOfTime(request, now)) {
+            components.openRequests.fail(request, actions);
+        } else {
+            components.queue.enqueue(request);
+        }
+    }
+
+    /** Sends queued requests, as far as endpoints are free. */
+    void drainQueue(long now, LoadBalancingPolicy.Actions actions) {
+        components.queue.drain(request -> sendIfPossible(request, now, actions));
+    }
+
+    /** Sends the request to an endpoint that it wasn't sent to before; false where there is none. */
+    boolean sendElsewhere(RequestState request, long now, LoadBalancingPolicy.Actions actions) {
+        List<EndpointStats> untried = components.candidates.candidates(request, now);
+        untried.removeIf(request::wasSentTo);
+        if (untried.isEmpty()) {
+            return false;
+        }
+        send(request, components.selector.select(untried, now), now, actions);
+        return true;
+    }
+
+    private boolean sendIfPossible(RequestState request, long now, LoadBalancingPolicy.Actions actions) {
+        if (!components.sequencer.isNext(request, now)) {
+            return false;
+        }
+        List<EndpointStats> allowed = components.candidates.candidates(request, now);
+        if (allowed.isEmpty()) {
+            return false;
+        }
+        EndpointStats due = components.candidates.dueForFirstRequest(request, now);
+        send(request, due != null ? due : components.selector.select(allowed, now), now, actions);
+        return true;
+    }
+
+    private void send(RequestState request, EndpointStats target, long now, LoadBalancingPolicy.Actions actions) {
+        AttemptState attempt = new AttemptState(target, request, now);
+        request.attempts.add(attempt);
+        request.attemptsInFlight++;
+        target.attempts.add(attempt);
+        target.firstRequestDueAt = Long.MAX_VALUE;
+        components.queueLengths.attemptStarted(target);
+        components.ranking.credit(target);
+        components.slowStart.spend(target);
+        actions.send(request.id, target.endpoint.id(), ResponseTimeoutRule.timeoutMicros(request, now));
+    }
+}
--- /dev/null
+++ b/core/src/main/java/loadbalancer/policy/EndpointTable.java
@@ -0,0 +1,124 @@
+package loadbalancer.policy;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+
+/**
+ * The endpoints that this balancer knows: those of the list, and those that have gone while attempts of them are in
+ * flight. An endpoint that has started anew is another one, about which nothing is known.
+ */
+final class EndpointTable {
+    /** Points on the hash ring of an endpoint of mean weight. */
+    private static final int RING_POINTS = 8;
+
+    private static final int MAX_RING_POINTS = 8 * RING_POINTS;
+
+    /** A freshly started endpoint waits no longer than this for its first request. */
+    private static final long FIRST_REQUEST_DELAY_MICROS = 1_500_000;
+
+    private final ActiveSettings settings;
+    private final SplittableRandom random;
+    private final SlowStart slowStart;
+    private final Map<String, EndpointStats> endpoints = new LinkedHashMap<>();
+    private final HashRing ring = new HashRing();
+    private List<EndpointStats> listed = new ArrayList<>();
+    private EndpointStats[] subsetOrder = {};
+    private double meanWeight = 1;
+
+    EndpointTable(ActiveSettings settings, SplittableRandom random, SlowStart slowStart) {
+        this.settings = settings;
+        this.random = random;
+        this.slowStart = slowStart;
+    }
+
+    /** All endpoints, including those that drain or have gone. */
+    Collection<EndpointStats> all() {
+        return endpoints.values();
+    }
+
+    /** Endpoints that are up; not to be changed. */
+    List<EndpointStats> listed() {
+        return listed;
+    }
+
+    /** Ring of the listed endpoints, with more points for greater weights. */
+    HashRing ring() {
+        return ring;
+    }
+
+    /** Each listed endpoint once, in the order of the ring from this balancer's position; not to be changed. */
+    EndpointStats[] subsetOrder() {
+        return subsetOrder;
+    }
+
+    /** Mean weight of the listed endpoints, 1 without any. */
+    double meanWeight() {
+        return meanWeight;
+    }
+
+    /**
+     * Takes a list.
+     *
+     * @param complete whether endpoints that are not in the list have gone
+     */
+    void update(long now, boolean complete, List<Endpoint> list) {
+        if (complete) {
+            for (EndpointStats stats : endpoints.values()) {
+                stats.endpoint = stats.endpoint.in(EndpointState.GONE);
+            }
+        }
+        for (Endpoint endpoint : list) {
+            update(now, endpoint);
+        }
+        listed = new ArrayList<>();
+        for (EndpointStats stats : endpoints.values()) {
+            if (stats.endpoint.state() == EndpointState.UP) {
+                listed.add(stats);
+            }
+        }
+        updateRing();
+        endpoints
+                .values()
+                .removeIf(stats -> stats.endpoint.state() == EndpointState.GONE && stats.attemptsInFlight == 0);
+    }
+
+    private void update(long now, Endpoint endpoint) {
+        EndpointStats known = endpoints.get(endpoint.id());
+        if (known == null || known.endpoint.startedAt() != endpoint.startedAt() && endpoint.startedAt() > 0) {
+            if (known != null) {
+                ring.place(known, 0);
+            }
+            endpoints.put(endpoint.id(), started(now, endpoint));
+        } else {
+            known.endpoint = endpoint;
+        }
+    }
+
+    private EndpointStats started(long now, Endpoint endpoint) {
+        EndpointStats stats = new EndpointStats(endpoint, random.nextInt());
+        stats.slowStartTokens = random.nextDouble();
+        stats.slowStartTokensAt = now;
+        stats.lastSuccessAt = now;
+        stats.firstRequestDueAt = slowStart.isWarm(stats, now) ? Long.MAX_VALUE : now + FIRST_REQUEST_DELAY_MICROS;
+        return stats;
+    }
+
+    // Moves only the points of endpoints that have changed: a ring made anew at each step of a deployment would cost
+    // more than all requests in it.
+    private void updateRing() {
+        meanWeight = listed.stream()
+                .mapToDouble(stats -> stats.endpoint.weight())
+                .average()
+                .orElse(1);
+        for (EndpointStats stats : endpoints.values()) {
+            double points = RING_POINTS * stats.endpoint.weight() / meanWeight;
+            int pointCount = (int) Math.max(1, Math.min(MAX_RING_POINTS, Math.round(points)));
+            ring.place(stats, stats.endpoint.state() == EndpointState.UP ? pointCount : 0);
+        }
+        subsetOrder = ring.uniqueFrom(settings.ringPosition());
+    }
+}
--- a/core/src/main/java/loadbalancer/policy/HashRing.java
+++ b/core/src/main/java/loadbalancer/policy/HashRing.java
@@ -4,48 +4,50 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.TreeMap;
-import loadbalancer.policy.BalanceState.Node;
 
 /**
- * A ring of consistent hashing: each server stands at points that follow from its id alone, so that all balancers have
- * the same ring and a change of the list moves few keys. Only the points of servers that change are touched.
+ * A ring of consistent hashing. Each endpoint stands at points that follow from its id alone, so that all balancers
+ * have the same ring and a change of the list moves few keys. A change touches only the points of the endpoints that it
+ * concerns.
  */
 final class HashRing {
-    private final TreeMap<Long, Node> points = new TreeMap<>();
-    private Node[] servers; // the same in arrays, made when asked for
+    private final TreeMap<Long, EndpointStats> points = new TreeMap<>();
+
+    // The ring as arrays, made when asked for after a change.
+    private EndpointStats[] endpoints;
     private long[] positions;
 
-    /** Gives a server so many points; 0 takes it off the ring. */
-    void place(Node n, int many) {
-        servers = n.points == many ? servers : null;
-        while (n.points < many) {
-            points.put(Hashing.mix(n.hash + n.points++), n);
+    /** Gives an endpoint that many points; 0 takes it off the ring. */
+    void place(EndpointStats endpoint, int pointCount) {
+        endpoints = endpoint.ringPoints == pointCount ? endpoints : null;
+        while (endpoint.ringPoints < pointCount) {
+            points.put(Hashing.mix(endpoint.idHash + endpoint.ringPoints++), endpoint);
         }
-        while (n.points > many) {
-            points.remove(Hashing.mix(n.hash + --n.points), n);
+        while (endpoint.ringPoints > pointCount) {
+            points.remove(Hashing.mix(endpoint.idHash + --endpoint.ringPoints), endpoint);
         }
     }
 
-    /** The server at each point, in the order of the points. */
-    Node[] servers() {
-        if (servers == null) {
-            servers = points.values().toArray(new Node[0]);
+    /** The endpoint at each point, in the order of the points; not to be changed. */
+    EndpointStats[] endpoints() {
+        if (endpoints == null) {
+            endpoints = points.values().toArray(new EndpointStats[0]);
             positions = points.keySet().stream().mapToLong(Long::longValue).toArray();
         }
-        return servers;
+        return endpoints;
     }
 
-    /** The place in {@link #servers} from which a walk for that key starts. */
-    int startOf(long key) {
-        servers();
-        int from = Arrays.binarySearch(positions, Hashing.mix(key));
-        return from < 0 ? -from - 1 : from;
+    /** The index in {@link #endpoints} at which a walk for that key starts; the number of points for the end. */
+    int startIndex(long keyHash) {
+        endpoints();
+        int index = Arrays.binarySearch(positions, Hashing.mix(keyHash));
+        return index < 0 ? -index - 1 : index;
     }
 
-    /** Each server once, in the order in which a walk from that position meets it. */
-    Node[] onceEachFrom(long position) {
-        Set<Node> met = new LinkedHashSet<>(points.tailMap(position).values());
+    /** Each endpoint once, in the order in which a walk from that position meets it. */
+    EndpointStats[] uniqueFrom(long position) {
+        Set<EndpointStats> met = new LinkedHashSet<>(points.tailMap(position).values());
         met.addAll(points.headMap(position).values());
-        return met.toArray(new Node[0]);
+        return met.toArray(new EndpointStats[0]);
     }
 }
--- a/core/src/main/java/loadbalancer/policy/Hashing.java
+++ b/core/src/main/java/loadbalancer/policy/Hashing.java
@@ -2,21 +2,24 @@
 
 /** Hash functions that give the same values on every machine and in every run. */
 final class Hashing {
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
+
     private Hashing() {}
 
-    /** FNV-1a, then mixed. */
+    /** FNV-1a over the chars of the text, then {@link #mix}. */
     static long hash(String text) {
-        long h = 0xcbf29ce484222325L;
+        long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < text.length(); i++) {
-            h = (h ^ text.charAt(i)) * 0x100000001b3L;
+            hash = (hash ^ text.charAt(i)) * FNV_PRIME;
         }
-        return mix(h);
+        return mix(hash);
     }
 
-    /** Spreads near numbers over all 64 bits (the finaliser of SplitMix64). */
-    static long mix(long z) {
-        z = (z + 0x9e3779b97f4a7c15L ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
-        z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
-        return z ^ z >>> 31;
+    /** Spreads near numbers over all 64 bits (the finalizer of SplitMix64). */
+    static long mix(long number) {
+        long mixed = (number + 0x9e3779b97f4a7c15L ^ number >>> 30) * 0xbf58476d1ce4e5b9L;
+        mixed = (mixed ^ mixed >>> 27) * 0x94d049bb133111ebL;
+        return mixed ^ mixed >>> 31;
     }
 }
--- /dev/null
+++ b/core/src/main/java/loadbalancer/policy/KeySequencer.java
@@ -0,0 +1,53 @@
+package loadbalancer.policy;
+
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/**
+ * Rule 5, ordered delivery: requests with one key of classes that ask for it are executed one at a time, in the order
+ * of arrival. After an attempt without an answer, which may still run, the key pauses.
+ */
+final class KeySequencer {
+    private final ActiveSettings settings;
+    private final Map<Long, KeySequence> sequences = new LinkedHashMap<>();
+
+    KeySequencer(ActiveSettings settings) {
+        this.settings = settings;
+    }
+
+    /** Puts a request that has arrived at the end of its key's sequence. */
+    void add(RequestState request) {
+        request.sequence = sequences.computeIfAbsent(request.keyHash, unused -> new KeySequence());
+        request.sequence.requests.add(request);
+    }
+
+    /** Whether the request may be sent: all earlier ones of its key are over, and their attempts no longer run. */
+    boolean isNext(RequestState request, long now) {
+        KeySequence sequence = request.sequence;
+        return sequence == null
+                || sequence.requests.peekFirst() == request
+                        && (now >= sequence.pausedUntil || !request.attempts.isEmpty());
+    }
+
+    /** Takes the outcome of an attempt. */
+    void attemptEnded(AttemptState attempt, AttemptOutcome outcome, long now) {
+        KeySequence sequence = attempt.request.sequence;
+        boolean mayStillRun = attempt.mayHaveRun && outcome != AttemptOutcome.OK && outcome != AttemptOutcome.ERROR;
+        if (sequence != null && mayStillRun) {
+            long pauseMicros = settings.current().bounds().keySequencePauseMicros();
+            sequence.pausedUntil = Math.max(sequence.pausedUntil, now + pauseMicros);
+        }
+    }
+
+    /** Takes a request that is over out of its sequence, if it is in one. */
+    void remove(RequestState request) {
+        if (request.sequence != null) {
+            request.sequence.requests.remove(request);
+        }
+    }
+
+    /** Forgets sequences without requests whose pause is over. */
+    void prune(long now) {
+        sequences.values().removeIf(sequence -> sequence.requests.isEmpty() && now >= sequence.pausedUntil);
+    }
+}
--- /dev/null
+++ b/core/src/main/java/loadbalancer/policy/LearnedStateCodec.java
@@ -0,0 +1,133 @@
+package loadbalancer.policy;
+
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/**
+ * Writes and reads {@link LearnedState} as named arrays of figures: the form in which a process hands it to its
+ * successor. Names and positions are a format between releases, which must not change; a name that is not known, or an
+ * array that has another length than this release writes, is passed over.
+ */
+final class LearnedStateCodec {
+    private static final String EXPECTED_LATENCIES = "usual";
+    private static final String MEAN_WORK = "work";
+    private static final String FIRST_ATTEMPT_TIMES = "first";
+    private static final String ADMISSION = "admission";
+    private static final String TENANT_DEMAND = "brought";
+    private static final String QUOTA_TOKENS = "share";
+    private static final String TRAFFIC = "own";
+    private static final String ENDPOINT_PREFIX = "server ";
+
+    private static final int ADMISSION_SCALARS = 5;
+    private static final int TRAFFIC_FIGURES = 4;
+    private static final int ENDPOINT_FIGURES = 11;
+    private static final double[] ABSENT = {};
+
+    private LearnedStateCodec() {}
+
+    /** The named arrays, in a map of the caller's own. */
+    static Map<String, double[]> encode(LearnedState state) {
+        Map<String, double[]> encoded = new HashMap<>();
+        encoded.put(EXPECTED_LATENCIES, state.latencies().expectedMicros());
+        encoded.put(MEAN_WORK, state.latencies().meanWork());
+        encoded.put(FIRST_ATTEMPT_TIMES, state.firstAttemptMicros());
+        encoded.put(ADMISSION, encode(state.admission()));
+        encoded.put(TENANT_DEMAND, state.tenants().demand());
+        encoded.put(QUOTA_TOKENS, state.tenants().quotaTokens());
+        encoded.put(TRAFFIC, encode(state.traffic()));
+        state.endpoints().forEach((id, history) -> encoded.put(ENDPOINT_PREFIX + id, encode(history)));
+        return encoded;
+    }
+
+    /** What the named arrays say, as far as they fit. */
+    static LearnedState decode(Map<String, double[]> encoded) {
+        Map<String, LearnedState.EndpointHistory> endpoints = new LinkedHashMap<>();
+        encoded.forEach((name, figures) -> {
+            if (name.startsWith(ENDPOINT_PREFIX) && figures != null && figures.length == ENDPOINT_FIGURES) {
+                endpoints.put(name.substring(ENDPOINT_PREFIX.length()), decodeEndpoint(figures));
+            }
+        });
+        return new LearnedState(
+                new LearnedState.Latencies(figures(encoded, EXPECTED_LATENCIES), figures(encoded, MEAN_WORK)),
+                figures(encoded, FIRST_ATTEMPT_TIMES),
+                decodeAdmission(figures(encoded, ADMISSION)),
+                new LearnedState.Tenants(figures(encoded, TENANT_DEMAND), figures(encoded, QUOTA_TOKENS)),
+                decodeTraffic(figures(encoded, TRAFFIC)),
+                endpoints);
+    }
+
+    private static double[] figures(Map<String, double[]> encoded, String name) {
+        double[] figures = encoded.get(name);
+        return figures == null ? ABSENT : figures;
+    }
+
+    static double[] encode(LearnedState.Admission admission) {
+        int tiers = admission.arrivals().length;
+        double[] figures = Arrays.copyOf(admission.arrivals(), tiers + ADMISSION_SCALARS);
+        figures[tiers] = admission.completed();
+        figures[tiers + 1] = admission.scored();
+        figures[tiers + 2] = admission.scoreSum();
+        figures[tiers + 3] = admission.lowTierLevel();
+        figures[tiers + 4] = admission.level();
+        return figures;
+    }
+
+    private static LearnedState.Admission decodeAdmission(double[] figures) {
+        int tiers = figures.length - ADMISSION_SCALARS;
+        if (tiers <= 0) {
+            return null;
+        }
+        return new LearnedState.Admission(
+                Arrays.copyOf(figures, tiers),
+                figures[tiers],
+                figures[tiers + 1],
+                figures[tiers + 2],
+                figures[tiers + 3],
+                figures[tiers + 4]);
+    }
+
+    private static double[] encode(LearnedState.Traffic traffic) {
+        return new double[] {
+            traffic.arrivals(), traffic.rejectedAttempts(), traffic.retryTokens(), traffic.meanAttemptsInFlight()
+        };
+    }
+
+    private static LearnedState.Traffic decodeTraffic(double[] figures) {
+        return figures.length != TRAFFIC_FIGURES
+                ? null
+                : new LearnedState.Traffic(figures[0], figures[1], figures[2], figures[3]);
+    }
+
+    private static double[] encode(LearnedState.EndpointHistory history) {
+        return new double[] {
+            history.startedAt(),
+            history.accomplishment(),
+            history.successCount(),
+            history.failureCount(),
+            history.slowness(),
+            history.ejectionMicros(),
+            history.ejectionCount(),
+            history.probationSuccessesLeft(),
+            history.slowStartTokens(),
+            history.microsSinceSuccess(),
+            history.awaitsFirstRequest() ? 1 : 0
+        };
+    }
+
+    private static LearnedState.EndpointHistory decodeEndpoint(double[] figures) {
+        return new LearnedState.EndpointHistory(
+                (long) figures[0],
+                figures[1],
+                figures[2],
+                figures[3],
+                figures[4],
+                (long) figures[5],
+                (int) figures[6],
+                (int) figures[7],
+                figures[8],
+                (long) figures[9],
+                figures[10] > 0);
+    }
+}
--- /dev/null
+++ b/core/src/main/java/loadbalancer/policy/OpenRequests.java
@@ -0,0 +1,81 @@
+package loadbalancer.policy;
+
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/**
+ * The requests that are owed an answer or have attempts in flight, and their end. A request leaves once its final
+ * answer is given and all of its attempts have ended.
+ */
+final class OpenRequests {
+    private final ActiveSettings settings;
+    private final AdmissionController admission;
+    private final KeySequencer sequencer;
+    private final RetryAfterAdvice retryAfter;
+    private final Map<String, RequestState> requests = new LinkedHashMap<>();
+
+    OpenRequests(
+            ActiveSettings settings,
+            AdmissionController admission,
+            KeySequencer sequencer,
+            RetryAfterAdvice retryAfter) {
+        this.settings = settings;
+        this.admission = admission;
+        this.sequencer = sequencer;
+        this.retryAfter = retryAfter;
+    }
+
+    /** Adds a request that has arrived. */
+    void add(RequestState request) {
+        requests.put(request.id, request);
+    }
+
+    /** The request of that id, or null. */
+    RequestState get(String id) {
+        return requests.get(id);
+    }
+
+    /** All of them, in the order of arrival. */
+    Collection<RequestState> all() {
+        return requests.values();
+    }
+
+    /** Ends an admitted request without success. */
+    void fail(RequestState request, LoadBalancingPolicy.Actions actions) {
+        if (!request.overloaded) {
+            admission.completed();
+        }
+        reject(request, actions);
+    }
+
+    /** Ends a request that is not admitted: refused where the client may try again without harm, else failed. */
+    void reject(RequestState request, LoadBalancingPolicy.Actions actions) {
+        request.closed = true;
+        if (RetrySafetyRule.clientMayRetry(request)) {
+            actions.refuse(request.id, retryAfter.delayMicros(admission.level()));
+        } else {
+            actions.fail(request.id);
+        }
+        release(request);
+    }
+
+    /** Closes a request that is owed nothing more, and cancels its attempts where the site allows it. */
+    void close(RequestState request, LoadBalancingPolicy.Actions actions) {
+        request.closed = true;
+        for (int i = 0; i < request.attempts.size(); i++) {
+            boolean cancellable = request.attempts.get(i).inFlight && !request.streaming;
+            if (cancellable && settings.current().limits().cancellationAllowed()) {
+                actions.cancel(request.id, i);
+            }
+        }
+    }
+
+    /** Forgets the request if it is over. */
+    void release(RequestState request) {
+        if (request.closed && request.attemptsInFlight == 0) {
+            requests.remove(request.id);
+            sequencer.remove(request);
+        }
+    }
+}
--- /dev/null
+++ b/core/src/main/java/loadbalancer/policy/PlacementRule.java
@@ -0,0 +1,18 @@
+package loadbalancer.policy;
+
+/** Rule 6: a request class may be bound to zones and kinds of machine, which holds for every attempt. */
+final class PlacementRule {
+    private PlacementRule() {}
+
+    /** Whether requests of the class may be sent to the endpoint. */
+    static boolean permits(RequestClass requestClass, Endpoint endpoint) {
+        return (requestClass.zones().isEmpty() || requestClass.zones().contains(endpoint.zone()))
+                && (requestClass.machineKinds().isEmpty()
+                        || requestClass.machineKinds().contains(endpoint.kind()));
+    }
+
+    /** Whether requests of the class may be sent to any endpoint. */
+    static boolean permitsAll(RequestClass requestClass) {
+        return requestClass.zones().isEmpty() && requestClass.machineKinds().isEmpty();
+    }
+}
--- /dev/null
+++ b/core/src/main/java/loadbalancer/policy/PolicyComponents.java
@@ -0,0 +1,63 @@
+package loadbalancer.policy;
+
+import java.util.SplittableRandom;
+
+/**
+ * The parts of one {@link JsqDasPolicy}, made and connected. Each part is handed what it depends on; this class is for
+ * those that work on many of them.
+ *
+ * <p>All random choices are drawn from one generator, so that a run can be repeated from its seed. Only the advice to
+ * rejected clients has a generator of its own, lest a rejection changes later selections.
+ */
+final class PolicyComponents {
+    final ActiveSettings settings;
+    final DecayScale scale = new DecayScale();
+    final TrafficCounts traffic = new TrafficCounts();
+    final RetryBudget retryBudget = new RetryBudget();
+    final RateLimitedLog log = new RateLimitedLog();
+    final LatencyTracker latencies;
+    final ClientRetryAge clientRetryAge;
+    final SlowStart slowStart;
+    final EndpointTable endpoints;
+    final QueueLengthEstimator queueLengths;
+    final AccomplishmentRanking ranking;
+    final JsqDasSelector selector;
+    final OutlierDetector outliers;
+    final KeyAffinity keyAffinity;
+    final CandidateSelector candidates;
+    final KeySequencer sequencer;
+    final TenantQuotas quotas;
+    final AdmissionController admission;
+    final RetryPolicy retries;
+    final HedgingPolicy hedging;
+    final RequestQueue queue;
+    final OutcomeRecorder outcomes;
+    final OpenRequests openRequests;
+    final PollSchedule polls;
+
+    PolicyComponents(PolicySettings initialSettings, long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        settings = new ActiveSettings(initialSettings);
+        latencies = new LatencyTracker(settings);
+        clientRetryAge = new ClientRetryAge(settings);
+        slowStart = new SlowStart(settings, scale);
+        endpoints = new EndpointTable(settings, random, slowStart);
+        queueLengths = new QueueLengthEstimator(settings, endpoints, latencies);
+        ranking = new AccomplishmentRanking(scale);
+        selector = new JsqDasSelector(random, queueLengths);
+        outliers = new OutlierDetector(settings, endpoints, latencies, scale, random);
+        keyAffinity = new KeyAffinity(settings, scale);
+        candidates = new CandidateSelector(settings, endpoints, keyAffinity, slowStart, outliers, traffic);
+        sequencer = new KeySequencer(settings);
+        quotas = new TenantQuotas(settings, random);
+        admission = new AdmissionController(
+                settings.tiers().weights(), settings.tiers().lowestWithinQuota(), random);
+        retries = new RetryPolicy(settings, retryBudget);
+        hedging = new HedgingPolicy(settings, latencies, retryBudget);
+        queue = new RequestQueue(settings, latencies);
+        outcomes = new OutcomeRecorder(latencies, ranking, queueLengths, outliers, admission, log);
+        RetryAfterAdvice retryAfter = new RetryAfterAdvice(settings, new SplittableRandom(~seed));
+        openRequests = new OpenRequests(settings, admission, sequencer, retryAfter);
+        polls = new PollSchedule(random);
+    }
+}
--- a/core/src/main/java/loadbalancer/policy/PollSchedule.java
+++ b/core/src/main/java/loadbalancer/policy/PollSchedule.java
@@ -2,13 +2,17 @@
 
 import java.util.SplittableRandom;
 
-/** When a balancer subscribes to discovery again: after calls that failed, and where nothing answers. Times in µs. */
+/**
+ * When a balancer subscribes to discovery again: some time after a call that failed, and where nothing answers. Times
+ * are jittered, so that the balancers of a fleet don't call together.
+ *
+ * <p>The delay doubles up to a bound that leaves room for two of them, with a call between them that fails by waiting
+ * for 2 s, in the 6 s after which a change counts as notified once discovery can be reached again.
+ */
 final class PollSchedule {
-    // After a call that failed, by half as much more or less: a change counts as told 6 s after discovery can be
-    // reached again. Two pauses fit in, and between them a call that fails by waiting for 2 s.
-    private static final long PAUSE_MOST = 1_300_000;
-    private static final long PAUSE_FIRST = 250_000; // after a watch that worked; doubles each time
-    private static final int DOUBLINGS = 4;
+    private static final long MAX_BACKOFF_MICROS = 1_300_000;
+    private static final long INITIAL_BACKOFF_MICROS = 250_000;
+    private static final int MAX_DOUBLINGS = 4;
 
     private final SplittableRandom random;
     private long dueAt = Long.MAX_VALUE;
@@ -19,24 +23,24 @@
     }
 
     /** Whether it is time to subscribe. */
-    boolean due(long now) {
+    boolean isDue(long now) {
         return now >= dueAt;
     }
 
-    /** Subscribed just now; it is due again well within {@code pollIntervalMicros} unless something answers. */
-    void asked(long now, long pollIntervalMicros) {
+    /** Takes that the balancer subscribes: due again well within the interval, unless something answers. */
+    void polled(long now, long pollIntervalMicros) {
         dueAt = now + pollIntervalMicros / 2 + random.nextLong(1 + pollIntervalMicros / 8);
     }
 
-    /** A call failed; returns how many have failed in a row. */
-    int failed(long now, long pollIntervalMicros) {
-        long pause =
-                Math.min(Math.min(pollIntervalMicros / 2, PAUSE_MOST), PAUSE_FIRST << Math.min(DOUBLINGS, failures++));
-        dueAt = Math.min(dueAt, now + pause / 2 + random.nextLong(Math.max(1, pause)));
+    /** Takes a call that failed; returns how many have failed in a row. */
+    int pollFailed(long now, long pollIntervalMicros) {
+        long maxBackoff = Math.min(pollIntervalMicros / 2, MAX_BACKOFF_MICROS);
+        long backoff = Math.min(maxBackoff, INITIAL_BACKOFF_MICROS << Math.min(MAX_DOUBLINGS, failures++));
+        dueAt = Math.min(dueAt, now + backoff / 2 + random.nextLong(Math.max(1, backoff)));
         return failures;
     }
 
-    /** Discovery has answered: nothing is to be asked. */
+    /** Takes an answer of discovery: nothing is due. */
     void answered() {
         failures = 0;
         dueAt = Long.MAX_VALUE;
--- /dev/null
+++ b/core/src/main/java/loadbalancer/policy/TrafficCounts.java
@@ -0,0 +1,43 @@
+package loadbalancer.policy;
+
+/** Decayed counts of the requests that arrive at this balancer, and of attempts that endpoints did not take. */
+final class TrafficCounts {
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    private double arrivals;
+    private double rejectedAttempts;
+
+    /** Counts a request that a client sends for the first time. */
+    void recordArrival() {
+        arrivals++;
+    }
+
+    /** Counts an attempt that was never executed. */
+    void recordRejectedAttempt() {
+        rejectedAttempts++;
+    }
+
+    /** Keeps that part of the counts. */
+    void decay(double retained) {
+        arrivals *= retained;
+        rejectedAttempts *= retained;
+    }
+
+    double arrivals() {
+        return arrivals;
+    }
+
+    double rejectedAttempts() {
+        return rejectedAttempts;
+    }
+
+    double arrivalsPerSecond() {
+        return arrivals / DecayScale.COUNT_DECAY_MICROS * MICROS_PER_SECOND;
+    }
+
+    /** Takes over the counts of a predecessor. */
+    void restore(double formerArrivals, double formerRejectedAttempts) {
+        arrivals = formerArrivals;
+        rejectedAttempts = formerRejectedAttempts;
+    }
+}
--- a/core/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
+++ b/core/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void whatIsWorthLeastIsRefusedFirst() {
+    void theLowestTierIsRejectedFirst() {
         AdmissionController admission = new AdmissionController(new double[] {0.5, 1}, 0.5, new SplittableRandom(1));
         for (int i = 0; i < 400; i++) { // half of each tier, and three quarters can be served
             admission.admits(i % 2);
@@ -142,6 +142,10 @@
         assertTrue(admission.level() > 0.2 && admission.level() <= 1, "level " + admission.level());
     }
 
+    private static double[] figures(AdmissionController admission) {
+        return LearnedStateCodec.encode(admission.learnedState());
+    }
+
     @Test
     void theSuccessorGoesOnAtTheSameLevelUnlessTheTiersDiffer() {
         double[] tiers = {0.1, 1};
@@ -151,11 +155,11 @@
         former.update(10_000, 1, 0);
         AdmissionController next = new AdmissionController(tiers, 1, new SplittableRandom(2));
         next.restore(former.learnedState());
-        assertArrayEquals(former.learnedState(), next.learnedState());
+        assertArrayEquals(figures(former), figures(next));
         AdmissionController other = new AdmissionController(ONE_TIER, 1, new SplittableRandom(2));
-        double[] before = other.learnedState();
+        double[] before = figures(other);
         other.restore(former.learnedState());
-        assertArrayEquals(before, other.learnedState());
+        assertArrayEquals(before, figures(other));
     }
 
     @Test
@@ -165,7 +169,7 @@
             admission.admits(0);
         }
         admission.retier(new double[] {0.1, 0.5, 1}, 0.5);
-        double[] learnedState = admission.learnedState();
+        double[] learnedState = figures(admission);
         assertArrayEquals(new double[] {2, 2, 2}, java.util.Arrays.copyOf(learnedState, 3));
     }
 }
--- a/core/src/test/java/loadbalancer/policy/HashRingTest.java
+++ b/core/src/test/java/loadbalancer/policy/HashRingTest.java
@@ -7,45 +7,44 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import loadbalancer.policy.BalanceState.Node;
 import org.junit.jupiter.api.Test;
 
 class HashRingTest {
     private static final int POINTS = 8;
 
-    private static Node server(String id) {
-        return new Node(new Endpoint(id, EndpointState.UP, 0, 1, -1, -1, 0), 0);
+    private static EndpointStats endpoint(String id) {
+        return new EndpointStats(new Endpoint(id, EndpointState.UP, 0, 1, -1, -1, 0), 0);
     }
 
-    private static List<Node> fleet(HashRing ring, int size) {
-        List<Node> fleet = new ArrayList<>();
+    private static List<EndpointStats> fleet(HashRing ring, int size) {
+        List<EndpointStats> fleet = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-            Node n = server("s" + i);
-            ring.place(n, POINTS);
-            fleet.add(n);
+            EndpointStats endpoint = endpoint("s" + i);
+            ring.place(endpoint, POINTS);
+            fleet.add(endpoint);
         }
         return fleet;
     }
 
     private static String owner(HashRing ring, long key) {
-        return ring.servers()[ring.startOf(key) % ring.servers().length].server.id();
+        return ring.endpoints()[ring.startIndex(key) % ring.endpoints().length].endpoint.id();
     }
 
     @Test
-    void aWalkMeetsEachServerOnceFromAnyPosition() {
+    void aWalkMeetsEachEndpointOnceFromAnyPosition() {
         HashRing ring = new HashRing();
-        List<Node> fleet = fleet(ring, 50);
+        List<EndpointStats> fleet = fleet(ring, 50);
         for (long position : new long[] {Long.MIN_VALUE, -1, 0, Long.MAX_VALUE}) {
-            Node[] walk = ring.onceEachFrom(position);
+            EndpointStats[] walk = ring.uniqueFrom(position);
             assertEquals(fleet.size(), walk.length);
             assertEquals(new HashSet<>(fleet), Set.of(walk));
         }
     }
 
     @Test
-    void whoLeavesTakesItsOwnKeysOnlyAndGetsThemBack() {
+    void anEndpointThatLeavesMovesItsOwnKeysOnlyAndGetsThemBack() {
         HashRing ring = new HashRing();
-        List<Node> fleet = fleet(ring, 50);
+        List<EndpointStats> fleet = fleet(ring, 50);
         List<String> before = new ArrayList<>();
         for (long key = 0; key < 2_000; key++) {
             before.add(owner(ring, key));
@@ -65,10 +64,10 @@
     }
 
     @Test
-    void anEmptyRingHasNoServers() {
+    void anEmptyRingHasNoEndpoints() {
         HashRing ring = new HashRing();
-        assertEquals(0, ring.servers().length);
-        assertEquals(0, ring.onceEachFrom(0).length);
-        assertEquals(0, ring.startOf(5));
+        assertEquals(0, ring.endpoints().length);
+        assertEquals(0, ring.uniqueFrom(0).length);
+        assertEquals(0, ring.startIndex(5));
     }
 }
--- a/core/src/test/java/loadbalancer/policy/LibraryTest.java
+++ b/core/src/test/java/loadbalancer/policy/LibraryTest.java
@@ -8,9 +8,8 @@
 import java.lang.reflect.Field;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.Collection;
 import java.util.List;
-import java.util.Map;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -159,30 +158,39 @@
             assertTrue(sent == null || sent.ended);
         }
         harness.list(EndpointListKind.SNAPSHOT, List.of(new Endpoint("c", EndpointState.UP, 0, 1, 0, 0, 0)));
-        assertEquals(0, size(harness.policy, "open"));
-        assertTrue(size(harness.policy, "nodes") <= 1);
+        assertEquals(0, components(harness.policy).openRequests.all().size());
+        assertTrue(components(harness.policy).endpoints.all().size() <= 1);
     }
 
     @Test
     void theReadmeQuotesLogLinesThatTheModuleWrites() throws IOException {
-        String rules = Files.readString(Path.of("src/main/java/loadbalancer/policy/JsqDasPolicy.java"));
+        String rules = sourcesOfThePolicy();
         String page = Files.readString(Path.of("../README.md"));
         for (String line : List.of(
-                "overload: refusing, level ",
+                "overload: rejecting requests, shed level ",
                 "ejected ",
                 " ms after failures",
                 "recovered ",
                 "discovery failed ",
-                " times, asking again")) {
+                " times, polling again")) {
             assertTrue(rules.contains(line), "the module writes: " + line);
             assertTrue(page.contains(line.strip()), "the README names: " + line);
         }
     }
 
-    private static int size(Object policy, String field) throws ReflectiveOperationException {
-        Field f = policy.getClass().getDeclaredField(field);
-        f.setAccessible(true);
-        Object value = f.get(policy);
-        return value instanceof Map ? ((Map<?, ?>) value).size() : ((Collection<?>) value).size();
+    private static String sourcesOfThePolicy() throws IOException {
+        StringBuilder sources = new StringBuilder();
+        try (Stream<Path> files = Files.list(Path.of("src/main/java/loadbalancer/policy"))) {
+            for (Path file : files.toList()) {
+                sources.append(Files.readString(file));
+            }
+        }
+        return sources.toString();
+    }
+
+    private static PolicyComponents components(Object policy) throws ReflectiveOperationException {
+        Field components = policy.getClass().getDeclaredField("components");
+        components.setAccessible(true);
+        return (PolicyComponents) components.get(policy);
     }
 }
