--- a/balancer/src/test/java/loadbalancer/process/FakeUpstream.java
+++ b/balancer/src/test/java/loadbalancer/process/FakeUpstream.java
@@ -79,10 +79,11 @@
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final AtomicInteger connections = new AtomicInteger();
     private final List<Thread> readers = new CopyOnWriteArrayList<>();
+    private final Thread acceptor;
 
     public FakeUpstream() throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        run(() -> {
+        acceptor = run(() -> {
             while (true) {
                 Socket socket = server.accept();
                 sockets.add(socket);
@@ -96,7 +97,7 @@
         void run() throws IOException;
     }
 
-    private void run(Work work) {
+    private Thread run(Work work) {
         Thread thread = new Thread(() -> {
             try {
                 work.run();
@@ -107,6 +108,7 @@
         thread.setDaemon(true);
         readers.add(thread);
         thread.start();
+        return thread;
     }
 
     private void read(Socket socket, int number) throws IOException {
@@ -160,9 +162,15 @@
         return requests.isEmpty();
     }
 
+    /** Refuses connections from its return on: while a thread is still in accept(), the kernel goes on taking them. */
     @Override
     public void close() throws IOException {
         server.close();
+        try {
+            acceptor.join();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
         for (Socket socket : sockets) {
             socket.close();
         }
