--- a/simulator/src/main/java/loadbalancer/simulator/cli/WreckCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/FaultInjectionCommand.java
@@ -15,8 +15,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
-import loadbalancer.simulator.sockets.WreckServer;
-import loadbalancer.simulator.wreck.Fault;
+import loadbalancer.simulator.faultinjection.StreamFault;
+import loadbalancer.simulator.sockets.FaultInjectionServer;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -40,7 +40,7 @@
             "The control port takes lines: a fault (added, for connections accepted from then on),"
                     + " clear, resume, trace, end."
         })
-final class WreckCommand implements Callable<Integer> {
+final class FaultInjectionCommand implements Callable<Integer> {
     @Option(names = "--target", required = true, paramLabel = "PORT", description = "the server's port on loopback")
     private int target;
 
@@ -53,17 +53,17 @@
     @Option(names = "--script", paramLabel = "FILE")
     private Path script;
 
-    private final List<Fault> faults = new ArrayList<>();
+    private final List<StreamFault> faults = new ArrayList<>();
     private boolean over;
 
     @Override
     public Integer call() throws IOException {
         if (script != null) {
-            faults.addAll(Fault.script(script.getFileName().toString(), Files.readString(script)));
+            faults.addAll(StreamFault.script(script.getFileName().toString(), Files.readString(script)));
         }
         NioEventLoopGroup group = new NioEventLoopGroup(1);
-        WreckServer server =
-                new WreckServer(group.next(), new InetSocketAddress(InetAddress.getLoopbackAddress(), target), faults);
+        FaultInjectionServer server = new FaultInjectionServer(
+                group.next(), new InetSocketAddress(InetAddress.getLoopbackAddress(), target), faults);
         try (ServerSocket calls = new ServerSocket(control, 8, InetAddress.getLoopbackAddress())) {
             System.out.println(
                     "listening on " + server.listen(port).getPort() + ", control on " + calls.getLocalPort());
@@ -79,7 +79,7 @@
         return 0;
     }
 
-    private void serve(Socket s, WreckServer server) throws IOException {
+    private void serve(Socket s, FaultInjectionServer server) throws IOException {
         BufferedReader in = new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.UTF_8));
         PrintWriter out = new PrintWriter(s.getOutputStream(), true, StandardCharsets.UTF_8);
         for (String line = in.readLine(); line != null && !over; line = in.readLine()) {
@@ -91,7 +91,7 @@
                 case "end" -> over = true;
                 default -> {
                     try {
-                        faults.add(Fault.of(line.strip()));
+                        faults.add(StreamFault.of(line.strip()));
                     } catch (IllegalArgumentException e) {
                         out.println("fault: " + e.getMessage());
                         continue;
--- a/simulator/src/main/java/loadbalancer/simulator/cli/ListCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/ListCommand.java
@@ -8,7 +8,7 @@
 import java.util.stream.Stream;
 import loadbalancer.simulator.experiment.Experiment;
 import loadbalancer.simulator.experiment.ExperimentReader;
-import loadbalancer.simulator.judge.Score;
+import loadbalancer.simulator.rules.Score;
 import loadbalancer.simulator.variants.Variants;
 import loadbalancer.simulator.world.Timeline;
 import loadbalancer.toml.Faults;
--- a/simulator/src/main/java/loadbalancer/simulator/cli/Bar.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/ProgressBar.java
@@ -3,7 +3,7 @@
 import loadbalancer.simulator.experiment.Runner;
 
 /** A progress bar, on a terminal only. */
-final class Bar implements Runner.Progress {
+final class ProgressBar implements Runner.Progress {
     private static final int WIDTH = 40;
     private final boolean shown = System.console() != null;
 
--- a/simulator/src/main/java/loadbalancer/simulator/cli/HuntCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/RandomSearchCommand.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.Callable;
 import loadbalancer.simulator.experiment.Experiment;
 import loadbalancer.simulator.experiment.ExperimentReader;
-import loadbalancer.simulator.hunt.ExperimentWriter;
-import loadbalancer.simulator.hunt.Hunt;
+import loadbalancer.simulator.search.ExperimentWriter;
+import loadbalancer.simulator.search.RandomSearch;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -22,7 +22,7 @@
                 + " rule or a collapse that does not end when its cause does. What it finds is shrunk and written as an"
                 + " experiment. Exit code 1 where something was found.",
         footer = {"", "Example:", "  bin/simulator hunt --seed 7 --worlds 200 experiments/booking-day.toml"})
-final class HuntCommand implements Callable<Integer> {
+final class RandomSearchCommand implements Callable<Integer> {
     @Parameters(
             paramLabel = "FILE",
             defaultValue = "experiments/booking-day.toml",
@@ -45,13 +45,13 @@
     public Integer call() throws IOException {
         Experiment e = ExperimentReader.read(file.toPath());
         int many = threads == null ? Runtime.getRuntime().availableProcessors() : threads;
-        Bar bar = new Bar();
-        Hunt hunt = new Hunt(e, seed, many);
+        ProgressBar bar = new ProgressBar();
+        RandomSearch hunt = new RandomSearch(e, seed, many);
         var finds = hunt.search(worlds, bar);
         bar.end();
         System.out.printf(Locale.ROOT, "%d worlds, %d finds%n", worlds, finds.size());
-        for (Hunt.Find f : finds) {
-            Hunt.Find small = hunt.shrink(f);
+        for (RandomSearch.Find f : finds) {
+            RandomSearch.Find small = hunt.shrink(f);
             Files.createDirectories(out.toPath());
             File written = new File(out, "hunt-" + seed + "-" + f.seed() + ".toml");
             Files.writeString(written.toPath(), ExperimentWriter.write(small));
--- a/simulator/src/main/java/loadbalancer/simulator/cli/ReportCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/ReportCommand.java
@@ -63,7 +63,7 @@
         }
         File index = out.resolve("index.html").toFile();
         IndexPage.write(all, index);
-        LabLog.of(ReportCommand.class).info("index written to {}", index);
+        SimulatorLog.of(ReportCommand.class).info("index written to {}", index);
         return all.stream().flatMap(r -> r.verdicts().stream()).allMatch(v -> v.holds()) ? 0 : 1;
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/cli/RunCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/RunCommand.java
@@ -48,7 +48,7 @@
         }
 
         Results play(Experiment e) {
-            Bar bar = new Bar();
+            ProgressBar bar = new ProgressBar();
             Results results = Runner.run(e, threads(), bar);
             bar.end();
             return results;
@@ -80,10 +80,10 @@
         }
         File page = html == null ? new File("simulator/target/reports", e.name() + ".html") : html;
         if (page.getAbsoluteFile().getParentFile().mkdirs()) {
-            LabLog.of(RunCommand.class).debug("made the folder of {}", page);
+            SimulatorLog.of(RunCommand.class).debug("made the folder of {}", page);
         }
         HtmlReport.write(results, page);
-        LabLog.of(RunCommand.class).info("page written to {}", page);
+        SimulatorLog.of(RunCommand.class).info("page written to {}", page);
         return results.verdicts().stream().allMatch(v -> v.holds()) ? 0 : 1;
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/cli/ScaleCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/ScaleCommand.java
@@ -15,12 +15,12 @@
 import loadbalancer.policy.PolicySettings;
 import loadbalancer.simulator.experiment.Experiment;
 import loadbalancer.simulator.experiment.ExperimentReader;
-import loadbalancer.simulator.judge.Day;
-import loadbalancer.simulator.policies.Quiet;
-import loadbalancer.simulator.variants.Metered;
+import loadbalancer.simulator.policies.NoOpActions;
+import loadbalancer.simulator.rules.Day;
+import loadbalancer.simulator.variants.MeteredPolicy;
 import loadbalancer.simulator.variants.Variants;
 import loadbalancer.simulator.variants.Variants.Variant;
-import loadbalancer.simulator.world.PolicyMaker;
+import loadbalancer.simulator.world.PolicyFactory;
 import loadbalancer.simulator.world.Range;
 import loadbalancer.simulator.world.WorldPlan;
 import picocli.CommandLine.Command;
@@ -123,13 +123,13 @@
                 base.classes(),
                 base.tenants(),
                 base.troubles());
-        Metered.Meter meter = new Metered.Meter();
-        PolicyMaker maker = Variants.maker(variant);
+        MeteredPolicy.Meter meter = new MeteredPolicy.Meter();
+        PolicyFactory maker = Variants.maker(variant);
         List<PolicySettings> seen = new ArrayList<>();
         long began = System.nanoTime();
         Day day = Day.play(plan, seed, (settings, s, truth) -> {
             seen.add(settings);
-            return new Metered(maker.make(settings, s, truth), meter, System::nanoTime);
+            return new MeteredPolicy(maker.make(settings, s, truth), meter, System::nanoTime);
         });
         double seconds = (System.nanoTime() - began) / 1e9;
         double requests = day.figures().get("requests");
@@ -157,7 +157,7 @@
     }
 
     // Bytes of a module that knows the fleet and has served for a while.
-    private static double memory(PolicyMaker maker, PolicySettings settings, int upstreams) {
+    private static double memory(PolicyFactory maker, PolicySettings settings, int upstreams) {
         List<Endpoint> fleet = IntStream.range(0, upstreams)
                 .mapToObj(i -> new Endpoint("u" + i, EndpointState.UP, 0, 1, i / 4, i % 2, i % 3))
                 .toList();
@@ -165,7 +165,7 @@
         long before = used();
         for (int m = 0; m < MODULES; m++) {
             LoadBalancingPolicy p = maker.make(settings, m, null);
-            Quiet out = new Quiet();
+            NoOpActions out = new NoOpActions();
             p.endpoints(1, EndpointListKind.CACHED, fleet, out);
             for (int i = 0; i < 2_000; i++) {
                 long now = 1_000 + i * 10_000L;
--- a/simulator/src/main/java/loadbalancer/simulator/cli/Lab.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/SimulatorCommand.java
@@ -13,38 +13,38 @@
         subcommands = {
             DemoCommand.class,
             MatrixCommand.class,
-            WreckCommand.class,
+            FaultInjectionCommand.class,
             FleetCommand.class,
             RunCommand.class,
             CompareCommand.class,
             QueueCommand.class,
-            HuntCommand.class,
+            RandomSearchCommand.class,
             TheoryCommand.class,
             ScaleCommand.class,
             ReportCommand.class,
             ListCommand.class
         },
         description = "Emulates the whole service in simulated time, and compares what a change does.")
-public final class Lab {
+public final class SimulatorCommand {
     @Option(names = "--log-json", scope = ScopeType.INHERIT, description = "Log lines as JSON.")
     private boolean jsonLog;
 
-    private Lab() {}
+    private SimulatorCommand() {}
 
     public static void main(String[] args) {
         System.exit(run(args));
     }
 
     static int run(String... args) {
-        Lab lab = new Lab();
+        SimulatorCommand lab = new SimulatorCommand();
         CommandLine line = new CommandLine(lab);
         line.setExecutionStrategy(parsed -> {
-            LabLog.form(lab.jsonLog);
+            SimulatorLog.form(lab.jsonLog);
             return new CommandLine.RunLast().execute(parsed);
         });
         line.setExecutionExceptionHandler((e, command, parsed) -> {
             if (e instanceof IllegalArgumentException || e instanceof java.io.IOException) {
-                command.getErr().println("lab: " + e.getMessage());
+                command.getErr().println("simulator: " + e.getMessage());
                 return 2;
             }
             throw e;
--- a/simulator/src/main/java/loadbalancer/simulator/cli/LabLog.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/SimulatorLog.java
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory;
 
 /** The laboratory's log, on standard error: plain lines, or JSON lines on request. */
-final class LabLog {
-    private LabLog() {}
+final class SimulatorLog {
+    private SimulatorLog() {}
 
     static Logger of(Class<?> type) {
         return LoggerFactory.getLogger(type);
@@ -26,7 +26,7 @@
             encoder = new JsonEncoder();
         } else {
             PatternLayoutEncoder plain = new PatternLayoutEncoder();
-            plain.setPattern("lab: %msg%n");
+            plain.setPattern("simulator: %msg%n");
             encoder = plain;
         }
         encoder.setContext(context);
--- a/simulator/src/main/java/loadbalancer/simulator/sim/Event.java
+++ b/simulator/src/main/java/loadbalancer/simulator/engine/Event.java
@@ -1,4 +1,4 @@
-package loadbalancer.simulator.sim;
+package loadbalancer.simulator.engine;
 
 /** Something that happens at an instant of simulated time. */
 @FunctionalInterface
--- a/simulator/src/main/java/loadbalancer/simulator/sim/Draws.java
+++ b/simulator/src/main/java/loadbalancer/simulator/engine/RandomStream.java
@@ -1,4 +1,4 @@
-package loadbalancer.simulator.sim;
+package loadbalancer.simulator.engine;
 
 import org.apache.commons.rng.UniformRandomProvider;
 
@@ -6,11 +6,11 @@
  * One stream of random numbers. Transcendental functions come from {@link StrictMath}, so that a seed gives the
  * same draws to the last bit on every machine.
  */
-public final class Draws {
+public final class RandomStream {
     private final UniformRandomProvider source;
     private double spare = Double.NaN;
 
-    Draws(UniformRandomProvider source) {
+    RandomStream(UniformRandomProvider source) {
         this.source = source;
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/sim/Streams.java
+++ b/simulator/src/main/java/loadbalancer/simulator/engine/RandomStreams.java
@@ -1,4 +1,4 @@
-package loadbalancer.simulator.sim;
+package loadbalancer.simulator.engine;
 
 import org.apache.commons.rng.simple.RandomSource;
 
@@ -6,18 +6,18 @@
  * Independent streams of random numbers, one for each party and concern, derived from one seed by name. What one
  * party draws, or how often, leaves every other's draws alone: two variants of an experiment meet the same world.
  */
-public final class Streams {
+public final class RandomStreams {
     private final long seed;
 
-    public Streams(long seed) {
+    public RandomStreams(long seed) {
         this.seed = seed;
     }
 
     /** The stream of a party's concern: the same names give the same numbers. */
-    public Draws of(String party, long number, String concern) {
+    public RandomStream of(String party, long number, String concern) {
         long a = mix(seed ^ hash(party));
         long b = mix(a + number * 0x9e3779b97f4a7c15L) ^ hash(concern);
-        return new Draws(RandomSource.XO_RO_SHI_RO_128_PP.create(new long[] {mix(a ^ b), mix(b + 1)}));
+        return new RandomStream(RandomSource.XO_RO_SHI_RO_128_PP.create(new long[] {mix(a ^ b), mix(b + 1)}));
     }
 
     /** A seed for a party that draws for itself. */
--- a/simulator/src/main/java/loadbalancer/simulator/sim/Simulation.java
+++ b/simulator/src/main/java/loadbalancer/simulator/engine/Simulation.java
@@ -1,4 +1,4 @@
-package loadbalancer.simulator.sim;
+package loadbalancer.simulator.engine;
 
 import java.util.Arrays;
 
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/ExperimentReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/ExperimentReader.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 import loadbalancer.policy.Idempotency;
 import loadbalancer.settings.ProtocolNames;
-import loadbalancer.simulator.judge.Score;
 import loadbalancer.simulator.policies.Choosers;
-import loadbalancer.simulator.variants.FrontSpec;
+import loadbalancer.simulator.rules.Score;
+import loadbalancer.simulator.variants.RoutingSpec;
 import loadbalancer.simulator.variants.Variants;
 import loadbalancer.simulator.variants.Variants.Variant;
 import loadbalancer.simulator.world.Range;
@@ -45,7 +45,7 @@
         List<String> expected = head.texts("expect", List.of());
         head.done();
         WorldPlan plan = plan(root);
-        FrontSpec front = root.has("front") ? FrontReader.read(root.table("front"), plan) : null;
+        RoutingSpec front = root.has("front") ? RoutingReader.read(root.table("front"), plan) : null;
         List<Variant> variants = variants(root, plan, front);
         root.done();
         source.check();
@@ -72,7 +72,7 @@
         return s.has(key) ? range(s, key, measure) : otherwise;
     }
 
-    private static List<Variant> variants(Section root, WorldPlan plan, FrontSpec front) {
+    private static List<Variant> variants(Section root, WorldPlan plan, RoutingSpec front) {
         double fast = plan.kinds().isEmpty() ? 0.5 : plan.kinds().get(0).share().middle();
         List<Variant> all = new ArrayList<>();
         Set<String> names = new HashSet<>();
@@ -94,7 +94,7 @@
                 s.fault("a", "'a' is " + a + ": at most d, which is " + d);
             }
             double share = s.number("fast_share", Measure.SHARE, Math.min(1, fast));
-            FrontSpec.Use use = FrontReader.use(s, front);
+            RoutingSpec.Use use = RoutingReader.use(s, front);
             boolean calm = s.flag("calm", false);
             s.done();
             all.add(new Variant(name, policy, new Choosers.Figures(Math.max(1, d), Math.min(a, d), share), use, calm));
@@ -300,10 +300,10 @@
         return all;
     }
 
-    private static List<WorldPlan.Trouble> troubles(Section root, List<WorldPlan.Kind> ofFleet) {
+    private static List<WorldPlan.Fault> troubles(Section root, List<WorldPlan.Kind> ofFleet) {
         List<String> pools =
                 ofFleet.stream().map(WorldPlan.Kind::pool).distinct().toList();
-        List<WorldPlan.Trouble> all = new ArrayList<>();
+        List<WorldPlan.Fault> all = new ArrayList<>();
         Map<String, String> kinds = Timeline.KINDS;
         for (Section t : root.tables("trouble")) {
             String kind = t.text("kind", null);
@@ -315,7 +315,7 @@
                                         ", ", kinds.keySet().stream().sorted().toList())
                                 + Section.meant(kind, kinds.keySet()));
             }
-            WorldPlan.Trouble trouble = new WorldPlan.Trouble(
+            WorldPlan.Fault trouble = new WorldPlan.Fault(
                     kind,
                     range(t, "at", Measure.TIME),
                     range(t, "length", Measure.TIME, Range.of(1_000_000)),
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/Results.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/Results.java
@@ -4,8 +4,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.simulator.judge.Broken;
-import loadbalancer.simulator.judge.Day;
+import loadbalancer.simulator.rules.Day;
+import loadbalancer.simulator.rules.RuleViolation;
 import loadbalancer.simulator.stats.Interval;
 
 /** What the variants of an experiment came to: for each its days, in the order of the seeds. */
@@ -37,7 +37,7 @@
     }
 
     /** Broken rules of a variant, over all seeds. */
-    public List<Broken> broken(String variant) {
+    public List<RuleViolation> broken(String variant) {
         return days.get(variant).stream().flatMap(d -> d.broken().stream()).toList();
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/FrontReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/RoutingReader.java
@@ -5,31 +5,31 @@
 import java.util.List;
 import java.util.Set;
 import loadbalancer.limits.ConcurrencyLimit;
-import loadbalancer.simulator.variants.FrontSpec;
+import loadbalancer.simulator.variants.RoutingSpec;
 import loadbalancer.simulator.world.WorldPlan;
 import loadbalancer.toml.Section;
 import loadbalancer.toml.Section.Measure;
 
 /** Reads the front of an experiment, and how each variant uses it. */
-final class FrontReader {
+final class RoutingReader {
     private static final Set<String> PARTS = Set.of("quotas", "retries", "limits", "spill", "steps");
     private static final double CEILING = 3;
 
-    private FrontReader() {}
+    private RoutingReader() {}
 
-    static FrontSpec read(Section f, WorldPlan plan) {
+    static RoutingSpec read(Section f, WorldPlan plan) {
         List<String> pools =
                 plan.kinds().stream().map(WorldPlan.Kind::pool).distinct().toList();
         List<String> classes =
                 plan.classes().stream().map(WorldPlan.RequestKind::name).toList();
-        List<FrontSpec.Pool> own = new ArrayList<>();
+        List<RoutingSpec.Pool> own = new ArrayList<>();
         for (Section p : f.tables("pool")) {
             String name = p.text("name", null);
             if (!pools.contains(name)) {
                 p.fault("name", "no [[kind]] is of pool '" + name + "'" + Section.meant(name, pools));
             }
             ConcurrencyLimit.Kind limit = p.has("limit") ? p.word("limit", ConcurrencyLimit.Kind.class, null) : null;
-            own.add(new FrontSpec.Pool(
+            own.add(new RoutingSpec.Pool(
                     name,
                     limit,
                     p.number("start", Measure.NUMBER, 8),
@@ -45,14 +45,14 @@
                 f.fault("pool", "no [[front.pool]] for pool '" + p + "', which a [[kind]] names");
             }
         }
-        List<FrontSpec.Way> routes = new ArrayList<>();
+        List<RoutingSpec.Way> routes = new ArrayList<>();
         for (Section r : f.tables("route")) {
             routes.add(route(r, pools, classes));
         }
         if (routes.isEmpty()) {
             f.fault("route", "no [[front.route]]: one at least is wanted");
         }
-        FrontSpec spec = new FrontSpec(
+        RoutingSpec spec = new RoutingSpec(
                 List.copyOf(own),
                 List.copyOf(routes),
                 f.number("tenant_rate", Measure.NUMBER, 0),
@@ -63,7 +63,7 @@
         return spec;
     }
 
-    private static FrontSpec.Way route(Section r, List<String> pools, List<String> classes) {
+    private static RoutingSpec.Way route(Section r, List<String> pools, List<String> classes) {
         String name = r.text("name", null);
         List<String> to = r.texts("to", List.of());
         List<String> spill = r.texts("spill", List.of());
@@ -90,7 +90,7 @@
         if (weights.size() != to.size()) {
             r.fault("weights", weights.size() + " weights for " + to.size() + " pools");
         }
-        FrontSpec.Way way = new FrontSpec.Way(
+        RoutingSpec.Way way = new RoutingSpec.Way(
                 name,
                 Set.copyOf(only),
                 to,
@@ -123,7 +123,7 @@
     }
 
     /** How a variant uses the experiment's front; null where it doesn't. */
-    static FrontSpec.Use use(Section variant, FrontSpec front) {
+    static RoutingSpec.Use use(Section variant, RoutingSpec front) {
         if (!variant.flag("front", false)) {
             return null;
         }
@@ -142,7 +142,7 @@
         }
         ConcurrencyLimit.Kind limit =
                 variant.has("limit") ? variant.word("limit", ConcurrencyLimit.Kind.class, null) : null;
-        return new FrontSpec.Use(
+        return new RoutingSpec.Use(
                 front,
                 limit,
                 Set.copyOf(without),
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/Runner.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/Runner.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import loadbalancer.simulator.judge.Day;
+import loadbalancer.simulator.rules.Day;
 import loadbalancer.simulator.variants.Variants;
 import loadbalancer.simulator.variants.Variants.Variant;
 
--- a/simulator/src/main/java/loadbalancer/simulator/wreck/Lane.java
+++ b/simulator/src/main/java/loadbalancer/simulator/faultinjection/FaultedStream.java
@@ -1,4 +1,4 @@
-package loadbalancer.simulator.wreck;
+package loadbalancer.simulator.faultinjection;
 
 import java.io.ByteArrayOutputStream;
 import java.util.ArrayList;
@@ -6,13 +6,13 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import loadbalancer.simulator.wreck.Fault.What;
+import loadbalancer.simulator.faultinjection.StreamFault.FaultType;
 
 /**
  * One direction of one connection under its faults: takes bytes, gives what is to be done with them, in order. What it
  * gives depends on the bytes alone, not on the pieces they came in, and so does its trace.
  */
-public final class Lane {
+public final class FaultedStream {
     private static final long GOLDEN = 0x9e3779b97f4a7c15L;
 
     /** What is to be done next. */
@@ -22,31 +22,33 @@
     public record Pass(byte[] bytes) implements Step {}
 
     /** Something to be done before what follows; after all but {@code PAUSE} nothing follows. */
-    public record Do(What what) implements Step {}
+    public record Do(FaultType what) implements Step {}
 
-    private final List<Fault> pending;
+    private final List<StreamFault> pending;
     private final Framing framing;
     private final String name;
     private final List<String> trace = new ArrayList<>();
     private final ByteArrayOutputStream answer = new ByteArrayOutputStream();
-    private final Fault twice;
-    private final Map<Fault, Long> starts = new HashMap<>(); // where faults behind a point that came are due
+    private final StreamFault twice;
+    private final Map<StreamFault, Long> starts = new HashMap<>(); // where faults behind a point that came are due
     private long offset;
     private boolean over;
 
     /** The lane of that connection and direction, under those of the faults that concern it. */
-    public Lane(int connection, boolean up, List<Fault> faults) {
+    public FaultedStream(int connection, boolean up, List<StreamFault> faults) {
         this.name = connection + (up ? " up" : " down");
         this.framing = new Framing(!up);
         this.pending = new ArrayList<>(faults.stream()
                 .filter(f -> f.concerns(connection)
                         && f.up() == up
-                        && f.what().compareTo(What.PIECES) < 0
-                        && f.what() != What.REFUSE
-                        && f.what() != What.MUTE)
+                        && f.what().compareTo(FaultType.PIECES) < 0
+                        && f.what() != FaultType.REFUSE
+                        && f.what() != FaultType.MUTE)
                 .toList());
-        this.twice =
-                pending.stream().filter(f -> f.what() == What.TWICE).findFirst().orElse(null);
+        this.twice = pending.stream()
+                .filter(f -> f.what() == FaultType.TWICE)
+                .findFirst()
+                .orElse(null);
         pending.remove(twice);
     }
 
@@ -74,7 +76,7 @@
                 break;
             }
             Framing.Place place = framing.next(b);
-            for (Fault f : due(place, false)) {
+            for (StreamFault f : due(place, false)) {
                 strike(f, run, steps);
             }
             if (over) {
@@ -90,7 +92,7 @@
                     run.writeBytes(answer.toByteArray());
                 }
             }
-            for (Fault f : due(place, true)) {
+            for (StreamFault f : due(place, true)) {
                 strike(f, run, steps);
             }
         }
@@ -98,10 +100,10 @@
         return steps;
     }
 
-    private List<Fault> due(Framing.Place place, boolean after) {
-        List<Fault> due = new ArrayList<>(1);
-        for (Fault f : pending) {
-            if (f.what() == What.GARBLE) {
+    private List<StreamFault> due(Framing.Place place, boolean after) {
+        List<StreamFault> due = new ArrayList<>(1);
+        for (StreamFault f : pending) {
+            if (f.what() == FaultType.GARBLE) {
                 continue;
             }
             if (f.point() == null) {
@@ -129,7 +131,7 @@
         return due;
     }
 
-    private void strike(Fault f, ByteArrayOutputStream run, List<Step> steps) {
+    private void strike(StreamFault f, ByteArrayOutputStream run, List<Step> steps) {
         if (over) {
             return;
         }
@@ -137,7 +139,7 @@
         flush(run, steps);
         trace.add(name + " " + f.what().name().toLowerCase(Locale.ROOT).replace('_', '-') + " at " + offset);
         steps.add(new Do(f.what()));
-        over = f.what() != What.PAUSE;
+        over = f.what() != FaultType.PAUSE;
     }
 
     private static void flush(ByteArrayOutputStream run, List<Step> steps) {
@@ -148,8 +150,8 @@
     }
 
     private byte garbled(byte b) {
-        for (Fault f : pending) {
-            if (f.what() == What.GARBLE && offset >= f.offset()) {
+        for (StreamFault f : pending) {
+            if (f.what() == FaultType.GARBLE && offset >= f.offset()) {
                 long z = mix(f.seed() * GOLDEN + offset);
                 if ((z >>> 11) * 0x1.0p-53 < f.amount()) {
                     trace.add(name + " garble at " + offset);
--- a/simulator/src/main/java/loadbalancer/simulator/wreck/Framing.java
+++ b/simulator/src/main/java/loadbalancer/simulator/faultinjection/Framing.java
@@ -1,4 +1,4 @@
-package loadbalancer.simulator.wreck;
+package loadbalancer.simulator.faultinjection;
 
 import java.util.Locale;
 
--- a/simulator/src/main/java/loadbalancer/simulator/wreck/Fault.java
+++ b/simulator/src/main/java/loadbalancer/simulator/faultinjection/StreamFault.java
@@ -1,4 +1,4 @@
-package loadbalancer.simulator.wreck;
+package loadbalancer.simulator.faultinjection;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -24,11 +24,11 @@
  * @param amount of what takes one: bytes of a piece, µs of a delay, bytes a second, the share of a garble
  * @param seed of a garble
  */
-public record Fault(
-        int from, int to, boolean up, What what, int message, Point point, long offset, double amount, long seed) {
+public record StreamFault(
+        int from, int to, boolean up, FaultType what, int message, Point point, long offset, double amount, long seed) {
 
     /** What a fault does at its place; all but the last five end the bytes of their direction there. */
-    public enum What {
+    public enum FaultType {
         CUT,
         HALF_CLOSE,
         RESET,
@@ -57,8 +57,8 @@
             + "(?:\\s+at\\s+(?:(?:#(\\d+)\\s+)?([a-z-]+)?([+]?\\d+)?))?");
 
     /** A script: its lines in order, faults as read; {@code #} at the beginning of a word begins a comment. */
-    public static List<Fault> script(String name, String text) {
-        List<Fault> faults = new ArrayList<>();
+    public static List<StreamFault> script(String name, String text) {
+        List<StreamFault> faults = new ArrayList<>();
         List<String> wrong = new ArrayList<>();
         int number = 0;
         for (String raw : text.split("\\R", -1)) {
@@ -84,14 +84,14 @@
      *
      * @throws IllegalArgumentException that says what is wrong
      */
-    public static Fault of(String line) {
+    public static StreamFault of(String line) {
         Matcher m = LINE.matcher(line);
         if (!m.matches()) {
             throw new IllegalArgumentException(
                     "\"" + line + "\" can't be read: such as" + " \"on 2 up cut at body-first+3\"");
         }
-        What what = word(What.class, m.group(3), "fault");
-        boolean whole = what == What.REFUSE || what == What.MUTE;
+        FaultType what = word(FaultType.class, m.group(3), "fault");
+        boolean whole = what == FaultType.REFUSE || what == FaultType.MUTE;
         if (whole != (m.group(2) == null)) {
             throw new IllegalArgumentException("\"" + line + "\": "
                     + (whole
@@ -114,7 +114,7 @@
             throw new IllegalArgumentException("\"" + line + "\": '" + off + "' from which point?");
         }
         long offset = off == null ? 0 : Long.parseLong(off.startsWith("+") ? off.substring(1) : off);
-        return new Fault(
+        return new StreamFault(
                 from,
                 to,
                 "up".equals(m.group(2)),
@@ -126,7 +126,7 @@
                 m.group(6) == null ? 0 : Long.parseLong(m.group(6)));
     }
 
-    private static double amount(String line, What what, String figure, String unit) {
+    private static double amount(String line, FaultType what, String figure, String unit) {
         String wanted =
                 switch (what) {
                     case PIECES -> "bytes of a piece, such as 1";
@@ -155,8 +155,8 @@
         double value = scale == null ? 0 : Double.parseDouble(figure) * scale;
         if (scale == null
                 || value <= 0
-                || what == What.GARBLE && value > 1
-                || what == What.PIECES && value != Math.rint(value)) {
+                || what == FaultType.GARBLE && value > 1
+                || what == FaultType.PIECES && value != Math.rint(value)) {
             throw new IllegalArgumentException("\"" + line + "\": " + wanted + " is wanted");
         }
         return value;
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/Churn.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/Churn.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.stream.IntStream;
-import loadbalancer.simulator.sim.Draws;
-import loadbalancer.simulator.sim.Streams;
+import loadbalancer.simulator.engine.RandomStream;
+import loadbalancer.simulator.engine.RandomStreams;
 
 /**
  * What changes, and when: machines, racks and zones that restart, and configurations that change. The same seed gives
@@ -59,7 +59,7 @@
         begin(due, length, What.RACK, rates.racks());
         begin(due, length, What.ZONE, rates.zones());
         begin(due, length, What.CONFIGURATION, rates.configurations());
-        Draws hints = new Streams(seed).of("churn", 0, "hints");
+        RandomStream hints = new RandomStreams(seed).of("churn", 0, "hints");
         int[] owner = new int[machines.many()]; // the restart that a machine is in; 0: none
         List<Event> events = new ArrayList<>();
         int order = due.size();
@@ -96,7 +96,7 @@
         if (rate <= 0) {
             return;
         }
-        Draws draws = new Streams(seed).of("churn", what.ordinal(), "starts");
+        RandomStream draws = new RandomStreams(seed).of("churn", what.ordinal(), "starts");
         double at = draws.exponential(1e6 / rate);
         for (int n = 0; at < length; n++) {
             int of = draws.below(
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/HollowFleet.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/HollowFleet.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.discovery.EndpointList;
-import loadbalancer.simulator.sim.Streams;
+import loadbalancer.simulator.engine.RandomStreams;
 
 /** Many hollow balancers on a few event loops. Not thread-safe: for the thread of the run. */
 final class HollowFleet implements AutoCloseable {
@@ -59,7 +59,7 @@
                     rank,
                     all,
                     discovery.address(),
-                    new Streams(plan.seed()).seed("hollow", rank),
+                    new RandomStreams(plan.seed()).seed("hollow", rank),
                     i < known.size() ? known.get(i) : NOTHING,
                     tallies.get(loop)));
         }
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/TenantsAxis.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/TenantsAxis.java
@@ -14,7 +14,7 @@
 import loadbalancer.policy.JsqDasPolicy;
 import loadbalancer.policy.PolicySettings;
 import loadbalancer.settings.SettingsReader;
-import loadbalancer.simulator.policies.Quiet;
+import loadbalancer.simulator.policies.NoOpActions;
 
 /**
  * Tenants in the settings and in quotas: what reading them, the module's books and the token buckets keep and cost, and
@@ -58,7 +58,7 @@
         PolicySettings settings = boot(all).settings();
         figures.put("module_heap_per_tenant_bytes", Repeated.retained(() -> new JsqDasPolicy(settings, 1)) / size);
         JsqDasPolicy module = new JsqDasPolicy(settings, 1);
-        Quiet out = new Quiet();
+        NoOpActions out = new NoOpActions();
         module.endpoints(1, EndpointListKind.CACHED, List.of(new Endpoint("a", EndpointState.UP, 0, 1, 0, 0, 0)), out);
         long[] now = {1};
         figures.put(
--- a/simulator/src/main/java/loadbalancer/simulator/policies/Chooser.java
+++ b/simulator/src/main/java/loadbalancer/simulator/policies/Chooser.java
@@ -1,11 +1,11 @@
 package loadbalancer.simulator.policies;
 
-import loadbalancer.simulator.sim.Draws;
+import loadbalancer.simulator.engine.RandomStream;
 
 /** A textbook policy: which server gets the next job. */
 public interface Chooser {
     /** The number of the server; {@code view} holds at least one. */
-    int choose(ServerView view, Draws draws);
+    int choose(ServerView view, RandomStream draws);
 
     /** A job went to that server. */
     default void dispatched(int server) {}
--- a/simulator/src/main/java/loadbalancer/simulator/policies/Choosers.java
+++ b/simulator/src/main/java/loadbalancer/simulator/policies/Choosers.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.stream.IntStream;
-import loadbalancer.simulator.sim.Draws;
+import loadbalancer.simulator.engine.RandomStream;
 
 /** The textbook policies by name. */
 public final class Choosers {
@@ -45,7 +45,7 @@
         private int next;
 
         @Override
-        public int choose(ServerView view, Draws draws) {
+        public int choose(ServerView view, RandomStream draws) {
             next = next >= view.size() ? 0 : next;
             return next++;
         }
@@ -54,7 +54,7 @@
     /** Join the shortest queue of all, or the one of shortest expected delay; ties at random. */
     private record All(boolean delay) implements Chooser {
         @Override
-        public int choose(ServerView view, Draws draws) {
+        public int choose(ServerView view, RandomStream draws) {
             int best = -1;
             double least = 0;
             int ties = 0;
@@ -82,7 +82,7 @@
             }
         }
 
-        int draw(int from, int to, int nth, Draws draws) {
+        int draw(int from, int to, int nth, RandomStream draws) {
             int i = from + nth;
             int j = i + draws.below(to - i);
             int drawn = urn[j];
@@ -104,7 +104,7 @@
         }
 
         @Override
-        public int choose(ServerView view, Draws draws) {
+        public int choose(ServerView view, RandomStream draws) {
             int size = view.size();
             sample.fit(size);
             int best = -1;
@@ -142,7 +142,7 @@
         }
 
         @Override
-        public int choose(ServerView view, Draws draws) {
+        public int choose(ServerView view, RandomStream draws) {
             if (known != view.size()) {
                 known = view.size();
                 fast = IntStream.range(0, known).filter(view::fast).toArray();
@@ -156,7 +156,7 @@
             return best < 0 || other >= 0 && view.queue(other) == 0 ? other : best;
         }
 
-        private static int shortest(int[] servers, int d, Sample sample, ServerView view, Draws draws) {
+        private static int shortest(int[] servers, int d, Sample sample, ServerView view, RandomStream draws) {
             sample.fit(servers.length);
             int best = -1;
             for (int i = 0; i < Math.min(d, servers.length); i++) {
@@ -189,7 +189,7 @@
         }
 
         @Override
-        public int choose(ServerView view, Draws draws) {
+        public int choose(ServerView view, RandomStream draws) {
             int k = view.size();
             if (ranking.size() != k) {
                 ranking.renumber(IntStream.range(0, k).toArray());
--- a/simulator/src/main/java/loadbalancer/simulator/queue/QueueModel.java
+++ b/simulator/src/main/java/loadbalancer/simulator/queue/QueueModel.java
@@ -18,19 +18,19 @@
 import loadbalancer.policy.ServiceObjective;
 import loadbalancer.policy.SiteLimits;
 import loadbalancer.policy.TrafficCosts;
+import loadbalancer.simulator.engine.Event;
+import loadbalancer.simulator.engine.RandomStream;
+import loadbalancer.simulator.engine.RandomStreams;
+import loadbalancer.simulator.engine.Simulation;
 import loadbalancer.simulator.policies.Chooser;
 import loadbalancer.simulator.policies.Choosers;
-import loadbalancer.simulator.policies.Quiet;
+import loadbalancer.simulator.policies.NoOpActions;
 import loadbalancer.simulator.policies.ServerView;
-import loadbalancer.simulator.sim.Draws;
-import loadbalancer.simulator.sim.Event;
-import loadbalancer.simulator.sim.Simulation;
-import loadbalancer.simulator.sim.Streams;
 import loadbalancer.simulator.stats.BatchMeans;
 
 /**
  * The paper's bare model: Poisson arrivals, exponential service, first come first served at each server, one
- * dispatcher that hears of every job. It runs on the same {@link Simulation} and {@link Draws} as the whole
+ * dispatcher that hears of every job. It runs on the same {@link Simulation} and {@link RandomStream} as the whole
  * service, so what theory says of it checks those too. A unit of time is {@value #UNIT} simulated microseconds.
  *
  * <p>Model and policies: Gardner and Stephens, "Smart Dispatching in Heterogeneous Systems", sections 2 to 4.
@@ -93,9 +93,9 @@
 
     private final Setting setting;
     private final Simulation simulation = new Simulation();
-    private final Draws arrivals;
-    private final Draws services;
-    private final Draws choices;
+    private final RandomStream arrivals;
+    private final RandomStream services;
+    private final RandomStream choices;
     private final Server[] servers;
     private final long warmUp;
     private final BatchMeans responses;
@@ -105,7 +105,7 @@
 
     private QueueModel(Setting setting) {
         this.setting = setting;
-        Streams streams = new Streams(setting.seed);
+        RandomStreams streams = new RandomStreams(setting.seed);
         arrivals = streams.of("clients", 0, "arrivals");
         services = streams.of("servers", 0, "service");
         choices = streams.of("dispatcher", 0, "choice");
@@ -284,7 +284,7 @@
     }
 
     /** The program's own module, told of the fleet without kinds or weights and with deadlines out of reach. */
-    private final class ByModule extends Quiet implements Dispatcher {
+    private final class ByModule extends NoOpActions implements Dispatcher {
         private final LoadBalancingPolicy policy;
 
         ByModule(long seed) {
--- a/simulator/src/main/java/loadbalancer/simulator/report/HtmlReport.java
+++ b/simulator/src/main/java/loadbalancer/simulator/report/HtmlReport.java
@@ -12,8 +12,8 @@
 import java.util.stream.IntStream;
 import loadbalancer.simulator.experiment.Expectation;
 import loadbalancer.simulator.experiment.Results;
-import loadbalancer.simulator.judge.Broken;
-import loadbalancer.simulator.judge.Score;
+import loadbalancer.simulator.rules.RuleViolation;
+import loadbalancer.simulator.rules.Score;
 import loadbalancer.simulator.stats.Interval;
 import loadbalancer.simulator.world.Timeline;
 import org.knowm.xchart.VectorGraphicsEncoder;
@@ -161,7 +161,7 @@
     }
 
     private String spells(int seed) {
-        List<Timeline.Spell> spells = series(variants.get(0), seed).spells();
+        List<Timeline.FaultInterval> spells = series(variants.get(0), seed).spells();
         return spells.isEmpty()
                 ? "nothing goes wrong"
                 : String.join(
@@ -185,7 +185,7 @@
         }
         double height = Double.isNaN(top) ? Math.max(1, most * 1.05) : top;
         int shade = 0;
-        for (Timeline.Spell s : series(variants.get(0), seed).spells()) {
+        for (Timeline.FaultInterval s : series(variants.get(0), seed).spells()) {
             double from = s.from() / 1e6;
             double to = Math.max(from + 0.1, s.to() / 1e6);
             var area = chart.addSeries(
@@ -326,12 +326,12 @@
     }
 
     private void rules(String variant) {
-        List<Broken> broken = results.broken(variant);
+        List<RuleViolation> broken = results.broken(variant);
         if (broken.isEmpty()) {
             return;
         }
         page.append("<h2>Rules that ").append(text(variant)).append(" broke</h2><pre>");
-        for (Broken b : broken.subList(0, Math.min(20, broken.size()))) {
+        for (RuleViolation b : broken.subList(0, Math.min(20, broken.size()))) {
             page.append(text(String.format(
                     Locale.ROOT, "%s at %.6f s: %s: %s%n", b.rule(), b.at() / 1e6, b.subject(), b.what())));
             b.chain().forEach(step -> page.append("    ").append(text(step)).append('\n'));
--- a/simulator/src/main/java/loadbalancer/simulator/report/JsonReport.java
+++ b/simulator/src/main/java/loadbalancer/simulator/report/JsonReport.java
@@ -11,9 +11,9 @@
 import java.util.stream.LongStream;
 import loadbalancer.simulator.experiment.Expectation;
 import loadbalancer.simulator.experiment.Results;
-import loadbalancer.simulator.judge.Broken;
-import loadbalancer.simulator.judge.Day;
-import loadbalancer.simulator.judge.Score;
+import loadbalancer.simulator.rules.Day;
+import loadbalancer.simulator.rules.RuleViolation;
+import loadbalancer.simulator.rules.Score;
 import loadbalancer.simulator.stats.Interval;
 
 /** Results as JSON: nothing in it depends on the machine, the time of day or the number of threads. */
@@ -54,7 +54,7 @@
                 series(days.addObject(), day.series());
             }
             ArrayNode broken = node.putArray("broken");
-            for (Broken b : r.broken(v)) {
+            for (RuleViolation b : r.broken(v)) {
                 ObjectNode entry = broken.addObject()
                         .put("rule", b.rule().name())
                         .put("at_us", b.at())
--- a/simulator/src/main/java/loadbalancer/simulator/report/Table.java
+++ b/simulator/src/main/java/loadbalancer/simulator/report/Table.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import loadbalancer.simulator.experiment.Expectation;
 import loadbalancer.simulator.experiment.Results;
-import loadbalancer.simulator.judge.Broken;
+import loadbalancer.simulator.rules.RuleViolation;
 import loadbalancer.simulator.stats.Interval;
 
 /** Results as lines for a terminal. */
@@ -59,13 +59,13 @@
     }
 
     private static void broken(String variant, Results r, StringBuilder out) {
-        List<Broken> broken = r.broken(variant);
+        List<RuleViolation> broken = r.broken(variant);
         double all = java.util.Arrays.stream(r.values(variant, "rules.broken")).sum();
         if (broken.isEmpty()) {
             return;
         }
         out.append(String.format(Locale.ROOT, "%n%n%s broke rules %.0f times; the first:", variant, all));
-        for (Broken b : broken.subList(0, Math.min(CHAINS, broken.size()))) {
+        for (RuleViolation b : broken.subList(0, Math.min(CHAINS, broken.size()))) {
             out.append(String.format(
                     Locale.ROOT, "%n  %s at %.6f s: %s: %s", b.rule(), b.at() / 1e6, b.subject(), b.what()));
             b.chain().forEach(step -> out.append("\n      ").append(step));
--- a/simulator/src/main/java/loadbalancer/simulator/judge/Day.java
+++ b/simulator/src/main/java/loadbalancer/simulator/rules/Day.java
@@ -1,8 +1,8 @@
-package loadbalancer.simulator.judge;
+package loadbalancer.simulator.rules;
 
 import java.util.List;
 import java.util.Map;
-import loadbalancer.simulator.world.PolicyMaker;
+import loadbalancer.simulator.world.PolicyFactory;
 import loadbalancer.simulator.world.World;
 import loadbalancer.simulator.world.WorldPlan;
 
@@ -10,16 +10,16 @@
 public record Day(
         long seed,
         Map<String, Double> figures,
-        List<Broken> broken,
+        List<RuleViolation> broken,
         Score.Series series,
         List<String> remarks,
         double seconds) {
 
     /** Draws the world of {@code seed} and plays its day. */
-    public static Day play(WorldPlan plan, long seed, PolicyMaker maker) {
+    public static Day play(WorldPlan plan, long seed, PolicyFactory maker) {
         long began = System.nanoTime();
         Score score = new Score(plan);
-        Judge judge = new Judge(plan, score);
+        RuleChecker judge = new RuleChecker(plan, score);
         World world = new World(plan, seed, maker, judge);
         world.everySecond(() -> score.sample(world.held()));
         World.Costs costs = world.run();
--- a/simulator/src/main/java/loadbalancer/simulator/judge/Judge.java
+++ b/simulator/src/main/java/loadbalancer/simulator/rules/RuleChecker.java
@@ -1,4 +1,4 @@
-package loadbalancer.simulator.judge;
+package loadbalancer.simulator.rules;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -12,19 +12,19 @@
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
 import loadbalancer.policy.Idempotency;
-import loadbalancer.simulator.judge.Broken.Rule;
+import loadbalancer.simulator.rules.RuleViolation.Rule;
 import loadbalancer.simulator.world.Attempt;
 import loadbalancer.simulator.world.Balancer;
+import loadbalancer.simulator.world.BalancerRequest;
 import loadbalancer.simulator.world.ClientRequest;
 import loadbalancer.simulator.world.Clients;
 import loadbalancer.simulator.world.Observer;
-import loadbalancer.simulator.world.Taken;
 import loadbalancer.simulator.world.Upstream;
 import loadbalancer.simulator.world.World;
 import loadbalancer.simulator.world.WorldPlan;
 
 /** Holds every event of a day against the rules. It sees all of them, not samples. */
-public final class Judge implements Observer {
+public final class RuleChecker implements Observer {
     private static final int MOST = 100;
     private static final double TOLD_PART = 2 / 3.0;
 
@@ -37,17 +37,17 @@
 
     private final WorldPlan plan;
     private final Score score;
-    private final List<Broken> broken = new ArrayList<>();
+    private final List<RuleViolation> broken = new ArrayList<>();
     private final Map<Balancer, Map<String, Told>> told = new HashMap<>();
     private long count;
 
-    public Judge(WorldPlan plan, Score score) {
+    public RuleChecker(WorldPlan plan, Score score) {
         this.plan = plan;
         this.score = score;
     }
 
     /** Broken rules, the first hundred of them. */
-    public List<Broken> broken() {
+    public List<RuleViolation> broken() {
         return broken;
     }
 
@@ -56,16 +56,16 @@
         return count;
     }
 
-    private void breach(Rule rule, long now, String subject, String what, Taken t) {
+    private void breach(Rule rule, long now, String subject, String what, BalancerRequest t) {
         count++;
         if (broken.size() < MOST) {
             List<String> chain = new ArrayList<>();
             if (t != null) {
-                for (Taken.Step s : t.steps()) {
+                for (BalancerRequest.Step s : t.steps()) {
                     chain.add(time(s.at()) + " " + s.what());
                 }
             }
-            broken.add(new Broken(rule, now - World.began(), subject, what, List.copyOf(chain)));
+            broken.add(new RuleViolation(rule, now - World.began(), subject, what, List.copyOf(chain)));
         }
     }
 
@@ -74,13 +74,13 @@
     }
 
     @Override
-    public void taken(Taken request, long now) {
+    public void taken(BalancerRequest request, long now) {
         score.taken(now);
     }
 
     @Override
     public void sending(Attempt a, long now) {
-        Taken t = a.taken();
+        BalancerRequest t = a.taken();
         score.sent(
                 a.target(),
                 t.attempts().size(),
@@ -121,7 +121,7 @@
     }
 
     @Override
-    public void answered(Taken t, Clients.End end, long retryAfter, long now) {
+    public void answered(BalancerRequest t, Clients.End end, long retryAfter, long now) {
         score.answered(end, now);
         score.answerMargin(t.deadline() + plan.rules().responseSlackMicros() - now);
         boolean unsafe = plan.classes().get(t.client().kind()).effect() == Idempotency.NON_IDEMPOTENT;
@@ -134,12 +134,12 @@
     }
 
     @Override
-    public void answeredTwice(Taken t, Clients.End end, long now) {
+    public void answeredTwice(BalancerRequest t, Clients.End end, long now) {
         breach(Rule.ANSWERED_TWICE, now, t.id(), end + " after its final answer", t);
     }
 
     @Override
-    public void overdue(Taken t, long now) {
+    public void overdue(BalancerRequest t, long now) {
         breach(Rule.LOST, now, t.id(), "no final answer in time", t);
     }
 
@@ -199,7 +199,7 @@
     }
 
     @Override
-    public void malformed(Balancer b, String what, Taken request, long now) {
+    public void malformed(Balancer b, String what, BalancerRequest request, long now) {
         breach(Rule.MALFORMED, now, request == null ? "balancer " + b.rank() : request.id(), what, request);
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/judge/Score.java
+++ b/simulator/src/main/java/loadbalancer/simulator/rules/Score.java
@@ -1,4 +1,4 @@
-package loadbalancer.simulator.judge;
+package loadbalancer.simulator.rules;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -65,7 +65,7 @@
             List<int[]> held,
             List<String> upstreams,
             Map<String, Long> sentTo,
-            List<Timeline.Spell> spells,
+            List<Timeline.FaultInterval> spells,
             List<double[]> percentiles) {}
 
     public Score(WorldPlan plan) {
@@ -206,7 +206,7 @@
     }
 
     /** All figures of the day by name; shares from 0 to 1, times in the unit that the name ends with. */
-    Map<String, Double> figures(World.Costs costs, long brokenRules, List<Timeline.Spell> spells) {
+    Map<String, Double> figures(World.Costs costs, long brokenRules, List<Timeline.FaultInterval> spells) {
         Map<String, Double> f = new LinkedHashMap<>();
         double allAsked = sum(asked, 0, seconds);
         double whole = ratio(sum(got, 0, seconds), allAsked);
@@ -274,12 +274,12 @@
     }
 
     // While troubles last, or over the whole day where there are none: work served in time, of what the fleet can do.
-    private double goodput(List<Timeline.Spell> spells, double capacity) {
+    private double goodput(List<Timeline.FaultInterval> spells, double capacity) {
         int[] span = span(spells);
         return sum(done, span[0], span[1]) / (Math.max(1, span[1] - span[0]) * capacity * SECOND);
     }
 
-    private double leastGoodput(List<Timeline.Spell> spells, double capacity) {
+    private double leastGoodput(List<Timeline.FaultInterval> spells, double capacity) {
         int[] span = span(spells);
         double least = Double.MAX_VALUE;
         for (int i = span[0]; i + 5 <= span[1]; i++) {
@@ -288,9 +288,10 @@
         return least == Double.MAX_VALUE ? goodput(spells, capacity) : least;
     }
 
-    private int[] span(List<Timeline.Spell> spells) {
-        long first = spells.stream().mapToLong(Timeline.Spell::from).min().orElse(0);
-        long last = spells.stream().mapToLong(Timeline.Spell::to).max().orElse(seconds * SECOND);
+    private int[] span(List<Timeline.FaultInterval> spells) {
+        long first =
+                spells.stream().mapToLong(Timeline.FaultInterval::from).min().orElse(0);
+        long last = spells.stream().mapToLong(Timeline.FaultInterval::to).max().orElse(seconds * SECOND);
         return new int[] {(int) Math.min(seconds, first / SECOND), (int) Math.min(seconds, last / SECOND)};
     }
 
@@ -313,12 +314,13 @@
     }
 
     // From the end of the last trouble until two seconds running are back near the level of before the first.
-    private double recovery(List<Timeline.Spell> spells) {
+    private double recovery(List<Timeline.FaultInterval> spells) {
         if (spells.isEmpty()) {
             return 0;
         }
-        long first = spells.stream().mapToLong(Timeline.Spell::from).min().getAsLong();
-        long last = spells.stream().mapToLong(Timeline.Spell::to).max().getAsLong();
+        long first =
+                spells.stream().mapToLong(Timeline.FaultInterval::from).min().getAsLong();
+        long last = spells.stream().mapToLong(Timeline.FaultInterval::to).max().getAsLong();
         int before = (int) Math.max(1, Math.min(seconds, first / SECOND));
         double level = BACK * ratio(sum(got, 0, before), sum(asked, 0, before));
         int from = (int) Math.min(seconds, last / SECOND);
--- a/simulator/src/main/java/loadbalancer/simulator/hunt/ExperimentWriter.java
+++ b/simulator/src/main/java/loadbalancer/simulator/search/ExperimentWriter.java
@@ -1,4 +1,4 @@
-package loadbalancer.simulator.hunt;
+package loadbalancer.simulator.search;
 
 import java.util.Locale;
 import java.util.stream.Collectors;
@@ -13,11 +13,11 @@
     private ExperimentWriter() {}
 
     /** The text of the file. */
-    public static String write(Hunt.Find find) {
+    public static String write(RandomSearch.Find find) {
         return new ExperimentWriter().text(find);
     }
 
-    private String text(Hunt.Find find) {
+    private String text(RandomSearch.Find find) {
         WorldPlan p = find.plan();
         out.append("# Found by a hunt: ").append(find.what()).append("\n");
         head("experiment");
@@ -153,7 +153,7 @@
         text("effect", ProtocolNames.of(k.effect()));
     }
 
-    private void trouble(WorldPlan.Trouble t) {
+    private void trouble(WorldPlan.Fault t) {
         head("[trouble]");
         text("kind", t.kind());
         time("at", t.at());
--- a/simulator/src/main/java/loadbalancer/simulator/hunt/Hunt.java
+++ b/simulator/src/main/java/loadbalancer/simulator/search/RandomSearch.java
@@ -1,4 +1,4 @@
-package loadbalancer.simulator.hunt;
+package loadbalancer.simulator.search;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,24 +6,24 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
+import loadbalancer.simulator.engine.RandomStream;
+import loadbalancer.simulator.engine.RandomStreams;
 import loadbalancer.simulator.experiment.Experiment;
 import loadbalancer.simulator.experiment.Runner;
-import loadbalancer.simulator.judge.Day;
-import loadbalancer.simulator.sim.Draws;
-import loadbalancer.simulator.sim.Streams;
+import loadbalancer.simulator.rules.Day;
 import loadbalancer.simulator.variants.Variants;
 import loadbalancer.simulator.variants.Variants.Variant;
-import loadbalancer.simulator.world.PolicyMaker;
+import loadbalancer.simulator.world.PolicyFactory;
 import loadbalancer.simulator.world.Range;
 import loadbalancer.simulator.world.Timeline;
 import loadbalancer.simulator.world.WorldPlan;
-import loadbalancer.simulator.world.WorldPlan.Trouble;
+import loadbalancer.simulator.world.WorldPlan.Fault;
 
 /**
  * Draws worlds with random troubles, plays them, and keeps those in which a rule breaks or a collapse stays when
  * its cause has gone. A find is shrunk by delta debugging (Zeller): whatever can go without losing it goes.
  */
-public final class Hunt {
+public final class RandomSearch {
     private static final long SECOND = 1_000_000;
     private static final int TROUBLES = 5;
     private static final long CALM = 12 * SECOND; // after the last trouble, to recover in
@@ -35,14 +35,14 @@
     public record Find(long seed, WorldPlan plan, Variant variant, String what, int runs) {}
 
     private final Experiment experiment;
-    private final Streams streams;
+    private final RandomStreams streams;
     private final int threads;
     private final Variant variant;
-    private final PolicyMaker maker;
+    private final PolicyFactory maker;
 
-    public Hunt(Experiment experiment, long seed, int threads) {
+    public RandomSearch(Experiment experiment, long seed, int threads) {
         this.experiment = experiment;
-        this.streams = new Streams(seed);
+        this.streams = new RandomStreams(seed);
         this.threads = threads;
         this.variant = experiment.variants().get(0);
         this.maker = Variants.maker(variant);
@@ -81,16 +81,16 @@
         }
     }
 
-    private WorldPlan draw(Draws draws) {
+    private WorldPlan draw(RandomStream draws) {
         List<String> kinds = Timeline.KINDS.keySet().stream().sorted().toList();
         long length = Math.max(experiment.plan().length(), 30 * SECOND);
         int many = 1 + draws.below(TROUBLES);
-        List<Trouble> troubles = new ArrayList<>();
+        List<Fault> troubles = new ArrayList<>();
         for (int i = 0; i < many; i++) {
             String kind = kinds.get(draws.below(kinds.size()));
             double at = draws.between(3 * SECOND, (length - CALM) / 2.0);
             double last = Math.min(draws.between(SECOND, 12 * SECOND), length - CALM - at);
-            troubles.add(new Trouble(
+            troubles.add(new Fault(
                     kind,
                     Range.of(Math.rint(at)),
                     Range.of(Math.rint(Math.max(SECOND, last))),
@@ -192,7 +192,7 @@
     private static List<WorldPlan> steps(WorldPlan plan) {
         List<WorldPlan> all = new ArrayList<>();
         for (int i = 0; i < plan.troubles().size() && plan.troubles().size() > 1; i++) {
-            List<Trouble> fewer = new ArrayList<>(plan.troubles());
+            List<Fault> fewer = new ArrayList<>(plan.troubles());
             fewer.remove(i);
             all.add(plan.with(fewer));
         }
@@ -210,12 +210,12 @@
             all.add(plan.lasting(Math.round((end + CALM) / SECOND) * SECOND));
         }
         for (int i = 0; i < plan.troubles().size(); i++) {
-            Trouble t = plan.troubles().get(i);
+            Fault t = plan.troubles().get(i);
             if (t.length().most() >= 2 * SECOND) {
-                List<Trouble> shorter = new ArrayList<>(plan.troubles());
+                List<Fault> shorter = new ArrayList<>(plan.troubles());
                 shorter.set(
                         i,
-                        new Trouble(
+                        new Fault(
                                 t.kind(),
                                 t.at(),
                                 Range.of(Math.rint(t.length().most() / 2)),
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/DemoPage.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/DemoPage.java
@@ -92,7 +92,7 @@
             line.append(String.format(Locale.ROOT, "%.1f,%.1f ", WIDTH * (i + 0.5) / seconds, y));
         }
         StringBuilder shades = new StringBuilder();
-        for (WorldPlan.Trouble t : plan.troubles()) {
+        for (WorldPlan.Fault t : plan.troubles()) {
             double from = t.at().middle() / plan.length() * WIDTH;
             double wide = Math.max(2, t.length().middle() / plan.length() * WIDTH);
             shades.append(String.format(
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/Exchange.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/Exchange.java
@@ -47,11 +47,11 @@
             }
             some = true;
             in.reset();
-            String head = Box.head(in);
+            String head = StandInEndpoint.head(in);
             if (head == null) {
                 return new Exchange(0, "partial", 0, since(began));
             }
-            String length = Box.header(head, "content-length");
+            String length = StandInEndpoint.header(head, "content-length");
             if (!head.matches("(?s)HTTP/1\\.1 \\d{3} .*") || length != null && !length.matches("\\d{1,9}")) {
                 return new Exchange(0, "garbled", 0, since(began));
             }
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/WreckServer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/FaultInjectionServer.java
@@ -24,15 +24,15 @@
 import java.util.List;
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.simulator.wreck.Fault;
-import loadbalancer.simulator.wreck.Fault.What;
-import loadbalancer.simulator.wreck.Lane;
+import loadbalancer.simulator.faultinjection.FaultedStream;
+import loadbalancer.simulator.faultinjection.StreamFault;
+import loadbalancer.simulator.faultinjection.StreamFault.FaultType;
 
 /**
  * Stands between clients and a server, and does to their connections what a script says. One event loop; connections
  * are counted from 1 in the order in which they are accepted. All state is the loop's.
  */
-public final class WreckServer {
+public final class FaultInjectionServer {
     private static final long PIECE_GAP = 200; // µs between pieces, so that each is a packet of its own
     private static final int HELD_MOST = 1 << 20; // bytes of one direction that may wait here
 
@@ -40,12 +40,12 @@
     private final InetSocketAddress target;
     private final TreeMap<Integer, Pair> pairs = new TreeMap<>();
     private final List<String> refused = new ArrayList<>();
-    private List<Fault> script;
+    private List<StreamFault> script;
     private final List<Channel> listeners = new ArrayList<>();
     private int accepted;
 
     /** Before that server, under those faults. */
-    public WreckServer(EventLoop loop, InetSocketAddress target, List<Fault> script) {
+    public FaultInjectionServer(EventLoop loop, InetSocketAddress target, List<StreamFault> script) {
         this.loop = loop;
         this.target = target;
         this.script = List.copyOf(script);
@@ -95,7 +95,7 @@
     }
 
     /** Another script, for connections accepted from here on. */
-    public void script(List<Fault> next) {
+    public void script(List<StreamFault> next) {
         loop.submit(() -> {
                     script = List.copyOf(next);
                 })
@@ -159,14 +159,14 @@
 
     private void opened(Channel client) {
         int number = ++accepted;
-        for (Fault f : script) {
-            if (f.concerns(number) && f.what() == What.REFUSE) {
+        for (StreamFault f : script) {
+            if (f.concerns(number) && f.what() == FaultType.REFUSE) {
                 refused.add(number + " refuse");
                 client.config().setOption(ChannelOption.SO_LINGER, 0);
                 client.close();
                 return;
             }
-            if (f.concerns(number) && f.what() == What.MUTE) {
+            if (f.concerns(number) && f.what() == FaultType.MUTE) {
                 refused.add(number + " mute"); // accepted, never read, never answered
                 return;
             }
@@ -174,10 +174,10 @@
         pairs.put(number, new Pair(number, client));
     }
 
-    private static double amount(List<Fault> script, int connection, boolean up, What what) {
+    private static double amount(List<StreamFault> script, int connection, boolean up, FaultType what) {
         return script.stream()
                 .filter(f -> f.concerns(connection) && f.up() == up && f.what() == what)
-                .mapToDouble(Fault::amount)
+                .mapToDouble(StreamFault::amount)
                 .findFirst()
                 .orElse(0);
     }
@@ -237,7 +237,7 @@
 
         /** One direction: what its lane gives goes out in order, each after what is due before it. */
         private final class Way {
-            private final Lane lane;
+            private final FaultedStream lane;
             private final int pieces;
             private final double delay;
             private final double rate;
@@ -251,18 +251,18 @@
             private int held;
 
             Way(int number, boolean isUp) {
-                lane = new Lane(number, isUp, script);
-                pieces = (int) amount(script, number, isUp, What.PIECES);
-                delay = amount(script, number, isUp, What.DELAY);
-                rate = amount(script, number, isUp, What.RATE);
+                lane = new FaultedStream(number, isUp, script);
+                pieces = (int) amount(script, number, isUp, FaultType.PIECES);
+                delay = amount(script, number, isUp, FaultType.DELAY);
+                rate = amount(script, number, isUp, FaultType.RATE);
             }
 
             void came(byte[] bytes) {
-                for (Lane.Step s : lane.take(bytes)) {
-                    if (s instanceof Lane.Pass p) {
+                for (FaultedStream.Step s : lane.take(bytes)) {
+                    if (s instanceof FaultedStream.Pass p) {
                         pass(p.bytes());
                     } else {
-                        What what = ((Lane.Do) s).what();
+                        FaultType what = ((FaultedStream.Do) s).what();
                         later(0, () -> strike(what));
                     }
                 }
@@ -324,7 +324,7 @@
                 go();
             }
 
-            private void strike(What what) {
+            private void strike(FaultType what) {
                 switch (what) {
                     case CUT -> cut();
                     case RESET -> reset();
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/KillMatrix.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/KillMatrix.java
@@ -15,9 +15,9 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import loadbalancer.simulator.wreck.Fault;
-import loadbalancer.simulator.wreck.Fault.Point;
-import loadbalancer.simulator.wreck.Fault.What;
+import loadbalancer.simulator.faultinjection.StreamFault;
+import loadbalancer.simulator.faultinjection.StreamFault.FaultType;
+import loadbalancer.simulator.faultinjection.StreamFault.Point;
 
 /**
  * Breaks the connection of one request after another at every byte, on the side of the client or of the upstream, and
@@ -34,12 +34,13 @@
     }
 
     /** One cell: a request of a class, broken in a way at a byte; {@code offset} -1 after the last byte. */
-    public record Case(String kind, Side side, What what, long offset) {}
+    public record Case(String kind, Side side, FaultType what, long offset) {}
 
     /** What came of it; {@code wrong} is null where every rule held. */
     public record Result(Case of, boolean struck, int ran, Exchange client, String wrong) {}
 
-    private static final List<What> FAULTS = List.of(What.CUT, What.HALF_CLOSE, What.RESET, What.SILENCE);
+    private static final List<FaultType> FAULTS =
+            List.of(FaultType.CUT, FaultType.HALF_CLOSE, FaultType.RESET, FaultType.SILENCE);
     private static final int IDS = 8;
     private static final int DEADLINE_MS = 400;
     private static final int SLACK_MS = 20;
@@ -120,7 +121,7 @@
         for (String kind : List.of("seat-lookup", "book-seat")) {
             Map<Side, Long> lengths = w.lengths(kind);
             for (Side side : Side.values()) {
-                for (What what : FAULTS) {
+                for (FaultType what : FAULTS) {
                     // The rest of the sample's step is spread over the faults: together they see more offsets.
                     long from = every == 1 ? 0 : FAULTS.indexOf(what) * every / FAULTS.size();
                     for (long at = from; at < lengths.get(side); at += every) {
@@ -149,10 +150,11 @@
 
     private final class Worker implements AutoCloseable {
         private final NioEventLoopGroup group = new NioEventLoopGroup(1);
-        private final Box box = new Box(head -> Box.ok("{\"booked\":true,\"at\":\"17B\"}"));
-        private final WreckServer before = new WreckServer(group.next(), box.address(), List.of());
+        private final StandInEndpoint box =
+                new StandInEndpoint(head -> StandInEndpoint.ok("{\"booked\":true,\"at\":\"17B\"}"));
+        private final FaultInjectionServer before = new FaultInjectionServer(group.next(), box.address(), List.of());
         private final BalancerProcess balancer;
-        private final WreckServer front;
+        private final FaultInjectionServer front;
         private final InetSocketAddress entry;
 
         Worker() throws IOException {
@@ -161,7 +163,7 @@
                 upstreams.put("box-" + i, before.listen(0));
             }
             balancer = new BalancerProcess(jar, upstreams);
-            front = new WreckServer(group.next(), balancer.address(), List.of());
+            front = new FaultInjectionServer(group.next(), balancer.address(), List.of());
             entry = front.listen(0);
             for (int i = 0; i < 4 * IDS; i++) {
                 calm();
@@ -172,7 +174,7 @@
             Exchange.of(entry, request("seat-lookup", id()), PATIENCE_MS);
         }
 
-        private WreckServer server(Side side) {
+        private FaultInjectionServer server(Side side) {
             return side == Side.CLIENT_UP || side == Side.CLIENT_DOWN ? front : before;
         }
 
@@ -208,7 +210,7 @@
         }
 
         Played play(Case c) {
-            WreckServer server = server(c.side);
+            FaultInjectionServer server = server(c.side);
             Exchange seen = null;
             String id = null;
             boolean struck = false;
@@ -218,7 +220,7 @@
                 }
                 int number = server.connections() + 1;
                 server.forget(number);
-                server.script(List.of(new Fault(
+                server.script(List.of(new StreamFault(
                         number,
                         number,
                         up(c.side),
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/Load.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/Load.java
@@ -28,8 +28,8 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.policy.Idempotency;
-import loadbalancer.simulator.sim.Draws;
-import loadbalancer.simulator.sim.Streams;
+import loadbalancer.simulator.engine.RandomStream;
+import loadbalancer.simulator.engine.RandomStreams;
 import loadbalancer.simulator.world.WorldPlan;
 import org.HdrHistogram.Histogram;
 
@@ -76,7 +76,7 @@
     private final Histogram[] latencies;
     private final List<Outcome> outcomes = new ArrayList<>();
     private final Map<Integer, Long> statuses = new TreeMap<>();
-    private final Draws draws;
+    private final RandomStream draws;
     private final CountDownLatch over = new CountDownLatch(1);
     private final long began = System.nanoTime();
     private double next;
@@ -88,7 +88,7 @@
     public Load(Plan plan, List<WorldPlan.RequestKind> kinds) {
         this.plan = plan;
         this.kinds = kinds;
-        this.draws = new Streams(plan.seed).of("load", 0, "arrivals");
+        this.draws = new RandomStreams(plan.seed).of("load", 0, "arrivals");
         plan.balancers.forEach(b -> idle.add(new ArrayDeque<>()));
         latencies = kinds.stream().map(k -> new Histogram(LONGEST, 3)).toArray(Histogram[]::new);
     }
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/Box.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/StandInEndpoint.java
@@ -19,7 +19,7 @@
  * A stand-in upstream with a ledger: runs each request whose last byte has come, once for each time it comes, and ends
  * the connection behind its answer. A request that breaks off never runs.
  */
-public final class Box implements Closeable {
+public final class StandInEndpoint implements Closeable {
     private static final int BACKLOG = 512;
 
     private final ServerSocket listener;
@@ -28,7 +28,7 @@
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
 
     /** {@code answers}: the bytes of an answer to a request's head, whole with their own head. */
-    public Box(Function<String, byte[]> answers) throws IOException {
+    public StandInEndpoint(Function<String, byte[]> answers) throws IOException {
         this.answers = answers;
         listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         daemon(() -> {
--- a/simulator/src/main/java/loadbalancer/simulator/variants/Metered.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/MeteredPolicy.java
@@ -9,7 +9,7 @@
 import loadbalancer.policy.LoadReport;
 
 /** A module with a meter: how long its calls took, by a clock that the caller brings. */
-public final class Metered implements LoadBalancingPolicy {
+public final class MeteredPolicy implements LoadBalancingPolicy {
     /** What the calls of all modules that share it took, in ns. */
     public static final class Meter {
         private long decisions;
@@ -41,7 +41,7 @@
     private final Meter meter;
     private final LongSupplier clock;
 
-    public Metered(LoadBalancingPolicy policy, Meter meter, LongSupplier clock) {
+    public MeteredPolicy(LoadBalancingPolicy policy, Meter meter, LongSupplier clock) {
         this.policy = policy;
         this.meter = meter;
         this.clock = clock;
--- a/simulator/src/main/java/loadbalancer/simulator/variants/FrontedPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
@@ -18,13 +18,13 @@
 import loadbalancer.router.RequestRouter;
 import loadbalancer.router.RequestRouter.End;
 import loadbalancer.routes.Route;
-import loadbalancer.simulator.sim.Draws;
+import loadbalancer.simulator.engine.RandomStream;
 
 /**
  * A front before several pools, each with a module of its own, played as one module: what the balancer does on
  * sockets. The kind of an upstream tells its pool. One module, the first pool's, speaks with discovery; all hear.
  */
-final class FrontedPolicy implements LoadBalancingPolicy {
+final class RoutedPolicy implements LoadBalancingPolicy {
     /** What the world's numbers stand for. */
     record Names(List<String> classes, List<String> tenants, List<String> kindPools, List<Double> worths) {}
 
@@ -41,10 +41,10 @@
 
     private static final String[] ROOT = {""};
 
-    private final FrontSpec.Use use;
+    private final RoutingSpec.Use use;
     private final PolicySettings settings;
     private final Names names;
-    private final Draws draws;
+    private final RandomStream draws;
     private final long begin;
     private final Map<String, LoadBalancingPolicy> modules = new LinkedHashMap<>();
     private final Map<String, Map<String, EndpointState>> states = new HashMap<>();
@@ -57,11 +57,11 @@
     private Actions out;
     private long time;
 
-    FrontedPolicy(
-            FrontSpec.Use use,
+    RoutedPolicy(
+            RoutingSpec.Use use,
             PolicySettings settings,
             Names names,
-            Draws draws,
+            RandomStream draws,
             long begin,
             Function<String, LoadBalancingPolicy> module) {
         this.use = use;
@@ -69,7 +69,7 @@
         this.names = names;
         this.draws = draws;
         this.begin = begin;
-        for (FrontSpec.Pool p : use.spec().pools()) {
+        for (RoutingSpec.Pool p : use.spec().pools()) {
             modules.put(p.name(), module.apply(p.name()));
             states.put(p.name(), new HashMap<>());
         }
--- a/simulator/src/main/java/loadbalancer/simulator/variants/FrontSpec.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/RoutingSpec.java
@@ -21,7 +21,7 @@
  * @param siteRate of all together, as a multiple of all allowances
  * @param reserve as {@link RoutingConfig} has it
  */
-public record FrontSpec(
+public record RoutingSpec(
         List<Pool> pools, List<Way> routes, double tenantRate, double tenantCeiling, double siteRate, double reserve) {
 
     /** A pool: its limit's kind (null: none) and, for each upstream, where the limit begins, its floor and its cap. */
@@ -59,7 +59,7 @@
      *     {@code toldMore} more
      */
     public record Use(
-            FrontSpec spec, ConcurrencyLimit.Kind limit, Set<String> without, double toldTimes, int toldMore) {}
+            RoutingSpec spec, ConcurrencyLimit.Kind limit, Set<String> without, double toldTimes, int toldMore) {}
 
     private static final long RETRY_WINDOW = 10_000_000;
     private static final long ADVICE_LEAST = 50_000;
--- a/simulator/src/main/java/loadbalancer/simulator/variants/TextbookPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/TextbookPolicy.java
@@ -15,10 +15,10 @@
 import loadbalancer.policy.LoadReport;
 import loadbalancer.policy.PolicySettings;
 import loadbalancer.policy.SafetyBounds;
+import loadbalancer.simulator.engine.RandomStream;
 import loadbalancer.simulator.policies.Chooser;
 import loadbalancer.simulator.policies.ServerView;
-import loadbalancer.simulator.sim.Draws;
-import loadbalancer.simulator.world.Truth;
+import loadbalancer.simulator.world.GroundTruth;
 
 /**
  * A textbook policy made into a whole module: the chooser picks among the listed servers by this balancer's own
@@ -53,8 +53,8 @@
 
     private final PolicySettings settings;
     private final Chooser chooser;
-    private final Draws draws;
-    private final Truth truth;
+    private final RandomStream draws;
+    private final GroundTruth truth;
     private final Map<String, Server> servers = new LinkedHashMap<>();
     private final Map<String, Open> open = new HashMap<>();
     private List<Server> up = List.of();
@@ -62,7 +62,7 @@
     private long askAt = Long.MAX_VALUE;
     private boolean waking;
 
-    TextbookPolicy(PolicySettings settings, Chooser chooser, Draws draws, Truth truth) {
+    TextbookPolicy(PolicySettings settings, Chooser chooser, RandomStream draws, GroundTruth truth) {
         this.settings = settings;
         this.chooser = chooser;
         this.draws = draws;
--- a/simulator/src/main/java/loadbalancer/simulator/variants/Variants.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/Variants.java
@@ -3,13 +3,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import loadbalancer.policy.JsqDasPolicy;
+import loadbalancer.simulator.engine.RandomStream;
+import loadbalancer.simulator.engine.RandomStreams;
 import loadbalancer.simulator.policies.Chooser;
 import loadbalancer.simulator.policies.Choosers;
 import loadbalancer.simulator.policies.ServerView;
-import loadbalancer.simulator.sim.Draws;
-import loadbalancer.simulator.sim.Streams;
-import loadbalancer.simulator.world.PolicyMaker;
-import loadbalancer.simulator.world.Truth;
+import loadbalancer.simulator.world.GroundTruth;
+import loadbalancer.simulator.world.PolicyFactory;
 import loadbalancer.simulator.world.World;
 import loadbalancer.simulator.world.WorldPlan;
 
@@ -28,7 +28,7 @@
      * @param front what stands before the pools, and how this variant uses it; null: nothing, and all is one pool
      * @param calm it is played without the troubles: what they cost is the difference to it
      */
-    public record Variant(String name, String policy, Choosers.Figures figures, FrontSpec.Use front, boolean calm) {
+    public record Variant(String name, String policy, Choosers.Figures figures, RoutingSpec.Use front, boolean calm) {
         /** A variant without a front, under all troubles. */
         public Variant(String name, String policy, Choosers.Figures figures) {
             this(name, policy, figures, null, false);
@@ -49,7 +49,7 @@
      *
      * @throws IllegalArgumentException for a policy that there isn't
      */
-    public static PolicyMaker maker(Variant v) {
+    public static PolicyFactory maker(Variant v) {
         if (v.policy.equals(OWN)) {
             return (settings, seed, truth) -> new JsqDasPolicy(settings, seed);
         }
@@ -57,7 +57,7 @@
             throw new IllegalArgumentException("no policy '" + v.policy + "'");
         }
         return (settings, seed, truth) -> {
-            Draws draws = new Streams(seed).of("policy", 0, "choice");
+            RandomStream draws = new RandomStreams(seed).of("policy", 0, "choice");
             Seer seer = new Seer(truth, settings.zone());
             Chooser chooser = v.policy.equals(SEER)
                     ? seer
@@ -69,12 +69,12 @@
     }
 
     /** The same for worlds of that plan, with the variant's front where it has one. */
-    public static PolicyMaker maker(Variant v, WorldPlan plan) {
-        PolicyMaker inner = maker(v);
+    public static PolicyFactory maker(Variant v, WorldPlan plan) {
+        PolicyFactory inner = maker(v);
         if (v.front == null) {
             return inner;
         }
-        FrontedPolicy.Names names = new FrontedPolicy.Names(
+        RoutedPolicy.Names names = new RoutedPolicy.Names(
                 plan.classes().stream().map(WorldPlan.RequestKind::name).toList(),
                 plan.tenants().stream().map(WorldPlan.Tenant::name).toList(),
                 plan.kinds().stream().map(WorldPlan.Kind::pool).toList(),
@@ -82,8 +82,8 @@
                         .map(WorldPlan.RequestKind::priorityWeight)
                         .toList());
         return (settings, seed, truth) -> {
-            Streams streams = new Streams(seed);
-            return new FrontedPolicy(
+            RandomStreams streams = new RandomStreams(seed);
+            return new RoutedPolicy(
                     v.front,
                     settings,
                     names,
@@ -95,11 +95,11 @@
 
     /** Sends to where the answer would come first, given the true state. */
     private static final class Seer implements Chooser {
-        private final Truth truth;
+        private final GroundTruth truth;
         private final int zone;
         private TextbookPolicy policy;
 
-        Seer(Truth truth, int zone) {
+        Seer(GroundTruth truth, int zone) {
             this.truth = truth;
             this.zone = zone;
         }
@@ -109,7 +109,7 @@
         }
 
         @Override
-        public int choose(ServerView view, Draws draws) {
+        public int choose(ServerView view, RandomStream draws) {
             int best = -1;
             double least = 0;
             int from = draws.below(view.size());
--- a/simulator/src/main/java/loadbalancer/simulator/world/Attempt.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Attempt.java
@@ -1,11 +1,11 @@
 package loadbalancer.simulator.world;
 
 import loadbalancer.policy.AttemptOutcome;
-import loadbalancer.simulator.sim.Simulation;
+import loadbalancer.simulator.engine.Simulation;
 
 /** One send of a request to an upstream. */
 public final class Attempt {
-    private final Taken taken;
+    private final BalancerRequest taken;
     private final int number;
     private final long sentAt;
     private final String target;
@@ -15,7 +15,7 @@
     private boolean out = true;
     private boolean mayHaveRun = true;
 
-    Attempt(Taken taken, int number, String target, Upstream upstream, long sentAt) {
+    Attempt(BalancerRequest taken, int number, String target, Upstream upstream, long sentAt) {
         this.taken = taken;
         this.number = number;
         this.target = target;
@@ -25,7 +25,7 @@
     }
 
     /** The request that it is for. */
-    public Taken taken() {
+    public BalancerRequest taken() {
         return taken;
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
@@ -21,19 +21,19 @@
     final int rank;
     final int zone;
     final int incarnation;
-    final Register.Subscriber subscriber;
+    final SimulatedDiscovery.Subscriber subscriber;
     private final World world;
     private final LoadBalancingPolicy policy;
-    private final Map<String, Taken> taken = new HashMap<>();
-    private final Map<Upstream, Links> links = new HashMap<>();
+    private final Map<String, BalancerRequest> taken = new HashMap<>();
+    private final Map<Upstream, IdleConnections> links = new HashMap<>();
     private final Map<String, Endpoint> list = new HashMap<>();
     private final Map<String, EndpointState> outByOperators = new HashMap<>();
     // The latest that are over: a second answer to one of these is told from one to what never was.
-    private final Map<String, Taken> over = new LinkedHashMap<>() {
+    private final Map<String, BalancerRequest> over = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Taken> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<String, BalancerRequest> eldest) {
             return size() > REMEMBERED;
         }
     };
@@ -45,7 +45,7 @@
         this.zone = zone;
         this.incarnation = incarnation;
         this.policy = policy;
-        this.subscriber = new Register.Subscriber(this);
+        this.subscriber = new SimulatedDiscovery.Subscriber(this);
     }
 
     /** Its number among all, from 0. */
@@ -121,7 +121,7 @@
         policy.endpoints(now, EndpointListKind.LOCAL_OVERRIDE, List.of(laid), this);
     }
 
-    void take(Taken t, long patience, boolean marked, long now) {
+    void take(BalancerRequest t, long patience, boolean marked, long now) {
         taken.put(t.id(), t);
         world.judge.taken(t, now);
         t.overdue = world.simulation.timer(
@@ -139,7 +139,7 @@
                 this);
     }
 
-    private void overdue(Taken t, long now) {
+    private void overdue(BalancerRequest t, long now) {
         if (alive && !t.answered && !t.gone) {
             world.judge.overdue(t, now);
             t.gone = true;
@@ -149,7 +149,7 @@
         }
     }
 
-    void clientLeft(Taken t, long now) {
+    void clientLeft(BalancerRequest t, long now) {
         if (alive && !t.answered && !t.gone) {
             t.gone = true;
             t.step(now, "the client left");
@@ -164,7 +164,7 @@
         if (!alive || !a.out()) {
             return;
         }
-        Taken t = a.taken();
+        BalancerRequest t = a.taken();
         if (a.timeout != null) {
             a.timeout.cancel();
         }
@@ -175,7 +175,7 @@
         boolean keeps =
                 outcome == AttemptOutcome.OK || outcome == AttemptOutcome.ERROR || outcome == AttemptOutcome.FULL;
         if (keeps && a.upstream.alive()) {
-            links.computeIfAbsent(a.upstream, u -> new Links()).rest(now);
+            links.computeIfAbsent(a.upstream, u -> new IdleConnections()).rest(now);
         } else if (outcome != AttemptOutcome.NOT_SENT && outcome != AttemptOutcome.CONNECT_FAILED) {
             a.upstream.connected(-1);
         }
@@ -186,14 +186,14 @@
         forget(t);
     }
 
-    private void forget(Taken t) {
+    private void forget(BalancerRequest t) {
         if ((t.answered || t.gone) && t.out == 0) {
             taken.remove(t.id());
             over.put(t.id(), t);
         }
     }
 
-    private void answer(Taken t, Clients.End end, long retryAfter, long now) {
+    private void answer(BalancerRequest t, Clients.End end, long retryAfter, long now) {
         t.answered = true;
         t.overdue.cancel();
         t.step(now, "answered " + end);
@@ -205,7 +205,7 @@
     void die(long now) {
         alive = false;
         subscriber.end();
-        for (Taken t : List.copyOf(taken.values())) {
+        for (BalancerRequest t : List.copyOf(taken.values())) {
             for (Attempt a : t.attempts) {
                 if (a.out()) {
                     if (a.timeout != null) {
@@ -242,7 +242,7 @@
     @Override
     public void send(String request, String server, long timeout) {
         long now = world.simulation.now();
-        Taken t = taken.get(request);
+        BalancerRequest t = taken.get(request);
         Upstream u = world.at(server);
         if (t == null || u == null || !list.containsKey(server)) {
             world.judge.malformed(
@@ -270,7 +270,7 @@
             u.abandon(a);
             outcome(a, AttemptOutcome.TIMEOUT, at);
         });
-        Links l = links.computeIfAbsent(u, x -> new Links());
+        IdleConnections l = links.computeIfAbsent(u, x -> new IdleConnections());
         boolean fresh = !l.take(u, now, world.plan.fleet().idle());
         world.carry(a, fresh, now);
     }
@@ -287,7 +287,7 @@
 
     private void close(String request, Clients.End end, long retryAfter) {
         long now = world.simulation.now();
-        Taken t = taken.getOrDefault(request, over.get(request));
+        BalancerRequest t = taken.getOrDefault(request, over.get(request));
         if (t == null) {
             world.judge.malformed(this, end + " of " + request + ": no such request was taken", null, now);
             return;
@@ -302,7 +302,7 @@
 
     @Override
     public void cancel(String request, int attempt) {
-        Taken t = taken.get(request);
+        BalancerRequest t = taken.get(request);
         if (t == null || attempt < 0 || attempt >= t.attempts.size()) {
             world.judge.malformed(
                     this, "cancel of " + request + "/" + attempt + ": never sent", t, world.simulation.now());
@@ -346,7 +346,7 @@
     @Override
     public void closeIdle(String server) {
         Upstream u = world.at(server);
-        Links l = u == null ? null : links.get(u);
+        IdleConnections l = u == null ? null : links.get(u);
         if (l != null) {
             l.closeAll(u);
         }
--- a/simulator/src/main/java/loadbalancer/simulator/world/Taken.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/BalancerRequest.java
@@ -2,10 +2,10 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.simulator.sim.Simulation;
+import loadbalancer.simulator.engine.Simulation;
 
 /** A client's try, as a balancer holds it: it owes exactly one final answer by the deadline. */
-public final class Taken {
+public final class BalancerRequest {
     /** Something that happened to it, for the chain of events that a broken rule shows. */
     public record Step(long at, String what) {}
 
@@ -22,7 +22,7 @@
     boolean gone;
     Simulation.Timer overdue;
 
-    Taken(String id, long serial, ClientRequest client, Balancer balancer, long takenAt, long deadline) {
+    BalancerRequest(String id, long serial, ClientRequest client, Balancer balancer, long takenAt, long deadline) {
         this.id = id;
         this.serial = serial;
         this.client = client;
--- a/simulator/src/main/java/loadbalancer/simulator/world/Clients.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Clients.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import java.util.List;
 import loadbalancer.policy.Idempotency;
-import loadbalancer.simulator.sim.Draws;
+import loadbalancer.simulator.engine.RandomStream;
 
 /** Clients: open-loop arrivals, keys, tenants, tries given up, retries; and the front that spreads them. */
 public final class Clients {
@@ -25,12 +25,12 @@
 
     private final World world;
     private final WorldPlan plan;
-    private final Draws arrivals;
-    private final Draws kinds;
-    private final Draws tenantDraws;
-    private final Draws zones;
-    private final Draws keys;
-    private final Draws works;
+    private final RandomStream arrivals;
+    private final RandomStream kinds;
+    private final RandomStream tenantDraws;
+    private final RandomStream zones;
+    private final RandomStream keys;
+    private final RandomStream works;
     private final double rate; // mean first tries per µs
     private final double swing;
     private final double[] kindShares;
@@ -58,7 +58,7 @@
     private long open;
     private double exact;
 
-    Clients(World world, Draws figures) {
+    Clients(World world, RandomStream figures) {
         this.world = world;
         this.plan = world.plan;
         this.length = plan.length();
@@ -198,7 +198,7 @@
         }
     }
 
-    private void flooding(int tenant, double more, long until, Draws own) {
+    private void flooding(int tenant, double more, long until, RandomStream own) {
         long at = world.simulation.now() + Math.max(1, Math.round(own.exponential(1 / more)));
         if (at < until && at - world.begin < length) {
             world.simulation.at(at, now -> {
@@ -212,7 +212,8 @@
         arrive(now, -1, kinds, zones, keys, works);
     }
 
-    private void arrive(long now, int whose, Draws ofKind, Draws ofZone, Draws ofKey, Draws ofWork) {
+    private void arrive(
+            long now, int whose, RandomStream ofKind, RandomStream ofZone, RandomStream ofKey, RandomStream ofWork) {
         int kind = drawn(kindShares, ofKind.uniform());
         int tenant = whose >= 0 ? whose : drawn(tenantShares, tenantDraws.uniform());
         int zone = drawn(zoneShares, ofZone.uniform());
@@ -263,7 +264,7 @@
         }
         int tryNumber = r.tries++;
         long serial = r.number * 16 + Math.min(15, tryNumber);
-        BalancerSlot slot = world.front(r.zone, Chance.uniform(world.chanceSeed, serial, 1));
+        BalancerSlot slot = world.front(r.zone, IndexedRandom.uniform(world.chanceSeed, serial, 1));
         long there = slot == null ? 0 : world.network.client(serial, 0);
         world.simulation.after(there, at -> {
             Balancer b = slot == null ? null : slot.serving();
@@ -275,10 +276,10 @@
                 ended(r, End.SILENT, 0, at, serial);
                 return;
             }
-            Taken t = new Taken("r" + r.number + "." + tryNumber, serial, r, b, at, now + patience);
+            BalancerRequest t = new BalancerRequest("r" + r.number + "." + tryNumber, serial, r, b, at, now + patience);
             b.take(t, patience - there, plan.clients().marksRetry() && tryNumber > 0, at);
-            if (!t.answered && Chance.uniform(world.chanceSeed, serial, 2) < impatient) {
-                double part = Chance.uniform(world.chanceSeed, serial, 3);
+            if (!t.answered && IndexedRandom.uniform(world.chanceSeed, serial, 2) < impatient) {
+                double part = IndexedRandom.uniform(world.chanceSeed, serial, 3);
                 world.simulation.after(Math.round(part * patience), leaves -> {
                     if (!t.answered && !t.gone && b.alive()) {
                         b.clientLeft(t, leaves);
@@ -290,7 +291,7 @@
     }
 
     /** A try has ended at its balancer; the client hears of it after its way back. */
-    void tryEnded(Taken t, End end, long retryAfter, long now) {
+    void tryEnded(BalancerRequest t, End end, long retryAfter, long now) {
         ended(t.client(), end, retryAfter, now + world.network.client(t.serial, 1), t.serial);
     }
 
@@ -304,8 +305,8 @@
                 return;
             }
             double mean = backoff * (1L << Math.min(MAX_BACKOFF_DOUBLINGS, r.tries - 1));
-            double wait = hasty ? 1_000 : mean * Chance.exponential(world.chanceSeed, serial, 4);
-            if (retryAfter > 0 && !hasty && Chance.uniform(world.chanceSeed, serial, 5) < honour) {
+            double wait = hasty ? 1_000 : mean * IndexedRandom.exponential(world.chanceSeed, serial, 4);
+            if (retryAfter > 0 && !hasty && IndexedRandom.uniform(world.chanceSeed, serial, 5) < honour) {
                 wait = Math.max(wait, Math.min(retryAfter, plan.rules().maxRetryAfterMicros()));
             }
             if (now + wait >= r.deadline) {
--- a/simulator/src/main/java/loadbalancer/simulator/world/Truth.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/GroundTruth.java
@@ -1,7 +1,7 @@
 package loadbalancer.simulator.world;
 
 /** What no real balancer can see: for the policy that others are measured against. */
-public interface Truth {
+public interface GroundTruth {
     /**
      * Time until an answer to an average request sent to that upstream now, in µs; infinite where none would come.
      *
--- a/simulator/src/main/java/loadbalancer/simulator/world/Links.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/IdleConnections.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /** A balancer's connections at rest to one upstream, the latest used on top. */
-final class Links {
+final class IdleConnections {
     private long[] since = new long[4];
     private int idle;
 
--- a/simulator/src/main/java/loadbalancer/simulator/world/Chance.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/IndexedRandom.java
@@ -5,8 +5,8 @@
  * draws depends on decisions (retries, attempts, messages), a stream would give two variants different fates for
  * one request; this gives the same.
  */
-final class Chance {
-    private Chance() {}
+final class IndexedRandom {
+    private IndexedRandom() {}
 
     /** Uniform in [0, 1). */
     static double uniform(long seed, long number, long concern) {
--- a/simulator/src/main/java/loadbalancer/simulator/world/LiveFleet.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/LiveFleet.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.policy.Endpoint;
-import loadbalancer.simulator.sim.Draws;
+import loadbalancer.simulator.engine.RandomStream;
 
 /**
  * The upstreams of a world with its timeline, played by somebody else's clock: what answers behind real sockets is the
@@ -22,7 +22,7 @@
     private static final long FAR = 1L << 50;
 
     private final World world;
-    private final Draws works;
+    private final RandomStream works;
 
     /** Draws the world of {@code seed}; {@code replies} hears of each request's end. */
     public LiveFleet(WorldPlan plan, long seed, Replies replies) {
@@ -32,7 +32,7 @@
                 (settings, s, truth) -> {
                     throw new IllegalStateException("a live fleet has no balancers");
                 },
-                new Unobserved());
+                new NoOpObserver());
         world.slots.clear();
         world.outside = (a, outcome) -> replies.ended(a.taken().serial, outcome);
         works = world.streams.of("live", 0, "work");
@@ -104,7 +104,7 @@
                 };
         long now = world.simulation.now();
         ClientRequest c = new ClientRequest(request, kind, 0, 0, key, work, now, now + FAR, false);
-        Taken t = new Taken(Long.toString(request), request, c, null, now, now + FAR);
+        BalancerRequest t = new BalancerRequest(Long.toString(request), request, c, null, now, now + FAR);
         Attempt a = new Attempt(t, 0, u.id, u, now);
         u.accept(a, fresh, now);
     }
@@ -115,7 +115,7 @@
     }
 
     /** The day's troubles as they were drawn. */
-    public List<Timeline.Spell> spells() {
+    public List<Timeline.FaultInterval> spells() {
         return world.spells();
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/world/Network.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Network.java
@@ -1,6 +1,6 @@
 package loadbalancer.simulator.world;
 
-import loadbalancer.simulator.sim.Draws;
+import loadbalancer.simulator.engine.RandomStream;
 
 /** Delays between zones, loss, and partitions one way or both. */
 final class Network {
@@ -15,7 +15,7 @@
     private double loss;
     private double stretch = 1;
 
-    Network(WorldPlan plan, Draws draws, long seed) {
+    Network(WorldPlan plan, RandomStream draws, long seed) {
         int zones = plan.zones().size();
         this.seed = seed;
         delay = new long[zones][zones];
@@ -69,11 +69,11 @@
     }
 
     private long spread(long base, long message, int path) {
-        double late = jitter * Chance.exponential(seed, message, 3L * path);
+        double late = jitter * IndexedRandom.exponential(seed, message, 3L * path);
         long time = Math.round(base * stretch * (1 - jitter / 2 + late));
         if (loss > 0) {
             int tries = 0;
-            while (tries < 4 && Chance.uniform(seed, message, 3L * path + 1 + 100L * tries) < loss) {
+            while (tries < 4 && IndexedRandom.uniform(seed, message, 3L * path + 1 + 100L * tries) < loss) {
                 time += RESEND << tries++;
             }
         }
--- a/simulator/src/main/java/loadbalancer/simulator/world/Unobserved.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/NoOpObserver.java
@@ -6,9 +6,9 @@
 import loadbalancer.policy.EndpointListKind;
 
 /** Hears of everything and keeps nothing: for worlds that are judged by somebody else. */
-class Unobserved implements Observer {
+class NoOpObserver implements Observer {
     @Override
-    public void taken(Taken request, long now) {}
+    public void taken(BalancerRequest request, long now) {}
 
     @Override
     public void sending(Attempt attempt, long now) {}
@@ -17,13 +17,13 @@
     public void outcome(Attempt attempt, AttemptOutcome outcome, long now) {}
 
     @Override
-    public void answered(Taken request, Clients.End end, long retryAfter, long now) {}
+    public void answered(BalancerRequest request, Clients.End end, long retryAfter, long now) {}
 
     @Override
-    public void answeredTwice(Taken request, Clients.End end, long now) {}
+    public void answeredTwice(BalancerRequest request, Clients.End end, long now) {}
 
     @Override
-    public void overdue(Taken request, long now) {}
+    public void overdue(BalancerRequest request, long now) {}
 
     @Override
     public void told(Balancer balancer, EndpointListKind kind, List<Endpoint> servers, long now) {}
@@ -40,7 +40,7 @@
     public void pressed(Upstream upstream, double part, long now) {}
 
     @Override
-    public void malformed(Balancer balancer, String what, Taken request, long now) {}
+    public void malformed(Balancer balancer, String what, BalancerRequest request, long now) {}
 
     @Override
     public void asked(ClientRequest request, long now) {}
--- a/simulator/src/main/java/loadbalancer/simulator/world/Observer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Observer.java
@@ -8,7 +8,7 @@
 /** Hears of every event of a world as it happens: whoever judges or measures. It changes nothing. */
 public interface Observer {
     /** A balancer has taken a request: it owes one final answer. */
-    void taken(Taken request, long now);
+    void taken(BalancerRequest request, long now);
 
     /** A module asks for an attempt; it isn't among the request's attempts yet. */
     void sending(Attempt attempt, long now);
@@ -17,13 +17,13 @@
     void outcome(Attempt attempt, AttemptOutcome outcome, long now);
 
     /** A request has had its final answer. */
-    void answered(Taken request, Clients.End end, long retryAfter, long now);
+    void answered(BalancerRequest request, Clients.End end, long retryAfter, long now);
 
     /** A module gives a second final answer. */
-    void answeredTwice(Taken request, Clients.End end, long now);
+    void answeredTwice(BalancerRequest request, Clients.End end, long now);
 
     /** The time for a final answer is over and there was none. */
-    void overdue(Taken request, long now);
+    void overdue(BalancerRequest request, long now);
 
     /** A balancer has been told of upstreams. */
     void told(Balancer balancer, EndpointListKind kind, List<Endpoint> servers, long now);
@@ -38,7 +38,7 @@
     void pressed(Upstream upstream, double part, long now);
 
     /** A module asks for what can't be. */
-    void malformed(Balancer balancer, String what, Taken request, long now);
+    void malformed(Balancer balancer, String what, BalancerRequest request, long now);
 
     /** A client makes a first try. */
     void asked(ClientRequest request, long now);
--- a/simulator/src/main/java/loadbalancer/simulator/world/PolicyMaker.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/PolicyFactory.java
@@ -5,7 +5,7 @@
 
 /** Makes the module of a balancer that starts. */
 @FunctionalInterface
-public interface PolicyMaker {
+public interface PolicyFactory {
     /** {@code truth} is for policies that are allowed to see everything; the others don't look. */
-    LoadBalancingPolicy make(PolicySettings settings, long seed, Truth truth);
+    LoadBalancingPolicy make(PolicySettings settings, long seed, GroundTruth truth);
 }
--- a/simulator/src/main/java/loadbalancer/simulator/world/Range.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Range.java
@@ -1,6 +1,6 @@
 package loadbalancer.simulator.world;
 
-import loadbalancer.simulator.sim.Draws;
+import loadbalancer.simulator.engine.RandomStream;
 
 /** A figure that each world draws anew, uniformly between two ends; the first end is the mildest. */
 public record Range(double from, double to) {
@@ -10,7 +10,7 @@
     }
 
     /** A draw; a fixed range draws too, so that fixing one figure leaves the others as they were. */
-    public double draw(Draws draws) {
+    public double draw(RandomStream draws) {
         return draws.between(from, to);
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/world/Register.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/SimulatedDiscovery.java
@@ -8,12 +8,12 @@
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
-import loadbalancer.simulator.sim.Draws;
+import loadbalancer.simulator.engine.RandomStream;
 
 /**
  * Discovery: knows late and only of processes that run, drain or are gone, and handles one call after another.
  */
-final class Register {
+final class SimulatedDiscovery {
     private static final long AGAIN = 500_000; // µs after a break, where lists are pushed
     private static final int HISTORY = 256; // versions behind which a watch gets the whole list
 
@@ -45,7 +45,7 @@
     }
 
     private final World world;
-    private final Draws draws;
+    private final RandomStream draws;
     private final Map<String, Endpoint> entries = new LinkedHashMap<>();
     private final TreeMap<Long, Endpoint> changes = new TreeMap<>();
     private final Map<String, Long> listedAt = new LinkedHashMap<>();
@@ -60,7 +60,7 @@
     private boolean listsTwice;
     private long calls;
 
-    Register(World world, Draws draws) {
+    SimulatedDiscovery(World world, RandomStream draws) {
         WorldPlan.Discovery d = world.plan.discovery();
         this.world = world;
         this.draws = draws;
--- a/simulator/src/main/java/loadbalancer/simulator/world/Timeline.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Timeline.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.LongConsumer;
 import loadbalancer.policy.EndpointState;
-import loadbalancer.simulator.sim.Draws;
+import loadbalancer.simulator.engine.RandomStream;
 
 /** Turns a plan's troubles into events. What each kind's figures mean stands beside its name. */
 public final class Timeline {
@@ -43,10 +43,10 @@
             Map.entry("loss", "the share size of messages is lost and sent again"));
 
     /** One trouble as it was drawn: from when to when, in µs of the day. */
-    public record Spell(String kind, long from, long to) {}
+    public record FaultInterval(String kind, long from, long to) {}
 
     private final World world;
-    private final List<Spell> spells = new ArrayList<>();
+    private final List<FaultInterval> spells = new ArrayList<>();
     private String of; // the pool that the trouble being installed concerns
 
     Timeline(World world) {
@@ -54,10 +54,10 @@
     }
 
     void install() {
-        List<WorldPlan.Trouble> troubles = world.plan.troubles();
+        List<WorldPlan.Fault> troubles = world.plan.troubles();
         for (int i = 0; i < troubles.size(); i++) {
-            WorldPlan.Trouble t = troubles.get(i);
-            Draws draws = world.streams.of("trouble", i, t.kind());
+            WorldPlan.Fault t = troubles.get(i);
+            RandomStream draws = world.streams.of("trouble", i, t.kind());
             long from = World.BEGIN + Math.round(t.at().draw(draws));
             long length = Math.round(t.length().draw(draws));
             double part = t.part().draw(draws);
@@ -66,14 +66,15 @@
             if (t.kind().equals("burst")) {
                 world.clients.burstMost(size);
             }
-            spells.add(new Spell(t.kind(), from - World.BEGIN, from + length - World.BEGIN));
+            spells.add(new FaultInterval(t.kind(), from - World.BEGIN, from + length - World.BEGIN));
             of = t.of();
             install(t.kind(), from, length, part, size, extra, draws);
         }
         world.spells(spells);
     }
 
-    private void install(String kind, long from, long length, double part, double size, double extra, Draws draws) {
+    private void install(
+            String kind, long from, long length, double part, double size, double extra, RandomStream draws) {
         switch (kind) {
             case "slow" -> some(part, from, length, draws, (u, now) -> u.slow(size, now), (u, now) -> u.slow(1, now));
             case "shared_slow" -> some(
@@ -188,7 +189,7 @@
         world.simulation.at(from + length, end::accept);
     }
 
-    private void some(double part, long from, long length, Draws draws, Change begin, Change end) {
+    private void some(double part, long from, long length, RandomStream draws, Change begin, Change end) {
         List<Upstream> chosen = new ArrayList<>();
         String pool = of;
         during(
@@ -202,11 +203,11 @@
     }
 
     // The draw goes by a number for each upstream, not by the order of a list: what else has happened leaves it be.
-    private List<Upstream> picked(double part, Draws draws) {
+    private List<Upstream> picked(double part, RandomStream draws) {
         return picked(part, null, draws);
     }
 
-    private List<Upstream> picked(double part, String pool, Draws draws) {
+    private List<Upstream> picked(double part, String pool, RandomStream draws) {
         List<Upstream> running = new ArrayList<>();
         for (Upstream u : world.upstreams) {
             boolean meant =
@@ -216,7 +217,7 @@
             }
         }
         long salt = draws.bits();
-        running.sort(Comparator.comparingDouble(u -> Chance.uniform(salt, u.address, 1)));
+        running.sort(Comparator.comparingDouble(u -> IndexedRandom.uniform(salt, u.address, 1)));
         int many = Math.min(running.size(), Math.max(1, (int) Math.round(part * running.size())));
         return new ArrayList<>(running.subList(0, running.isEmpty() ? 0 : many));
     }
@@ -257,7 +258,7 @@
         });
     }
 
-    private void deploy(long from, long length, double part, double batch, long drain, Draws draws) {
+    private void deploy(long from, long length, double part, double batch, long drain, RandomStream draws) {
         world.simulation.at(from, begin -> {
             List<Upstream> all = picked(part, draws);
             int many = Math.max(1, (int) Math.round(batch * all.size() / Math.max(part, 0.01)));
@@ -283,7 +284,7 @@
         });
     }
 
-    private void rackLost(long from, long length, boolean silently, Draws draws) {
+    private void rackLost(long from, long length, boolean silently, RandomStream draws) {
         int number = world.racks.isEmpty() ? 0 : draws.below(world.racks.size());
         List<Upstream> lost = new ArrayList<>();
         during(
@@ -316,7 +317,7 @@
                 });
     }
 
-    private void zoneCut(long from, long length, boolean both, Draws draws) {
+    private void zoneCut(long from, long length, boolean both, RandomStream draws) {
         int zones = world.plan.zones().size();
         int zone = draws.below(zones);
         during(from, length, now -> cut(zone, zones, both, true), now -> cut(zone, zones, both, false));
@@ -333,14 +334,14 @@
         }
     }
 
-    private List<BalancerSlot> slots(double part, Draws draws) {
+    private List<BalancerSlot> slots(double part, RandomStream draws) {
         List<BalancerSlot> all = new ArrayList<>(world.slots);
         long salt = draws.bits();
-        all.sort(Comparator.comparingDouble(s -> Chance.uniform(salt, s.rank, 2)));
+        all.sort(Comparator.comparingDouble(s -> IndexedRandom.uniform(salt, s.rank, 2)));
         return all.subList(0, Math.min(all.size(), Math.max(1, (int) Math.round(part * all.size()))));
     }
 
-    private void balancersKilled(long from, long length, double part, Draws draws) {
+    private void balancersKilled(long from, long length, double part, RandomStream draws) {
         for (BalancerSlot s : slots(part, draws)) {
             world.simulation.at(from, now -> {
                 Balancer b = s.serving();
@@ -359,7 +360,7 @@
     }
 
     // A planned restart: the front is told at once, what is open is answered or cut after the longest deadline.
-    private void balancersRestarted(long from, long length, double part, long start, Draws draws) {
+    private void balancersRestarted(long from, long length, double part, long start, RandomStream draws) {
         List<BalancerSlot> chosen = slots(part, draws);
         for (int i = 0; i < chosen.size(); i++) {
             BalancerSlot s = chosen.get(i);
@@ -389,7 +390,7 @@
                 .orElse(0);
     }
 
-    private void balancersUpgraded(long from, long length, double part, Draws draws) {
+    private void balancersUpgraded(long from, long length, double part, RandomStream draws) {
         List<BalancerSlot> chosen = slots(part, draws);
         for (int i = 0; i < chosen.size(); i++) {
             BalancerSlot s = chosen.get(i);
@@ -411,7 +412,7 @@
         }
     }
 
-    private void takenOut(long from, long length, double part, Draws draws) {
+    private void takenOut(long from, long length, double part, RandomStream draws) {
         List<String> out = new ArrayList<>();
         during(
                 from,
--- a/simulator/src/main/java/loadbalancer/simulator/world/Upstream.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Upstream.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import loadbalancer.policy.AttemptOutcome;
-import loadbalancer.simulator.sim.Draws;
-import loadbalancer.simulator.sim.Simulation;
+import loadbalancer.simulator.engine.RandomStream;
+import loadbalancer.simulator.engine.Simulation;
 
 /**
  * One process that serves requests. Those in its slots share its cores evenly; others wait their turn in a room of
@@ -76,7 +76,15 @@
     private long startedAt;
     private long saidStart;
 
-    Upstream(World world, String id, int address, int zone, Rack rack, int kindNumber, Draws draws, long startedAt) {
+    Upstream(
+            World world,
+            String id,
+            int address,
+            int zone,
+            Rack rack,
+            int kindNumber,
+            RandomStream draws,
+            long startedAt) {
         WorldPlan plan = world.plan;
         this.world = world;
         this.id = id;
@@ -233,7 +241,7 @@
             world.reply(a, this, AttemptOutcome.RESET, now);
         } else if (draining) {
             world.reply(a, this, AttemptOutcome.FULL, now);
-        } else if (Chance.uniform(world.chanceSeed, a.serial(), 7) < failing + errors) {
+        } else if (IndexedRandom.uniform(world.chanceSeed, a.serial(), 7) < failing + errors) {
             world.simulation.after(QUICK_FAILURE, t -> {
                 if (answers()) {
                     world.reply(a, this, AttemptOutcome.ERROR, t);
@@ -311,7 +319,7 @@
             serving.poll();
             world.ran(job.attempt, job.work);
             if (answers()) {
-                boolean spoilt = Chance.uniform(world.chanceSeed, job.attempt.serial, 8) < spoiling;
+                boolean spoilt = IndexedRandom.uniform(world.chanceSeed, job.attempt.serial, 8) < spoiling;
                 world.reply(job.attempt, this, spoilt ? AttemptOutcome.ERROR : AttemptOutcome.OK, now);
             }
             if (!waiting.isEmpty()) {
--- a/simulator/src/main/java/loadbalancer/simulator/world/World.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/World.java
@@ -20,12 +20,12 @@
 import loadbalancer.policy.SiteLimits;
 import loadbalancer.policy.TenantQuota;
 import loadbalancer.policy.TrafficCosts;
-import loadbalancer.simulator.sim.Draws;
-import loadbalancer.simulator.sim.Simulation;
-import loadbalancer.simulator.sim.Streams;
+import loadbalancer.simulator.engine.RandomStream;
+import loadbalancer.simulator.engine.RandomStreams;
+import loadbalancer.simulator.engine.Simulation;
 
 /** One world, drawn from a plan by a seed, and its day from the first arrival to the last answer. */
-public final class World implements Truth {
+public final class World implements GroundTruth {
     static final long BEGIN = 60_000_000; // µs: start times before the day are positive
     private static final long SECOND = 1_000_000;
     private static final long LINGER = 10 * SECOND; // after the last arrival, at the most
@@ -33,9 +33,9 @@
 
     final WorldPlan plan;
     final Simulation simulation = new Simulation();
-    final Streams streams;
+    final RandomStreams streams;
     final Network network;
-    final Register register;
+    final SimulatedDiscovery register;
     final Clients clients;
     final Observer judge;
     final long begin = BEGIN;
@@ -57,7 +57,7 @@
     private final Map<String, Integer> addressOf = new HashMap<>();
     private final Map<String, Upstream> byId = new HashMap<>();
     private final List<Balancer> processes = new ArrayList<>();
-    private final PolicyMaker maker;
+    private final PolicyFactory maker;
     private final List<String> remarks = new ArrayList<>();
     private final double[] noises;
     double nominal;
@@ -69,7 +69,7 @@
     private long probes;
     private int nextId;
     private int nextAddress;
-    private List<Timeline.Spell> spells = List.of();
+    private List<Timeline.FaultInterval> spells = List.of();
     BiConsumer<Attempt, AttemptOutcome> outside; // hears of answers where no balancer of this world does
     private Runnable everySecond = () -> {};
 
@@ -88,13 +88,13 @@
             double capacity) {}
 
     /** Draws a world; {@code observer} hears of all that happens in it. */
-    public World(WorldPlan plan, long seed, PolicyMaker maker, Observer observer) {
+    public World(WorldPlan plan, long seed, PolicyFactory maker, Observer observer) {
         this.plan = plan;
         this.maker = maker;
         this.judge = observer;
-        streams = new Streams(seed);
+        streams = new RandomStreams(seed);
         chanceSeed = streams.seed("chance", 0);
-        Draws figures = streams.of("world", 0, "figures");
+        RandomStream figures = streams.of("world", 0, "figures");
         network = new Network(plan, streams.of("network", 0, "delays"), streams.seed("network", 0));
         WorldPlan.Fleet f = plan.fleet();
         connectionsPerCore = f.connectionsPerCore().draw(figures);
@@ -119,7 +119,7 @@
         double limitedShare = f.limitedRacks().draw(figures);
         double rackLimit = f.rackLimit().draw(figures);
         build(many, limitedShare, rackLimit);
-        register = new Register(this, streams.of("register", 0, "figures"));
+        register = new SimulatedDiscovery(this, streams.of("register", 0, "figures"));
         for (Upstream u : upstreams) {
             register.preset(entry(u, EndpointState.UP));
         }
@@ -130,7 +130,7 @@
     }
 
     private void build(int many, double limitedShare, double rackLimit) {
-        Draws draws = streams.of("fleet", 0, "racks");
+        RandomStream draws = streams.of("fleet", 0, "racks");
         double[] shares =
                 plan.kinds().stream().mapToDouble(k -> k.share().draw(draws)).toArray();
         double all = 0;
@@ -187,12 +187,12 @@
         return u;
     }
 
-    void spells(List<Timeline.Spell> drawn) {
+    void spells(List<Timeline.FaultInterval> drawn) {
         spells = List.copyOf(drawn);
     }
 
     /** The day's troubles as they were drawn. */
-    public List<Timeline.Spell> spells() {
+    public List<Timeline.FaultInterval> spells() {
         return spells;
     }
 
@@ -379,7 +379,7 @@
         double variance = StrictMath.log(1 + noise * noise);
         double times = noise <= 0
                 ? 1
-                : StrictMath.exp(Math.sqrt(variance) * Chance.gaussian(chanceSeed, a.serial, 11) - variance / 2);
+                : StrictMath.exp(Math.sqrt(variance) * IndexedRandom.gaussian(chanceSeed, a.serial, 11) - variance / 2);
         return new RequestWork(c.work * times, c.key);
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/world/WorldPlan.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/WorldPlan.java
@@ -23,7 +23,7 @@
         List<Kind> kinds,
         List<RequestKind> classes,
         List<Tenant> tenants,
-        List<Trouble> troubles) {
+        List<Fault> troubles) {
 
     /** How arrivals vary over the day. */
     public enum Shape {
@@ -198,15 +198,15 @@
      * {@code extra} mean goes with the kind, see docs/laboratory.md; {@code of} names the pool whose upstreams it
      * concerns, null: any.
      */
-    public record Trouble(String kind, Range at, Range length, Range part, Range size, Range extra, String of) {
+    public record Fault(String kind, Range at, Range length, Range part, Range size, Range extra, String of) {
         /** One that may concern any upstream. */
-        public Trouble(String kind, Range at, Range length, Range part, Range size, Range extra) {
+        public Fault(String kind, Range at, Range length, Range part, Range size, Range extra) {
             this(kind, at, length, part, size, extra, null);
         }
     }
 
     /** The same world with other troubles. */
-    public WorldPlan with(List<Trouble> others) {
+    public WorldPlan with(List<Fault> others) {
         return new WorldPlan(
                 length, balancers, upstreams, zones, load, network, clients, discovery, rules, goal, prices, fleet,
                 kinds, classes, tenants, others);
--- a/simulator/src/test/java/loadbalancer/simulator/LayersTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/LayersTest.java
@@ -8,9 +8,9 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Which part of the laboratory may know which. */
+/** Which package of the simulator may know which. */
 class LayersTest {
-    private static final JavaClasses LAB = new ClassFileImporter()
+    private static final JavaClasses SIMULATOR = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("loadbalancer.simulator");
 
@@ -19,18 +19,18 @@
         slices().matching("loadbalancer.simulator.(*)..")
                 .should()
                 .beFreeOfCycles()
-                .check(LAB);
+                .check(SIMULATOR);
     }
 
     @Test
     void worldsKnowPoliciesByTheirInterfaceOnlyAndNeverTheBalancer() {
         noClasses()
                 .that()
-                .resideInAnyPackage("..lab.sim..", "..lab.world..", "..lab.judge..")
+                .resideInAnyPackage("..simulator.engine..", "..simulator.world..", "..simulator.rules..")
                 .should()
                 .dependOnClassesThat()
                 .haveFullyQualifiedName("loadbalancer.policy.JsqDasPolicy")
-                .check(LAB);
+                .check(SIMULATOR);
         noClasses()
                 .should()
                 .dependOnClassesThat()
@@ -41,14 +41,18 @@
                         "loadbalancer.routing..",
                         "loadbalancer.process..",
                         "loadbalancer.wire..")
-                .check(LAB);
+                .check(SIMULATOR);
     }
 
     @Test
     void simulatedTimeIsTheOnlyClock() {
         noClasses()
                 .that()
-                .resideInAnyPackage("..lab.sim..", "..lab.world..", "..lab.variants..", "..lab.policies..")
+                .resideInAnyPackage(
+                        "..simulator.engine..",
+                        "..simulator.world..",
+                        "..simulator.variants..",
+                        "..simulator.policies..")
                 .should()
                 .callMethod(System.class, "nanoTime")
                 .orShould()
@@ -56,6 +60,6 @@
                 .orShould()
                 .dependOnClassesThat()
                 .belongToAnyOf(java.util.Random.class, Thread.class)
-                .check(LAB);
+                .check(SIMULATOR);
     }
 }
--- a/simulator/src/test/java/loadbalancer/simulator/cli/FleetCommandTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/cli/FleetCommandTest.java
@@ -17,7 +17,7 @@
 
     private int run(String file, Path json) throws IOException {
         Path at = Files.writeString(folder.resolve("f.toml"), file);
-        return Lab.run(
+        return SimulatorCommand.run(
                 "fleet",
                 at.toString(),
                 "--json",
@@ -32,9 +32,10 @@
     void unusableFilesEndWithTwo() throws IOException {
         Path json = folder.resolve("f.json");
         assertEquals(2, run("[[axis]]\nname = \"balancers\"\nsizes = [0]\n", json));
-        assertEquals(2, Lab.run("fleet", folder.resolve("none.toml").toString()));
-        assertEquals(2, Lab.run("fleet"));
-        assertEquals(0, Lab.run("fleet", "--help"));
+        assertEquals(
+                2, SimulatorCommand.run("fleet", folder.resolve("none.toml").toString()));
+        assertEquals(2, SimulatorCommand.run("fleet"));
+        assertEquals(0, SimulatorCommand.run("fleet", "--help"));
         assertTrue(Files.notExists(json));
     }
 
--- a/simulator/src/test/java/loadbalancer/simulator/cli/LabTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/cli/SimulatorCommandTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class LabTest {
+class SimulatorCommandTest {
     private static final Path EXPERIMENTS = Path.of("../experiments");
 
     @TempDir
@@ -37,11 +37,11 @@
     @Test
     void exitCodesTellWhatHoldsFailsOrCantBeUsed() throws IOException {
         String page = folder.resolve("p.html").toString();
-        assertEquals(0, Lab.run("run", experiment("rules.broken == 0"), "--html", page));
-        assertEquals(1, Lab.run("run", experiment("G > 2"), "--html", page));
-        assertEquals(2, Lab.run("run", folder.resolve("none.toml").toString()));
-        assertEquals(2, Lab.run("run"));
-        assertEquals(2, Lab.run("queue", "--policy", "best", "--servers", "3", "--lambda", "0.5"));
+        assertEquals(0, SimulatorCommand.run("run", experiment("rules.broken == 0"), "--html", page));
+        assertEquals(1, SimulatorCommand.run("run", experiment("G > 2"), "--html", page));
+        assertEquals(2, SimulatorCommand.run("run", folder.resolve("none.toml").toString()));
+        assertEquals(2, SimulatorCommand.run("run"));
+        assertEquals(2, SimulatorCommand.run("queue", "--policy", "best", "--servers", "3", "--lambda", "0.5"));
         assertTrue(Files.readString(Path.of(page)).contains("<svg"));
     }
 
@@ -51,10 +51,10 @@
         String page = folder.resolve("p.html").toString();
         Path one = folder.resolve("one.json");
         Path many = folder.resolve("many.json");
-        assertEquals(0, Lab.run("run", file, "--threads", "1", "--json", one.toString(), "--html", page));
-        assertEquals(0, Lab.run("run", file, "--threads", "7", "--json", many.toString(), "--html", page));
+        assertEquals(0, SimulatorCommand.run("run", file, "--threads", "1", "--json", one.toString(), "--html", page));
+        assertEquals(0, SimulatorCommand.run("run", file, "--threads", "7", "--json", many.toString(), "--html", page));
         assertEquals(Files.readString(one), Files.readString(many));
-        assertEquals(0, Lab.run("compare", one.toString(), many.toString()));
+        assertEquals(0, SimulatorCommand.run("compare", one.toString(), many.toString()));
     }
 
     @Test
@@ -62,7 +62,7 @@
         Path json = folder.resolve("q.json");
         assertEquals(
                 0,
-                Lab.run(
+                SimulatorCommand.run(
                         "queue",
                         "--policy",
                         "jsq-das",
--- a/simulator/src/test/java/loadbalancer/simulator/sim/SimulationTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/engine/SimulationTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.simulator.sim;
+package loadbalancer.simulator.engine;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -85,8 +85,8 @@
 
     @Test
     void whatOnePartyDrawsLeavesAnothersDrawsAlone() {
-        Streams once = new Streams(7);
-        Streams again = new Streams(7);
+        RandomStreams once = new RandomStreams(7);
+        RandomStreams again = new RandomStreams(7);
         for (int i = 0; i < 100; i++) {
             again.of("client", 1, "work").uniform();
         }
@@ -96,12 +96,12 @@
         assertFalse(once.of("client", 2, "work").bits()
                 == once.of("client", 2, "key").bits());
         assertFalse(once.of("client", 2, "work").bits()
-                == new Streams(8).of("client", 2, "work").bits());
+                == new RandomStreams(8).of("client", 2, "work").bits());
     }
 
     @Test
     void drawsHaveTheMeansAndSpreadsThatAreAskedFor() {
-        Draws d = new Streams(3).of("test", 0, "moments");
+        RandomStream d = new RandomStreams(3).of("test", 0, "moments");
         int n = 400_000;
         double[] sums = new double[6];
         for (int i = 0; i < n; i++) {
--- a/simulator/src/test/java/loadbalancer/simulator/experiment/OverloadedFleetTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/experiment/OverloadedFleetTest.java
@@ -5,8 +5,8 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import loadbalancer.simulator.judge.Day;
-import loadbalancer.simulator.judge.Score;
+import loadbalancer.simulator.rules.Day;
+import loadbalancer.simulator.rules.Score;
 import loadbalancer.simulator.variants.Variants;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/simulator/src/test/java/loadbalancer/simulator/wreck/LaneTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/faultinjection/FaultedStreamTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.simulator.wreck;
+package loadbalancer.simulator.faultinjection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -16,22 +16,22 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class LaneTest {
+class FaultedStreamTest {
     private static final String REQUEST = "POST /a HTTP/1.1\r\nContent-Length: 5\r\n\r\nseats";
     private static final String CHUNKED = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n"
             + "Transfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nTrailer: t\r\n\r\n";
 
-    private static String play(Lane lane, String text, int... pieces) {
+    private static String play(FaultedStream lane, String text, int... pieces) {
         StringBuilder out = new StringBuilder();
         byte[] all = text.getBytes(StandardCharsets.ISO_8859_1);
         int at = 0;
         for (int i = 0; at < all.length; i++) {
             int n = pieces.length == 0 ? all.length : Math.min(all.length - at, pieces[i % pieces.length]);
-            for (Lane.Step s : lane.take(Arrays.copyOfRange(all, at, at + n))) {
+            for (FaultedStream.Step s : lane.take(Arrays.copyOfRange(all, at, at + n))) {
                 out.append(
-                        s instanceof Lane.Pass p
+                        s instanceof FaultedStream.Pass p
                                 ? new String(p.bytes(), StandardCharsets.ISO_8859_1)
-                                : "<" + ((Lane.Do) s).what() + ">");
+                                : "<" + ((FaultedStream.Do) s).what() + ">");
             }
             at += n;
         }
@@ -54,7 +54,7 @@
                 "on 2- up cut at 0 | POST /a HTTP/1.1~Content-Length: 5~~seatsGET / HTTP/1.1~~",
             })
     void faultsComeAtTheByteTheyName(String fault, String expected) {
-        Lane lane = new Lane(1, true, List.of(Fault.of(fault)));
+        FaultedStream lane = new FaultedStream(1, true, List.of(StreamFault.of(fault)));
         assertEquals(
                 expected.strip().replace("^", "\r").replace("~", "\r\n"),
                 play(lane, REQUEST + "GET / HTTP/1.1\r\n\r\n"));
@@ -62,12 +62,13 @@
 
     @Test
     void answersAreFramedBehindInterimOnesAndByTheirChunks() {
-        Lane lane = new Lane(1, false, Fault.script("s", "on * down reset at body-last # before the very last byte\n"));
+        FaultedStream lane = new FaultedStream(
+                1, false, StreamFault.script("s", "on * down reset at body-last # before the very last byte\n"));
         assertEquals(CHUNKED.substring(0, CHUNKED.length() - 1) + "<RESET>", play(lane, CHUNKED, 1));
-        Lane twice = new Lane(1, false, List.of(Fault.of("on 1 down twice")));
+        FaultedStream twice = new FaultedStream(1, false, List.of(StreamFault.of("on 1 down twice")));
         String answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
         assertEquals(answer + answer, play(twice, answer, 7));
-        Lane none = new Lane(1, false, List.of(Fault.of("on 1 down cut at #2 head")));
+        FaultedStream none = new FaultedStream(1, false, List.of(StreamFault.of("on 1 down cut at #2 head")));
         String empty = "HTTP/1.1 204 No Content\r\n\r\n";
         assertEquals(empty + "<CUT>", play(none, empty + answer, 5));
     }
@@ -87,10 +88,10 @@
                 "on 1 down twice",
                 "on 1 down garble 0.1 seed " + Math.abs(seed % 1000),
                 "on 1 down silence at #2 head+" + offset % 9);
-        List<Fault> faults = new ArrayList<>(List.of(Fault.of(scripts.get(which))));
+        List<StreamFault> faults = new ArrayList<>(List.of(StreamFault.of(scripts.get(which))));
         String text = CHUNKED + "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nxyz";
-        Lane whole = new Lane(1, false, faults);
-        Lane cut = new Lane(1, false, faults);
+        FaultedStream whole = new FaultedStream(1, false, faults);
+        FaultedStream cut = new FaultedStream(1, false, faults);
         assertEquals(
                 play(whole, text),
                 play(cut, text, pieces.stream().mapToInt(i -> i).toArray()));
@@ -114,8 +115,8 @@
                 "cut everything | can't be read: such as \"on 2 up cut at body-first+3\"",
             })
     void aLineThatCantBeIsNamedWithItsPlace(String line, String fault) {
-        IllegalArgumentException e =
-                assertThrows(IllegalArgumentException.class, () -> Fault.script("script", "# first\n" + line + "\n"));
+        IllegalArgumentException e = assertThrows(
+                IllegalArgumentException.class, () -> StreamFault.script("script", "# first\n" + line + "\n"));
         assertTrue(e.getMessage().startsWith("script:2: ") && e.getMessage().endsWith(fault), e.getMessage());
     }
 }
--- a/simulator/src/test/java/loadbalancer/simulator/judge/JudgeTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/rules/RuleCheckerTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.simulator.judge;
+package loadbalancer.simulator.rules;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -17,7 +17,7 @@
 import loadbalancer.policy.Idempotency;
 import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.LoadReport;
-import loadbalancer.simulator.judge.Broken.Rule;
+import loadbalancer.simulator.rules.RuleViolation.Rule;
 import loadbalancer.simulator.world.WorldPlan;
 import loadbalancer.simulator.world.Worlds;
 import org.junit.jupiter.api.Test;
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** For each rule a policy that breaks just that rule, and the judge names it. */
-class JudgeTest {
+class RuleCheckerTest {
     /** Sends each request to the next upstream, once; keeps every rule but the planted one. */
     private static final class Planted implements LoadBalancingPolicy {
         private final Rule rule;
@@ -153,7 +153,7 @@
     @EnumSource(Rule.class)
     void thePlantedRuleAndNoOtherIsNamed(Rule rule) {
         Day day = play(rule);
-        Set<Rule> named = day.broken().stream().map(Broken::rule).collect(Collectors.toSet());
+        Set<Rule> named = day.broken().stream().map(RuleViolation::rule).collect(Collectors.toSet());
         assertEquals(Set.of(rule), named, () -> day.broken().get(0).toString());
         assertTrue(day.figures().get("rules.broken") >= 1);
     }
@@ -165,7 +165,7 @@
 
     @Test
     void aBrokenRuleShowsTheRequestTheTimeAndTheChainThatLedThere() {
-        Broken b = play(Rule.DUPLICATE).broken().get(0);
+        RuleViolation b = play(Rule.DUPLICATE).broken().get(0);
         assertTrue(b.at() > 1_000_000 && b.subject().startsWith("r"), b.toString());
         assertTrue(b.chain().get(0).contains("sent to ") && b.chain().get(1).contains("attempt 0 ERROR"), b.toString());
         assertFalse(b.what().isEmpty());
--- a/simulator/src/test/java/loadbalancer/simulator/hunt/HuntTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/search/RandomSearchTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.simulator.hunt;
+package loadbalancer.simulator.search;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,13 +10,13 @@
 import loadbalancer.policy.Idempotency;
 import loadbalancer.simulator.experiment.Experiment;
 import loadbalancer.simulator.experiment.ExperimentReader;
-import loadbalancer.simulator.judge.Day;
+import loadbalancer.simulator.rules.Day;
 import loadbalancer.simulator.variants.Variants;
 import loadbalancer.simulator.world.Worlds;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class HuntTest {
+class RandomSearchTest {
     @TempDir
     private Path folder;
 
@@ -36,10 +36,10 @@
     void aFindIsShrunkAndWrittenAsAnExperimentThatStillShowsIt() throws IOException {
         Experiment site = ExperimentReader.read(Path.of("../experiments/booking-day.toml"))
                 .under(List.of(Worlds.variant("least-in-flight")));
-        Hunt hunt = new Hunt(site, 3, 4);
-        List<Hunt.Find> finds = hunt.search(60, (done, all) -> {});
+        RandomSearch hunt = new RandomSearch(site, 3, 4);
+        List<RandomSearch.Find> finds = hunt.search(60, (done, all) -> {});
         assertTrue(finds.size() > 0, "something is found in 60 rough worlds");
-        Hunt.Find small = hunt.shrink(finds.get(0));
+        RandomSearch.Find small = hunt.shrink(finds.get(0));
         assertTrue(
                 small.plan().troubles().size() <= finds.get(0).plan().troubles().size());
         assertEquals(finds.get(0).what(), small.what());
@@ -54,8 +54,8 @@
 
     @Test
     void theSameSeedHuntsTheSameWorlds() {
-        List<Hunt.Find> once = new Hunt(experiment("random"), 5, 1).search(6, (done, all) -> {});
-        List<Hunt.Find> again = new Hunt(experiment("random"), 5, 3).search(6, (done, all) -> {});
+        List<RandomSearch.Find> once = new RandomSearch(experiment("random"), 5, 1).search(6, (done, all) -> {});
+        List<RandomSearch.Find> again = new RandomSearch(experiment("random"), 5, 3).search(6, (done, all) -> {});
         assertEquals(once, again);
     }
 }
--- a/simulator/src/test/java/loadbalancer/simulator/sockets/WreckServerTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/sockets/FaultInjectionServerTest.java
@@ -12,7 +12,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import loadbalancer.simulator.wreck.Fault;
+import loadbalancer.simulator.faultinjection.StreamFault;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Assumptions;
 import org.junit.jupiter.api.BeforeEach;
@@ -20,18 +20,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class WreckServerTest {
+class FaultInjectionServerTest {
     private static final String BOOK = "POST /a HTTP/1.1\r\nReq-Id: r1\r\nContent-Length: 6\r\n\r\nseat 7";
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
-    private Box box;
-    private WreckServer wreck;
+    private StandInEndpoint box;
+    private FaultInjectionServer wreck;
     private InetSocketAddress at;
 
     @BeforeEach
     void open() throws IOException {
-        box = new Box(head -> Box.ok("booked"));
-        wreck = new WreckServer(group.next(), box.address(), List.of());
+        box = new StandInEndpoint(head -> StandInEndpoint.ok("booked"));
+        wreck = new FaultInjectionServer(group.next(), box.address(), List.of());
         at = wreck.listen(0);
     }
 
@@ -65,7 +65,7 @@
                 "on 1 up delay 2ms | answer | 1",
             })
     void aFaultIsFeltByBothSides(String script, String end, int ran) throws InterruptedException {
-        wreck.script(Fault.script("s", script));
+        wreck.script(StreamFault.script("s", script));
         Exchange seen = Exchange.of(at, BOOK, end.equals("silent") ? 300 : 20_000);
         assertEquals(end.strip(), seen.end(), seen.toString());
         long until = System.nanoTime() + 20_000_000_000L;
@@ -78,12 +78,12 @@
     @Test
     void theSameScriptGivesTheSameTraceTwentyTimes() {
         Set<List<String>> traces = new HashSet<>();
-        List<Fault> script = Fault.script(
+        List<StreamFault> script = StreamFault.script(
                 "s",
                 "on 1 up pieces 7\non 1 down garble 0.2 seed 5\non 2 up cut at 40\n"
                         + "on 3 down twice\non 4 down half-close at body-first+1\non 5 refuse\n");
         for (int i = 0; i < 20; i++) {
-            WreckServer once = new WreckServer(group.next(), box.address(), script);
+            FaultInjectionServer once = new FaultInjectionServer(group.next(), box.address(), script);
             try {
                 InetSocketAddress here = once.listen(0);
                 for (int c = 0; c < 5; c++) {
--- a/simulator/src/test/java/loadbalancer/simulator/sockets/LiveSiteTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/sockets/LiveSiteTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 class LiveSiteTest {
-    private static WorldPlan plan(WorldPlan.Trouble... troubles) {
+    private static WorldPlan plan(WorldPlan.Fault... troubles) {
         return Worlds.small(0.2, 3, Idempotency.NON_IDEMPOTENT, troubles);
     }
 
--- a/simulator/src/test/java/loadbalancer/simulator/world/HardCasesTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/world/HardCasesTest.java
@@ -10,10 +10,10 @@
 import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.policy.Idempotency;
 import loadbalancer.policy.JsqDasPolicy;
-import loadbalancer.simulator.judge.Broken;
-import loadbalancer.simulator.judge.Day;
 import loadbalancer.simulator.policies.Choosers;
-import loadbalancer.simulator.variants.FrontSpec;
+import loadbalancer.simulator.rules.Day;
+import loadbalancer.simulator.rules.RuleViolation;
+import loadbalancer.simulator.variants.RoutingSpec;
 import loadbalancer.simulator.variants.Variants;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -27,7 +27,7 @@
     }
 
     private static String rules(Day day) {
-        return day.broken().stream().map(Broken::toString).reduce("", (a, b) -> a + "\n" + b);
+        return day.broken().stream().map(RuleViolation::toString).reduce("", (a, b) -> a + "\n" + b);
     }
 
     @Test
@@ -94,9 +94,9 @@
         assertEquals(Timeline.KINDS.size(), 26, "each kind of trouble is named above");
     }
 
-    private static final FrontSpec FRONT = new FrontSpec(
-            List.of(new FrontSpec.Pool("site", ConcurrencyLimit.Kind.GRADIENT, 8, 1, 100, 0)),
-            List.of(new FrontSpec.Way(
+    private static final RoutingSpec FRONT = new RoutingSpec(
+            List.of(new RoutingSpec.Pool("site", ConcurrencyLimit.Kind.GRADIENT, 8, 1, 100, 0)),
+            List.of(new RoutingSpec.Way(
                     "all", Set.of(), List.of("site"), List.of(1.0), List.of(), 1, 1.2, 0.05, 0.1, true, 0, 0, 1)),
             1,
             1.5,
@@ -108,7 +108,7 @@
                 "front",
                 "balance",
                 new Choosers.Figures(4, 2, 0.5),
-                new FrontSpec.Use(FRONT, null, Set.of(), 1, 0),
+                new RoutingSpec.Use(FRONT, null, Set.of(), 1, 0),
                 false);
         return Day.play(plan, 4, Variants.maker(v, plan));
     }
@@ -270,7 +270,7 @@
         world.simulation.at(100, now -> {
             for (int i = 0; i < jobs; i++) {
                 ClientRequest c = new ClientRequest(i, 0, 0, 0, -1, 20_000, now, now + Worlds.SECOND, false);
-                Taken t = new Taken("t" + i, i, c, b, now, now + Worlds.SECOND);
+                BalancerRequest t = new BalancerRequest("t" + i, i, c, b, now, now + Worlds.SECOND);
                 t.gone = true;
                 u.accept(new Attempt(t, 0, u.id(), u, now), false, now);
             }
@@ -282,14 +282,14 @@
     }
 
     /** Hears everything and holds nothing against anybody. */
-    private static class Recorder extends Unobserved {
+    private static class Recorder extends NoOpObserver {
         @Override
         public boolean knowsStart(Balancer balancer, Upstream upstream) {
             return false;
         }
 
         @Override
-        public void malformed(Balancer balancer, String what, Taken request, long now) {
+        public void malformed(Balancer balancer, String what, BalancerRequest request, long now) {
             throw new AssertionError(what);
         }
     }
--- a/simulator/src/test/java/loadbalancer/simulator/world/RandomWorldsTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/world/RandomWorldsTest.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.policy.Idempotency;
-import loadbalancer.simulator.judge.Broken;
-import loadbalancer.simulator.judge.Day;
+import loadbalancer.simulator.rules.Day;
+import loadbalancer.simulator.rules.RuleViolation;
 import loadbalancer.simulator.variants.Variants;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -23,7 +23,7 @@
     private static final List<String> POLICIES = List.of("balance", "random", "jsq-das", "least-in-flight", "seer");
 
     private static WorldPlan plan(int one, int other, int upstreams, int load) {
-        List<WorldPlan.Trouble> troubles = new ArrayList<>();
+        List<WorldPlan.Fault> troubles = new ArrayList<>();
         for (int kind : new int[] {one, other}) {
             String name = KINDS.get(kind % KINDS.size());
             boolean share = List.of("loss", "hot_key", "fast_errors", "garble", "grey", "deploy")
@@ -64,8 +64,8 @@
         }
         assertTrue(f.get("G") <= 1 && f.get("G") > -1, f.toString());
         // A policy may push a cold upstream over; none of these loses, repeats or doubles anything.
-        for (Broken b : day.broken()) {
-            assertEquals(Broken.Rule.COLD, b.rule(), b.toString());
+        for (RuleViolation b : day.broken()) {
+            assertEquals(RuleViolation.Rule.COLD, b.rule(), b.toString());
         }
     }
 }
--- a/simulator/src/test/java/loadbalancer/simulator/world/Worlds.java
+++ b/simulator/src/test/java/loadbalancer/simulator/world/Worlds.java
@@ -14,7 +14,7 @@
     private Worlds() {}
 
     /** Three balancers before so many upstreams, of two cores each. */
-    public static WorldPlan small(double load, int upstreams, Idempotency effect, WorldPlan.Trouble... troubles) {
+    public static WorldPlan small(double load, int upstreams, Idempotency effect, WorldPlan.Fault... troubles) {
         return new WorldPlan(
                 12 * SECOND,
                 Range.of(3),
@@ -83,9 +83,9 @@
     }
 
     /** A trouble whose figures are all fixed. */
-    public static WorldPlan.Trouble trouble(
+    public static WorldPlan.Fault trouble(
             String kind, double at, double length, double part, double size, double extra) {
-        return new WorldPlan.Trouble(
+        return new WorldPlan.Fault(
                 kind,
                 Range.of(at * SECOND),
                 Range.of(length * SECOND),
