--- a/simulator/src/main/java/loadbalancer/simulator/cli/DemoCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/DemoCommand.java
@@ -52,7 +52,7 @@
         Thread end = new Thread(this::endAll, "end");
         Runtime.getRuntime().addShutdownHook(end); // also on Ctrl-C: no process stays
         try (LiveSite site = new LiveSite(plan, e.firstSeed())) {
-            int many = Math.max(1, (int) Math.round(plan.balancers().middle()));
+            int many = Math.max(1, (int) Math.round(plan.balancers().midpoint()));
             List<InetSocketAddress> entries = new ArrayList<>();
             for (int i = 0; i < many; i++) {
                 BalancerProcess b =
@@ -65,14 +65,14 @@
                     "%d balancers by run before %.0f requests a second of capacity; load %.0f%n",
                     many,
                     site.perSecond(),
-                    site.perSecond() * plan.load().level().middle());
+                    site.perSecond() * plan.load().level().midpoint());
             try (Load load = new Load(
                     new Load.Plan(
                             entries,
-                            site.perSecond() * plan.load().level().middle(),
+                            site.perSecond() * plan.load().level().midpoint(),
                             plan.length(),
-                            1 + (int) plan.clients().retries().middle(),
-                            Math.max(1, (int) plan.load().keys().middle()),
+                            1 + (int) plan.clients().retries().midpoint(),
+                            Math.max(1, (int) plan.load().keys().midpoint()),
                             e.firstSeed()),
                     plan.classes())) {
                 int[] seconds = {0};
@@ -87,7 +87,7 @@
                 Files.createDirectories(html.toAbsolutePath().getParent());
                 Files.writeString(html, page.html(e.question()));
                 System.out.println("page written to " + html);
-                return page.broken().isEmpty() && balancers.stream().allMatch(BalancerProcess::alive) ? 0 : 1;
+                return page.violations().isEmpty() && balancers.stream().allMatch(BalancerProcess::alive) ? 0 : 1;
             }
         } finally {
             endAll();
--- a/simulator/src/main/java/loadbalancer/simulator/cli/RandomSearchCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/RandomSearchCommand.java
@@ -60,8 +60,8 @@
                     "world %d: %s; shrunk from %d troubles to %d in %d runs: %s%n",
                     f.seed(),
                     small.what(),
-                    f.plan().troubles().size(),
-                    small.plan().troubles().size(),
+                    f.plan().faults().size(),
+                    small.plan().faults().size(),
                     small.runs(),
                     written);
         }
--- a/simulator/src/main/java/loadbalancer/simulator/cli/ScaleCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/ScaleCommand.java
@@ -96,7 +96,7 @@
         WorldPlan.Discovery d = sitePlan.discovery();
         double times = Math.max(1, balancers / 3.0) * Math.max(1, upstreams / 10.0);
         WorldPlan base =
-                sitePlan.sized(Range.of(balancers), Range.of(upstreams)).lasting(length * 1_000_000L);
+                sitePlan.withSize(Range.of(balancers), Range.of(upstreams)).withLength(length * 1_000_000L);
         WorldPlan plan = new WorldPlan(
                 base.length(),
                 base.balancers(),
@@ -107,13 +107,13 @@
                 base.clients(),
                 new WorldPlan.Discovery(
                         d.ask(),
-                        d.notice(),
-                        d.silentNotice(),
-                        d.add(),
+                        d.noticeDelay(),
+                        d.silentFailureNotice(),
+                        d.registrationDelay(),
                         d.period(),
                         d.spread(),
                         new Range(d.capacity().from() * times, d.capacity().to() * times),
-                        d.callLines(),
+                        d.entriesPerCall(),
                         d.timeout()),
                 base.rules(),
                 base.goal(),
@@ -122,14 +122,14 @@
                 base.kinds(),
                 base.classes(),
                 base.tenants(),
-                base.troubles());
+                base.faults());
         MeteredPolicy.Meter meter = new MeteredPolicy.Meter();
-        PolicyFactory maker = Variants.maker(variant);
+        PolicyFactory policyFactory = Variants.policyFactory(variant);
         List<PolicySettings> seen = new ArrayList<>();
         long began = System.nanoTime();
         Day day = Day.play(plan, seed, (settings, s, truth) -> {
             seen.add(settings);
-            return new MeteredPolicy(maker.make(settings, s, truth), meter, System::nanoTime);
+            return new MeteredPolicy(policyFactory.create(settings, s, truth), meter, System::nanoTime);
         });
         double seconds = (System.nanoTime() - began) / 1e9;
         double requests = day.figures().get("requests");
@@ -144,7 +144,7 @@
                 meter.decisionNanos() / 1e3 / requests,
                 meter.listNanos() / 1e3 / Math.max(1, meter.lists()),
                 meter.allNanos() / 1e9 / length / balancers,
-                memory(maker, seen.get(0), upstreams) / 1024.0,
+                memory(policyFactory, seen.get(0), upstreams) / 1024.0,
                 day.figures().get("events") / seconds,
                 seconds);
         System.out.printf(
@@ -157,14 +157,14 @@
     }
 
     // Bytes of a module that knows the fleet and has served for a while.
-    private static double memory(PolicyFactory maker, PolicySettings settings, int upstreams) {
+    private static double memory(PolicyFactory policyFactory, PolicySettings settings, int upstreams) {
         List<Endpoint> fleet = IntStream.range(0, upstreams)
                 .mapToObj(i -> new Endpoint("u" + i, EndpointState.UP, 0, 1, i / 4, i % 2, i % 3))
                 .toList();
         List<LoadBalancingPolicy> modules = new ArrayList<>();
         long before = used();
         for (int m = 0; m < MODULES; m++) {
-            LoadBalancingPolicy p = maker.make(settings, m, null);
+            LoadBalancingPolicy p = policyFactory.create(settings, m, null);
             NoOpActions out = new NoOpActions();
             p.endpoints(1, EndpointListKind.CACHED, fleet, out);
             for (int i = 0; i < 2_000; i++) {
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/ExperimentReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/ExperimentReader.java
@@ -73,7 +73,7 @@
     }
 
     private static List<Variant> variants(Section root, WorldPlan plan, RoutingSpec front) {
-        double fast = plan.kinds().isEmpty() ? 0.5 : plan.kinds().get(0).share().middle();
+        double fast = plan.kinds().isEmpty() ? 0.5 : plan.kinds().get(0).share().midpoint();
         List<Variant> all = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (Section s : root.tables("variant")) {
@@ -213,7 +213,7 @@
                 kinds,
                 classes(root),
                 tenants(root),
-                troubles(root, kinds));
+                faults(root, kinds));
     }
 
     private static WorldPlan.Fleet fleet(Section root) {
@@ -300,7 +300,7 @@
         return all;
     }
 
-    private static List<WorldPlan.Fault> troubles(Section root, List<WorldPlan.Kind> ofFleet) {
+    private static List<WorldPlan.Fault> faults(Section root, List<WorldPlan.Kind> ofFleet) {
         List<String> pools =
                 ofFleet.stream().map(WorldPlan.Kind::pool).distinct().toList();
         List<WorldPlan.Fault> all = new ArrayList<>();
@@ -315,7 +315,7 @@
                                         ", ", kinds.keySet().stream().sorted().toList())
                                 + Section.meant(kind, kinds.keySet()));
             }
-            WorldPlan.Fault trouble = new WorldPlan.Fault(
+            WorldPlan.Fault fault = new WorldPlan.Fault(
                     kind,
                     range(t, "at", Measure.TIME),
                     range(t, "length", Measure.TIME, Range.of(1_000_000)),
@@ -323,10 +323,10 @@
                     range(t, "size", Measure.NUMBER, NONE),
                     range(t, "extra", Measure.SIGNED, NONE),
                     t.has("of") ? t.text("of", null) : null);
-            if (trouble.of() != null && !pools.contains(trouble.of())) {
-                t.fault("of", "no [[kind]] is of pool '" + trouble.of() + "'" + Section.meant(trouble.of(), pools));
+            if (fault.pool() != null && !pools.contains(fault.pool())) {
+                t.fault("of", "no [[kind]] is of pool '" + fault.pool() + "'" + Section.meant(fault.pool(), pools));
             }
-            all.add(trouble);
+            all.add(fault);
             t.done();
         }
         return all;
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/Results.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/Results.java
@@ -37,8 +37,8 @@
     }
 
     /** Broken rules of a variant, over all seeds. */
-    public List<RuleViolation> broken(String variant) {
-        return days.get(variant).stream().flatMap(d -> d.broken().stream()).toList();
+    public List<RuleViolation> violations(String variant) {
+        return days.get(variant).stream().flatMap(d -> d.violations().stream()).toList();
     }
 
     /** All expectations, held against these results. */
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/Runner.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/Runner.java
@@ -43,7 +43,7 @@
                         Day day = Day.play(
                                 v.calm() ? experiment.plan().with(List.of()) : experiment.plan(),
                                 seed,
-                                Variants.maker(v, experiment.plan()));
+                                Variants.policyFactory(v, experiment.plan()));
                         progress.played(done.incrementAndGet(), all);
                         return day;
                     }));
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/Axes.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/Axes.java
@@ -8,14 +8,14 @@
 
 /** All axes that there are; a new one is one line here. */
 public final class Axes {
-    private static final Map<String, Maker> MAKERS = new LinkedHashMap<>();
+    private static final Map<String, AxisFactory> FACTORIES = new LinkedHashMap<>();
 
     static {
-        MAKERS.put("balancers", BalancersAxis::new);
-        MAKERS.put("upstreams", UpstreamsAxis::new);
-        MAKERS.put("real_upstreams", RealUpstreamsAxis::new);
-        MAKERS.put("routes", RoutesAxis::new);
-        MAKERS.put("tenants", TenantsAxis::new);
+        FACTORIES.put("balancers", BalancersAxis::new);
+        FACTORIES.put("upstreams", UpstreamsAxis::new);
+        FACTORIES.put("real_upstreams", RealUpstreamsAxis::new);
+        FACTORIES.put("routes", RoutesAxis::new);
+        FACTORIES.put("tenants", TenantsAxis::new);
     }
 
     /**
@@ -26,15 +26,15 @@
      */
     public record Setup(FleetPlan plan, Path root) {}
 
-    private interface Maker {
-        Axis make(Setup setup) throws IOException;
+    private interface AxisFactory {
+        Axis create(Setup setup) throws IOException;
     }
 
     private Axes() {}
 
     /** Their names. */
     public static List<String> names() {
-        return List.copyOf(MAKERS.keySet());
+        return List.copyOf(FACTORIES.keySet());
     }
 
     /**
@@ -44,10 +44,10 @@
      * @throws IOException where what it needs can't be read
      */
     public static Axis of(String name, Setup setup) throws IOException {
-        Maker maker = MAKERS.get(name);
-        if (maker == null) {
+        AxisFactory factory = FACTORIES.get(name);
+        if (factory == null) {
             throw new IllegalArgumentException("no axis '" + name + "'; there are " + String.join(", ", names()));
         }
-        return maker.make(setup);
+        return factory.create(setup);
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/BalancersAxis.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/BalancersAxis.java
@@ -17,12 +17,13 @@
 
     @Override
     public Need need(long size) {
-        return FleetRun.need(setup.plan().sized((int) size, setup.plan().fleet().upstreams()));
+        return FleetRun.need(
+                setup.plan().withSize((int) size, setup.plan().fleet().upstreams()));
     }
 
     @Override
     public ScalePoint measure(long size) throws IOException, InterruptedException {
-        FleetPlan plan = setup.plan().sized((int) size, setup.plan().fleet().upstreams());
+        FleetPlan plan = setup.plan().withSize((int) size, setup.plan().fleet().upstreams());
         return new FleetRun(plan, setup.root()).play(name(), size);
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/Churn.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/Churn.java
@@ -96,10 +96,10 @@
         if (rate <= 0) {
             return;
         }
-        RandomStream draws = new RandomStreams(seed).of("churn", what.ordinal(), "starts");
-        double at = draws.exponential(1e6 / rate);
+        RandomStream random = new RandomStreams(seed).of("churn", what.ordinal(), "starts");
+        double at = random.exponential(1e6 / rate);
         for (int n = 0; at < length; n++) {
-            int of = draws.below(
+            int of = random.below(
                     switch (what) {
                         case RACK -> machines.racks();
                         case ZONE -> machines.zones();
@@ -110,7 +110,7 @@
                     ? machines.rackFrom(of + 1)
                     : what == What.ZONE ? machines.zoneFrom(of + 1) : of + 1;
             due.add(new Step(Math.round(at), due.size(), what, from, to, 0, 1 + due.size()));
-            at += draws.exponential(1e6 / rate);
+            at += random.exponential(1e6 / rate);
         }
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/FleetPlan.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/FleetPlan.java
@@ -93,7 +93,7 @@
     }
 
     /** The same before that many upstreams, with that many hollow balancers. */
-    FleetPlan sized(int balancers, int upstreams) {
+    FleetPlan withSize(int balancers, int upstreams) {
         Fleet f = fleet;
         return new FleetPlan(
                 name,
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/UpstreamsAxis.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/UpstreamsAxis.java
@@ -17,12 +17,12 @@
 
     @Override
     public Need need(long size) {
-        return FleetRun.need(setup.plan().sized(setup.plan().fleet().balancers(), (int) size));
+        return FleetRun.need(setup.plan().withSize(setup.plan().fleet().balancers(), (int) size));
     }
 
     @Override
     public ScalePoint measure(long size) throws IOException, InterruptedException {
-        FleetPlan plan = setup.plan().sized(setup.plan().fleet().balancers(), (int) size);
+        FleetPlan plan = setup.plan().withSize(setup.plan().fleet().balancers(), (int) size);
         return new FleetRun(plan, setup.root()).play(name(), size);
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/policies/Chooser.java
+++ b/simulator/src/main/java/loadbalancer/simulator/policies/Chooser.java
@@ -5,7 +5,7 @@
 /** A textbook policy: which server gets the next job. */
 public interface Chooser {
     /** The number of the server; {@code view} holds at least one. */
-    int choose(ServerView view, RandomStream draws);
+    int choose(ServerView view, RandomStream random);
 
     /** A job went to that server. */
     default void dispatched(int server) {}
--- a/simulator/src/main/java/loadbalancer/simulator/policies/Choosers.java
+++ b/simulator/src/main/java/loadbalancer/simulator/policies/Choosers.java
@@ -28,7 +28,7 @@
      */
     public static Chooser named(String name, Figures figures) {
         return switch (name) {
-            case "random" -> (view, draws) -> draws.below(view.size());
+            case "random" -> (view, random) -> random.below(view.size());
             case "round-robin" -> new RoundRobin();
             case "jsq" -> new All(false);
             case "sed" -> new All(true);
@@ -45,7 +45,7 @@
         private int next;
 
         @Override
-        public int choose(ServerView view, RandomStream draws) {
+        public int choose(ServerView view, RandomStream random) {
             next = next >= view.size() ? 0 : next;
             return next++;
         }
@@ -54,7 +54,7 @@
     /** Join the shortest queue of all, or the one of shortest expected delay; ties at random. */
     private record All(boolean delay) implements Chooser {
         @Override
-        public int choose(ServerView view, RandomStream draws) {
+        public int choose(ServerView view, RandomStream random) {
             int best = -1;
             double least = 0;
             int ties = 0;
@@ -64,7 +64,7 @@
                     best = i;
                     least = length;
                     ties = 1;
-                } else if (length == least && draws.below(++ties) == 0) {
+                } else if (length == least && random.below(++ties) == 0) {
                     best = i;
                 }
             }
@@ -82,9 +82,9 @@
             }
         }
 
-        int draw(int from, int to, int nth, RandomStream draws) {
+        int draw(int from, int to, int nth, RandomStream random) {
             int i = from + nth;
-            int j = i + draws.below(to - i);
+            int j = i + random.below(to - i);
             int drawn = urn[j];
             urn[j] = urn[i];
             urn[i] = drawn;
@@ -104,13 +104,13 @@
         }
 
         @Override
-        public int choose(ServerView view, RandomStream draws) {
+        public int choose(ServerView view, RandomStream random) {
             int size = view.size();
             sample.fit(size);
             int best = -1;
             double least = 0;
             for (int i = 0; i < Math.min(d, size); i++) {
-                int drawn = sample.draw(0, size, i, draws);
+                int drawn = sample.draw(0, size, i, random);
                 double length = delay ? (view.queue(drawn) + 1) / view.rate(drawn) : view.queue(drawn);
                 if (best < 0 || length < least) {
                     best = drawn;
@@ -142,25 +142,25 @@
         }
 
         @Override
-        public int choose(ServerView view, RandomStream draws) {
+        public int choose(ServerView view, RandomStream random) {
             if (known != view.size()) {
                 known = view.size();
                 fast = IntStream.range(0, known).filter(view::fast).toArray();
                 slow = IntStream.range(0, known).filter(i -> !view.fast(i)).toArray();
             }
-            int best = shortest(fast, dF, fastSample, view, draws);
+            int best = shortest(fast, dF, fastSample, view, random);
             if (best >= 0 && view.queue(best) == 0) {
                 return best;
             }
-            int other = shortest(slow, dS, slowSample, view, draws);
+            int other = shortest(slow, dS, slowSample, view, random);
             return best < 0 || other >= 0 && view.queue(other) == 0 ? other : best;
         }
 
-        private static int shortest(int[] servers, int d, Sample sample, ServerView view, RandomStream draws) {
+        private static int shortest(int[] servers, int d, Sample sample, ServerView view, RandomStream random) {
             sample.fit(servers.length);
             int best = -1;
             for (int i = 0; i < Math.min(d, servers.length); i++) {
-                int drawn = servers[sample.draw(0, servers.length, i, draws)];
+                int drawn = servers[sample.draw(0, servers.length, i, random)];
                 best = best < 0 || view.queue(drawn) < view.queue(best) ? drawn : best;
             }
             return best;
@@ -189,7 +189,7 @@
         }
 
         @Override
-        public int choose(ServerView view, RandomStream draws) {
+        public int choose(ServerView view, RandomStream random) {
             int k = view.size();
             if (ranking.size() != k) {
                 ranking.renumber(IntStream.range(0, k).toArray());
@@ -201,10 +201,10 @@
             rest.fit(k - accomplished);
             int best = -1;
             for (int i = 0; i < fromTop; i++) {
-                best = better(best, ranking.at(top.draw(0, accomplished, i, draws)), view);
+                best = better(best, ranking.at(top.draw(0, accomplished, i, random)), view);
             }
             for (int i = 0; i < fromRest; i++) {
-                int place = accomplished + rest.draw(0, k - accomplished, i, draws);
+                int place = accomplished + rest.draw(0, k - accomplished, i, random);
                 best = better(best, ranking.at(place), view);
             }
             return best;
--- a/simulator/src/main/java/loadbalancer/simulator/report/HtmlReport.java
+++ b/simulator/src/main/java/loadbalancer/simulator/report/HtmlReport.java
@@ -81,7 +81,7 @@
                 .append(results.experiment().firstSeed())
                 .append(")</h2>")
                 .append("<p class=\"note\">Shaded: ")
-                .append(text(spells(seed)))
+                .append(text(faultIntervals(seed)))
                 .append("</p>");
         overTime(
                 "Worth answered in time, as a share of what was asked for",
@@ -160,13 +160,14 @@
         return results.days().get(variant).get(seed).series();
     }
 
-    private String spells(int seed) {
-        List<Timeline.FaultInterval> spells = series(variants.get(0), seed).spells();
-        return spells.isEmpty()
+    private String faultIntervals(int seed) {
+        List<Timeline.FaultInterval> faultIntervals =
+                series(variants.get(0), seed).faultIntervals();
+        return faultIntervals.isEmpty()
                 ? "nothing goes wrong"
                 : String.join(
                         ", ",
-                        spells.stream()
+                        faultIntervals.stream()
                                 .map(s -> String.format(
                                         Locale.ROOT, "%s %.0f-%.0f s", s.kind(), s.from() / 1e6, s.to() / 1e6))
                                 .toList());
@@ -185,7 +186,7 @@
         }
         double height = Double.isNaN(top) ? Math.max(1, most * 1.05) : top;
         int shade = 0;
-        for (Timeline.FaultInterval s : series(variants.get(0), seed).spells()) {
+        for (Timeline.FaultInterval s : series(variants.get(0), seed).faultIntervals()) {
             double from = s.from() / 1e6;
             double to = Math.max(from + 0.1, s.to() / 1e6);
             var area = chart.addSeries(
@@ -326,15 +327,15 @@
     }
 
     private void rules(String variant) {
-        List<RuleViolation> broken = results.broken(variant);
+        List<RuleViolation> broken = results.violations(variant);
         if (broken.isEmpty()) {
             return;
         }
         page.append("<h2>Rules that ").append(text(variant)).append(" broke</h2><pre>");
         for (RuleViolation b : broken.subList(0, Math.min(20, broken.size()))) {
             page.append(text(String.format(
-                    Locale.ROOT, "%s at %.6f s: %s: %s%n", b.rule(), b.at() / 1e6, b.subject(), b.what())));
-            b.chain().forEach(step -> page.append("    ").append(text(step)).append('\n'));
+                    Locale.ROOT, "%s at %.6f s: %s: %s%n", b.rule(), b.at() / 1e6, b.subject(), b.description())));
+            b.events().forEach(step -> page.append("    ").append(text(step)).append('\n'));
         }
         page.append("</pre>");
     }
--- a/simulator/src/main/java/loadbalancer/simulator/report/JsonReport.java
+++ b/simulator/src/main/java/loadbalancer/simulator/report/JsonReport.java
@@ -54,13 +54,13 @@
                 series(days.addObject(), day.series());
             }
             ArrayNode broken = node.putArray("broken");
-            for (RuleViolation b : r.broken(v)) {
+            for (RuleViolation b : r.violations(v)) {
                 ObjectNode entry = broken.addObject()
                         .put("rule", b.rule().name())
                         .put("at_us", b.at())
                         .put("subject", b.subject())
-                        .put("what", b.what());
-                b.chain().forEach(entry.putArray("chain")::add);
+                        .put("what", b.description());
+                b.events().forEach(entry.putArray("chain")::add);
             }
         }
         ArrayNode verdicts = root.putArray("expectations");
--- a/simulator/src/main/java/loadbalancer/simulator/report/Table.java
+++ b/simulator/src/main/java/loadbalancer/simulator/report/Table.java
@@ -59,7 +59,7 @@
     }
 
     private static void broken(String variant, Results r, StringBuilder out) {
-        List<RuleViolation> broken = r.broken(variant);
+        List<RuleViolation> broken = r.violations(variant);
         double all = java.util.Arrays.stream(r.values(variant, "rules.broken")).sum();
         if (broken.isEmpty()) {
             return;
@@ -67,8 +67,8 @@
         out.append(String.format(Locale.ROOT, "%n%n%s broke rules %.0f times; the first:", variant, all));
         for (RuleViolation b : broken.subList(0, Math.min(CHAINS, broken.size()))) {
             out.append(String.format(
-                    Locale.ROOT, "%n  %s at %.6f s: %s: %s", b.rule(), b.at() / 1e6, b.subject(), b.what()));
-            b.chain().forEach(step -> out.append("\n      ").append(step));
+                    Locale.ROOT, "%n  %s at %.6f s: %s: %s", b.rule(), b.at() / 1e6, b.subject(), b.description()));
+            b.events().forEach(step -> out.append("\n      ").append(step));
         }
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/rules/Day.java
+++ b/simulator/src/main/java/loadbalancer/simulator/rules/Day.java
@@ -10,26 +10,26 @@
 public record Day(
         long seed,
         Map<String, Double> figures,
-        List<RuleViolation> broken,
+        List<RuleViolation> violations,
         Score.Series series,
-        List<String> remarks,
+        List<String> logLines,
         double seconds) {
 
     /** Draws the world of {@code seed} and plays its day. */
-    public static Day play(WorldPlan plan, long seed, PolicyFactory maker) {
+    public static Day play(WorldPlan plan, long seed, PolicyFactory policyFactory) {
         long began = System.nanoTime();
         Score score = new Score(plan);
-        RuleChecker judge = new RuleChecker(plan, score);
-        World world = new World(plan, seed, maker, judge);
-        world.everySecond(() -> score.sample(world.held()));
+        RuleChecker checker = new RuleChecker(plan, score);
+        World world = new World(plan, seed, policyFactory, checker);
+        world.everySecond(() -> score.sample(world.requestsInFlight()));
         World.Costs costs = world.run();
-        Map<String, Double> figures = score.figures(costs, judge.count(), world.spells());
+        Map<String, Double> figures = score.figures(costs, checker.count(), world.faultIntervals());
         return new Day(
                 seed,
                 figures,
-                List.copyOf(judge.broken()),
+                List.copyOf(checker.violations()),
                 score.series(world),
-                List.copyOf(world.remarks()),
+                List.copyOf(world.logLines()),
                 (System.nanoTime() - began) / 1e9);
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/rules/RuleChecker.java
+++ b/simulator/src/main/java/loadbalancer/simulator/rules/RuleChecker.java
@@ -25,11 +25,11 @@
 
 /** Holds every event of a day against the rules. It sees all of them, not samples. */
 public final class RuleChecker implements Observer {
-    private static final int MOST = 100;
-    private static final double TOLD_PART = 2 / 3.0;
+    private static final int MAX_VIOLATIONS = 100;
+    private static final double MIN_NOTIFIED_FRACTION = 2 / 3.0;
 
     /** What one balancer has been told of one upstream. */
-    private static final class Told {
+    private static final class NotifiedEndpoint {
         private EndpointState state = EndpointState.UP;
         private long endsSince;
         private long start;
@@ -37,8 +37,8 @@
 
     private final WorldPlan plan;
     private final Score score;
-    private final List<RuleViolation> broken = new ArrayList<>();
-    private final Map<Balancer, Map<String, Told>> told = new HashMap<>();
+    private final List<RuleViolation> violations = new ArrayList<>();
+    private final Map<Balancer, Map<String, NotifiedEndpoint>> notified = new HashMap<>();
     private long count;
 
     public RuleChecker(WorldPlan plan, Score score) {
@@ -47,8 +47,8 @@
     }
 
     /** Broken rules, the first hundred of them. */
-    public List<RuleViolation> broken() {
-        return broken;
+    public List<RuleViolation> violations() {
+        return violations;
     }
 
     /** How many rules were broken in all. */
@@ -56,103 +56,105 @@
         return count;
     }
 
-    private void breach(Rule rule, long now, String subject, String what, BalancerRequest t) {
+    private void addViolation(Rule rule, long now, String subject, String what, BalancerRequest t) {
         count++;
-        if (broken.size() < MOST) {
+        if (violations.size() < MAX_VIOLATIONS) {
             List<String> chain = new ArrayList<>();
             if (t != null) {
                 for (BalancerRequest.Step s : t.steps()) {
-                    chain.add(time(s.at()) + " " + s.what());
+                    chain.add(time(s.at()) + " " + s.description());
                 }
             }
-            broken.add(new RuleViolation(rule, now - World.began(), subject, what, List.copyOf(chain)));
+            violations.add(new RuleViolation(rule, now - World.dayStart(), subject, what, List.copyOf(chain)));
         }
     }
 
     private static String time(long at) {
-        return String.format(Locale.ROOT, "%.6f s", (at - World.began()) / 1e6);
+        return String.format(Locale.ROOT, "%.6f s", (at - World.dayStart()) / 1e6);
     }
 
     @Override
-    public void taken(BalancerRequest request, long now) {
-        score.taken(now);
+    public void requestAccepted(BalancerRequest request, long now) {
+        score.requestAccepted(now);
     }
 
     @Override
-    public void sending(Attempt a, long now) {
-        BalancerRequest t = a.taken();
-        score.sent(
-                a.target(),
+    public void attemptStarting(Attempt a, long now) {
+        BalancerRequest t = a.request();
+        score.attemptStarted(
+                a.endpointId(),
                 t.attempts().size(),
-                t.client().key(),
+                t.clientRequest().key(),
                 plan.kinds().get(a.kind()).pool(),
                 now);
         if (t.answered()) {
-            breach(Rule.MALFORMED, now, t.id(), "sent after its final answer", t);
+            addViolation(Rule.MALFORMED, now, t.id(), "sent after its final answer", t);
         }
-        if (t.out() > 0 && !plan.rules().secondCopies()) {
-            breach(Rule.TWO_AT_ONCE, now, t.id(), "sent to " + a.target() + " while another attempt is out", t);
+        if (t.attemptsInFlight() > 0 && !plan.rules().hedgingAllowed()) {
+            addViolation(
+                    Rule.TWO_AT_ONCE, now, t.id(), "sent to " + a.endpointId() + " while another attempt is out", t);
         }
         boolean mayHaveRun = t.attempts().stream().anyMatch(Attempt::mayHaveRun);
-        if (mayHaveRun && plan.classes().get(t.client().kind()).effect() == Idempotency.NON_IDEMPOTENT) {
-            breach(Rule.DUPLICATE, now, t.id(), "sent again to " + a.target() + " though it may have run", t);
+        if (mayHaveRun && plan.classes().get(t.clientRequest().kind()).effect() == Idempotency.NON_IDEMPOTENT) {
+            addViolation(Rule.DUPLICATE, now, t.id(), "sent again to " + a.endpointId() + " though it may have run", t);
         }
-        Map<String, Told> known = told.get(t.at());
-        Told entry = known == null ? null : known.get(a.target());
+        Map<String, NotifiedEndpoint> known = notified.get(t.balancer());
+        NotifiedEndpoint entry = known == null ? null : known.get(a.endpointId());
         long since = entry != null && entry.state != EndpointState.UP ? entry.endsSince : Long.MAX_VALUE;
-        since = Math.min(since, t.at().deemedTold(a.target()));
+        since = Math.min(since, t.balancer().deemedNotifiedAt(a.endpointId()));
         if (since != Long.MAX_VALUE) {
-            score.sentWhileDraining(now - since);
+            score.sentToDraining(now - since);
         }
         if (since != Long.MAX_VALUE && now - since > plan.rules().drainGracePeriodMicros()) {
-            breach(
+            addViolation(
                     Rule.DRAIN,
                     now,
                     t.id(),
-                    "sent to " + a.target() + " " + (now - since) / 1000 + " ms after balancer " + t.at().rank()
-                            + " was told that it drains or is gone",
+                    "sent to " + a.endpointId() + " " + (now - since) / 1000 + " ms after balancer "
+                            + t.balancer().rank() + " was told that it drains or is gone",
                     t);
         }
     }
 
     @Override
-    public void outcome(Attempt a, AttemptOutcome outcome, long now) {
-        score.outcome(outcome, now);
+    public void attemptEnded(Attempt a, AttemptOutcome outcome, long now) {
+        score.attemptEnded(outcome, now);
     }
 
     @Override
-    public void answered(BalancerRequest t, Clients.End end, long retryAfter, long now) {
-        score.answered(end, now);
+    public void requestAnswered(BalancerRequest t, Clients.End end, long retryAfter, long now) {
+        score.requestAnswered(end, now);
         score.answerMargin(t.deadline() + plan.rules().responseSlackMicros() - now);
-        boolean unsafe = plan.classes().get(t.client().kind()).effect() == Idempotency.NON_IDEMPOTENT;
+        boolean unsafe = plan.classes().get(t.clientRequest().kind()).effect() == Idempotency.NON_IDEMPOTENT;
         if (end == Clients.End.REFUSED && unsafe && t.attempts().stream().anyMatch(Attempt::mayHaveRun)) {
-            breach(Rule.DUPLICATE, now, t.id(), "refused, which invites another try, though it may have run", t);
+            addViolation(Rule.DUPLICATE, now, t.id(), "refused, which invites another try, though it may have run", t);
         }
         if (end == Clients.End.REFUSED && retryAfter > plan.rules().maxRetryAfterMicros()) {
-            breach(Rule.MALFORMED, now, t.id(), "told to come back after " + retryAfter + " µs, more than allowed", t);
+            addViolation(
+                    Rule.MALFORMED, now, t.id(), "told to come back after " + retryAfter + " µs, more than allowed", t);
         }
     }
 
     @Override
     public void answeredTwice(BalancerRequest t, Clients.End end, long now) {
-        breach(Rule.ANSWERED_TWICE, now, t.id(), end + " after its final answer", t);
+        addViolation(Rule.ANSWERED_TWICE, now, t.id(), end + " after its final answer", t);
     }
 
     @Override
-    public void overdue(BalancerRequest t, long now) {
-        breach(Rule.LOST, now, t.id(), "no final answer in time", t);
+    public void deadlineMissed(BalancerRequest t, long now) {
+        addViolation(Rule.LOST, now, t.id(), "no final answer in time", t);
     }
 
     @Override
-    public void told(Balancer b, EndpointListKind kind, List<Endpoint> servers, long now) {
+    public void endpointsNotified(Balancer b, EndpointListKind kind, List<Endpoint> servers, long now) {
         if (kind == EndpointListKind.CACHED) {
-            told.keySet().removeIf(other -> other.rank() == b.rank() && other.incarnation() < b.incarnation() - 1);
+            notified.keySet().removeIf(other -> other.rank() == b.rank() && other.incarnation() < b.incarnation() - 1);
         }
-        Map<String, Told> known = told.computeIfAbsent(b, x -> new HashMap<>());
+        Map<String, NotifiedEndpoint> known = notified.computeIfAbsent(b, x -> new HashMap<>());
         Set<String> listed = new HashSet<>();
         for (Endpoint s : servers) {
             listed.add(s.id());
-            Told t = known.computeIfAbsent(s.id(), x -> new Told());
+            NotifiedEndpoint t = known.computeIfAbsent(s.id(), x -> new NotifiedEndpoint());
             if (s.state() != EndpointState.UP && t.state == EndpointState.UP) {
                 t.endsSince = now;
             }
@@ -167,49 +169,49 @@
                 }
             });
         }
-        score.told(kind);
+        score.endpointListNotified(kind);
     }
 
     @Override
     public boolean knowsStart(Balancer b, Upstream u) {
-        Map<String, Told> known = told.get(b);
-        Told t = known == null ? null : known.get(u.id());
-        return t != null && t.start >= u.saidStart();
+        Map<String, NotifiedEndpoint> known = notified.get(b);
+        NotifiedEndpoint t = known == null ? null : known.get(u.id());
+        return t != null && t.start >= u.reportedStart();
     }
 
     @Override
-    public void fell(Upstream u, double toldPart, long now) {
-        score.fell();
-        if (toldPart >= TOLD_PART) {
-            breach(
+    public void upstreamOverloaded(Upstream u, double notifiedFraction, long now) {
+        score.upstreamOverloaded();
+        if (notifiedFraction >= MIN_NOTIFIED_FRACTION) {
+            addViolation(
                     Rule.COLD,
                     now,
                     u.id(),
                     String.format(
                             Locale.ROOT,
                             "fell over while cold; %.0f%% of the work came from balancers that knew of its start",
-                            100 * toldPart),
+                            100 * notifiedFraction),
                     null);
         }
     }
 
     @Override
-    public void pressed(Upstream u, double part, long now) {
-        score.pressed(part);
+    public void coldLoad(Upstream u, double part, long now) {
+        score.coldLoad(part);
     }
 
     @Override
-    public void malformed(Balancer b, String what, BalancerRequest request, long now) {
-        breach(Rule.MALFORMED, now, request == null ? "balancer " + b.rank() : request.id(), what, request);
+    public void invalidAction(Balancer b, String what, BalancerRequest request, long now) {
+        addViolation(Rule.MALFORMED, now, request == null ? "balancer " + b.rank() : request.id(), what, request);
     }
 
     @Override
-    public void asked(ClientRequest request, long now) {
-        score.asked(request, now);
+    public void requestIssued(ClientRequest request, long now) {
+        score.requestIssued(request, now);
     }
 
     @Override
-    public void over(ClientRequest request, boolean served, long now) {
-        score.over(request, served, now);
+    public void requestFinished(ClientRequest request, boolean served, long now) {
+        score.requestFinished(request, served, now);
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/rules/Score.java
+++ b/simulator/src/main/java/loadbalancer/simulator/rules/Score.java
@@ -65,7 +65,7 @@
             List<int[]> held,
             List<String> upstreams,
             Map<String, Long> sentTo,
-            List<Timeline.FaultInterval> spells,
+            List<Timeline.FaultInterval> faultIntervals,
             List<double[]> percentiles) {}
 
     public Score(WorldPlan plan) {
@@ -93,25 +93,25 @@
     }
 
     private int second(long now) {
-        return (int) Math.max(0, Math.min(seconds - 1, (now - World.began()) / SECOND));
+        return (int) Math.max(0, Math.min(seconds - 1, (now - World.dayStart()) / SECOND));
     }
 
     private double priorityWeight(ClientRequest r) {
-        return plan.classes().get(r.kind()).priorityWeight() * (r.overShare() ? OVER_SHARE : 1);
+        return plan.classes().get(r.kind()).priorityWeight() * (r.overQuota() ? OVER_SHARE : 1);
     }
 
-    void asked(ClientRequest r, long now) {
+    void requestIssued(ClientRequest r, long now) {
         double priorityWeight = priorityWeight(r);
         firstTries++;
         asked[second(now)] += priorityWeight;
         arrivals[second(now)]++;
         classes[r.kind()][0] += priorityWeight;
-        if (tenants.length > 0 && !r.overShare()) {
+        if (tenants.length > 0 && !r.overQuota()) {
             tenants[r.tenant()][0] += priorityWeight;
         }
     }
 
-    void over(ClientRequest r, boolean wasServed, long now) {
+    void requestFinished(ClientRequest r, boolean wasServed, long now) {
         WorldPlan.RequestKind kind = plan.classes().get(r.kind());
         long latency = now - r.firstAt();
         double priorityWeight = priorityWeight(r);
@@ -120,25 +120,25 @@
             return;
         }
         served++;
-        if (now <= r.deadline() && now - World.began() < seconds * SECOND) {
+        if (now <= r.deadline() && now - World.dayStart() < seconds * SECOND) {
             done[second(now)] += r.work();
         }
         latencies[r.kind()].recordValue(Math.max(1, Math.min(LONGEST, latency)));
         double gained = latency <= kind.latencyObjectiveMicros()
                 ? priorityWeight
-                : latency <= kind.deadline() ? priorityWeight * kind.lateWorth() : 0;
+                : latency <= kind.deadline() ? priorityWeight * kind.lateFraction() : 0;
         got[second(r.firstAt())] += gained;
         classes[r.kind()][1] += gained;
-        if (tenants.length > 0 && !r.overShare()) {
+        if (tenants.length > 0 && !r.overQuota()) {
             tenants[r.tenant()][1] += gained;
         }
     }
 
-    void taken(long now) {
+    void requestAccepted(long now) {
         taken++;
     }
 
-    void sent(String upstream, int earlier, int key, String pool, long now) {
+    void attemptStarted(String upstream, int earlier, int key, String pool, long now) {
         sends++;
         if (key >= 0) {
             List<String> been = pools.computeIfAbsent(key, k -> new ArrayList<>(2));
@@ -155,20 +155,20 @@
         attempts[second(now)]++;
     }
 
-    void outcome(AttemptOutcome outcome, long now) {
+    void attemptEnded(AttemptOutcome outcome, long now) {
         outcomes.merge(outcome, 1L, Long::sum);
     }
 
-    void answered(Clients.End end, long now) {
+    void requestAnswered(Clients.End end, long now) {
         ends.merge(end, 1L, Long::sum);
         refusals[second(now)] += end == Clients.End.REFUSED ? 1 : 0;
     }
 
-    void pressed(double part) {
+    void coldLoad(double part) {
         coldPressure = Math.max(coldPressure, part);
     }
 
-    void sentWhileDraining(long after) {
+    void sentToDraining(long after) {
         latestToDraining = Math.max(latestToDraining, after);
     }
 
@@ -176,11 +176,11 @@
         leastAnswerMargin = Math.min(leastAnswerMargin, left);
     }
 
-    void fell() {
+    void upstreamOverloaded() {
         fallen++;
     }
 
-    void told(EndpointListKind kind) {
+    void endpointListNotified(EndpointListKind kind) {
         lists++;
     }
 
@@ -202,11 +202,19 @@
             percentiles.add(ms);
         }
         return new Series(
-                priorityWeight, arrivals, refusals, attempts, held, world.ids(), sentTo, world.spells(), percentiles);
+                priorityWeight,
+                arrivals,
+                refusals,
+                attempts,
+                held,
+                world.upstreamIds(),
+                sentTo,
+                world.faultIntervals(),
+                percentiles);
     }
 
     /** All figures of the day by name; shares from 0 to 1, times in the unit that the name ends with. */
-    Map<String, Double> figures(World.Costs costs, long brokenRules, List<Timeline.FaultInterval> spells) {
+    Map<String, Double> figures(World.Costs costs, long brokenRules, List<Timeline.FaultInterval> faultIntervals) {
         Map<String, Double> f = new LinkedHashMap<>();
         double allAsked = sum(asked, 0, seconds);
         double whole = ratio(sum(got, 0, seconds), allAsked);
@@ -253,11 +261,11 @@
         for (int i = 0; i < tenants.length; i++) {
             f.put("tenant." + plan.tenants().get(i).name(), ratio(tenants[i][1], tenants[i][0]));
         }
-        f.put("goodput", goodput(spells, costs.capacity()));
-        f.put("least_goodput", leastGoodput(spells, costs.capacity()));
+        f.put("goodput", goodput(faultIntervals, costs.capacity()));
+        f.put("least_goodput", leastGoodput(faultIntervals, costs.capacity()));
         f.put("served_per_s", served / (double) Math.max(1, seconds));
         f.put("flaps", (double) flaps);
-        f.put("recovery_s", recovery(spells));
+        f.put("recovery_s", recovery(faultIntervals));
         f.put("wasted", ratio0(costs.wastedWork(), costs.offeredWork()));
         f.put("handshakes", costs.handshakes() / first);
         f.put("crossings", costs.crossings() / first);
@@ -274,24 +282,29 @@
     }
 
     // While troubles last, or over the whole day where there are none: work served in time, of what the fleet can do.
-    private double goodput(List<Timeline.FaultInterval> spells, double capacity) {
-        int[] span = span(spells);
+    private double goodput(List<Timeline.FaultInterval> faultIntervals, double capacity) {
+        int[] span = span(faultIntervals);
         return sum(done, span[0], span[1]) / (Math.max(1, span[1] - span[0]) * capacity * SECOND);
     }
 
-    private double leastGoodput(List<Timeline.FaultInterval> spells, double capacity) {
-        int[] span = span(spells);
+    private double leastGoodput(List<Timeline.FaultInterval> faultIntervals, double capacity) {
+        int[] span = span(faultIntervals);
         double least = Double.MAX_VALUE;
         for (int i = span[0]; i + 5 <= span[1]; i++) {
             least = Math.min(least, sum(done, i, i + 5) / (5 * capacity * SECOND));
         }
-        return least == Double.MAX_VALUE ? goodput(spells, capacity) : least;
+        return least == Double.MAX_VALUE ? goodput(faultIntervals, capacity) : least;
     }
 
-    private int[] span(List<Timeline.FaultInterval> spells) {
-        long first =
-                spells.stream().mapToLong(Timeline.FaultInterval::from).min().orElse(0);
-        long last = spells.stream().mapToLong(Timeline.FaultInterval::to).max().orElse(seconds * SECOND);
+    private int[] span(List<Timeline.FaultInterval> faultIntervals) {
+        long first = faultIntervals.stream()
+                .mapToLong(Timeline.FaultInterval::from)
+                .min()
+                .orElse(0);
+        long last = faultIntervals.stream()
+                .mapToLong(Timeline.FaultInterval::to)
+                .max()
+                .orElse(seconds * SECOND);
         return new int[] {(int) Math.min(seconds, first / SECOND), (int) Math.min(seconds, last / SECOND)};
     }
 
@@ -314,13 +327,18 @@
     }
 
     // From the end of the last trouble until two seconds running are back near the level of before the first.
-    private double recovery(List<Timeline.FaultInterval> spells) {
-        if (spells.isEmpty()) {
+    private double recovery(List<Timeline.FaultInterval> faultIntervals) {
+        if (faultIntervals.isEmpty()) {
             return 0;
         }
-        long first =
-                spells.stream().mapToLong(Timeline.FaultInterval::from).min().getAsLong();
-        long last = spells.stream().mapToLong(Timeline.FaultInterval::to).max().getAsLong();
+        long first = faultIntervals.stream()
+                .mapToLong(Timeline.FaultInterval::from)
+                .min()
+                .getAsLong();
+        long last = faultIntervals.stream()
+                .mapToLong(Timeline.FaultInterval::to)
+                .max()
+                .getAsLong();
         int before = (int) Math.max(1, Math.min(seconds, first / SECOND));
         double level = BACK * ratio(sum(got, 0, before), sum(asked, 0, before));
         int from = (int) Math.min(seconds, last / SECOND);
--- a/simulator/src/main/java/loadbalancer/simulator/search/ExperimentWriter.java
+++ b/simulator/src/main/java/loadbalancer/simulator/search/ExperimentWriter.java
@@ -48,21 +48,21 @@
         number("loss", Range.of(p.network().loss()));
         head("clients");
         number("retries", p.clients().retries());
-        number("try_share", p.clients().tryShare());
+        number("try_share", p.clients().attemptTimeoutFraction());
         time("backoff", p.clients().backoff());
-        number("honour", p.clients().honour());
-        number("impatient", p.clients().impatient());
-        time("notice", p.clients().notice());
-        flag("marks_retry", p.clients().marksRetry());
+        number("honour", p.clients().retryAfterCompliance());
+        number("impatient", p.clients().abandonFraction());
+        time("notice", p.clients().noticeDelay());
+        flag("marks_retry", p.clients().marksRetries());
         head("discovery");
         text("mode", p.discovery().ask() ? "ask" : "push");
-        time("notice", p.discovery().notice());
-        time("silent_notice", p.discovery().silentNotice());
-        time("add", p.discovery().add());
+        time("notice", p.discovery().noticeDelay());
+        time("silent_notice", p.discovery().silentFailureNotice());
+        time("add", p.discovery().registrationDelay());
         time("period", p.discovery().period());
         time("spread", p.discovery().spread());
         number("capacity", p.discovery().capacity());
-        number("call_lines", p.discovery().callLines());
+        number("call_lines", p.discovery().entriesPerCall());
         time("timeout", p.discovery().timeout());
         rules(p.rules());
         head("goal");
@@ -85,7 +85,7 @@
             number("share", Range.of(t.share()));
             number("usage", t.usage());
         }
-        p.troubles().forEach(this::trouble);
+        p.faults().forEach(this::fault);
         return out.toString();
     }
 
@@ -95,9 +95,9 @@
         time("drain_grace", r.drainGracePeriodMicros());
         time("ask_within", r.pollIntervalMicros());
         number("fall_multiple", Range.of(r.overloadFactor()));
-        time("fall", r.fall());
+        time("fall", r.overloadWindowMicros());
         number("max_attempts", Range.of(r.maxAttempts()));
-        flag("second_copies", r.secondCopies());
+        flag("second_copies", r.hedgingAllowed());
         flag("cancel", r.cancel());
         flag("probes", r.probes());
         time("max_retry_after", r.maxRetryAfterMicros());
@@ -110,11 +110,11 @@
         number("rack_limit", f.rackLimit());
         number("handshake_rtts", f.handshakeRtts());
         time("handshake_work", f.handshakeWork());
-        time("idle", f.idle());
+        time("idle", f.idleTimeoutMicros());
         time("connect_timeout", f.connectTimeoutMicros());
         number("connections_per_core", f.connectionsPerCore());
-        number("full_tax", f.fullTax());
-        number("key_gain", f.keyGain());
+        number("full_tax", f.connectionOverhead());
+        number("key_gain", f.keyAffinityGain());
         time("key_memory", f.keyRetentionMicros());
         number("keys_per_core", f.keysPerCore());
     }
@@ -127,14 +127,14 @@
         number("speed", k.speed());
         number("speed_cv", k.speedVariation());
         number("slots_per_core", k.slotsPerCore());
-        number("queue_per_core", k.roomPerCore());
+        number("queue_per_core", k.queuePerCore());
         number("thrash", Range.of(k.crowding()));
-        number("thrash_at", k.crowdedAt());
+        number("thrash_at", k.crowdingThreshold());
         number("cold_from", k.slowStartInitialWeight());
-        time("cold", k.coldTime());
+        time("cold", k.slowStartDurationMicros());
         text("warm_by", k.warmBy().name().toLowerCase(Locale.ROOT));
         number("errors", k.errors());
-        number("cancel_drops", Range.of(k.cancelDrops()));
+        number("cancel_drops", Range.of(k.cancelDropProbability()));
         text("pool", k.pool());
     }
 
@@ -149,20 +149,20 @@
         time("aim", k.latencyObjectiveMicros());
         time("deadline", k.deadline());
         number("worth", Range.of(k.priorityWeight()));
-        number("late_worth", Range.of(k.lateWorth()));
+        number("late_worth", Range.of(k.lateFraction()));
         text("effect", ProtocolNames.of(k.effect()));
     }
 
-    private void trouble(WorldPlan.Fault t) {
+    private void fault(WorldPlan.Fault t) {
         head("[trouble]");
         text("kind", t.kind());
         time("at", t.at());
         time("length", t.length());
-        number("part", t.part());
+        number("part", t.fraction());
         number("size", t.size());
         number("extra", t.extra());
-        if (t.of() != null) {
-            text("of", t.of());
+        if (t.pool() != null) {
+            text("of", t.pool());
         }
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/search/RandomSearch.java
+++ b/simulator/src/main/java/loadbalancer/simulator/search/RandomSearch.java
@@ -38,14 +38,14 @@
     private final RandomStreams streams;
     private final int threads;
     private final Variant variant;
-    private final PolicyFactory maker;
+    private final PolicyFactory policyFactory;
 
     public RandomSearch(Experiment experiment, long seed, int threads) {
         this.experiment = experiment;
         this.streams = new RandomStreams(seed);
         this.threads = threads;
         this.variant = experiment.variants().get(0);
-        this.maker = Variants.maker(variant);
+        this.policyFactory = Variants.policyFactory(variant);
     }
 
     /** Plays that many worlds; what was found, in the order of the worlds. */
@@ -81,24 +81,24 @@
         }
     }
 
-    private WorldPlan draw(RandomStream draws) {
+    private WorldPlan draw(RandomStream random) {
         List<String> kinds = Timeline.KINDS.keySet().stream().sorted().toList();
         long length = Math.max(experiment.plan().length(), 30 * SECOND);
-        int many = 1 + draws.below(TROUBLES);
-        List<Fault> troubles = new ArrayList<>();
+        int many = 1 + random.below(TROUBLES);
+        List<Fault> faults = new ArrayList<>();
         for (int i = 0; i < many; i++) {
-            String kind = kinds.get(draws.below(kinds.size()));
-            double at = draws.between(3 * SECOND, (length - CALM) / 2.0);
-            double last = Math.min(draws.between(SECOND, 12 * SECOND), length - CALM - at);
-            troubles.add(new Fault(
+            String kind = kinds.get(random.below(kinds.size()));
+            double at = random.between(3 * SECOND, (length - CALM) / 2.0);
+            double last = Math.min(random.between(SECOND, 12 * SECOND), length - CALM - at);
+            faults.add(new Fault(
                     kind,
                     Range.of(Math.rint(at)),
                     Range.of(Math.rint(Math.max(SECOND, last))),
-                    Range.of(round(part(kind, draws.uniform()))),
-                    Range.of(round(size(kind, draws.uniform()))),
-                    Range.of(round(extra(kind, draws.uniform())))));
+                    Range.of(round(part(kind, random.uniform()))),
+                    Range.of(round(size(kind, random.uniform()))),
+                    Range.of(round(extra(kind, random.uniform())))));
         }
-        return experiment.plan().lasting(length).with(troubles);
+        return experiment.plan().withLength(length).with(faults);
     }
 
     private static double round(double v) {
@@ -135,9 +135,9 @@
 
     /** What that world shows, in plain words; null where nothing is wrong. */
     private String shows(WorldPlan plan, long seed) {
-        Day day = Day.play(plan, seed, maker);
-        if (!day.broken().isEmpty()) {
-            return "rule " + day.broken().get(0).rule() + " broken";
+        Day day = Day.play(plan, seed, policyFactory);
+        if (!day.violations().isEmpty()) {
+            return "rule " + day.violations().get(0).rule() + " broken";
         }
         double before = mean(day, 0, (int) Math.max(1, first(plan)));
         double after = atTheEnd(day);
@@ -145,12 +145,12 @@
             return null;
         }
         // The load may be what ends it: the same world without troubles tells.
-        double calm = atTheEnd(Day.play(plan.with(List.of()), seed, maker));
+        double calm = atTheEnd(Day.play(plan.with(List.of()), seed, policyFactory));
         return after < COLLAPSED * calm ? "a collapse that outlives its cause" : null;
     }
 
     private static double first(WorldPlan plan) {
-        return plan.troubles().stream().mapToDouble(t -> t.at().least()).min().orElse(0) / SECOND;
+        return plan.faults().stream().mapToDouble(t -> t.at().min()).min().orElse(0) / SECOND;
     }
 
     private static double atTheEnd(Day day) {
@@ -191,38 +191,38 @@
 
     private static List<WorldPlan> steps(WorldPlan plan) {
         List<WorldPlan> all = new ArrayList<>();
-        for (int i = 0; i < plan.troubles().size() && plan.troubles().size() > 1; i++) {
-            List<Fault> fewer = new ArrayList<>(plan.troubles());
+        for (int i = 0; i < plan.faults().size() && plan.faults().size() > 1; i++) {
+            List<Fault> fewer = new ArrayList<>(plan.faults());
             fewer.remove(i);
             all.add(plan.with(fewer));
         }
-        if (plan.balancers().most() >= 2) {
-            all.add(plan.sized(half(plan.balancers(), 1), plan.upstreams()));
+        if (plan.balancers().max() >= 2) {
+            all.add(plan.withSize(half(plan.balancers(), 1), plan.upstreams()));
         }
-        if (plan.upstreams().most() >= 4) {
-            all.add(plan.sized(plan.balancers(), half(plan.upstreams(), 2)));
+        if (plan.upstreams().max() >= 4) {
+            all.add(plan.withSize(plan.balancers(), half(plan.upstreams(), 2)));
         }
-        double end = plan.troubles().stream()
-                .mapToDouble(t -> t.at().most() + t.length().most())
+        double end = plan.faults().stream()
+                .mapToDouble(t -> t.at().max() + t.length().max())
                 .max()
                 .orElse(0);
         if (plan.length() > end + CALM + SECOND) {
-            all.add(plan.lasting(Math.round((end + CALM) / SECOND) * SECOND));
+            all.add(plan.withLength(Math.round((end + CALM) / SECOND) * SECOND));
         }
-        for (int i = 0; i < plan.troubles().size(); i++) {
-            Fault t = plan.troubles().get(i);
-            if (t.length().most() >= 2 * SECOND) {
-                List<Fault> shorter = new ArrayList<>(plan.troubles());
+        for (int i = 0; i < plan.faults().size(); i++) {
+            Fault t = plan.faults().get(i);
+            if (t.length().max() >= 2 * SECOND) {
+                List<Fault> shorter = new ArrayList<>(plan.faults());
                 shorter.set(
                         i,
                         new Fault(
                                 t.kind(),
                                 t.at(),
-                                Range.of(Math.rint(t.length().most() / 2)),
-                                t.part(),
+                                Range.of(Math.rint(t.length().max() / 2)),
+                                t.fraction(),
                                 t.size(),
                                 t.extra(),
-                                t.of()));
+                                t.pool()));
                 all.add(plan.with(shorter));
             }
         }
@@ -230,6 +230,6 @@
     }
 
     private static Range half(Range r, int least) {
-        return Range.of(Math.max(least, Math.floor(r.most() / 2)));
+        return Range.of(Math.max(least, Math.floor(r.max() / 2)));
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/DemoPage.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/DemoPage.java
@@ -25,19 +25,19 @@
     }
 
     /** Requests that must not run twice and did, or were served and never ran; a line each. */
-    public List<String> broken() {
-        List<String> broken = new ArrayList<>();
+    public List<String> violations() {
+        List<String> violations = new ArrayList<>();
         for (Load.Outcome o : load.outcomes()) {
             int ran =
                     o.ids().stream().mapToInt(id -> ledger.getOrDefault(id, 0)).sum();
             if (plan.classes().get(o.kind()).effect() == Idempotency.NON_IDEMPOTENT && ran > 1) {
-                broken.add(o.ids() + " ran " + ran + " times");
+                violations.add(o.ids() + " ran " + ran + " times");
             }
             if (o.served() && ran == 0) {
-                broken.add(o.ids() + " was served and never ran");
+                violations.add(o.ids() + " was served and never ran");
             }
         }
-        return broken;
+        return violations;
     }
 
     /** The table's lines. */
@@ -67,9 +67,9 @@
                     h.getValueAtPercentile(99.9) / 1e3));
         }
         lines.add("last status of each request (0: none in time): " + load.statuses());
-        List<String> broken = broken();
-        lines.add("rules broken by the ledger: " + broken.size());
-        broken.stream().limit(10).forEach(lines::add);
+        List<String> violations = violations();
+        lines.add("rules broken by the ledger: " + violations.size());
+        violations.stream().limit(10).forEach(lines::add);
         return lines;
     }
 
@@ -92,9 +92,9 @@
             line.append(String.format(Locale.ROOT, "%.1f,%.1f ", WIDTH * (i + 0.5) / seconds, y));
         }
         StringBuilder shades = new StringBuilder();
-        for (WorldPlan.Fault t : plan.troubles()) {
-            double from = t.at().middle() / plan.length() * WIDTH;
-            double wide = Math.max(2, t.length().middle() / plan.length() * WIDTH);
+        for (WorldPlan.Fault t : plan.faults()) {
+            double from = t.at().midpoint() / plan.length() * WIDTH;
+            double wide = Math.max(2, t.length().midpoint() / plan.length() * WIDTH);
             shades.append(String.format(
                     Locale.ROOT,
                     "<rect x=%.1f y=0 width=%.1f height=%d fill='#fdd'>" + "<title>%s</title></rect>",
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/LiveSite.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/LiveSite.java
@@ -327,7 +327,7 @@
                     "boot_ms",
                     s.startedAt() <= 0
                             ? 0
-                            : (unixBegan + s.startedAt() - loadbalancer.simulator.world.World.began()) / 1000.0);
+                            : (unixBegan + s.startedAt() - loadbalancer.simulator.world.World.dayStart()) / 1000.0);
             e.put("capacity_hint", s.weight());
             e.put("pod_group", s.cell());
             e.put("az", plan.zones().get(s.zone()));
@@ -358,7 +358,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             Channel c = context.channel();
-            if (!fleet.registerUp()) {
+            if (!fleet.discoveryAvailable()) {
                 c.close();
                 return;
             }
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/Load.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/Load.java
@@ -76,7 +76,7 @@
     private final Histogram[] latencies;
     private final List<Outcome> outcomes = new ArrayList<>();
     private final Map<Integer, Long> statuses = new TreeMap<>();
-    private final RandomStream draws;
+    private final RandomStream random;
     private final CountDownLatch over = new CountDownLatch(1);
     private final long began = System.nanoTime();
     private double next;
@@ -88,7 +88,7 @@
     public Load(Plan plan, List<WorldPlan.RequestKind> kinds) {
         this.plan = plan;
         this.kinds = kinds;
-        this.draws = new RandomStreams(plan.seed).of("load", 0, "arrivals");
+        this.random = new RandomStreams(plan.seed).of("load", 0, "arrivals");
         plan.balancers.forEach(b -> idle.add(new ArrayDeque<>()));
         latencies = kinds.stream().map(k -> new Histogram(LONGEST, 3)).toArray(Histogram[]::new);
     }
@@ -105,7 +105,7 @@
                 () -> {
                     while (next <= now() && next < end) {
                         arrive(Math.round(next));
-                        next += draws.exponential(1e6 / plan.perSecond);
+                        next += random.exponential(1e6 / plan.perSecond);
                     }
                     if (next >= end && (open == 0 || now() > end + 5_000_000)) {
                         over.countDown();
@@ -119,15 +119,15 @@
     }
 
     private void arrive(long intended) {
-        double u = draws.uniform()
-                * kinds.stream().mapToDouble(k -> k.share().middle()).sum();
+        double u = random.uniform()
+                * kinds.stream().mapToDouble(k -> k.share().midpoint()).sum();
         int kind = 0;
-        while (kind < kinds.size() - 1 && u >= kinds.get(kind).share().middle()) {
-            u -= kinds.get(kind++).share().middle();
+        while (kind < kinds.size() - 1 && u >= kinds.get(kind).share().midpoint()) {
+            u -= kinds.get(kind++).share().midpoint();
         }
-        String key = "k" + (int) (plan.keys * Math.pow(draws.uniform(), 2));
+        String key = "k" + (int) (plan.keys * Math.pow(random.uniform(), 2));
         open++;
-        send(new Want(kind, key, intended, intended + kinds.get(kind).deadline(), draws.below(plan.balancers.size())));
+        send(new Want(kind, key, intended, intended + kinds.get(kind).deadline(), random.below(plan.balancers.size())));
     }
 
     private void send(Want w) {
@@ -177,7 +177,7 @@
         boolean harmless = status == 503 || status == -1 || kinds.get(w.kind).effect() == Idempotency.IDEMPOTENT;
         if (harmless && w.ids.size() < plan.tries) {
             w.balancer = (w.balancer + 1) % plan.balancers.size();
-            long wait = Math.round(draws.exponential(20_000.0 * w.ids.size()));
+            long wait = Math.round(random.exponential(20_000.0 * w.ids.size()));
             loop.schedule(() -> send(w), wait, TimeUnit.MICROSECONDS);
         } else {
             done(w, Math.max(0, status));
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/SiteSettings.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/SiteSettings.java
@@ -45,7 +45,7 @@
                         "TryLimit",
                         r.maxAttempts(),
                         "MayDuplicate",
-                        r.secondCopies(),
+                        r.hedgingAllowed(),
                         "Cancel",
                         r.cancel(),
                         "Probes",
@@ -55,13 +55,13 @@
                         "MaxRetryAfter",
                         r.maxRetryAfterMicros(),
                         "IdleClose",
-                        plan.fleet().idle()));
+                        plan.fleet().idleTimeoutMicros()));
         double slowStartInitialWeight = plan.kinds().stream()
-                .mapToDouble(k -> k.slowStartInitialWeight().least())
+                .mapToDouble(k -> k.slowStartInitialWeight().min())
                 .min()
                 .orElse(1);
         double ramp = plan.kinds().stream()
-                .mapToDouble(k -> k.coldTime().most())
+                .mapToDouble(k -> k.slowStartDurationMicros().max())
                 .max()
                 .orElse(0);
         settings.put(
@@ -80,7 +80,7 @@
                         "OverloadFactor",
                         r.overloadFactor(),
                         "Fall",
-                        r.fall()));
+                        r.overloadWindowMicros()));
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("name", "demo-" + rank);
         all.put("listen", "127.0.0.1:0");
--- a/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
@@ -44,7 +44,7 @@
     private final RoutingSpec.Use use;
     private final PolicySettings settings;
     private final Names names;
-    private final RandomStream draws;
+    private final RandomStream random;
     private final long begin;
     private final Map<String, LoadBalancingPolicy> modules = new LinkedHashMap<>();
     private final Map<String, Map<String, EndpointState>> states = new HashMap<>();
@@ -61,13 +61,13 @@
             RoutingSpec.Use use,
             PolicySettings settings,
             Names names,
-            RandomStream draws,
+            RandomStream random,
             long begin,
             Function<String, LoadBalancingPolicy> module) {
         this.use = use;
         this.settings = settings;
         this.names = names;
-        this.draws = draws;
+        this.random = random;
         this.begin = begin;
         for (RoutingSpec.Pool p : use.spec().pools()) {
             modules.put(p.name(), module.apply(p.name()));
@@ -263,7 +263,7 @@
                         key,
                         rank,
                         clientRetry,
-                        draws.uniform()));
+                        random.uniform()));
         if (v.ticket() == null) {
             to.refuse(id, v.retryAfter());
             return;
--- a/simulator/src/main/java/loadbalancer/simulator/variants/TextbookPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/TextbookPolicy.java
@@ -53,7 +53,7 @@
 
     private final PolicySettings settings;
     private final Chooser chooser;
-    private final RandomStream draws;
+    private final RandomStream random;
     private final GroundTruth truth;
     private final Map<String, Server> servers = new LinkedHashMap<>();
     private final Map<String, Open> open = new HashMap<>();
@@ -62,10 +62,10 @@
     private long askAt = Long.MAX_VALUE;
     private boolean waking;
 
-    TextbookPolicy(PolicySettings settings, Chooser chooser, RandomStream draws, GroundTruth truth) {
+    TextbookPolicy(PolicySettings settings, Chooser chooser, RandomStream random, GroundTruth truth) {
         this.settings = settings;
         this.chooser = chooser;
-        this.draws = draws;
+        this.random = random;
         this.truth = truth;
     }
 
@@ -87,19 +87,19 @@
 
         @Override
         public double rate(int server) {
-            return truth.nominal(up.get(server).entry.id());
+            return truth.nominalCapacity(up.get(server).entry.id());
         }
 
         @Override
         public boolean fast(int server) {
-            return truth.fast(up.get(server).entry.id());
+            return truth.isFast(up.get(server).entry.id());
         }
     }
 
     @Override
     public void endpoints(long now, EndpointListKind kind, List<Endpoint> list, Actions out) {
         if (kind == EndpointListKind.UNAVAILABLE) {
-            askAt = now + 500_000 + draws.below(500_000);
+            askAt = now + 500_000 + random.below(500_000);
         } else if (kind == EndpointListKind.CACHED) {
             ask(now, out);
         } else if (kind != EndpointListKind.LOCAL_OVERRIDE) {
@@ -165,10 +165,10 @@
         }
         int chosen = -1;
         for (int i = 0; i < COLD_DRAWS; i++) {
-            chosen = chooser.choose(view, draws);
+            chosen = chooser.choose(view, random);
             Server s = up.get(chosen);
             boolean again = up.size() > 1 && o.tried.contains(s);
-            if (!again && draws.uniform() < promisedWarmth(s.entry, now)) {
+            if (!again && random.uniform() < promisedWarmth(s.entry, now)) {
                 break;
             }
             chosen = -1;
@@ -184,7 +184,7 @@
     }
 
     private int warmest(long now) {
-        int from = draws.below(up.size());
+        int from = random.below(up.size());
         for (int i = 0; i < up.size(); i++) {
             int at = (from + i) % up.size();
             if (promisedWarmth(up.get(at).entry, now) >= 1) {
--- a/simulator/src/main/java/loadbalancer/simulator/variants/Variants.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/Variants.java
@@ -37,7 +37,7 @@
 
     private Variants() {}
 
-    /** All names that {@link #maker} takes. */
+    /** All names that {@link #policyFactory} takes. */
     public static List<String> names() {
         List<String> names = new ArrayList<>(List.of(OWN, SEER, LEAST_IN_FLIGHT));
         names.addAll(Choosers.NAMES);
@@ -49,7 +49,7 @@
      *
      * @throws IllegalArgumentException for a policy that there isn't
      */
-    public static PolicyFactory maker(Variant v) {
+    public static PolicyFactory policyFactory(Variant v) {
         if (v.policy.equals(OWN)) {
             return (settings, seed, truth) -> new JsqDasPolicy(settings, seed);
         }
@@ -57,20 +57,20 @@
             throw new IllegalArgumentException("no policy '" + v.policy + "'");
         }
         return (settings, seed, truth) -> {
-            RandomStream draws = new RandomStreams(seed).of("policy", 0, "choice");
+            RandomStream random = new RandomStreams(seed).of("policy", 0, "choice");
             Seer seer = new Seer(truth, settings.zone());
             Chooser chooser = v.policy.equals(SEER)
                     ? seer
                     : Choosers.named(v.policy.equals(LEAST_IN_FLIGHT) ? "jsq" : v.policy, v.figures);
-            TextbookPolicy policy = new TextbookPolicy(settings, chooser, draws, truth);
+            TextbookPolicy policy = new TextbookPolicy(settings, chooser, random, truth);
             seer.sees(policy);
             return policy;
         };
     }
 
     /** The same for worlds of that plan, with the variant's front where it has one. */
-    public static PolicyFactory maker(Variant v, WorldPlan plan) {
-        PolicyFactory inner = maker(v);
+    public static PolicyFactory policyFactory(Variant v, WorldPlan plan) {
+        PolicyFactory inner = policyFactory(v);
         if (v.front == null) {
             return inner;
         }
@@ -88,8 +88,8 @@
                     settings,
                     names,
                     streams.of("front", 0, "advice"),
-                    World.began(),
-                    pool -> inner.make(settings, streams.seed("pool " + pool, 0), truth));
+                    World.dayStart(),
+                    pool -> inner.create(settings, streams.seed("pool " + pool, 0), truth));
         };
     }
 
@@ -109,13 +109,13 @@
         }
 
         @Override
-        public int choose(ServerView view, RandomStream draws) {
+        public int choose(ServerView view, RandomStream random) {
             int best = -1;
             double least = 0;
-            int from = draws.below(view.size());
+            int from = random.below(view.size());
             for (int i = 0; i < view.size(); i++) {
                 int at = (from + i) % view.size();
-                double time = truth.answerTime(policy.idAt(at), zone);
+                double time = truth.responseTimeMicros(policy.idAt(at), zone);
                 if (best < 0 || time < least) {
                     best = at;
                     least = time;
--- a/simulator/src/main/java/loadbalancer/simulator/world/Attempt.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Attempt.java
@@ -5,28 +5,28 @@
 
 /** One send of a request to an upstream. */
 public final class Attempt {
-    private final BalancerRequest taken;
+    private final BalancerRequest request;
     private final int number;
     private final long sentAt;
-    private final String target;
+    private final String endpointId;
     final long serial;
     final Upstream upstream;
     Simulation.Timer timeout;
-    private boolean out = true;
+    private boolean inFlight = true;
     private boolean mayHaveRun = true;
 
-    Attempt(BalancerRequest taken, int number, String target, Upstream upstream, long sentAt) {
-        this.taken = taken;
+    Attempt(BalancerRequest request, int number, String endpointId, Upstream upstream, long sentAt) {
+        this.request = request;
         this.number = number;
-        this.target = target;
+        this.endpointId = endpointId;
         this.upstream = upstream;
         this.sentAt = sentAt;
-        this.serial = taken.serial * 16 + number;
+        this.serial = request.serial * 16 + number;
     }
 
     /** The request that it is for. */
-    public BalancerRequest taken() {
-        return taken;
+    public BalancerRequest request() {
+        return request;
     }
 
     /** Its number among the request's attempts, from 0. */
@@ -45,13 +45,13 @@
     }
 
     /** The id it was sent to. */
-    public String target() {
-        return target;
+    public String endpointId() {
+        return endpointId;
     }
 
     /** Whether its outcome is still owed. */
-    public boolean out() {
-        return out;
+    public boolean inFlight() {
+        return inFlight;
     }
 
     /** False once an outcome has proved that it never ran. */
@@ -64,11 +64,11 @@
     }
 
     Balancer balancer() {
-        return taken.balancer();
+        return request.balancer();
     }
 
-    void ended(AttemptOutcome outcome) {
-        out = false;
+    void markEnded(AttemptOutcome outcome) {
+        inFlight = false;
         mayHaveRun = !outcome.neverRan();
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
@@ -16,7 +16,7 @@
  * A restarted balancer is a new object.
  */
 public final class Balancer implements LoadBalancingPolicy.Actions {
-    private static final int REMEMBERED = 512;
+    private static final int MAX_FINISHED_REQUESTS = 512;
 
     final int rank;
     final int zone;
@@ -24,17 +24,17 @@
     final SimulatedDiscovery.Subscriber subscriber;
     private final World world;
     private final LoadBalancingPolicy policy;
-    private final Map<String, BalancerRequest> taken = new HashMap<>();
-    private final Map<Upstream, IdleConnections> links = new HashMap<>();
-    private final Map<String, Endpoint> list = new HashMap<>();
-    private final Map<String, EndpointState> outByOperators = new HashMap<>();
+    private final Map<String, BalancerRequest> requests = new HashMap<>();
+    private final Map<Upstream, IdleConnections> idleConnections = new HashMap<>();
+    private final Map<String, Endpoint> endpoints = new HashMap<>();
+    private final Map<String, EndpointState> operatorDrained = new HashMap<>();
     // The latest that are over: a second answer to one of these is told from one to what never was.
-    private final Map<String, BalancerRequest> over = new LinkedHashMap<>() {
+    private final Map<String, BalancerRequest> finishedRequests = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, BalancerRequest> eldest) {
-            return size() > REMEMBERED;
+            return size() > MAX_FINISHED_REQUESTS;
         }
     };
     private boolean alive = true;
@@ -59,9 +59,9 @@
     }
 
     /** When it counts as told that the upstream drains or is gone, whatever reached it; or the largest long. */
-    public long deemedTold(String id) {
-        return subscriber.deemedTold(
-                world.register.endListedAt(id), world.plan.rules().pollIntervalMicros());
+    public long deemedNotifiedAt(String id) {
+        return subscriber.deemedNotifiedAt(
+                world.discovery.endListedAt(id), world.plan.rules().pollIntervalMicros());
     }
 
     boolean alive() {
@@ -73,168 +73,170 @@
     }
 
     int open() {
-        return taken.size();
+        return requests.size();
     }
 
     // ---- events
 
-    void begin(List<Endpoint> known, long now) {
-        known.forEach(s -> list.put(s.id(), s));
-        world.judge.told(this, EndpointListKind.CACHED, known, now);
+    void start(List<Endpoint> known, long now) {
+        known.forEach(s -> endpoints.put(s.id(), s));
+        world.observer.endpointsNotified(this, EndpointListKind.CACHED, known, now);
         policy.endpoints(now, EndpointListKind.CACHED, known, this);
     }
 
-    void news(EndpointListKind kind, List<Endpoint> servers, long now) {
+    void endpointsChanged(EndpointListKind kind, List<Endpoint> servers, long now) {
         if (!alive) {
             return;
         }
         if (kind == EndpointListKind.SNAPSHOT) {
-            list.clear();
+            endpoints.clear();
         }
-        List<Endpoint> laid = new ArrayList<>(servers.size());
+        List<Endpoint> effective = new ArrayList<>(servers.size());
         for (Endpoint s : servers) {
-            list.put(s.id(), s);
-            laid.add(
-                    outByOperators.containsKey(s.id()) && s.state() == EndpointState.UP
+            endpoints.put(s.id(), s);
+            effective.add(
+                    operatorDrained.containsKey(s.id()) && s.state() == EndpointState.UP
                             ? s.in(EndpointState.DRAINING)
                             : s);
         }
         if (kind != EndpointListKind.UNAVAILABLE) {
-            world.judge.told(this, kind, laid, now);
+            world.observer.endpointsNotified(this, kind, effective, now);
         }
-        policy.endpoints(now, kind, laid, this);
+        policy.endpoints(now, kind, effective, this);
     }
 
     /** An operator takes an upstream out, or puts it back as freshly started. */
-    void operator(String id, boolean out, long now) {
-        Endpoint s = list.get(id);
+    void setOperatorDrained(String id, boolean out, long now) {
+        Endpoint s = endpoints.get(id);
         if (!alive || s == null) {
             return;
         }
         if (out) {
-            outByOperators.put(id, EndpointState.DRAINING);
+            operatorDrained.put(id, EndpointState.DRAINING);
         } else {
-            outByOperators.remove(id);
+            operatorDrained.remove(id);
         }
-        Endpoint laid = out ? s.in(EndpointState.DRAINING) : s.startedAt(now);
-        world.judge.told(this, EndpointListKind.LOCAL_OVERRIDE, List.of(laid), now);
-        policy.endpoints(now, EndpointListKind.LOCAL_OVERRIDE, List.of(laid), this);
+        Endpoint effective = out ? s.in(EndpointState.DRAINING) : s.startedAt(now);
+        world.observer.endpointsNotified(this, EndpointListKind.LOCAL_OVERRIDE, List.of(effective), now);
+        policy.endpoints(now, EndpointListKind.LOCAL_OVERRIDE, List.of(effective), this);
     }
 
-    void take(BalancerRequest t, long patience, boolean marked, long now) {
-        taken.put(t.id(), t);
-        world.judge.taken(t, now);
-        t.overdue = world.simulation.timer(
-                t.deadline() + world.plan.rules().responseSlackMicros() + 1, at -> overdue(t, at));
-        ClientRequest c = t.client();
+    void accept(BalancerRequest t, long timeLeftMicros, boolean clientRetry, long now) {
+        requests.put(t.id(), t);
+        world.observer.requestAccepted(t, now);
+        t.deadlineTimer = world.simulation.timer(
+                t.deadline() + world.plan.rules().responseSlackMicros() + 1, at -> deadlinePassed(t, at));
+        ClientRequest c = t.clientRequest();
         policy.request(
                 now,
                 t.id(),
                 c.kind,
                 c.tenant,
                 c.key < 0 ? null : Integer.toHexString(c.key),
-                patience,
+                timeLeftMicros,
                 -1,
-                marked,
+                clientRetry,
                 this);
     }
 
-    private void overdue(BalancerRequest t, long now) {
-        if (alive && !t.answered && !t.gone) {
-            world.judge.overdue(t, now);
-            t.gone = true;
-            world.clients.tryEnded(t, Clients.End.SILENT, 0, now);
+    private void deadlinePassed(BalancerRequest t, long now) {
+        if (alive && !t.answered && !t.clientGone) {
+            world.observer.deadlineMissed(t, now);
+            t.clientGone = true;
+            world.clients.attemptEnded(t, Clients.End.SILENT, 0, now);
             policy.clientGone(now, t.id(), this);
-            forget(t);
+            releaseIfFinished(t);
         }
     }
 
-    void clientLeft(BalancerRequest t, long now) {
-        if (alive && !t.answered && !t.gone) {
-            t.gone = true;
+    void abandon(BalancerRequest t, long now) {
+        if (alive && !t.answered && !t.clientGone) {
+            t.clientGone = true;
             t.step(now, "the client left");
-            t.overdue.cancel();
+            t.deadlineTimer.cancel();
             policy.clientGone(now, t.id(), this);
-            forget(t);
+            releaseIfFinished(t);
         }
     }
 
     /** The outcome of an attempt has come. */
     void outcome(Attempt a, AttemptOutcome outcome, long now) {
-        if (!alive || !a.out()) {
+        if (!alive || !a.inFlight()) {
             return;
         }
-        BalancerRequest t = a.taken();
+        BalancerRequest t = a.request();
         if (a.timeout != null) {
             a.timeout.cancel();
         }
-        a.ended(outcome);
-        t.out--;
+        a.markEnded(outcome);
+        t.attemptsInFlight--;
         t.step(now, "attempt " + a.number() + " " + outcome);
-        world.judge.outcome(a, outcome, now);
-        boolean keeps =
+        world.observer.attemptEnded(a, outcome, now);
+        boolean reusable =
                 outcome == AttemptOutcome.OK || outcome == AttemptOutcome.ERROR || outcome == AttemptOutcome.FULL;
-        if (keeps && a.upstream.alive()) {
-            links.computeIfAbsent(a.upstream, u -> new IdleConnections()).rest(now);
+        if (reusable && a.upstream.alive()) {
+            idleConnections
+                    .computeIfAbsent(a.upstream, u -> new IdleConnections())
+                    .release(now);
         } else if (outcome != AttemptOutcome.NOT_SENT && outcome != AttemptOutcome.CONNECT_FAILED) {
             a.upstream.connected(-1);
         }
-        if (outcome == AttemptOutcome.OK && !t.answered && !t.gone) {
+        if (outcome == AttemptOutcome.OK && !t.answered && !t.clientGone) {
             answer(t, Clients.End.SERVED, 0, now);
         }
-        policy.outcome(now, t.id(), a.number(), outcome, now - a.sentAt(), t.answered || t.gone, null, this);
-        forget(t);
+        policy.outcome(now, t.id(), a.number(), outcome, now - a.sentAt(), t.answered || t.clientGone, null, this);
+        releaseIfFinished(t);
     }
 
-    private void forget(BalancerRequest t) {
-        if ((t.answered || t.gone) && t.out == 0) {
-            taken.remove(t.id());
-            over.put(t.id(), t);
+    private void releaseIfFinished(BalancerRequest t) {
+        if ((t.answered || t.clientGone) && t.attemptsInFlight == 0) {
+            requests.remove(t.id());
+            finishedRequests.put(t.id(), t);
         }
     }
 
     private void answer(BalancerRequest t, Clients.End end, long retryAfter, long now) {
         t.answered = true;
-        t.overdue.cancel();
+        t.deadlineTimer.cancel();
         t.step(now, "answered " + end);
-        world.judge.answered(t, end, retryAfter, now);
-        world.clients.tryEnded(t, end, retryAfter, now);
+        world.observer.requestAnswered(t, end, retryAfter, now);
+        world.clients.attemptEnded(t, end, retryAfter, now);
     }
 
     /** The process dies: what it holds is its clients' to repeat. */
-    void die(long now) {
+    void kill(long now) {
         alive = false;
         subscriber.end();
-        for (BalancerRequest t : List.copyOf(taken.values())) {
+        for (BalancerRequest t : List.copyOf(requests.values())) {
             for (Attempt a : t.attempts) {
-                if (a.out()) {
+                if (a.inFlight()) {
                     if (a.timeout != null) {
                         a.timeout.cancel();
                     }
                     a.upstream.connected(-1);
                     a.upstream.abandon(a);
-                    a.ended(AttemptOutcome.CANCELLED);
+                    a.markEnded(AttemptOutcome.CANCELLED);
                 }
             }
-            t.overdue.cancel();
-            if (!t.answered && !t.gone) {
-                t.gone = true;
-                world.clients.tryEnded(t, Clients.End.CUT, 0, now);
+            t.deadlineTimer.cancel();
+            if (!t.answered && !t.clientGone) {
+                t.clientGone = true;
+                world.clients.attemptEnded(t, Clients.End.CUT, 0, now);
             }
         }
-        taken.clear();
-        links.forEach((u, l) -> l.closeAll(u));
-        links.clear();
+        requests.clear();
+        idleConnections.forEach((u, l) -> l.closeAll(u));
+        idleConnections.clear();
     }
 
     /** All connections to that process have broken. */
-    void broken(Upstream upstream) {
-        links.remove(upstream);
+    void connectionsLost(Upstream upstream) {
+        idleConnections.remove(upstream);
     }
 
     /** Closes what has rested too long; called now and then, not with each send. */
-    void tidy(long now) {
-        links.forEach((u, l) -> l.expire(u, now, world.plan.fleet().idle()));
+    void closeExpiredConnections(long now) {
+        idleConnections.forEach((u, l) -> l.expire(u, now, world.plan.fleet().idleTimeoutMicros()));
     }
 
     // ---- what the module asks for
@@ -242,10 +244,10 @@
     @Override
     public void send(String request, String server, long timeout) {
         long now = world.simulation.now();
-        BalancerRequest t = taken.get(request);
-        Upstream u = world.at(server);
-        if (t == null || u == null || !list.containsKey(server)) {
-            world.judge.malformed(
+        BalancerRequest t = requests.get(request);
+        Upstream u = world.currentUpstream(server);
+        if (t == null || u == null || !endpoints.containsKey(server)) {
+            world.observer.invalidAction(
                     this,
                     "send of " + request + " to " + server
                             + (t == null ? ": no such request is open" : ": never listed"),
@@ -255,12 +257,12 @@
         }
         Attempt a = new Attempt(t, t.attempts.size(), server, u, now);
         t.step(now, "sent to " + server + " as attempt " + a.number());
-        world.judge.sending(a, now);
+        world.observer.attemptStarting(a, now);
         t.attempts.add(a);
-        t.out++;
+        t.attemptsInFlight++;
         long left = t.deadline() - now;
         if (t.answered
-                || t.gone
+                || t.clientGone
                 || left <= 0
                 || a.number() >= world.plan.rules().maxAttempts()) {
             world.simulation.after(0, at -> outcome(a, AttemptOutcome.NOT_SENT, at));
@@ -270,9 +272,9 @@
             u.abandon(a);
             outcome(a, AttemptOutcome.TIMEOUT, at);
         });
-        IdleConnections l = links.computeIfAbsent(u, x -> new IdleConnections());
-        boolean fresh = !l.take(u, now, world.plan.fleet().idle());
-        world.carry(a, fresh, now);
+        IdleConnections l = idleConnections.computeIfAbsent(u, x -> new IdleConnections());
+        boolean newConnection = !l.take(u, now, world.plan.fleet().idleTimeoutMicros());
+        world.deliver(a, newConnection, now);
     }
 
     @Override
@@ -287,29 +289,29 @@
 
     private void close(String request, Clients.End end, long retryAfter) {
         long now = world.simulation.now();
-        BalancerRequest t = taken.getOrDefault(request, over.get(request));
+        BalancerRequest t = requests.getOrDefault(request, finishedRequests.get(request));
         if (t == null) {
-            world.judge.malformed(this, end + " of " + request + ": no such request was taken", null, now);
+            world.observer.invalidAction(this, end + " of " + request + ": no such request was taken", null, now);
             return;
         }
         if (t.answered) {
-            world.judge.answeredTwice(t, end, now);
-        } else if (!t.gone) {
+            world.observer.answeredTwice(t, end, now);
+        } else if (!t.clientGone) {
             answer(t, end, retryAfter, now);
-            forget(t);
+            releaseIfFinished(t);
         }
     }
 
     @Override
     public void cancel(String request, int attempt) {
-        BalancerRequest t = taken.get(request);
+        BalancerRequest t = requests.get(request);
         if (t == null || attempt < 0 || attempt >= t.attempts.size()) {
-            world.judge.malformed(
+            world.observer.invalidAction(
                     this, "cancel of " + request + "/" + attempt + ": never sent", t, world.simulation.now());
             return;
         }
         Attempt a = t.attempts.get(attempt);
-        if (a.out()) {
+        if (a.inFlight()) {
             a.upstream.abandon(a);
             world.simulation.after(0, at -> outcome(a, AttemptOutcome.CANCELLED, at));
         }
@@ -317,13 +319,13 @@
 
     @Override
     public void probe(String server) {
-        Upstream u = world.at(server);
+        Upstream u = world.currentUpstream(server);
         if (u != null) {
             world.probe(this, server, u, world.simulation.now());
         }
     }
 
-    void probed(String server, AttemptOutcome outcome, long latency, long now) {
+    void probeEnded(String server, AttemptOutcome outcome, long latency, long now) {
         if (alive) {
             policy.probed(now, server, outcome, latency, null, this);
         }
@@ -332,7 +334,7 @@
     @Override
     public void watch(boolean on) {
         if (on) {
-            world.register.call(subscriber, true);
+            world.discovery.call(subscriber, true);
         } else {
             subscriber.end();
         }
@@ -340,13 +342,13 @@
 
     @Override
     public void fetchList() {
-        world.register.call(subscriber, false);
+        world.discovery.call(subscriber, false);
     }
 
     @Override
     public void closeIdle(String server) {
-        Upstream u = world.at(server);
-        IdleConnections l = u == null ? null : links.get(u);
+        Upstream u = world.currentUpstream(server);
+        IdleConnections l = u == null ? null : idleConnections.get(u);
         if (l != null) {
             l.closeAll(u);
         }
@@ -354,7 +356,7 @@
 
     @Override
     public void sendToPeer(int peer, byte[] data) {
-        world.judge.malformed(this, "a message to a peer: none are carried here", null, world.simulation.now());
+        world.observer.invalidAction(this, "a message to a peer: none are carried here", null, world.simulation.now());
     }
 
     @Override
--- a/simulator/src/main/java/loadbalancer/simulator/world/BalancerRequest.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/BalancerRequest.java
@@ -7,27 +7,28 @@
 /** A client's try, as a balancer holds it: it owes exactly one final answer by the deadline. */
 public final class BalancerRequest {
     /** Something that happened to it, for the chain of events that a broken rule shows. */
-    public record Step(long at, String what) {}
+    public record Step(long at, String description) {}
 
     private final String id;
-    private final ClientRequest client;
+    private final ClientRequest clientRequest;
     private final Balancer balancer;
-    private final long takenAt;
+    private final long acceptedAt;
     private final long deadline;
     final long serial;
     final List<Attempt> attempts = new ArrayList<>(2);
     private final List<Step> steps = new ArrayList<>(4);
-    int out;
+    int attemptsInFlight;
     boolean answered;
-    boolean gone;
-    Simulation.Timer overdue;
+    boolean clientGone;
+    Simulation.Timer deadlineTimer;
 
-    BalancerRequest(String id, long serial, ClientRequest client, Balancer balancer, long takenAt, long deadline) {
+    BalancerRequest(
+            String id, long serial, ClientRequest clientRequest, Balancer balancer, long acceptedAt, long deadline) {
         this.id = id;
         this.serial = serial;
-        this.client = client;
+        this.clientRequest = clientRequest;
         this.balancer = balancer;
-        this.takenAt = takenAt;
+        this.acceptedAt = acceptedAt;
         this.deadline = deadline;
     }
 
@@ -37,13 +38,13 @@
     }
 
     /** The client's request, of which this is one try. */
-    public ClientRequest client() {
-        return client;
+    public ClientRequest clientRequest() {
+        return clientRequest;
     }
 
     /** When it was taken, in µs. */
-    public long takenAt() {
-        return takenAt;
+    public long acceptedAt() {
+        return acceptedAt;
     }
 
     /** When the client gives this try up, in µs. */
@@ -67,8 +68,8 @@
     }
 
     /** Attempts whose outcome is owed. */
-    public int out() {
-        return out;
+    public int attemptsInFlight() {
+        return attemptsInFlight;
     }
 
     /** The balancer process that holds it. */
@@ -76,11 +77,12 @@
         return balancer;
     }
 
-    Balancer balancer() {
+    /** The balancer process that owes the answer. */
+    public Balancer balancer() {
         return balancer;
     }
 
-    void step(long at, String what) {
-        steps.add(new Step(at, what));
+    void step(long at, String description) {
+        steps.add(new Step(at, description));
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/world/ClientRequest.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/ClientRequest.java
@@ -10,9 +10,9 @@
     final double work;
     final long firstAt;
     final long deadline;
-    final boolean overShare;
-    int tries;
-    boolean over;
+    final boolean overQuota;
+    int attempts;
+    boolean finished;
 
     ClientRequest(
             long number,
@@ -23,7 +23,7 @@
             double work,
             long firstAt,
             long deadline,
-            boolean overShare) {
+            boolean overQuota) {
         this.number = number;
         this.kind = kind;
         this.tenant = tenant;
@@ -32,7 +32,7 @@
         this.work = work;
         this.firstAt = firstAt;
         this.deadline = deadline;
-        this.overShare = overShare;
+        this.overQuota = overQuota;
     }
 
     /** What it concerns, by number; -1 where nothing. */
@@ -66,7 +66,7 @@
     }
 
     /** Whether its tenant had used up its share. */
-    public boolean overShare() {
-        return overShare;
+    public boolean overQuota() {
+        return overQuota;
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/world/Clients.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Clients.java
@@ -42,21 +42,21 @@
     private final double[] workMeans;
     private final double[] variations;
     private final int retries;
-    private final double tryShare;
+    private final double attemptTimeoutFraction;
     private final double backoff;
-    private final double honour;
-    private final double impatient;
+    private final double retryAfterCompliance;
+    private final double abandonFraction;
     final double[] allowances;
     private final long length;
     private double burst = 1;
-    private double burstMost = 1;
-    private double hotShare;
+    private double maxBurst = 1;
+    private double hotKeyShare;
     private int hotKeys = 1;
-    private int moreRetries;
-    private boolean hasty;
+    private int extraRetries;
+    private boolean withoutBackoff;
     private long number;
     private long open;
-    private double exact;
+    private double exactArrivalTime;
 
     Clients(World world, RandomStream figures) {
         this.world = world;
@@ -70,10 +70,10 @@
         this.works = world.streams.of("clients", 0, "work");
         WorldPlan.Clients c = plan.clients();
         retries = (int) c.retries().draw(figures);
-        tryShare = c.tryShare().draw(figures);
+        attemptTimeoutFraction = c.attemptTimeoutFraction().draw(figures);
         backoff = c.backoff().draw(figures);
-        honour = c.honour().draw(figures);
-        impatient = c.impatient().draw(figures);
+        retryAfterCompliance = c.retryAfterCompliance().draw(figures);
+        abandonFraction = c.abandonFraction().draw(figures);
         swing = plan.load().swing().draw(figures);
         kindShares = cumulated(plan.classes().stream()
                 .mapToDouble(k -> k.share().draw(figures))
@@ -105,8 +105,8 @@
             meanWork += (kindShares[i] - (i == 0 ? 0 : kindShares[i - 1])) * workMeans[i];
         }
         world.meanWork = meanWork;
-        rate = plan.load().level().draw(figures) * world.nominal / meanWork;
-        double quota = plan.load().quota().draw(figures) * world.nominal / meanWork * 1e6;
+        rate = plan.load().level().draw(figures) * world.nominalCapacity / meanWork;
+        double quota = plan.load().quota().draw(figures) * world.nominalCapacity / meanWork * 1e6;
         allowances = plan.tenants().stream().mapToDouble(t -> quota * t.share()).toArray();
         tokens = allowances.clone();
         tokensAt = new long[allowances.length];
@@ -115,21 +115,21 @@
     private static double[] cumulated(double[] weights) {
         double sum = Arrays.stream(weights).sum();
         double[] c = new double[weights.length];
-        double so = 0;
+        double cumulative = 0;
         for (int i = 0; i < c.length; i++) {
-            so += weights[i] / sum;
-            c[i] = so;
+            cumulative += weights[i] / sum;
+            c[i] = cumulative;
         }
         return c;
     }
 
-    private static int drawn(double[] cumulated, double u) {
+    private static int sampleIndex(double[] cumulated, double u) {
         int at = Arrays.binarySearch(cumulated, u);
         return Math.min(cumulated.length - 1, at < 0 ? -at - 1 : at + 1);
     }
 
     /** Mean first tries per second. */
-    double perSecond() {
+    double arrivalsPerSecond() {
         return rate * 1e6;
     }
 
@@ -138,23 +138,23 @@
         return open;
     }
 
-    void burst(double times) {
-        burst = times;
+    void setBurst(double factor) {
+        burst = factor;
     }
 
-    void burstMost(double times) {
-        burstMost = Math.max(burstMost, times);
+    void raiseMaxBurst(double factor) {
+        maxBurst = Math.max(maxBurst, factor);
     }
 
-    void hot(double share, int many) {
-        hotShare = share;
-        hotKeys = Math.max(1, many);
+    void setHotKeys(double share, int count) {
+        hotKeyShare = share;
+        hotKeys = Math.max(1, count);
     }
 
     /** Clients lose their patience: further tries, without waits. */
-    void storm(int more) {
-        moreRetries = more;
-        hasty = more > 0;
+    void setRetryStorm(int extra) {
+        extraRetries = extra;
+        withoutBackoff = extra > 0;
     }
 
     void begin() {
@@ -163,14 +163,14 @@
 
     // Thinning (Lewis and Shedler): the draws of arrivals don't depend on what happens.
     private void next(long now) {
-        double most = rate * (1 + swing) * burstMost;
-        exact = Math.max(exact, now) + arrivals.exponential(1 / most);
-        long at = Math.round(exact);
+        double maxRate = rate * (1 + swing) * maxBurst;
+        exactArrivalTime = Math.max(exactArrivalTime, now) + arrivals.exponential(1 / maxRate);
+        long at = Math.round(exactArrivalTime);
         if (at - world.begin >= length) {
             return;
         }
         world.simulation.at(Math.max(now, at), time -> {
-            if (arrivals.uniform() * most < rate * shape((time - world.begin) / (double) length) * burst) {
+            if (arrivals.uniform() * maxRate < rate * shape((time - world.begin) / (double) length) * burst) {
                 arrive(time);
             }
             next(time);
@@ -187,23 +187,23 @@
     }
 
     /** The tenant of that number sends so many times as much until then, by draws that leave all others' alone. */
-    void flood(int tenant, double times, long until) {
+    void flood(int tenant, double factor, long until) {
         if (tenant < 0 || tenant >= allowances.length) {
             return;
         }
         double share = tenantShares[tenant] - (tenant == 0 ? 0 : tenantShares[tenant - 1]);
-        double more = rate * share * Math.max(0, times - 1);
-        if (more > 0) {
-            flooding(tenant, more, until, world.streams.of("clients", 1 + tenant, "flood"));
+        double extra = rate * share * Math.max(0, factor - 1);
+        if (extra > 0) {
+            scheduleFlood(tenant, extra, until, world.streams.of("clients", 1 + tenant, "flood"));
         }
     }
 
-    private void flooding(int tenant, double more, long until, RandomStream own) {
-        long at = world.simulation.now() + Math.max(1, Math.round(own.exponential(1 / more)));
+    private void scheduleFlood(int tenant, double extra, long until, RandomStream own) {
+        long at = world.simulation.now() + Math.max(1, Math.round(own.exponential(1 / extra)));
         if (at < until && at - world.begin < length) {
             world.simulation.at(at, now -> {
                 arrive(now, tenant, own, own, own, own);
-                flooding(tenant, more, until, own);
+                scheduleFlood(tenant, extra, until, own);
             });
         }
     }
@@ -213,17 +213,22 @@
     }
 
     private void arrive(
-            long now, int whose, RandomStream ofKind, RandomStream ofZone, RandomStream ofKey, RandomStream ofWork) {
-        int kind = drawn(kindShares, ofKind.uniform());
-        int tenant = whose >= 0 ? whose : drawn(tenantShares, tenantDraws.uniform());
-        int zone = drawn(zoneShares, ofZone.uniform());
-        double heat = ofKey.uniform();
-        double which = ofKey.uniform();
+            long now,
+            int fixedTenant,
+            RandomStream ofKind,
+            RandomStream ofZone,
+            RandomStream ofKey,
+            RandomStream ofWork) {
+        int kind = sampleIndex(kindShares, ofKind.uniform());
+        int tenant = fixedTenant >= 0 ? fixedTenant : sampleIndex(tenantShares, tenantDraws.uniform());
+        int zone = sampleIndex(zoneShares, ofZone.uniform());
+        double hotDraw = ofKey.uniform();
+        double keyDraw = ofKey.uniform();
         int key = keyShares.length == 0
                 ? -1
-                : heat < hotShare
-                        ? keyShares.length - 1 - (int) (which * Math.min(hotKeys, keyShares.length))
-                        : drawn(keyShares, which);
+                : hotDraw < hotKeyShare
+                        ? keyShares.length - 1 - (int) (keyDraw * Math.min(hotKeys, keyShares.length))
+                        : sampleIndex(keyShares, keyDraw);
         WorldPlan.RequestKind k = plan.classes().get(kind);
         double work =
                 switch (k.spread()) {
@@ -233,14 +238,14 @@
                     case FIXED -> workMeans[kind];
                 };
         ClientRequest r = new ClientRequest(
-                number++, kind, tenant, zone, key, work, now, now + k.deadline(), overShare(tenant, now));
+                number++, kind, tenant, zone, key, work, now, now + k.deadline(), overQuota(tenant, now));
         open++;
-        world.offered += work;
-        world.judge.asked(r, now);
+        world.offeredWork += work;
+        world.observer.requestIssued(r, now);
         attempt(r, now);
     }
 
-    private boolean overShare(int tenant, long now) {
+    private boolean overQuota(int tenant, long now) {
         if (allowances.length == 0) {
             return false;
         }
@@ -257,32 +262,33 @@
 
     private void attempt(ClientRequest r, long now) {
         WorldPlan.RequestKind k = plan.classes().get(r.kind);
-        long patience = Math.min(Math.round(tryShare * k.deadline()), r.deadline - now);
-        if (patience <= 0) {
-            over(r, false, now);
+        long attemptTimeoutMicros = Math.min(Math.round(attemptTimeoutFraction * k.deadline()), r.deadline - now);
+        if (attemptTimeoutMicros <= 0) {
+            finish(r, false, now);
             return;
         }
-        int tryNumber = r.tries++;
-        long serial = r.number * 16 + Math.min(15, tryNumber);
-        BalancerSlot slot = world.front(r.zone, IndexedRandom.uniform(world.chanceSeed, serial, 1));
-        long there = slot == null ? 0 : world.network.client(serial, 0);
-        world.simulation.after(there, at -> {
+        int attemptNumber = r.attempts++;
+        long serial = r.number * 16 + Math.min(15, attemptNumber);
+        BalancerSlot slot = world.pickSlot(r.zone, IndexedRandom.uniform(world.randomSeed, serial, 1));
+        long requestDelay = slot == null ? 0 : world.network.client(serial, 0);
+        world.simulation.after(requestDelay, at -> {
             Balancer b = slot == null ? null : slot.serving();
             if (b == null) {
                 ended(r, End.UNREACHABLE, 0, at + world.network.client(serial, 1), serial);
                 return;
             }
-            if (there >= patience) { // given up before it arrived
+            if (requestDelay >= attemptTimeoutMicros) { // given up before it arrived
                 ended(r, End.SILENT, 0, at, serial);
                 return;
             }
-            BalancerRequest t = new BalancerRequest("r" + r.number + "." + tryNumber, serial, r, b, at, now + patience);
-            b.take(t, patience - there, plan.clients().marksRetry() && tryNumber > 0, at);
-            if (!t.answered && IndexedRandom.uniform(world.chanceSeed, serial, 2) < impatient) {
-                double part = IndexedRandom.uniform(world.chanceSeed, serial, 3);
-                world.simulation.after(Math.round(part * patience), leaves -> {
-                    if (!t.answered && !t.gone && b.alive()) {
-                        b.clientLeft(t, leaves);
+            BalancerRequest t = new BalancerRequest(
+                    "r" + r.number + "." + attemptNumber, serial, r, b, at, now + attemptTimeoutMicros);
+            b.accept(t, attemptTimeoutMicros - requestDelay, plan.clients().marksRetries() && attemptNumber > 0, at);
+            if (!t.answered && IndexedRandom.uniform(world.randomSeed, serial, 2) < abandonFraction) {
+                double part = IndexedRandom.uniform(world.randomSeed, serial, 3);
+                world.simulation.after(Math.round(part * attemptTimeoutMicros), leaves -> {
+                    if (!t.answered && !t.clientGone && b.alive()) {
+                        b.abandon(t, leaves);
                         ended(r, End.LEFT, 0, leaves, serial);
                     }
                 });
@@ -291,44 +297,46 @@
     }
 
     /** A try has ended at its balancer; the client hears of it after its way back. */
-    void tryEnded(BalancerRequest t, End end, long retryAfter, long now) {
-        ended(t.client(), end, retryAfter, now + world.network.client(t.serial, 1), t.serial);
+    void attemptEnded(BalancerRequest t, End end, long retryAfter, long now) {
+        ended(t.clientRequest(), end, retryAfter, now + world.network.client(t.serial, 1), t.serial);
     }
 
-    private void ended(ClientRequest r, End end, long retryAfter, long heardAt, long serial) {
-        world.simulation.at(heardAt, now -> {
-            if (r.over) {
+    private void ended(ClientRequest r, End end, long retryAfter, long receivedAt, long serial) {
+        world.simulation.at(receivedAt, now -> {
+            if (r.finished) {
                 return;
             }
-            if (end == End.SERVED || end == End.LEFT || !again(r, end)) {
-                over(r, end == End.SERVED, now);
+            if (end == End.SERVED || end == End.LEFT || !mayRetry(r, end)) {
+                finish(r, end == End.SERVED, now);
                 return;
             }
-            double mean = backoff * (1L << Math.min(MAX_BACKOFF_DOUBLINGS, r.tries - 1));
-            double wait = hasty ? 1_000 : mean * IndexedRandom.exponential(world.chanceSeed, serial, 4);
-            if (retryAfter > 0 && !hasty && IndexedRandom.uniform(world.chanceSeed, serial, 5) < honour) {
+            double mean = backoff * (1L << Math.min(MAX_BACKOFF_DOUBLINGS, r.attempts - 1));
+            double wait = withoutBackoff ? 1_000 : mean * IndexedRandom.exponential(world.randomSeed, serial, 4);
+            if (retryAfter > 0
+                    && !withoutBackoff
+                    && IndexedRandom.uniform(world.randomSeed, serial, 5) < retryAfterCompliance) {
                 wait = Math.max(wait, Math.min(retryAfter, plan.rules().maxRetryAfterMicros()));
             }
             if (now + wait >= r.deadline) {
-                over(r, false, now);
+                finish(r, false, now);
             } else {
                 world.simulation.at(now + Math.round(wait), at -> attempt(r, at));
             }
         });
     }
 
-    private boolean again(ClientRequest r, End end) {
-        if (r.tries > Math.min(15, retries + moreRetries)) {
+    private boolean mayRetry(ClientRequest r, End end) {
+        if (r.attempts > Math.min(15, retries + extraRetries)) {
             return false;
         }
         boolean safe = plan.classes().get(r.kind).effect() != Idempotency.NON_IDEMPOTENT;
         return safe || end == End.REFUSED || end == End.UNREACHABLE;
     }
 
-    private void over(ClientRequest r, boolean served, long now) {
-        r.over = true;
+    private void finish(ClientRequest r, boolean served, long now) {
+        r.finished = true;
         open--;
-        world.judge.over(r, served, now);
+        world.observer.requestFinished(r, served, now);
     }
 
     /** Slots of a zone, or of all where the zone has none. */
--- a/simulator/src/main/java/loadbalancer/simulator/world/GroundTruth.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/GroundTruth.java
@@ -7,14 +7,14 @@
      *
      * @param zone the asking balancer's
      */
-    double answerTime(String upstream, int zone);
+    double responseTimeMicros(String upstream, int zone);
 
     /** Capacity of that upstream when warm and well, in standard cores. */
-    double nominal(String upstream);
+    double nominalCapacity(String upstream);
 
     /** Whether it is of the faster kinds. */
-    boolean fast(String upstream);
+    boolean isFast(String upstream);
 
     /** How warm it is, from its cold share to 1. */
-    double warmth(String upstream);
+    double slowStartWeight(String upstream);
 }
--- a/simulator/src/main/java/loadbalancer/simulator/world/IdleConnections.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/IdleConnections.java
@@ -4,12 +4,12 @@
 
 /** A balancer's connections at rest to one upstream, the latest used on top. */
 final class IdleConnections {
-    private long[] since = new long[4];
+    private long[] releasedAt = new long[4];
     private int idle;
 
-    /** Takes one that has rested less than {@code most}; false where there is none. */
-    boolean take(Upstream upstream, long now, long most) {
-        expire(upstream, now, most);
+    /** Takes one that has rested less than {@code maxIdleMicros}; false where there is none. */
+    boolean take(Upstream upstream, long now, long maxIdleMicros) {
+        expire(upstream, now, maxIdleMicros);
         if (idle == 0) {
             return false;
         }
@@ -17,23 +17,23 @@
         return true;
     }
 
-    void rest(long now) {
-        if (idle == since.length) {
-            since = Arrays.copyOf(since, 2 * idle);
+    void release(long now) {
+        if (idle == releasedAt.length) {
+            releasedAt = Arrays.copyOf(releasedAt, 2 * idle);
         }
-        since[idle++] = now;
+        releasedAt[idle++] = now;
     }
 
     /** Closes those that have rested too long: the oldest are at the bottom. */
-    void expire(Upstream upstream, long now, long most) {
-        int old = 0;
-        while (old < idle && now - since[old] >= most) {
-            old++;
+    void expire(Upstream upstream, long now, long maxIdleMicros) {
+        int expired = 0;
+        while (expired < idle && now - releasedAt[expired] >= maxIdleMicros) {
+            expired++;
         }
-        if (old > 0) {
-            System.arraycopy(since, old, since, 0, idle - old);
-            idle -= old;
-            upstream.connected(-old);
+        if (expired > 0) {
+            System.arraycopy(releasedAt, expired, releasedAt, 0, idle - expired);
+            idle -= expired;
+            upstream.connected(-expired);
         }
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/world/LiveFleet.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/LiveFleet.java
@@ -34,15 +34,15 @@
                 },
                 new NoOpObserver());
         world.slots.clear();
-        world.outside = (a, outcome) -> replies.ended(a.taken().serial, outcome);
+        world.replyListener = (a, outcome) -> replies.ended(a.request().serial, outcome);
         works = world.streams.of("live", 0, "work");
-        world.simulation.runUntil(World.BEGIN);
+        world.simulation.runUntil(World.DAY_START);
         new Timeline(world).install();
     }
 
     /** Lets all happen that is due by then. */
     public void advance(long micros) {
-        long to = World.BEGIN + micros;
+        long to = World.DAY_START + micros;
         if (to > world.simulation.now()) {
             world.simulation.runUntil(to);
         }
@@ -56,7 +56,7 @@
     /** Whether the process at that address takes connections; one that is silent takes them and says nothing. */
     public boolean listens(int address) {
         Upstream u = world.upstreamAt(address);
-        return u != null && u.alive() && !u.fallen();
+        return u != null && u.alive() && !u.overloaded();
     }
 
     /** Whether it says nothing. */
@@ -68,7 +68,7 @@
     /** The list as the register has it now, by id, with the address of each. */
     public Map<Endpoint, Integer> list() {
         Map<Endpoint, Integer> all = new LinkedHashMap<>();
-        for (Endpoint s : world.register.list()) {
+        for (Endpoint s : world.discovery.list()) {
             all.put(s, world.addressOf(s.id()));
         }
         return all;
@@ -80,8 +80,8 @@
     }
 
     /** Whether the register answers. */
-    public boolean registerUp() {
-        return !world.register.isDown();
+    public boolean discoveryAvailable() {
+        return !world.discovery.isDown();
     }
 
     /**
@@ -94,12 +94,12 @@
     public void accept(long request, int address, int kind, int key, boolean fresh) {
         Upstream u = world.upstreamAt(address);
         WorldPlan.RequestKind k = world.plan.classes().get(kind);
-        double mean = k.work().middle();
+        double mean = k.work().midpoint();
         double work =
                 switch (k.spread()) {
                     case EXPONENTIAL -> works.exponential(mean);
-                    case LOGNORMAL -> works.lognormal(mean, k.variation().middle());
-                    case PARETO -> works.pareto(mean, k.variation().middle());
+                    case LOGNORMAL -> works.lognormal(mean, k.variation().midpoint());
+                    case PARETO -> works.pareto(mean, k.variation().midpoint());
                     case FIXED -> mean;
                 };
         long now = world.simulation.now();
@@ -111,11 +111,11 @@
 
     /** Capacity of all that run at the start, in requests a second of the classes' mean work. */
     public double perSecond() {
-        return world.nominal / world.meanWork * 1e6;
+        return world.nominalCapacity / world.meanWork * 1e6;
     }
 
     /** The day's troubles as they were drawn. */
-    public List<Timeline.FaultInterval> spells() {
-        return world.spells();
+    public List<Timeline.FaultInterval> faultIntervals() {
+        return world.faultIntervals();
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/world/Network.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Network.java
@@ -13,9 +13,9 @@
     private final boolean[][] cut;
     private final long seed;
     private double loss;
-    private double stretch = 1;
+    private double delayFactor = 1;
 
-    Network(WorldPlan plan, RandomStream draws, long seed) {
+    Network(WorldPlan plan, RandomStream random, long seed) {
         int zones = plan.zones().size();
         this.seed = seed;
         delay = new long[zones][zones];
@@ -23,12 +23,12 @@
         for (int i = 0; i < zones; i++) {
             for (int j = 0; j <= i; j++) {
                 delay[i][j] = Math.round(
-                        (i == j ? plan.network().same() : plan.network().cross()).draw(draws));
+                        (i == j ? plan.network().same() : plan.network().cross()).draw(random));
                 delay[j][i] = delay[i][j];
             }
         }
-        client = Math.round(plan.network().client().draw(draws));
-        jitter = plan.network().jitter().draw(draws);
+        client = Math.round(plan.network().client().draw(random));
+        jitter = plan.network().jitter().draw(random);
         loss = plan.network().loss();
     }
 
@@ -49,18 +49,18 @@
         return loss;
     }
 
-    void stretch(double times) {
-        stretch = times;
+    void setDelayFactor(double factor) {
+        delayFactor = factor;
     }
 
     /** How long a message takes; {@code message} tells it from all others of its path. */
     long between(int from, int to, long message, int path) {
-        return spread(delay[from][to], message, path);
+        return withJitter(delay[from][to], message, path);
     }
 
     /** The same from a client to its balancer. */
     long client(long message, int path) {
-        return spread(client, message, PATHS + path);
+        return withJitter(client, message, PATHS + path);
     }
 
     /** Mean time of a message. */
@@ -68,13 +68,13 @@
         return delay[from][to];
     }
 
-    private long spread(long base, long message, int path) {
+    private long withJitter(long base, long message, int path) {
         double late = jitter * IndexedRandom.exponential(seed, message, 3L * path);
-        long time = Math.round(base * stretch * (1 - jitter / 2 + late));
+        long time = Math.round(base * delayFactor * (1 - jitter / 2 + late));
         if (loss > 0) {
-            int tries = 0;
-            while (tries < 4 && IndexedRandom.uniform(seed, message, 3L * path + 1 + 100L * tries) < loss) {
-                time += RESEND << tries++;
+            int resends = 0;
+            while (resends < 4 && IndexedRandom.uniform(seed, message, 3L * path + 1 + 100L * resends) < loss) {
+                time += RESEND << resends++;
             }
         }
         return Math.max(1, time);
--- a/simulator/src/main/java/loadbalancer/simulator/world/NoOpObserver.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/NoOpObserver.java
@@ -8,25 +8,25 @@
 /** Hears of everything and keeps nothing: for worlds that are judged by somebody else. */
 class NoOpObserver implements Observer {
     @Override
-    public void taken(BalancerRequest request, long now) {}
+    public void requestAccepted(BalancerRequest request, long now) {}
 
     @Override
-    public void sending(Attempt attempt, long now) {}
+    public void attemptStarting(Attempt attempt, long now) {}
 
     @Override
-    public void outcome(Attempt attempt, AttemptOutcome outcome, long now) {}
+    public void attemptEnded(Attempt attempt, AttemptOutcome outcome, long now) {}
 
     @Override
-    public void answered(BalancerRequest request, Clients.End end, long retryAfter, long now) {}
+    public void requestAnswered(BalancerRequest request, Clients.End end, long retryAfter, long now) {}
 
     @Override
     public void answeredTwice(BalancerRequest request, Clients.End end, long now) {}
 
     @Override
-    public void overdue(BalancerRequest request, long now) {}
+    public void deadlineMissed(BalancerRequest request, long now) {}
 
     @Override
-    public void told(Balancer balancer, EndpointListKind kind, List<Endpoint> servers, long now) {}
+    public void endpointsNotified(Balancer balancer, EndpointListKind kind, List<Endpoint> servers, long now) {}
 
     @Override
     public boolean knowsStart(Balancer balancer, Upstream upstream) {
@@ -34,17 +34,17 @@
     }
 
     @Override
-    public void fell(Upstream upstream, double told, long now) {}
+    public void upstreamOverloaded(Upstream upstream, double notifiedFraction, long now) {}
 
     @Override
-    public void pressed(Upstream upstream, double part, long now) {}
+    public void coldLoad(Upstream upstream, double fraction, long now) {}
 
     @Override
-    public void malformed(Balancer balancer, String what, BalancerRequest request, long now) {}
+    public void invalidAction(Balancer balancer, String description, BalancerRequest request, long now) {}
 
     @Override
-    public void asked(ClientRequest request, long now) {}
+    public void requestIssued(ClientRequest request, long now) {}
 
     @Override
-    public void over(ClientRequest request, boolean served, long now) {}
+    public void requestFinished(ClientRequest request, boolean served, long now) {}
 }
--- a/simulator/src/main/java/loadbalancer/simulator/world/Observer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Observer.java
@@ -8,41 +8,41 @@
 /** Hears of every event of a world as it happens: whoever judges or measures. It changes nothing. */
 public interface Observer {
     /** A balancer has taken a request: it owes one final answer. */
-    void taken(BalancerRequest request, long now);
+    void requestAccepted(BalancerRequest request, long now);
 
     /** A module asks for an attempt; it isn't among the request's attempts yet. */
-    void sending(Attempt attempt, long now);
+    void attemptStarting(Attempt attempt, long now);
 
     /** An attempt has ended. */
-    void outcome(Attempt attempt, AttemptOutcome outcome, long now);
+    void attemptEnded(Attempt attempt, AttemptOutcome outcome, long now);
 
     /** A request has had its final answer. */
-    void answered(BalancerRequest request, Clients.End end, long retryAfter, long now);
+    void requestAnswered(BalancerRequest request, Clients.End end, long retryAfter, long now);
 
     /** A module gives a second final answer. */
     void answeredTwice(BalancerRequest request, Clients.End end, long now);
 
     /** The time for a final answer is over and there was none. */
-    void overdue(BalancerRequest request, long now);
+    void deadlineMissed(BalancerRequest request, long now);
 
     /** A balancer has been told of upstreams. */
-    void told(Balancer balancer, EndpointListKind kind, List<Endpoint> servers, long now);
+    void endpointsNotified(Balancer balancer, EndpointListKind kind, List<Endpoint> servers, long now);
 
     /** Whether that balancer has been told of the upstream's last start. */
     boolean knowsStart(Balancer balancer, Upstream upstream);
 
-    /** A cold upstream was sent too much and fell over; {@code told}: the share from balancers that knew. */
-    void fell(Upstream upstream, double told, long now);
+    /** A cold upstream was sent too much and fell over; {@code endpointsNotified}: the share from balancers that knew. */
+    void upstreamOverloaded(Upstream upstream, double notifiedFraction, long now);
 
     /** A cold upstream has been sent that part of what it bears in the rule's window; 1: all of it. */
-    void pressed(Upstream upstream, double part, long now);
+    void coldLoad(Upstream upstream, double fraction, long now);
 
     /** A module asks for what can't be. */
-    void malformed(Balancer balancer, String what, BalancerRequest request, long now);
+    void invalidAction(Balancer balancer, String description, BalancerRequest request, long now);
 
     /** A client makes a first try. */
-    void asked(ClientRequest request, long now);
+    void requestIssued(ClientRequest request, long now);
 
     /** A client has its answer, or has given up: {@code served} tells which. */
-    void over(ClientRequest request, boolean served, long now);
+    void requestFinished(ClientRequest request, boolean served, long now);
 }
--- a/simulator/src/main/java/loadbalancer/simulator/world/PolicyFactory.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/PolicyFactory.java
@@ -7,5 +7,5 @@
 @FunctionalInterface
 public interface PolicyFactory {
     /** {@code truth} is for policies that are allowed to see everything; the others don't look. */
-    LoadBalancingPolicy make(PolicySettings settings, long seed, GroundTruth truth);
+    LoadBalancingPolicy create(PolicySettings settings, long seed, GroundTruth truth);
 }
--- a/simulator/src/main/java/loadbalancer/simulator/world/Rack.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Rack.java
@@ -42,7 +42,7 @@
             factor = next;
             for (Upstream u : List.copyOf(members)) {
                 if (u != member) {
-                    u.speedUp(now);
+                    u.recomputeRate(now);
                 }
             }
         }
--- a/simulator/src/main/java/loadbalancer/simulator/world/Range.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Range.java
@@ -10,22 +10,22 @@
     }
 
     /** A draw; a fixed range draws too, so that fixing one figure leaves the others as they were. */
-    public double draw(RandomStream draws) {
-        return draws.between(from, to);
+    public double draw(RandomStream random) {
+        return random.between(from, to);
     }
 
     /** The least value. */
-    public double least() {
+    public double min() {
         return Math.min(from, to);
     }
 
     /** The largest value. */
-    public double most() {
+    public double max() {
         return Math.max(from, to);
     }
 
     /** The middle. */
-    public double middle() {
+    public double midpoint() {
         return (from + to) / 2;
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/world/SimulatedDiscovery.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/SimulatedDiscovery.java
@@ -14,8 +14,8 @@
  * Discovery: knows late and only of processes that run, drain or are gone, and handles one call after another.
  */
 final class SimulatedDiscovery {
-    private static final long AGAIN = 500_000; // µs after a break, where lists are pushed
-    private static final int HISTORY = 256; // versions behind which a watch gets the whole list
+    private static final long RECONNECT_DELAY_MICROS = 500_000; // µs after a break, where lists are pushed
+    private static final int MAX_CHANGES = 256; // versions behind which a watch gets the whole list
 
     /** A balancer's standing with the register. */
     static final class Subscriber {
@@ -23,7 +23,7 @@
         private boolean watching;
         private int generation;
         private long version;
-        private long askedAt;
+        private long polledAt;
         private boolean failed;
 
         Subscriber(Balancer balancer) {
@@ -36,43 +36,43 @@
         }
 
         /** When it counts as told of what was listed at {@code listedAt}, whatever reached it. */
-        long deemedTold(long listedAt, long pollIntervalMicros) {
+        long deemedNotifiedAt(long listedAt, long pollIntervalMicros) {
             if (watching || pollIntervalMicros <= 0 || listedAt == Long.MAX_VALUE) {
                 return Long.MAX_VALUE;
             }
-            return Math.max(listedAt, askedAt) + pollIntervalMicros * (failed ? 4 : 1);
+            return Math.max(listedAt, polledAt) + pollIntervalMicros * (failed ? 4 : 1);
         }
     }
 
     private final World world;
-    private final RandomStream draws;
+    private final RandomStream random;
     private final Map<String, Endpoint> entries = new LinkedHashMap<>();
     private final TreeMap<Long, Endpoint> changes = new TreeMap<>();
     private final Map<String, Long> listedAt = new LinkedHashMap<>();
     private final List<Subscriber> watchers = new ArrayList<>();
     private final double capacity;
-    private final double callLines;
-    private final long period;
-    private final long spread;
+    private final double entriesPerCall;
+    private final long publishIntervalMicros;
+    private final long deliverySpreadMicros;
     private long version = 1;
     private long freeAt;
     private boolean down;
-    private boolean listsTwice;
+    private boolean duplicateEntries;
     private long calls;
 
-    SimulatedDiscovery(World world, RandomStream draws) {
+    SimulatedDiscovery(World world, RandomStream random) {
         WorldPlan.Discovery d = world.plan.discovery();
         this.world = world;
-        this.draws = draws;
-        this.capacity = d.capacity().draw(draws);
-        this.callLines = d.callLines().draw(draws);
-        this.period = Math.max(1, Math.round(d.period().draw(draws)));
-        this.spread = Math.round(d.spread().draw(draws));
+        this.random = random;
+        this.capacity = d.capacity().draw(random);
+        this.entriesPerCall = d.entriesPerCall().draw(random);
+        this.publishIntervalMicros = Math.max(1, Math.round(d.period().draw(random)));
+        this.deliverySpreadMicros = Math.round(d.spread().draw(random));
     }
 
     List<Endpoint> list() {
         List<Endpoint> all = new ArrayList<>(entries.values());
-        if (listsTwice) {
+        if (duplicateEntries) {
             all.addAll(entries.values());
         }
         return all;
@@ -87,12 +87,12 @@
     }
 
     /** Puts an entry in before the day begins. */
-    void preset(Endpoint entry) {
+    void addInitial(Endpoint entry) {
         entries.put(entry.id(), entry);
     }
 
-    void listsTwice(boolean twice) {
-        listsTwice = twice;
+    void setDuplicateEntries(boolean twice) {
+        duplicateEntries = twice;
     }
 
     /** When it was listed that this upstream drains or is gone, in µs; where it isn't, the largest long. */
@@ -102,16 +102,16 @@
         return ends ? listedAt.getOrDefault(id, Long.MAX_VALUE) : Long.MAX_VALUE;
     }
 
-    /** Something changed; it is listed after {@code late} µs, at the register's next round. */
-    void changed(Endpoint entry, long late) {
-        long due = world.simulation.now() + late;
-        long round = (due + period - 1) / period * period;
+    /** Something changed; it is listed after {@code delayMicros} µs, at the register's next round. */
+    void changed(Endpoint entry, long delayMicros) {
+        long due = world.simulation.now() + delayMicros;
+        long round = (due + publishIntervalMicros - 1) / publishIntervalMicros * publishIntervalMicros;
         world.simulation.at(round, now -> list(entry, now));
     }
 
     private void list(Endpoint entry, long now) {
         if (down) {
-            world.simulation.after(period, at -> list(entry, at));
+            world.simulation.after(publishIntervalMicros, at -> list(entry, at));
             return;
         }
         Endpoint known = entries.get(entry.id());
@@ -130,7 +130,7 @@
         }
         listedAt.put(entry.id(), now);
         changes.put(++version, entry);
-        if (changes.size() > HISTORY) {
+        if (changes.size() > MAX_CHANGES) {
             changes.pollFirstEntry();
         }
         for (Subscriber s : List.copyOf(watchers)) {
@@ -144,8 +144,8 @@
 
     private void push(Subscriber s, long now) {
         int generation = s.generation;
-        long late = Math.round(draws.uniform() * spread) + 100;
-        world.simulation.after(late, at -> {
+        long delayMicros = Math.round(random.uniform() * deliverySpreadMicros) + 100;
+        world.simulation.after(delayMicros, at -> {
             if (s.watching && s.generation == generation && s.version < version) {
                 deliver(s, at);
             }
@@ -153,16 +153,16 @@
     }
 
     /** Where lists are pushed, a balancer is subscribed from its start, and again after each break. */
-    void booted(Subscriber s) {
+    void balancerStarted(Subscriber s) {
         if (!world.plan.discovery().ask()) {
             call(s, true);
         }
     }
 
-    private void again(Subscriber s) {
+    private void scheduleReconnect(Subscriber s) {
         if (!world.plan.discovery().ask()) {
             int generation = s.generation;
-            world.simulation.after(AGAIN, at -> {
+            world.simulation.after(RECONNECT_DELAY_MICROS, at -> {
                 if (s.generation == generation && s.balancer.alive()) {
                     call(s, true);
                 }
@@ -174,11 +174,11 @@
     void call(Subscriber s, boolean watch) {
         long now = world.simulation.now();
         calls++;
-        s.askedAt = now;
+        s.polledAt = now;
         s.end();
         int generation = s.generation;
         long timeout = world.plan.discovery().timeout();
-        double cost = 1 + entries.size() / callLines;
+        double cost = 1 + entries.size() / entriesPerCall;
         long begin = Math.max(now, freeAt);
         if (down || begin - now > timeout) {
             world.simulation.after(down ? 1_000 : timeout, at -> fail(s, generation, at));
@@ -194,7 +194,7 @@
                 return;
             }
             s.failed = false;
-            s.askedAt = at;
+            s.polledAt = at;
             if (watch) {
                 s.watching = true;
                 watchers.add(s);
@@ -209,8 +209,8 @@
     private void fail(Subscriber s, int generation, long now) {
         if (s.generation == generation) {
             s.failed = true;
-            s.balancer.news(EndpointListKind.UNAVAILABLE, List.of(), now);
-            again(s);
+            s.balancer.endpointsChanged(EndpointListKind.UNAVAILABLE, List.of(), now);
+            scheduleReconnect(s);
         }
     }
 
@@ -219,18 +219,19 @@
         long from = s.version;
         s.version = version;
         if (gap) {
-            s.balancer.news(EndpointListKind.SNAPSHOT, list(), now);
+            s.balancer.endpointsChanged(EndpointListKind.SNAPSHOT, list(), now);
         } else {
-            List<Endpoint> news = new ArrayList<>(changes.tailMap(from, false).values());
-            if (listsTwice) {
-                news.addAll(List.copyOf(news));
+            List<Endpoint> changedEntries =
+                    new ArrayList<>(changes.tailMap(from, false).values());
+            if (duplicateEntries) {
+                changedEntries.addAll(List.copyOf(changedEntries));
             }
-            s.balancer.news(EndpointListKind.DELTA, news, now);
+            s.balancer.endpointsChanged(EndpointListKind.DELTA, changedEntries, now);
         }
     }
 
     /** Goes down or comes back: watches end, calls fail. */
-    void down(boolean now) {
+    void setDown(boolean now) {
         down = now;
         if (now) {
             long at = world.simulation.now();
@@ -238,8 +239,8 @@
                 if (s.watching) {
                     s.end();
                     s.failed = true;
-                    s.balancer.news(EndpointListKind.UNAVAILABLE, List.of(), at);
-                    again(s);
+                    s.balancer.endpointsChanged(EndpointListKind.UNAVAILABLE, List.of(), at);
+                    scheduleReconnect(s);
                 }
             }
             watchers.clear();
--- a/simulator/src/main/java/loadbalancer/simulator/world/Timeline.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Timeline.java
@@ -46,7 +46,7 @@
     public record FaultInterval(String kind, long from, long to) {}
 
     private final World world;
-    private final List<FaultInterval> spells = new ArrayList<>();
+    private final List<FaultInterval> faultIntervals = new ArrayList<>();
     private String of; // the pool that the trouble being installed concerns
 
     Timeline(World world) {
@@ -54,34 +54,41 @@
     }
 
     void install() {
-        List<WorldPlan.Fault> troubles = world.plan.troubles();
-        for (int i = 0; i < troubles.size(); i++) {
-            WorldPlan.Fault t = troubles.get(i);
-            RandomStream draws = world.streams.of("trouble", i, t.kind());
-            long from = World.BEGIN + Math.round(t.at().draw(draws));
-            long length = Math.round(t.length().draw(draws));
-            double part = t.part().draw(draws);
-            double size = t.size().draw(draws);
-            double extra = t.extra().draw(draws);
+        List<WorldPlan.Fault> faults = world.plan.faults();
+        for (int i = 0; i < faults.size(); i++) {
+            WorldPlan.Fault t = faults.get(i);
+            RandomStream random = world.streams.of("trouble", i, t.kind());
+            long from = World.DAY_START + Math.round(t.at().draw(random));
+            long length = Math.round(t.length().draw(random));
+            double part = t.fraction().draw(random);
+            double size = t.size().draw(random);
+            double extra = t.extra().draw(random);
             if (t.kind().equals("burst")) {
-                world.clients.burstMost(size);
+                world.clients.raiseMaxBurst(size);
             }
-            spells.add(new FaultInterval(t.kind(), from - World.BEGIN, from + length - World.BEGIN));
-            of = t.of();
-            install(t.kind(), from, length, part, size, extra, draws);
+            faultIntervals.add(new FaultInterval(t.kind(), from - World.DAY_START, from + length - World.DAY_START));
+            of = t.pool();
+            install(t.kind(), from, length, part, size, extra, random);
         }
-        world.spells(spells);
+        world.faultIntervals(faultIntervals);
     }
 
     private void install(
-            String kind, long from, long length, double part, double size, double extra, RandomStream draws) {
+            String kind, long from, long length, double part, double size, double extra, RandomStream random) {
         switch (kind) {
-            case "slow" -> some(part, from, length, draws, (u, now) -> u.slow(size, now), (u, now) -> u.slow(1, now));
+            case "slow" -> some(
+                    part, from, length, random, (u, now) -> u.slowdown(size, now), (u, now) -> u.slowdown(1, now));
             case "shared_slow" -> some(
-                    1, from, length, draws, (u, now) -> u.slow(size, now), (u, now) -> u.slow(1, now));
+                    1, from, length, random, (u, now) -> u.slowdown(size, now), (u, now) -> u.slowdown(1, now));
             case "fast_errors" -> some(
-                    part, from, length, draws, (u, now) -> u.failing(size), (u, now) -> u.failing(0));
-            case "garble" -> some(part, from, length, draws, (u, now) -> u.spoiling(size), (u, now) -> u.spoiling(0));
+                    part, from, length, random, (u, now) -> u.failingFraction(size), (u, now) -> u.failingFraction(0));
+            case "garble" -> some(
+                    part,
+                    from,
+                    length,
+                    random,
+                    (u, now) -> u.corruptingFraction(size),
+                    (u, now) -> u.corruptingFraction(0));
             case "settings_changed" -> during(
                     from,
                     length,
@@ -91,36 +98,36 @@
                     part,
                     from,
                     length,
-                    draws,
+                    random,
                     (u, now) -> {
-                        u.failing(size);
-                        u.slow(Math.max(1, extra), now);
+                        u.failingFraction(size);
+                        u.slowdown(Math.max(1, extra), now);
                     },
                     (u, now) -> {
-                        u.failing(0);
-                        u.slow(1, now);
+                        u.failingFraction(0);
+                        u.slowdown(1, now);
                     });
             case "hot_key" -> during(
                     from,
                     length,
-                    now -> world.clients.hot(size, (int) Math.round(extra)),
-                    now -> world.clients.hot(0, 1));
-            case "deploy" -> deploy(from, length, part, size, Math.round(extra * SECOND), draws);
+                    now -> world.clients.setHotKeys(size, (int) Math.round(extra)),
+                    now -> world.clients.setHotKeys(0, 1));
+            case "deploy" -> deploy(from, length, part, size, Math.round(extra * SECOND), random);
             case "same_address" -> world.simulation.at(from, now -> {
-                for (Upstream u : picked(part, draws)) {
+                for (Upstream u : picked(part, random)) {
                     end(u, false, now);
                     begin(u, u.address, 0, now);
                 }
             });
-            case "rack_lost" -> rackLost(from, length, size > 0, draws);
+            case "rack_lost" -> rackLost(from, length, size > 0, random);
             case "death" -> some(
                     part,
                     from,
                     length,
-                    draws,
+                    random,
                     (u, now) -> {
                         if (size > 0) {
-                            u.silence(true);
+                            u.setSilent(true);
                             gone(u, true);
                         } else {
                             end(u, false, now);
@@ -128,38 +135,49 @@
                     },
                     (u, now) -> {
                         if (u.alive()) {
-                            u.die(now);
-                            world.processes().forEach(b -> b.broken(u));
+                            u.terminate(now);
+                            world.processes().forEach(b -> b.connectionsLost(u));
                         }
                         begin(u, world.freshAddress(), 0, now);
                     });
             case "restart" -> some(
-                    part, from, length, draws, (u, now) -> restart(u, Math.round(extra * SECOND), now), (u, now) -> {});
-            case "zone_cut" -> zoneCut(from, length, true, draws);
-            case "zone_cut_one_way" -> zoneCut(from, length, false, draws);
+                    part,
+                    from,
+                    length,
+                    random,
+                    (u, now) -> restart(u, Math.round(extra * SECOND), now),
+                    (u, now) -> {});
+            case "zone_cut" -> zoneCut(from, length, true, random);
+            case "zone_cut_one_way" -> zoneCut(from, length, false, random);
             case "register_down" -> during(
-                    from, length, now -> world.register.down(true), now -> world.register.down(false));
+                    from, length, now -> world.discovery.setDown(true), now -> world.discovery.setDown(false));
             case "register_twice" -> during(
-                    from, length, now -> world.register.listsTwice(true), now -> world.register.listsTwice(false));
-            case "balancers_killed" -> balancersKilled(from, length, part, draws);
-            case "balancers_restarted" -> balancersRestarted(from, length, part, Math.round(extra * SECOND), draws);
-            case "balancers_upgraded" -> balancersUpgraded(from, length, part, draws);
+                    from,
+                    length,
+                    now -> world.discovery.setDuplicateEntries(true),
+                    now -> world.discovery.setDuplicateEntries(false));
+            case "balancers_killed" -> balancersKilled(from, length, part, random);
+            case "balancers_restarted" -> balancersRestarted(from, length, part, Math.round(extra * SECOND), random);
+            case "balancers_upgraded" -> balancersUpgraded(from, length, part, random);
             case "retry_storm" -> during(
-                    from, length, now -> world.clients.storm((int) Math.round(size)), now -> world.clients.storm(0));
-            case "burst" -> during(from, length, now -> world.clients.burst(size), now -> world.clients.burst(1));
+                    from,
+                    length,
+                    now -> world.clients.setRetryStorm((int) Math.round(size)),
+                    now -> world.clients.setRetryStorm(0));
+            case "burst" -> during(from, length, now -> world.clients.setBurst(size), now -> world.clients.setBurst(1));
             case "tenant_flood" -> world.simulation.at(
                     from, now -> world.clients.flood((int) Math.round(extra), size, now + length));
             case "clock_step" -> world.simulation.at(from, now -> {
-                for (Upstream u : picked(part, draws)) {
-                    if (u.saidStart() > 0) {
-                        u.misstate(Math.round(extra * SECOND));
-                        world.register.changed(world.entry(u, EndpointState.UP), 0);
+                for (Upstream u : picked(part, random)) {
+                    if (u.reportedStart() > 0) {
+                        u.shiftReportedStart(Math.round(extra * SECOND));
+                        world.discovery.changed(world.endpoint(u, EndpointState.UP), 0);
                     }
                 }
             });
-            case "taken_out" -> takenOut(from, length, part, draws);
+            case "taken_out" -> takenOut(from, length, part, random);
             case "network_slow" -> during(
-                    from, length, now -> world.network.stretch(size), now -> world.network.stretch(1));
+                    from, length, now -> world.network.setDelayFactor(size), now -> world.network.setDelayFactor(1));
             case "loss" -> {
                 double usual = world.network.loss();
                 during(from, length, now -> world.network.loss(size), now -> world.network.loss(usual));
@@ -189,25 +207,25 @@
         world.simulation.at(from + length, end::accept);
     }
 
-    private void some(double part, long from, long length, RandomStream draws, Change begin, Change end) {
+    private void some(double part, long from, long length, RandomStream random, Change begin, Change end) {
         List<Upstream> chosen = new ArrayList<>();
         String pool = of;
         during(
                 from,
                 length,
                 now -> {
-                    chosen.addAll(picked(part, pool, draws));
+                    chosen.addAll(picked(part, pool, random));
                     chosen.forEach(u -> begin.to(u, now));
                 },
                 now -> chosen.forEach(u -> end.to(u, now)));
     }
 
     // The draw goes by a number for each upstream, not by the order of a list: what else has happened leaves it be.
-    private List<Upstream> picked(double part, RandomStream draws) {
-        return picked(part, null, draws);
+    private List<Upstream> picked(double part, RandomStream random) {
+        return picked(part, null, random);
     }
 
-    private List<Upstream> picked(double part, String pool, RandomStream draws) {
+    private List<Upstream> picked(double part, String pool, RandomStream random) {
         List<Upstream> running = new ArrayList<>();
         for (Upstream u : world.upstreams) {
             boolean meant =
@@ -216,7 +234,7 @@
                 running.add(u);
             }
         }
-        long salt = draws.bits();
+        long salt = random.bits();
         running.sort(Comparator.comparingDouble(u -> IndexedRandom.uniform(salt, u.address, 1)));
         int many = Math.min(running.size(), Math.max(1, (int) Math.round(part * running.size())));
         return new ArrayList<>(running.subList(0, running.isEmpty() ? 0 : many));
@@ -224,13 +242,13 @@
 
     private void gone(Upstream u, boolean silently) {
         WorldPlan.Discovery d = world.plan.discovery();
-        Range late = silently ? d.silentNotice() : d.notice();
-        world.register.changed(world.entry(u, EndpointState.GONE), Math.round(late.middle()));
+        Range late = silently ? d.silentFailureNotice() : d.noticeDelay();
+        world.discovery.changed(world.endpoint(u, EndpointState.GONE), Math.round(late.midpoint()));
     }
 
     private void end(Upstream u, boolean silently, long now) {
-        u.die(now);
-        world.processes().forEach(b -> b.broken(u));
+        u.terminate(now);
+        world.processes().forEach(b -> b.connectionsLost(u));
         gone(u, silently);
     }
 
@@ -238,9 +256,9 @@
     private void begin(Upstream u, int address, long late, long now) {
         world.simulation.at(now + late, at -> {
             Upstream next = world.start(u.kindNumber, u.rack, address, at);
-            world.register.changed(
-                    world.entry(next, EndpointState.UP),
-                    Math.round(world.plan.discovery().add().middle()));
+            world.discovery.changed(
+                    world.endpoint(next, EndpointState.UP),
+                    Math.round(world.plan.discovery().registrationDelay().midpoint()));
         });
     }
 
@@ -248,19 +266,19 @@
         if (!u.alive()) {
             return;
         }
-        u.die(now);
-        world.processes().forEach(b -> b.broken(u));
+        u.terminate(now);
+        world.processes().forEach(b -> b.connectionsLost(u));
         world.simulation.at(now + late, at -> {
-            Upstream next = world.again(u, at);
-            world.register.changed(
-                    world.entry(next, EndpointState.UP),
-                    Math.round(world.plan.discovery().add().middle()));
+            Upstream next = world.restart(u, at);
+            world.discovery.changed(
+                    world.endpoint(next, EndpointState.UP),
+                    Math.round(world.plan.discovery().registrationDelay().midpoint()));
         });
     }
 
-    private void deploy(long from, long length, double part, double batch, long drain, RandomStream draws) {
+    private void deploy(long from, long length, double part, double batch, long drain, RandomStream random) {
         world.simulation.at(from, begin -> {
-            List<Upstream> all = picked(part, draws);
+            List<Upstream> all = picked(part, random);
             int many = Math.max(1, (int) Math.round(batch * all.size() / Math.max(part, 0.01)));
             int rounds = (all.size() + many - 1) / many;
             for (int i = 0; i < all.size(); i++) {
@@ -269,10 +287,10 @@
                     if (!u.alive()) {
                         return;
                     }
-                    u.drain();
-                    world.register.changed(
-                            world.entry(u, EndpointState.DRAINING),
-                            Math.round(world.plan.discovery().notice().middle()));
+                    u.startDraining();
+                    world.discovery.changed(
+                            world.endpoint(u, EndpointState.DRAINING),
+                            Math.round(world.plan.discovery().noticeDelay().midpoint()));
                     world.simulation.at(now + drain, then -> {
                         if (u.alive()) {
                             end(u, false, then);
@@ -284,8 +302,8 @@
         });
     }
 
-    private void rackLost(long from, long length, boolean silently, RandomStream draws) {
-        int number = world.racks.isEmpty() ? 0 : draws.below(world.racks.size());
+    private void rackLost(long from, long length, boolean silently, RandomStream random) {
+        int number = world.racks.isEmpty() ? 0 : random.below(world.racks.size());
         List<Upstream> lost = new ArrayList<>();
         during(
                 from,
@@ -296,7 +314,7 @@
                     }
                     for (Upstream u : lost) {
                         if (silently) {
-                            u.silence(true);
+                            u.setSilent(true);
                             gone(u, true);
                         } else {
                             end(u, false, now);
@@ -306,20 +324,23 @@
                 now -> {
                     for (Upstream u : lost) {
                         if (u.alive()) {
-                            u.die(now);
-                            world.processes().forEach(b -> b.broken(u));
+                            u.terminate(now);
+                            world.processes().forEach(b -> b.connectionsLost(u));
                         }
-                        Upstream next = world.again(u, now);
-                        world.register.changed(
-                                world.entry(next, EndpointState.UP),
-                                Math.round(world.plan.discovery().add().middle()));
+                        Upstream next = world.restart(u, now);
+                        world.discovery.changed(
+                                world.endpoint(next, EndpointState.UP),
+                                Math.round(world.plan
+                                        .discovery()
+                                        .registrationDelay()
+                                        .midpoint()));
                     }
                 });
     }
 
-    private void zoneCut(long from, long length, boolean both, RandomStream draws) {
+    private void zoneCut(long from, long length, boolean both, RandomStream random) {
         int zones = world.plan.zones().size();
-        int zone = draws.below(zones);
+        int zone = random.below(zones);
         during(from, length, now -> cut(zone, zones, both, true), now -> cut(zone, zones, both, false));
     }
 
@@ -334,34 +355,34 @@
         }
     }
 
-    private List<BalancerSlot> slots(double part, RandomStream draws) {
+    private List<BalancerSlot> slots(double part, RandomStream random) {
         List<BalancerSlot> all = new ArrayList<>(world.slots);
-        long salt = draws.bits();
+        long salt = random.bits();
         all.sort(Comparator.comparingDouble(s -> IndexedRandom.uniform(salt, s.rank, 2)));
         return all.subList(0, Math.min(all.size(), Math.max(1, (int) Math.round(part * all.size()))));
     }
 
-    private void balancersKilled(long from, long length, double part, RandomStream draws) {
-        for (BalancerSlot s : slots(part, draws)) {
+    private void balancersKilled(long from, long length, double part, RandomStream random) {
+        for (BalancerSlot s : slots(part, random)) {
             world.simulation.at(from, now -> {
                 Balancer b = s.serving();
                 if (b != null) {
-                    b.die(now);
-                    world.simulation.at(now + world.notice, at -> s.admitted(s.serving() != null));
+                    b.kill(now);
+                    world.simulation.at(now + world.failureDetectionMicros, at -> s.admitted(s.serving() != null));
                 }
             });
             world.simulation.at(from + length, now -> {
                 if (s.serving() == null) {
-                    world.boot(s, null);
-                    world.simulation.at(now + world.notice, at -> s.admitted(true));
+                    world.startBalancer(s, null);
+                    world.simulation.at(now + world.failureDetectionMicros, at -> s.admitted(true));
                 }
             });
         }
     }
 
     // A planned restart: the front is told at once, what is open is answered or cut after the longest deadline.
-    private void balancersRestarted(long from, long length, double part, long start, RandomStream draws) {
-        List<BalancerSlot> chosen = slots(part, draws);
+    private void balancersRestarted(long from, long length, double part, long start, RandomStream random) {
+        List<BalancerSlot> chosen = slots(part, random);
         for (int i = 0; i < chosen.size(); i++) {
             BalancerSlot s = chosen.get(i);
             world.simulation.at(from + length * i / chosen.size(), now -> {
@@ -372,11 +393,11 @@
                 s.admitted(false);
                 world.simulation.at(now + longestDeadline(), at -> {
                     if (old.alive()) {
-                        old.die(at);
+                        old.kill(at);
                     }
                 });
                 world.simulation.at(now + longestDeadline() + start, at -> {
-                    world.boot(s, null);
+                    world.startBalancer(s, null);
                     s.admitted(true);
                 });
             });
@@ -390,8 +411,8 @@
                 .orElse(0);
     }
 
-    private void balancersUpgraded(long from, long length, double part, RandomStream draws) {
-        List<BalancerSlot> chosen = slots(part, draws);
+    private void balancersUpgraded(long from, long length, double part, RandomStream random) {
+        List<BalancerSlot> chosen = slots(part, random);
         for (int i = 0; i < chosen.size(); i++) {
             BalancerSlot s = chosen.get(i);
             world.simulation.at(from + length * i / chosen.size(), now -> {
@@ -399,12 +420,12 @@
                 if (old == null) {
                     return;
                 }
-                Balancer next = world.boot(s, old.policy().learnedState(now));
+                Balancer next = world.startBalancer(s, old.policy().learnedState(now));
                 old.policy().share(0.5);
                 next.policy().share(0.5);
                 world.simulation.at(now + longestDeadline() + 700_000, at -> {
                     if (old.alive()) {
-                        old.die(at);
+                        old.kill(at);
                     }
                     next.policy().share(1);
                 });
@@ -412,16 +433,16 @@
         }
     }
 
-    private void takenOut(long from, long length, double part, RandomStream draws) {
+    private void takenOut(long from, long length, double part, RandomStream random) {
         List<String> out = new ArrayList<>();
         during(
                 from,
                 length,
                 now -> {
-                    for (Upstream u : picked(part, draws)) {
+                    for (Upstream u : picked(part, random)) {
                         out.add(u.id);
                         for (Balancer b : List.copyOf(world.processes())) {
-                            b.operator(u.id, true, now);
+                            b.setOperatorDrained(u.id, true, now);
                         }
                         world.simulation.at(now + length / 2, at -> restart(u, SECOND / 2, at));
                     }
@@ -429,7 +450,7 @@
                 now -> {
                     for (String id : out) {
                         for (Balancer b : List.copyOf(world.processes())) {
-                            b.operator(id, false, now);
+                            b.setOperatorDrained(id, false, now);
                         }
                     }
                 });
--- a/simulator/src/main/java/loadbalancer/simulator/world/Upstream.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Upstream.java
@@ -17,10 +17,10 @@
  * only the rate changes (Parekh and Gallager's idea for fair queueing). A change costs O(log slots).
  */
 public final class Upstream {
-    private static final long QUICK_FAILURE = 1_000; // µs that a failing process takes to say so
-    private static final long RAMP_STEP = 100_000;
-    private static final double CHANCE_DEVIATIONS = 2; // of a Poisson count above the cold budget
-    private static final double CHANCE_REQUESTS = 2; // and so many more
+    private static final long FAILURE_RESPONSE_MICROS = 1_000; // µs that a failing process takes to say so
+    private static final long SLOW_START_STEP_MICROS = 100_000;
+    private static final double BURST_DEVIATIONS = 2; // of a Poisson count above the cold budget
+    private static final double BURST_REQUESTS = 2; // and so many more
 
     /** Work of one attempt. */
     private static final class Job {
@@ -35,7 +35,7 @@
     }
 
     /** A send that reached a cold process. */
-    private record Pressure(long at, boolean told) {}
+    private record ColdSend(long at, boolean startKnown) {}
 
     final String id;
     final int address;
@@ -46,35 +46,35 @@
     final int cores;
     final double speed;
     private final int slots;
-    private final int room;
-    private final int connectionsMost;
-    private final double crowdedAt;
+    private final int queueCapacity;
+    private final int maxConnections;
+    private final double crowdingThreshold;
     private final double slowStartInitialWeight;
-    private final long coldTime;
-    private final double errors;
-    private final boolean cancelDrops;
+    private final long slowStartDurationMicros;
+    private final double errorFraction;
+    private final boolean cancelDropProbability;
     private final World world;
     private final PriorityQueue<Job> serving = new PriorityQueue<>(
             (x, y) -> x.end != y.end ? Double.compare(x.end, y.end) : Long.compare(x.attempt.serial, y.attempt.serial));
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
-    private final ArrayDeque<Pressure> pressure = new ArrayDeque<>();
+    private final ArrayDeque<ColdSend> coldSends = new ArrayDeque<>();
     private final Map<Integer, Long> keys;
-    private double virtual;
-    private double rate;
-    private long settledAt;
-    private double done; // work since the start, for the warm-up
-    private Simulation.Timer next;
+    private double virtualTime;
+    private double progressRate;
+    private long updatedAt;
+    private double workDone; // work since the start, for the warm-up
+    private Simulation.Timer nextCompletion;
     private int connections;
-    private int coming;
-    private double slow = 1;
-    private double failing;
-    private double spoiling;
+    private int arriving;
+    private double slowdown = 1;
+    private double failingFraction;
+    private double corruptingFraction;
     private boolean alive = true;
     private boolean silent;
-    private boolean fallen;
+    private boolean overloaded;
     private boolean draining;
     private long startedAt;
-    private long saidStart;
+    private long reportedStart;
 
     Upstream(
             World world,
@@ -83,7 +83,7 @@
             int zone,
             Rack rack,
             int kindNumber,
-            RandomStream draws,
+            RandomStream random,
             long startedAt) {
         WorldPlan plan = world.plan;
         this.world = world;
@@ -97,29 +97,29 @@
         this.speed = Math.max(
                 0.05,
                 world.kindSpeed[kindNumber]
-                        * (1 + kind.speedVariation().draw(draws) * Math.max(-2, Math.min(2, draws.gaussian())) / 2));
-        this.slots = Math.max(cores, (int) Math.round(kind.slotsPerCore().draw(draws) * cores));
-        this.room = (int) Math.round(kind.roomPerCore().draw(draws) * cores);
-        this.connectionsMost = (int) Math.round(world.connectionsPerCore * cores);
-        this.crowdedAt = kind.crowdedAt().draw(draws);
-        this.slowStartInitialWeight = kind.slowStartInitialWeight().draw(draws);
-        this.coldTime = Math.round(kind.coldTime().draw(draws));
-        this.errors = kind.errors().draw(draws);
-        this.cancelDrops = world.cancelDrops[kindNumber];
-        int keyRoom = (int) Math.round(world.keysPerCore * cores);
+                        * (1 + kind.speedVariation().draw(random) * Math.max(-2, Math.min(2, random.gaussian())) / 2));
+        this.slots = Math.max(cores, (int) Math.round(kind.slotsPerCore().draw(random) * cores));
+        this.queueCapacity = (int) Math.round(kind.queuePerCore().draw(random) * cores);
+        this.maxConnections = (int) Math.round(world.connectionsPerCore * cores);
+        this.crowdingThreshold = kind.crowdingThreshold().draw(random);
+        this.slowStartInitialWeight = kind.slowStartInitialWeight().draw(random);
+        this.slowStartDurationMicros = Math.round(kind.slowStartDurationMicros().draw(random));
+        this.errorFraction = kind.errors().draw(random);
+        this.cancelDropProbability = world.cancelDropProbability[kindNumber];
+        int keyCapacity = (int) Math.round(world.keysPerCore * cores);
         this.keys = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1L;
 
             @Override
             protected boolean removeEldestEntry(Map.Entry<Integer, Long> eldest) {
-                return size() > keyRoom;
+                return size() > keyCapacity;
             }
         };
         this.startedAt = startedAt;
-        this.saidStart = startedAt;
+        this.reportedStart = startedAt;
         rack.members.add(this);
         if (startedAt > 0) {
-            world.simulation.after(RAMP_STEP, this::ramp);
+            world.simulation.after(SLOW_START_STEP_MICROS, this::slowStartStep);
         }
     }
 
@@ -131,15 +131,15 @@
     }
 
     /** When it says that it started, in simulated µs; 0: long ago. */
-    public long saidStart() {
-        return saidStart;
+    public long reportedStart() {
+        return reportedStart;
     }
 
     boolean alive() {
         return alive;
     }
 
-    boolean answers() {
+    boolean responsive() {
         return alive && !silent;
     }
 
@@ -151,25 +151,25 @@
         return draining;
     }
 
-    boolean fallen() {
-        return fallen;
+    boolean overloaded() {
+        return overloaded;
     }
 
-    int held() {
+    int requestsHeld() {
         return serving.size() + waiting.size();
     }
 
     /** Requests in it and on their way to it: what only the truth can tell. */
-    int heldOrComing() {
-        return held() + coming;
+    int requestsHeldOrArriving() {
+        return requestsHeld() + arriving;
     }
 
-    void coming(int change) {
-        coming += change;
+    void arriving(int change) {
+        arriving += change;
     }
 
     boolean full() {
-        return connections >= connectionsMost;
+        return connections >= maxConnections;
     }
 
     int connections() {
@@ -180,8 +180,8 @@
         connections += change;
     }
 
-    double failing() {
-        return failing;
+    double failingFraction() {
+        return failingFraction;
     }
 
     /** Capacity when warm and well, in standard cores. */
@@ -191,26 +191,27 @@
 
     /** What it can do at present, in standard cores, the rack's limit aside. */
     double capacity(long now) {
-        double tax = 1 - world.fullTax * Math.min(1, connections / (double) Math.max(1, connectionsMost));
-        double crowded = Math.max(0, held() / (double) cores - crowdedAt);
-        return nominal() * warmth(now) / slow * tax / (1 + kind.crowding() * crowded);
+        double tax = 1 - world.connectionOverhead * Math.min(1, connections / (double) Math.max(1, maxConnections));
+        double crowded = Math.max(0, requestsHeld() / (double) cores - crowdingThreshold);
+        return nominal() * slowStartWeight(now) / slowdown * tax / (1 + kind.crowding() * crowded);
     }
 
-    double warmth(long now) {
-        if (startedAt <= 0 || coldTime <= 0) {
+    double slowStartWeight(long now) {
+        if (startedAt <= 0 || slowStartDurationMicros <= 0) {
             return 1;
         }
-        double byTime = (now - startedAt) / (double) coldTime;
-        double byWork = kind.warmBy() == WorldPlan.WarmBy.REQUESTS ? done / (nominal() * coldTime) : 0;
+        double byTime = (now - startedAt) / (double) slowStartDurationMicros;
+        double byWork =
+                kind.warmBy() == WorldPlan.WarmBy.REQUESTS ? workDone / (nominal() * slowStartDurationMicros) : 0;
         return Math.min(1, slowStartInitialWeight + (1 - slowStartInitialWeight) * Math.max(byTime, byWork));
     }
 
     /** Work that is in it, in µs of a standard core. */
     double backlog(long now) {
-        settle(now);
+        advanceVirtualTime(now);
         double sum = 0;
         for (Job j : serving) {
-            sum += Math.max(0, j.end - virtual);
+            sum += Math.max(0, j.end - virtualTime);
         }
         for (Job j : waiting) {
             sum += j.work;
@@ -229,29 +230,30 @@
         if (silent) {
             return;
         }
-        if (!alive || fallen) {
+        if (!alive || overloaded) {
             world.reply(a, this, AttemptOutcome.RESET, now);
             return;
         }
         RequestWork work = world.workOf(a);
         boolean known = keyKnown(work.key(), now);
-        double needed = work.work() * (known ? 1 - world.keyGain : 1) + (freshConnection ? world.handshakeWork : 0);
-        press(a, now);
-        if (fallen) {
+        double needed =
+                work.work() * (known ? 1 - world.keyAffinityGain : 1) + (freshConnection ? world.handshakeWork : 0);
+        recordColdSend(a, now);
+        if (overloaded) {
             world.reply(a, this, AttemptOutcome.RESET, now);
         } else if (draining) {
             world.reply(a, this, AttemptOutcome.FULL, now);
-        } else if (IndexedRandom.uniform(world.chanceSeed, a.serial(), 7) < failing + errors) {
-            world.simulation.after(QUICK_FAILURE, t -> {
-                if (answers()) {
+        } else if (IndexedRandom.uniform(world.randomSeed, a.serial(), 7) < failingFraction + errorFraction) {
+            world.simulation.after(FAILURE_RESPONSE_MICROS, t -> {
+                if (responsive()) {
                     world.reply(a, this, AttemptOutcome.ERROR, t);
                 }
             });
         } else if (serving.size() < slots) {
-            settle(now);
+            advanceVirtualTime(now);
             begin(new Job(a, needed));
-            retune(now);
-        } else if (waiting.size() < room) {
+            reschedule(now);
+        } else if (waiting.size() < queueCapacity) {
             waiting.add(new Job(a, needed));
         } else {
             world.reply(a, this, AttemptOutcome.FULL, now);
@@ -262,13 +264,13 @@
         if (key < 0) {
             return false;
         }
-        Long met = keys.put(key, now);
-        return met != null && now - met <= world.keyRetentionMicros;
+        Long lastUsed = keys.put(key, now);
+        return lastUsed != null && now - lastUsed <= world.keyRetentionMicros;
     }
 
     /** Nobody waits for that attempt any more: running work goes on, waiting work is dropped at some sites. */
     void abandon(Attempt a) {
-        if (cancelDrops) {
+        if (cancelDropProbability) {
             for (Iterator<Job> i = waiting.iterator(); i.hasNext(); ) {
                 if (i.next().attempt == a) {
                     i.remove();
@@ -279,118 +281,118 @@
     }
 
     private void begin(Job job) {
-        job.end = virtual + job.work;
+        job.end = virtualTime + job.work;
         serving.add(job);
     }
 
-    private void settle(long now) {
-        double progress = rate * (now - settledAt);
-        virtual += progress;
-        done += progress * serving.size();
-        settledAt = now;
+    private void advanceVirtualTime(long now) {
+        double progress = progressRate * (now - updatedAt);
+        virtualTime += progress;
+        workDone += progress * serving.size();
+        updatedAt = now;
     }
 
     /** What may have changed its rate has changed: the time of the next end is worked out anew. */
-    void retune(long now) {
-        settle(now);
+    void reschedule(long now) {
+        advanceVirtualTime(now);
         rack.changed(this, now);
-        speedUp(now);
+        recomputeRate(now);
     }
 
-    void speedUp(long now) {
-        settle(now);
+    void recomputeRate(long now) {
+        advanceVirtualTime(now);
         int n = serving.size();
-        rate = n == 0 ? 0 : capacity(now) / cores * rack.factor() * Math.min(1, cores / (double) n);
-        if (next != null) {
-            next.cancel();
-            next = null;
+        progressRate = n == 0 ? 0 : capacity(now) / cores * rack.factor() * Math.min(1, cores / (double) n);
+        if (nextCompletion != null) {
+            nextCompletion.cancel();
+            nextCompletion = null;
         }
-        if (n > 0 && rate > 0 && alive && !fallen) {
-            double left = Math.max(0, serving.peek().end - virtual) / rate;
-            next = world.simulation.timer(now + (long) Math.ceil(Math.min(left, 1e15)), this::finish);
+        if (n > 0 && progressRate > 0 && alive && !overloaded) {
+            double left = Math.max(0, serving.peek().end - virtualTime) / progressRate;
+            nextCompletion = world.simulation.timer(now + (long) Math.ceil(Math.min(left, 1e15)), this::finish);
         }
     }
 
     private void finish(long now) {
-        next = null;
-        settle(now);
+        nextCompletion = null;
+        advanceVirtualTime(now);
         Job job = serving.peek();
-        if (job != null && job.end - virtual <= 1e-6 * Math.max(1, job.work) + rate) {
+        if (job != null && job.end - virtualTime <= 1e-6 * Math.max(1, job.work) + progressRate) {
             serving.poll();
-            world.ran(job.attempt, job.work);
-            if (answers()) {
-                boolean spoilt = IndexedRandom.uniform(world.chanceSeed, job.attempt.serial, 8) < spoiling;
-                world.reply(job.attempt, this, spoilt ? AttemptOutcome.ERROR : AttemptOutcome.OK, now);
+            world.workDone(job.attempt, job.work);
+            if (responsive()) {
+                boolean corrupted = IndexedRandom.uniform(world.randomSeed, job.attempt.serial, 8) < corruptingFraction;
+                world.reply(job.attempt, this, corrupted ? AttemptOutcome.ERROR : AttemptOutcome.OK, now);
             }
             if (!waiting.isEmpty()) {
                 begin(waiting.poll());
             }
         }
-        retune(now);
+        reschedule(now);
     }
 
-    private void ramp(long now) {
-        if (alive && !fallen && warmth(now) < 1) {
-            retune(now);
-            world.simulation.after(RAMP_STEP, this::ramp);
+    private void slowStartStep(long now) {
+        if (alive && !overloaded && slowStartWeight(now) < 1) {
+            reschedule(now);
+            world.simulation.after(SLOW_START_STEP_MICROS, this::slowStartStep);
         }
     }
 
     // The rule on cold upstreams: a budget over a window of that length, in requests of mean work, refused ones
     // included. How heavy a request turns out to be is nothing that a balancer could know.
-    private void press(Attempt a, long now) {
-        if (warmth(now) >= 1) {
-            pressure.clear();
+    private void recordColdSend(Attempt a, long now) {
+        if (slowStartWeight(now) >= 1) {
+            coldSends.clear();
             return;
         }
         WorldPlan.Rules rules = world.plan.rules();
-        pressure.add(new Pressure(now, world.judge.knowsStart(a.balancer(), this)));
-        while (now - pressure.peek().at > rules.fall()) {
-            pressure.poll();
+        coldSends.add(new ColdSend(now, world.observer.knowsStart(a.balancer(), this)));
+        while (now - coldSends.peek().at > rules.overloadWindowMicros()) {
+            coldSends.poll();
         }
-        double budget = rules.overloadFactor() * capacity(now) * rules.fall() / world.meanWork;
-        double most = budget + CHANCE_DEVIATIONS * Math.sqrt(budget) + CHANCE_REQUESTS;
-        world.judge.pressed(this, pressure.size() / most, now);
-        if (pressure.size() > most) {
-            double told = pressure.stream().filter(Pressure::told).count();
-            fallen = true;
-            world.judge.fell(this, told / pressure.size(), now);
+        double budget = rules.overloadFactor() * capacity(now) * rules.overloadWindowMicros() / world.meanWork;
+        double maxColdSends = budget + BURST_DEVIATIONS * Math.sqrt(budget) + BURST_REQUESTS;
+        world.observer.coldLoad(this, coldSends.size() / maxColdSends, now);
+        if (coldSends.size() > maxColdSends) {
+            double startKnown = coldSends.stream().filter(ColdSend::startKnown).count();
+            overloaded = true;
+            world.observer.upstreamOverloaded(this, startKnown / coldSends.size(), now);
             breakAll(now);
         }
     }
 
     // ---- what troubles do to it
 
-    void slow(double times, long now) {
-        settle(now);
-        slow = times;
-        retune(now);
+    void slowdown(double times, long now) {
+        advanceVirtualTime(now);
+        slowdown = times;
+        reschedule(now);
     }
 
-    double slow() {
-        return slow;
+    double slowdown() {
+        return slowdown;
     }
 
-    void failing(double share) {
-        failing = share;
+    void failingFraction(double share) {
+        failingFraction = share;
     }
 
-    void spoiling(double share) {
-        spoiling = share;
+    void corruptingFraction(double share) {
+        corruptingFraction = share;
     }
 
-    void drain() {
+    void startDraining() {
         draining = true;
     }
 
     /** A step of the clock that its start time is taken from. */
-    void misstate(long by) {
-        saidStart = Math.max(1, saidStart + by);
+    void shiftReportedStart(long by) {
+        reportedStart = Math.max(1, reportedStart + by);
     }
 
     /** The process ends; what it has breaks at once. */
-    void die(long now) {
-        settle(now);
+    void terminate(long now) {
+        advanceVirtualTime(now);
         alive = false;
         rack.members.remove(this);
         breakAll(now);
@@ -398,7 +400,7 @@
     }
 
     /** The machine vanishes or comes back: open connections stay silent. */
-    void silence(boolean now) {
+    void setSilent(boolean now) {
         silent = now;
     }
 
@@ -412,9 +414,9 @@
         serving.clear();
         waiting.clear();
         keys.clear();
-        if (next != null) {
-            next.cancel();
-            next = null;
+        if (nextCompletion != null) {
+            nextCompletion.cancel();
+            nextCompletion = null;
         }
     }
 }
