--- a/simulator/src/main/java/loadbalancer/simulator/world/World.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/World.java
@@ -26,30 +26,30 @@
 
 /** One world, drawn from a plan by a seed, and its day from the first arrival to the last answer. */
 public final class World implements GroundTruth {
-    static final long BEGIN = 60_000_000; // µs: start times before the day are positive
+    static final long DAY_START = 60_000_000; // µs: start times before the day are positive
     private static final long SECOND = 1_000_000;
-    private static final long LINGER = 10 * SECOND; // after the last arrival, at the most
+    private static final long MAX_LINGER_MICROS = 10 * SECOND; // after the last arrival, at the most
     private static final long NEVER = 1L << 60;
 
     final WorldPlan plan;
     final Simulation simulation = new Simulation();
     final RandomStreams streams;
     final Network network;
-    final SimulatedDiscovery register;
+    final SimulatedDiscovery discovery;
     final Clients clients;
-    final Observer judge;
-    final long begin = BEGIN;
-    final long chanceSeed;
+    final Observer observer;
+    final long begin = DAY_START;
+    final long randomSeed;
     final double[] kindSpeed;
-    final boolean[] cancelDrops;
+    final boolean[] cancelDropProbability;
     final double connectionsPerCore;
     final double keysPerCore;
-    final double fullTax;
+    final double connectionOverhead;
     final double handshakeWork;
     final double handshakeRtts;
-    final double keyGain;
+    final double keyAffinityGain;
     final long keyRetentionMicros;
-    final long notice;
+    final long failureDetectionMicros;
     final List<BalancerSlot> slots = new ArrayList<>();
     final List<Rack> racks = new ArrayList<>();
     final List<Upstream> upstreams = new ArrayList<>(); // that run or have run, in order of start
@@ -57,20 +57,20 @@
     private final Map<String, Integer> addressOf = new HashMap<>();
     private final Map<String, Upstream> byId = new HashMap<>();
     private final List<Balancer> processes = new ArrayList<>();
-    private final PolicyFactory maker;
-    private final List<String> remarks = new ArrayList<>();
-    private final double[] noises;
-    double nominal;
+    private final PolicyFactory policyFactory;
+    private final List<String> logLines = new ArrayList<>();
+    private final double[] attemptNoise;
+    double nominalCapacity;
     double meanWork;
-    double offered;
-    private double wasted;
+    double offeredWork;
+    private double wastedWork;
     private long handshakes;
     private long crossings;
     private long probes;
     private int nextId;
     private int nextAddress;
-    private List<Timeline.FaultInterval> spells = List.of();
-    BiConsumer<Attempt, AttemptOutcome> outside; // hears of answers where no balancer of this world does
+    private List<Timeline.FaultInterval> faultIntervals = List.of();
+    BiConsumer<Attempt, AttemptOutcome> replyListener; // hears of answers where no balancer of this world does
     private Runnable everySecond = () -> {};
 
     /** What the day cost beside what the observer saw; {@code capacity}: what the fleet does, µs of work per µs. */
@@ -88,40 +88,40 @@
             double capacity) {}
 
     /** Draws a world; {@code observer} hears of all that happens in it. */
-    public World(WorldPlan plan, long seed, PolicyFactory maker, Observer observer) {
+    public World(WorldPlan plan, long seed, PolicyFactory policyFactory, Observer observer) {
         this.plan = plan;
-        this.maker = maker;
-        this.judge = observer;
+        this.policyFactory = policyFactory;
+        this.observer = observer;
         streams = new RandomStreams(seed);
-        chanceSeed = streams.seed("chance", 0);
+        randomSeed = streams.seed("chance", 0);
         RandomStream figures = streams.of("world", 0, "figures");
         network = new Network(plan, streams.of("network", 0, "delays"), streams.seed("network", 0));
         WorldPlan.Fleet f = plan.fleet();
         connectionsPerCore = f.connectionsPerCore().draw(figures);
         keysPerCore = f.keysPerCore().draw(figures);
-        fullTax = f.fullTax().draw(figures);
+        connectionOverhead = f.connectionOverhead().draw(figures);
         handshakeWork = f.handshakeWork().draw(figures);
         handshakeRtts = f.handshakeRtts().draw(figures);
-        keyGain = f.keyGain().draw(figures);
+        keyAffinityGain = f.keyAffinityGain().draw(figures);
         keyRetentionMicros = Math.round(f.keyRetentionMicros().draw(figures));
-        notice = Math.round(plan.clients().notice().draw(figures));
+        failureDetectionMicros = Math.round(plan.clients().noticeDelay().draw(figures));
         kindSpeed =
                 plan.kinds().stream().mapToDouble(k -> k.speed().draw(figures)).toArray();
-        cancelDrops = new boolean[kindSpeed.length];
-        for (int i = 0; i < cancelDrops.length; i++) {
-            cancelDrops[i] = figures.chance(plan.kinds().get(i).cancelDrops());
+        cancelDropProbability = new boolean[kindSpeed.length];
+        for (int i = 0; i < cancelDropProbability.length; i++) {
+            cancelDropProbability[i] = figures.chance(plan.kinds().get(i).cancelDropProbability());
         }
-        noises = plan.classes().stream()
+        attemptNoise = plan.classes().stream()
                 .mapToDouble(k -> k.attemptNoise().draw(figures))
                 .toArray();
         int balancers = Math.max(1, (int) Math.round(plan.balancers().draw(figures)));
-        int many = Math.max(0, (int) Math.round(plan.upstreams().draw(figures)));
+        int count = Math.max(0, (int) Math.round(plan.upstreams().draw(figures)));
         double limitedShare = f.limitedRacks().draw(figures);
         double rackLimit = f.rackLimit().draw(figures);
-        build(many, limitedShare, rackLimit);
-        register = new SimulatedDiscovery(this, streams.of("register", 0, "figures"));
+        build(count, limitedShare, rackLimit);
+        discovery = new SimulatedDiscovery(this, streams.of("register", 0, "figures"));
         for (Upstream u : upstreams) {
-            register.preset(entry(u, EndpointState.UP));
+            discovery.addInitial(endpoint(u, EndpointState.UP));
         }
         clients = new Clients(this, streams.of("clients", 0, "figures"));
         for (int i = 0; i < balancers; i++) {
@@ -129,21 +129,21 @@
         }
     }
 
-    private void build(int many, double limitedShare, double rackLimit) {
-        RandomStream draws = streams.of("fleet", 0, "racks");
+    private void build(int count, double limitedShare, double rackLimit) {
+        RandomStream random = streams.of("fleet", 0, "racks");
         double[] shares =
-                plan.kinds().stream().mapToDouble(k -> k.share().draw(draws)).toArray();
+                plan.kinds().stream().mapToDouble(k -> k.share().draw(random)).toArray();
         double all = 0;
         for (double s : shares) {
             all += s;
         }
         int made = 0;
-        while (made < many) {
+        while (made < count) {
             int number = racks.size();
-            int size = Math.max(1, (int) Math.round(plan.fleet().rackSize().draw(draws)));
-            Rack rack = new Rack(number, number % plan.zones().size(), draws.chance(limitedShare) ? rackLimit : 1);
+            int size = Math.max(1, (int) Math.round(plan.fleet().rackSize().draw(random)));
+            Rack rack = new Rack(number, number % plan.zones().size(), random.chance(limitedShare) ? rackLimit : 1);
             racks.add(rack);
-            for (int i = 0; i < size && made < many; i++, made++) {
+            for (int i = 0; i < size && made < count; i++, made++) {
                 // Low discrepancy: a fleet of ten has about the stated share of each kind, not a chance one.
                 double at = (made + 0.5) * 0.6180339887498949 % 1 * all;
                 int kind = 0;
@@ -154,7 +154,7 @@
             }
         }
         for (Upstream u : upstreams) {
-            nominal += u.nominal();
+            nominalCapacity += u.nominal();
         }
     }
 
@@ -162,13 +162,13 @@
     Upstream start(int kind, Rack rack, int address, long startedAt) {
         int number = nextId++;
         String id = String.format("u%04x", number * 40503 + 12345 & 0xffff) + (number > 0xffff ? "x" + number : "");
-        return enter(new Upstream(
+        return add(new Upstream(
                 this, id, address, rack.zone, rack, kind, streams.of("upstream", number, "make"), startedAt));
     }
 
     /** The same upstream started again, under its id and at its address. */
-    Upstream again(Upstream former, long startedAt) {
-        return enter(new Upstream(
+    Upstream restart(Upstream former, long startedAt) {
+        return add(new Upstream(
                 this,
                 former.id,
                 former.address,
@@ -179,7 +179,7 @@
                 startedAt));
     }
 
-    private Upstream enter(Upstream u) {
+    private Upstream add(Upstream u) {
         upstreams.add(u);
         addresses.put(u.address, u);
         addressOf.put(u.id, u.address);
@@ -187,13 +187,13 @@
         return u;
     }
 
-    void spells(List<Timeline.FaultInterval> drawn) {
-        spells = List.copyOf(drawn);
+    void faultIntervals(List<Timeline.FaultInterval> drawn) {
+        faultIntervals = List.copyOf(drawn);
     }
 
     /** The day's troubles as they were drawn. */
-    public List<Timeline.FaultInterval> spells() {
-        return spells;
+    public List<Timeline.FaultInterval> faultIntervals() {
+        return faultIntervals;
     }
 
     int addressCount() {
@@ -212,12 +212,12 @@
         return nextAddress++;
     }
 
-    Endpoint entry(Upstream u, EndpointState state) {
-        return new Endpoint(u.id, state, u.saidStart(), 1, u.rack.number, u.kindNumber, u.zone);
+    Endpoint endpoint(Upstream u, EndpointState state) {
+        return new Endpoint(u.id, state, u.reportedStart(), 1, u.rack.number, u.kindNumber, u.zone);
     }
 
     /** The process that serves at the address of that id; null for ids that never were. */
-    Upstream at(String id) {
+    Upstream currentUpstream(String id) {
         Integer address = addressOf.get(id);
         return address == null ? null : addresses.get(address);
     }
@@ -239,7 +239,7 @@
                         k.deadline(),
                         0,
                         k.priorityWeight(),
-                        k.lateWorth(),
+                        k.lateFraction(),
                         false,
                         false,
                         Set.of(),
@@ -250,11 +250,11 @@
             tenants.add(new TenantQuota(Math.round(a)));
         }
         double slowStartInitialWeight = plan.kinds().stream()
-                .mapToDouble(k -> k.slowStartInitialWeight().least())
+                .mapToDouble(k -> k.slowStartInitialWeight().min())
                 .min()
                 .orElse(1);
         double ramp = plan.kinds().stream()
-                .mapToDouble(k -> k.coldTime().most())
+                .mapToDouble(k -> k.slowStartDurationMicros().max())
                 .max()
                 .orElse(0);
         WorldPlan.Goal g = plan.goal();
@@ -270,10 +270,10 @@
                 false,
                 plan.discovery().ask() ? DiscoveryMode.POLL : DiscoveryMode.PUSH,
                 LoadReporting.NONE,
-                keyGain > 0 && plan.load().keys().most() > 0,
+                keyAffinityGain > 0 && plan.load().keys().max() > 0,
                 new SiteLimits(
                         Math.min(attempts, r.maxAttempts()),
-                        r.secondCopies(),
+                        r.hedgingAllowed(),
                         r.cancel(),
                         r.probes(),
                         plan.fleet().connectTimeoutMicros(),
@@ -285,7 +285,7 @@
                         Math.max(0.01, Math.min(1, slowStartInitialWeight)),
                         Math.round(ramp),
                         r.overloadFactor(),
-                        r.fall(),
+                        r.overloadWindowMicros(),
                         0),
                 5_000);
     }
@@ -297,18 +297,18 @@
 
     /** Plays the day to its end. */
     public Costs run() {
-        simulation.runUntil(BEGIN);
+        simulation.runUntil(DAY_START);
         for (BalancerSlot s : slots) {
-            boot(s, null);
+            startBalancer(s, null);
         }
         new Timeline(this).install();
         clients.begin();
-        long end = BEGIN + plan.length();
-        long last = end + LINGER;
-        for (long t = BEGIN + SECOND; t <= last; t += SECOND) {
+        long end = DAY_START + plan.length();
+        long last = end + MAX_LINGER_MICROS;
+        for (long t = DAY_START + SECOND; t <= last; t += SECOND) {
             simulation.runUntil(t);
             for (Balancer b : processes) {
-                b.tidy(t);
+                b.closeExpiredConnections(t);
             }
             if (t <= end) {
                 everySecond.run();
@@ -318,40 +318,40 @@
             }
         }
         return new Costs(
-                offered,
-                wasted,
+                offeredWork,
+                wastedWork,
                 handshakes,
                 crossings,
                 probes,
-                register.calls(),
+                discovery.calls(),
                 simulation.fired(),
-                clients.perSecond(),
+                clients.arrivalsPerSecond(),
                 upstreams.size(),
                 slots.size(),
-                nominal);
+                nominalCapacity);
     }
 
     // ---- balancers
 
     /** Starts a process of that balancer, with the list as {@code former} or the register last had it. */
-    Balancer boot(BalancerSlot slot, Map<String, double[]> learnedState) {
+    Balancer startBalancer(BalancerSlot slot, Map<String, double[]> learnedState) {
         int incarnation = slot.nextIncarnation();
         long now = simulation.now();
-        LoadBalancingPolicy policy = maker.make(
+        LoadBalancingPolicy policy = policyFactory.create(
                 settings(slot.rank, slot.zone), streams.seed("balancer", slot.rank * 1000L + incarnation), this);
         Balancer b = new Balancer(this, slot.rank, slot.zone, incarnation, policy);
         processes.removeIf(p -> !p.alive());
         processes.add(b);
         slot.serving(b);
-        b.begin(register.list(), now);
-        register.booted(b.subscriber);
+        b.start(discovery.list(), now);
+        discovery.balancerStarted(b.subscriber);
         if (learnedState != null) {
             policy.restore(now, learnedState);
         }
         return b;
     }
 
-    BalancerSlot front(int zone, double u) {
+    BalancerSlot pickSlot(int zone, double u) {
         List<BalancerSlot> own = admitted(zone, true);
         List<BalancerSlot> from = own.isEmpty() ? admitted(zone, false) : own;
         return from.isEmpty() ? null : from.get((int) (u * from.size()));
@@ -374,41 +374,41 @@
     // ---- messages
 
     RequestWork workOf(Attempt a) {
-        ClientRequest c = a.taken().client();
-        double noise = noises[c.kind];
+        ClientRequest c = a.request().clientRequest();
+        double noise = attemptNoise[c.kind];
         double variance = StrictMath.log(1 + noise * noise);
         double times = noise <= 0
                 ? 1
-                : StrictMath.exp(Math.sqrt(variance) * IndexedRandom.gaussian(chanceSeed, a.serial, 11) - variance / 2);
+                : StrictMath.exp(Math.sqrt(variance) * IndexedRandom.gaussian(randomSeed, a.serial, 11) - variance / 2);
         return new RequestWork(c.work * times, c.key);
     }
 
-    /** Carries an attempt to its upstream, over a new connection where {@code fresh}. */
-    void carry(Attempt a, boolean fresh, long now) {
+    /** Carries an attempt to its upstream, over a new connection where {@code newConnection}. */
+    void deliver(Attempt a, boolean newConnection, long now) {
         Upstream u = a.upstream;
         Balancer b = a.balancer();
         crossings += b.zone != u.zone ? 1 : 0;
         boolean blocked = blocked(b, u);
-        long way = network.between(b.zone, u.zone, a.serial, 0);
-        long before = 0;
-        if (fresh) {
+        long requestDelay = network.between(b.zone, u.zone, a.serial, 0);
+        long handshakeDelay = 0;
+        if (newConnection) {
             handshakes++;
             long connect = plan.fleet().connectTimeoutMicros();
             long round = network.between(b.zone, u.zone, a.serial, 2) + network.between(u.zone, b.zone, a.serial, 3);
-            if (blocked || !u.alive() || u.fallen() || u.full() || round > connect) {
-                long heard = blocked ? connect : Math.min(round, connect);
-                simulation.after(heard, at -> b.outcome(a, AttemptOutcome.CONNECT_FAILED, at));
+            if (blocked || !u.alive() || u.overloaded() || u.full() || round > connect) {
+                long outcomeDelay = blocked ? connect : Math.min(round, connect);
+                simulation.after(outcomeDelay, at -> b.outcome(a, AttemptOutcome.CONNECT_FAILED, at));
                 return;
             }
             u.connected(1);
-            before = Math.round(round * handshakeRtts);
+            handshakeDelay = Math.round(round * handshakeRtts);
         }
         if (!blocked) {
-            u.coming(1);
-            simulation.after(before + way, at -> {
-                u.coming(-1);
+            u.arriving(1);
+            simulation.after(handshakeDelay + requestDelay, at -> {
+                u.arriving(-1);
                 if (!blocked(b, u)) {
-                    u.accept(a, fresh, at);
+                    u.accept(a, newConnection, at);
                 }
             });
         }
@@ -420,8 +420,8 @@
 
     /** An upstream's word on an attempt travels back. */
     void reply(Attempt a, Upstream u, AttemptOutcome outcome, long now) {
-        if (outside != null) {
-            outside.accept(a, outcome);
+        if (replyListener != null) {
+            replyListener.accept(a, outcome);
             return;
         }
         Balancer b = a.balancer();
@@ -432,9 +432,9 @@
     }
 
     /** An upstream has done that work; nobody may want it any more. */
-    void ran(Attempt a, double work) {
-        if (!a.out() || a.taken().gone || a.taken().answered) {
-            wasted += work;
+    void workDone(Attempt a, double work) {
+        if (!a.inFlight() || a.request().clientGone || a.request().answered) {
+            wastedWork += work;
         }
     }
 
@@ -442,55 +442,57 @@
         probes++;
         long round = network.mean(b.zone, u.zone) + network.mean(u.zone, b.zone);
         boolean lost = blocked(b, u);
-        long heard = lost ? plan.fleet().connectTimeoutMicros() : round;
+        long outcomeDelay = lost ? plan.fleet().connectTimeoutMicros() : round;
         AttemptOutcome outcome = lost
                 ? AttemptOutcome.TIMEOUT
-                : !u.alive() || u.fallen() ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK;
-        simulation.after(heard, at -> b.probed(id, outcome, heard, at));
+                : !u.alive() || u.overloaded() ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK;
+        simulation.after(outcomeDelay, at -> b.probeEnded(id, outcome, outcomeDelay, at));
     }
 
     void log(int rank, String line) {
-        if (remarks.size() < 500) {
-            remarks.add(String.format(
-                    java.util.Locale.ROOT, "%.3f s balancer %d: %s", (simulation.now() - BEGIN) / 1e6, rank, line));
+        if (logLines.size() < 500) {
+            logLines.add(String.format(
+                    java.util.Locale.ROOT, "%.3f s balancer %d: %s", (simulation.now() - DAY_START) / 1e6, rank, line));
         }
     }
 
     // ---- what a report shows
 
     /** Log lines of the modules, the first few hundred. */
-    public List<String> remarks() {
-        return remarks;
+    public List<String> logLines() {
+        return logLines;
     }
 
     /** Simulated µs since the day began. */
-    public long time() {
-        return simulation.now() - BEGIN;
+    public long elapsedMicros() {
+        return simulation.now() - DAY_START;
     }
 
     /** Requests in each upstream that runs or has run, in order of start; -1 for those that have gone. */
-    public int[] held() {
-        return upstreams.stream().mapToInt(u -> u.alive() ? u.held() : -1).toArray();
+    public int[] requestsInFlight() {
+        return upstreams.stream()
+                .mapToInt(u -> u.alive() ? u.requestsHeld() : -1)
+                .toArray();
     }
 
-    /** Ids of the upstreams, in the order of {@link #held}. */
-    public List<String> ids() {
+    /** Ids of the upstreams, in the order of {@link #requestsInFlight}. */
+    public List<String> upstreamIds() {
         return upstreams.stream().map(u -> u.id).toList();
     }
 
     /** When the day began, in simulated µs: times of events are later than this. */
-    public static long began() {
-        return BEGIN;
+    public static long dayStart() {
+        return DAY_START;
     }
 
     // ---- truth
 
     @Override
-    public double answerTime(String upstream, int zone) {
-        Upstream u = at(upstream);
+    public double responseTimeMicros(String upstream, int zone) {
+        Upstream u = currentUpstream(upstream);
         if (u == null
-                || !u.answers()
-                || u.fallen()
+                || !u.responsive()
+                || u.overloaded()
                 || u.draining()
                 || network.cut(zone, u.zone)
                 || network.cut(u.zone, zone)) {
@@ -499,20 +501,20 @@
         long now = simulation.now();
         double capacity = u.capacity(now) * (u.rack.limited() ? u.rack.factor() : 1);
         double share = capacity / u.cores;
-        double serve = meanWork / share * Math.max(1, (u.heldOrComing() + 1) / (double) u.cores);
-        double cold = u.warmth(now) < 1 ? 2 - u.warmth(now) : 1;
+        double serve = meanWork / share * Math.max(1, (u.requestsHeldOrArriving() + 1) / (double) u.cores);
+        double cold = u.slowStartWeight(now) < 1 ? 2 - u.slowStartWeight(now) : 1;
         double time = 2.0 * network.mean(zone, u.zone) + serve * cold;
-        return u.failing() > 0 ? time * (1 + 50 * u.failing()) : time;
+        return u.failingFraction() > 0 ? time * (1 + 50 * u.failingFraction()) : time;
     }
 
     @Override
-    public double nominal(String upstream) {
+    public double nominalCapacity(String upstream) {
         Upstream u = byId.get(upstream);
         return u == null ? 1 : u.nominal();
     }
 
     @Override
-    public boolean fast(String upstream) {
+    public boolean isFast(String upstream) {
         Upstream u = byId.get(upstream);
         double mean = 0;
         for (double s : kindSpeed) {
@@ -522,8 +524,8 @@
     }
 
     @Override
-    public double warmth(String upstream) {
-        Upstream u = at(upstream);
-        return u == null ? 1 : u.warmth(simulation.now());
+    public double slowStartWeight(String upstream) {
+        Upstream u = currentUpstream(upstream);
+        return u == null ? 1 : u.slowStartWeight(simulation.now());
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/world/WorldPlan.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/WorldPlan.java
@@ -23,7 +23,7 @@
         List<Kind> kinds,
         List<RequestKind> classes,
         List<Tenant> tenants,
-        List<Fault> troubles) {
+        List<Fault> faults) {
 
     /** How arrivals vary over the day. */
     public enum Shape {
@@ -57,28 +57,28 @@
     public record Network(Range same, Range cross, Range client, Range jitter, double loss) {}
 
     /**
-     * Clients. {@code retries}: further tries; {@code tryShare}: a try's patience as a share of the deadline;
-     * {@code notice}: after what time a front notices a dead or new balancer.
+     * Clients. {@code retries}: further tries; {@code attemptTimeoutFraction}: a try's patience as a share of the deadline;
+     * {@code noticeDelay}: after what time a front notices a dead or new balancer.
      */
     public record Clients(
             Range retries,
-            Range tryShare,
+            Range attemptTimeoutFraction,
             Range backoff,
-            Range honour,
-            Range impatient,
-            Range notice,
-            boolean marksRetry) {}
+            Range retryAfterCompliance,
+            Range abandonFraction,
+            Range noticeDelay,
+            boolean marksRetries) {}
 
-    /** The register. {@code capacity}: calls per second; {@code callLines}: lines that cost as much as a call. */
+    /** The register. {@code capacity}: calls per second; {@code entriesPerCall}: lines that cost as much as a call. */
     public record Discovery(
             boolean ask,
-            Range notice,
-            Range silentNotice,
-            Range add,
+            Range noticeDelay,
+            Range silentFailureNotice,
+            Range registrationDelay,
             Range period,
             Range spread,
             Range capacity,
-            Range callLines,
+            Range entriesPerCall,
             long timeout) {}
 
     /** Figures of the rules and limits, as {@link SafetyBounds} and {@link SiteLimits} name them. */
@@ -87,9 +87,9 @@
             long drainGracePeriodMicros,
             long pollIntervalMicros,
             double overloadFactor,
-            long fall,
+            long overloadWindowMicros,
             int maxAttempts,
-            boolean secondCopies,
+            boolean hedgingAllowed,
             boolean cancel,
             boolean probes,
             long maxRetryAfterMicros) {}
@@ -110,16 +110,16 @@
             Range rackLimit,
             Range handshakeRtts,
             Range handshakeWork,
-            long idle,
+            long idleTimeoutMicros,
             long connectTimeoutMicros,
             Range connectionsPerCore,
-            Range fullTax,
-            Range keyGain,
+            Range connectionOverhead,
+            Range keyAffinityGain,
             Range keyRetentionMicros,
             Range keysPerCore) {}
 
     /**
-     * A kind of upstream; {@code cancelDrops}: the chance that a world's upstreams drop cancelled waiting work;
+     * A kind of upstream; {@code cancelDropProbability}: the chance that a world's upstreams drop cancelled waiting work;
      * {@code pool}: the pool that upstreams of this kind belong to, for variants with a front.
      */
     public record Kind(
@@ -129,14 +129,14 @@
             Range speed,
             Range speedVariation,
             Range slotsPerCore,
-            Range roomPerCore,
+            Range queuePerCore,
             double crowding,
-            Range crowdedAt,
+            Range crowdingThreshold,
             Range slowStartInitialWeight,
-            Range coldTime,
+            Range slowStartDurationMicros,
             WarmBy warmBy,
             Range errors,
-            double cancelDrops,
+            double cancelDropProbability,
             String pool) {
         /** The only pool, where there is one. */
         public static final String SITE = "site";
@@ -149,14 +149,14 @@
                 Range speed,
                 Range speedVariation,
                 Range slotsPerCore,
-                Range roomPerCore,
+                Range queuePerCore,
                 double crowding,
-                Range crowdedAt,
+                Range crowdingThreshold,
                 Range slowStartInitialWeight,
-                Range coldTime,
+                Range slowStartDurationMicros,
                 WarmBy warmBy,
                 Range errors,
-                double cancelDrops) {
+                double cancelDropProbability) {
             this(
                     name,
                     share,
@@ -164,14 +164,14 @@
                     speed,
                     speedVariation,
                     slotsPerCore,
-                    roomPerCore,
+                    queuePerCore,
                     crowding,
-                    crowdedAt,
+                    crowdingThreshold,
                     slowStartInitialWeight,
-                    coldTime,
+                    slowStartDurationMicros,
                     warmBy,
                     errors,
-                    cancelDrops,
+                    cancelDropProbability,
                     SITE);
         }
     }
@@ -187,21 +187,21 @@
             long latencyObjectiveMicros,
             long deadline,
             double priorityWeight,
-            double lateWorth,
+            double lateFraction,
             Idempotency effect) {}
 
     /** A tenant: its share of the service, and what it brings as a multiple of that. */
     public record Tenant(String name, double share, Range usage) {}
 
     /**
-     * Something that goes wrong. {@code at} and {@code length} in µs; what {@code part}, {@code size} and
-     * {@code extra} mean goes with the kind, see docs/laboratory.md; {@code of} names the pool whose upstreams it
+     * Something that goes wrong. {@code at} and {@code length} in µs; what {@code fraction}, {@code size} and
+     * {@code extra} mean goes with the kind, see docs/laboratory.md; {@code pool} names the pool whose upstreams it
      * concerns, null: any.
      */
-    public record Fault(String kind, Range at, Range length, Range part, Range size, Range extra, String of) {
+    public record Fault(String kind, Range at, Range length, Range fraction, Range size, Range extra, String pool) {
         /** One that may concern any upstream. */
-        public Fault(String kind, Range at, Range length, Range part, Range size, Range extra) {
-            this(kind, at, length, part, size, extra, null);
+        public Fault(String kind, Range at, Range length, Range fraction, Range size, Range extra) {
+            this(kind, at, length, fraction, size, extra, null);
         }
     }
 
@@ -213,7 +213,7 @@
     }
 
     /** The same world at another size. */
-    public WorldPlan sized(Range otherBalancers, Range otherUpstreams) {
+    public WorldPlan withSize(Range otherBalancers, Range otherUpstreams) {
         return new WorldPlan(
                 length,
                 otherBalancers,
@@ -230,18 +230,18 @@
                 kinds,
                 classes,
                 tenants,
-                troubles);
+                faults);
     }
 
     /** The same world for another time. */
-    public WorldPlan lasting(long other) {
+    public WorldPlan withLength(long other) {
         return new WorldPlan(
                 other, balancers, upstreams, zones, load, network, clients, discovery, rules, goal, prices, fleet,
-                kinds, classes, tenants, troubles);
+                kinds, classes, tenants, faults);
     }
 
     /** The same world under another load. */
-    public WorldPlan loaded(Range level) {
+    public WorldPlan withLoad(Range level) {
         return new WorldPlan(
                 length,
                 balancers,
@@ -258,6 +258,6 @@
                 kinds,
                 classes,
                 tenants,
-                troubles);
+                faults);
     }
 }
--- a/simulator/src/test/java/loadbalancer/simulator/experiment/OverloadedFleetTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/experiment/OverloadedFleetTest.java
@@ -18,7 +18,8 @@
 
     private static Score.Series play(String experiment, long seed) throws IOException {
         Experiment read = ExperimentReader.read(FOLDER.resolve(experiment + ".toml"));
-        Day day = Day.play(read.plan(), seed, Variants.maker(read.variants().get(0)));
+        Day day = Day.play(
+                read.plan(), seed, Variants.policyFactory(read.variants().get(0)));
         assertEquals(0.0, day.figures().get("rules.broken"));
         return day.series();
     }
--- a/simulator/src/test/java/loadbalancer/simulator/rules/RuleCheckerTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/rules/RuleCheckerTest.java
@@ -144,8 +144,8 @@
                 0.3,
                 8,
                 twoMayRun ? Idempotency.IDEMPOTENT : Idempotency.NON_IDEMPOTENT,
-                Worlds.trouble("fast_errors", 1, 10, 0.25, 0.5, 0),
-                Worlds.trouble("deploy", 2, 3, 0.25, 0.25, 4));
+                Worlds.fault("fast_errors", 1, 10, 0.25, 0.5, 0),
+                Worlds.fault("deploy", 2, 3, 0.25, 0.25, 4));
         return Day.play(plan, 6, (settings, seed, truth) -> new Planted(rule));
     }
 
@@ -153,21 +153,22 @@
     @EnumSource(Rule.class)
     void thePlantedRuleAndNoOtherIsNamed(Rule rule) {
         Day day = play(rule);
-        Set<Rule> named = day.broken().stream().map(RuleViolation::rule).collect(Collectors.toSet());
-        assertEquals(Set.of(rule), named, () -> day.broken().get(0).toString());
+        Set<Rule> named = day.violations().stream().map(RuleViolation::rule).collect(Collectors.toSet());
+        assertEquals(Set.of(rule), named, () -> day.violations().get(0).toString());
         assertTrue(day.figures().get("rules.broken") >= 1);
     }
 
     @Test
     void thePolicyThatPlantsNothingBreaksNothing() {
-        assertEquals(List.of(), play(null).broken());
+        assertEquals(List.of(), play(null).violations());
     }
 
     @Test
     void aBrokenRuleShowsTheRequestTheTimeAndTheChainThatLedThere() {
-        RuleViolation b = play(Rule.DUPLICATE).broken().get(0);
+        RuleViolation b = play(Rule.DUPLICATE).violations().get(0);
         assertTrue(b.at() > 1_000_000 && b.subject().startsWith("r"), b.toString());
-        assertTrue(b.chain().get(0).contains("sent to ") && b.chain().get(1).contains("attempt 0 ERROR"), b.toString());
-        assertFalse(b.what().isEmpty());
+        assertTrue(
+                b.events().get(0).contains("sent to ") && b.events().get(1).contains("attempt 0 ERROR"), b.toString());
+        assertFalse(b.description().isEmpty());
     }
 }
--- a/simulator/src/test/java/loadbalancer/simulator/search/RandomSearchTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/search/RandomSearchTest.java
@@ -40,15 +40,16 @@
         List<RandomSearch.Find> finds = hunt.search(60, (done, all) -> {});
         assertTrue(finds.size() > 0, "something is found in 60 rough worlds");
         RandomSearch.Find small = hunt.shrink(finds.get(0));
-        assertTrue(
-                small.plan().troubles().size() <= finds.get(0).plan().troubles().size());
+        assertTrue(small.plan().faults().size() <= finds.get(0).plan().faults().size());
         assertEquals(finds.get(0).what(), small.what());
         Path file = Files.writeString(folder.resolve("find.toml"), ExperimentWriter.write(small));
         Experiment read = ExperimentReader.read(file);
         assertEquals(small.plan(), read.plan(), "what is written reads as the same world");
         Day day = Day.play(
-                read.plan(), read.firstSeed(), Variants.maker(read.variants().get(0)));
-        Day direct = Day.play(small.plan(), small.seed(), Variants.maker(small.variant()));
+                read.plan(),
+                read.firstSeed(),
+                Variants.policyFactory(read.variants().get(0)));
+        Day direct = Day.play(small.plan(), small.seed(), Variants.policyFactory(small.variant()));
         assertEquals(direct.figures(), day.figures());
     }
 
--- a/simulator/src/test/java/loadbalancer/simulator/sockets/LiveSiteTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/sockets/LiveSiteTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 class LiveSiteTest {
-    private static WorldPlan plan(WorldPlan.Fault... troubles) {
-        return Worlds.small(0.2, 3, Idempotency.NON_IDEMPOTENT, troubles);
+    private static WorldPlan plan(WorldPlan.Fault... faults) {
+        return Worlds.small(0.2, 3, Idempotency.NON_IDEMPOTENT, faults);
     }
 
     @SuppressWarnings("unchecked")
@@ -54,7 +54,7 @@
 
     @Test
     void theRegisterTellsWhoeverWatchesOfADeath() throws IOException, InterruptedException {
-        try (LiveSite site = new LiveSite(plan(Worlds.trouble("death", 1, 1, 0.34, 0, 0)), 3);
+        try (LiveSite site = new LiveSite(plan(Worlds.fault("death", 1, 1, 0.34, 0, 0)), 3);
                 Socket watch =
                         new Socket(site.register().getAddress(), site.register().getPort())) {
             targets(site);
@@ -83,7 +83,7 @@
             try (Load load = new Load(new Load.Plan(straight, 100, 2_000_000, 2, 20, 5), plan.classes())) {
                 load.run(() -> {});
                 assertTrue(load.outcomes().size() > 120, load.outcomes().size() + " requests");
-                assertEquals(List.of(), new DemoPage(plan, load, site.ledger()).broken());
+                assertEquals(List.of(), new DemoPage(plan, load, site.ledger()).violations());
                 for (Load.Outcome o : load.outcomes()) {
                     assertTrue(o.served() || o.status() != 200);
                 }
--- a/simulator/src/test/java/loadbalancer/simulator/world/HardCasesTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/world/HardCasesTest.java
@@ -23,11 +23,11 @@
 /** Whole days in which something awkward happens: every request still ends once, and the books balance. */
 class HardCasesTest {
     private static Day own(WorldPlan plan) {
-        return Day.play(plan, 4, Variants.maker(Worlds.variant("balance")));
+        return Day.play(plan, 4, Variants.policyFactory(Worlds.variant("balance")));
     }
 
     private static String rules(Day day) {
-        return day.broken().stream().map(RuleViolation::toString).reduce("", (a, b) -> a + "\n" + b);
+        return day.violations().stream().map(RuleViolation::toString).reduce("", (a, b) -> a + "\n" + b);
     }
 
     @Test
@@ -39,7 +39,7 @@
 
     @Test
     void withoutUpstreamsEveryRequestIsRefusedAndNoneLost() {
-        WorldPlan plan = Worlds.small(0.4, 1, Idempotency.IDEMPOTENT, Worlds.trouble("death", 2, 9, 1, 0, 0));
+        WorldPlan plan = Worlds.small(0.4, 1, Idempotency.IDEMPOTENT, Worlds.fault("death", 2, 9, 1, 0, 0));
         Day day = own(plan);
         assertEquals("", rules(day));
         assertTrue(day.figures().get("refused") > 0.3, day.figures().toString());
@@ -87,7 +87,7 @@
                     default -> 2;
                 };
         for (Idempotency effect : List.of(Idempotency.IDEMPOTENT, Idempotency.NON_IDEMPOTENT)) {
-            Day day = own(Worlds.small(0.5, 9, effect, Worlds.trouble(kind, 3, 4, 0.34, size, 1.5)));
+            Day day = own(Worlds.small(0.5, 9, effect, Worlds.fault(kind, 3, 4, 0.34, size, 1.5)));
             assertEquals("", rules(day), kind + " " + effect);
             assertTrue(day.figures().get("whole") > 0.3, kind + " " + effect + ": " + day.figures());
         }
@@ -110,7 +110,7 @@
                 new Choosers.Figures(4, 2, 0.5),
                 new RoutingSpec.Use(FRONT, null, Set.of(), 1, 0),
                 false);
-        return Day.play(plan, 4, Variants.maker(v, plan));
+        return Day.play(plan, 4, Variants.policyFactory(v, plan));
     }
 
     @ParameterizedTest
@@ -127,7 +127,7 @@
                 "register_down"
             })
     void aFrontKeepsTheRulesAsWellAndTheSameSeedTheSameDay(String kind) {
-        WorldPlan plan = Worlds.small(0.7, 9, Idempotency.NON_IDEMPOTENT, Worlds.trouble(kind, 3, 4, 0.34, 2, 1.5));
+        WorldPlan plan = Worlds.small(0.7, 9, Idempotency.NON_IDEMPOTENT, Worlds.fault(kind, 3, 4, 0.34, 2, 1.5));
         Day day = fronted(plan);
         assertEquals("", rules(day), kind);
         assertTrue(day.figures().get("whole") > 0.3, kind + ": " + day.figures());
@@ -136,7 +136,7 @@
 
     @Test
     void whereListsArePushedADeathIsHeardOf() {
-        WorldPlan asked = Worlds.small(0.4, 6, Idempotency.IDEMPOTENT, Worlds.trouble("death", 3, 4, 0.34, 0, 0));
+        WorldPlan asked = Worlds.small(0.4, 6, Idempotency.IDEMPOTENT, Worlds.fault("death", 3, 4, 0.34, 0, 0));
         WorldPlan.Discovery d = asked.discovery();
         WorldPlan pushed = new WorldPlan(
                 asked.length(),
@@ -148,13 +148,13 @@
                 asked.clients(),
                 new WorldPlan.Discovery(
                         false,
-                        d.notice(),
-                        d.silentNotice(),
-                        d.add(),
+                        d.noticeDelay(),
+                        d.silentFailureNotice(),
+                        d.registrationDelay(),
                         d.period(),
                         d.spread(),
                         d.capacity(),
-                        d.callLines(),
+                        d.entriesPerCall(),
                         d.timeout()),
                 asked.rules(),
                 asked.goal(),
@@ -163,7 +163,7 @@
                 asked.kinds(),
                 asked.classes(),
                 asked.tenants(),
-                asked.troubles());
+                asked.faults());
         Day day = own(pushed);
         assertEquals("", rules(day));
         assertTrue(day.figures().get("lists") >= 9, "the start, what ended and what came: " + day.figures());
@@ -175,15 +175,15 @@
                 0.8,
                 6,
                 Idempotency.IDEMPOTENT,
-                Worlds.trouble("deploy", 2, 5, 0.6, 0.2, 1.5),
-                Worlds.trouble("balancers_killed", 4, 2, 0.3, 0, 0));
+                Worlds.fault("deploy", 2, 5, 0.6, 0.2, 1.5),
+                Worlds.fault("balancers_killed", 4, 2, 0.3, 0, 0));
         assertEquals(own(plan).figures(), own(plan).figures());
     }
 
     @Test
     void anotherPolicyMeetsTheSameArrivals() {
-        WorldPlan plan = Worlds.small(0.7, 6, Idempotency.IDEMPOTENT, Worlds.trouble("slow", 2, 5, 0.3, 4, 0));
-        Day other = Day.play(plan, 4, Variants.maker(Worlds.variant("random")));
+        WorldPlan plan = Worlds.small(0.7, 6, Idempotency.IDEMPOTENT, Worlds.fault("slow", 2, 5, 0.3, 4, 0));
+        Day other = Day.play(plan, 4, Variants.policyFactory(Worlds.variant("random")));
         assertEquals(
                 List.of(own(plan).series().arrivals()[3], own(plan).series().arrivals()[9]),
                 List.of(other.series().arrivals()[3], other.series().arrivals()[9]));
@@ -196,21 +196,21 @@
         List<Long> outcomesAfter = new ArrayList<>();
         Recorder recorder = new Recorder() {
             @Override
-            public void outcome(Attempt a, AttemptOutcome outcome, long now) {
+            public void attemptEnded(Attempt a, AttemptOutcome outcome, long now) {
                 if (!a.balancer().alive()) {
                     outcomesAfter.add(now);
                 }
             }
 
             @Override
-            public void over(ClientRequest request, boolean served, long now) {
-                if (request.tries > 1 && served) {
+            public void requestFinished(ClientRequest request, boolean served, long now) {
+                if (request.attempts > 1 && served) {
                     deaths.add(now);
                 }
             }
         };
         WorldPlan plan =
-                Worlds.small(0.6, 6, Idempotency.IDEMPOTENT, Worlds.trouble("balancers_killed", 4, 3, 0.3, 0, 0));
+                Worlds.small(0.6, 6, Idempotency.IDEMPOTENT, Worlds.fault("balancers_killed", 4, 3, 0.3, 0, 0));
         World world = new World(plan, 9, (settings, seed, truth) -> new JsqDasPolicy(settings, seed), recorder);
         world.run();
         assertEquals(List.of(), outcomesAfter);
@@ -237,14 +237,14 @@
         List<String> targets = new ArrayList<>();
         Recorder recorder = new Recorder() {
             @Override
-            public void outcome(Attempt a, AttemptOutcome outcome, long now) {
-                if (outcome == AttemptOutcome.OK && !a.target().equals(a.upstream.id())) {
-                    targets.add(a.target());
+            public void attemptEnded(Attempt a, AttemptOutcome outcome, long now) {
+                if (outcome == AttemptOutcome.OK && !a.endpointId().equals(a.upstream.id())) {
+                    targets.add(a.endpointId());
                 }
             }
         };
         new World(
-                        Worlds.small(0.5, 4, Idempotency.IDEMPOTENT, Worlds.trouble("same_address", 3, 1, 0.5, 0, 0)),
+                        Worlds.small(0.5, 4, Idempotency.IDEMPOTENT, Worlds.fault("same_address", 3, 1, 0.5, 0, 0)),
                         3,
                         (settings, seed, truth) -> new JsqDasPolicy(settings, seed),
                         recorder)
@@ -259,7 +259,7 @@
         List<Long> ends = new ArrayList<>();
         Recorder recorder = new Recorder() {
             @Override
-            public void outcome(Attempt a, AttemptOutcome outcome, long now) {
+            public void attemptEnded(Attempt a, AttemptOutcome outcome, long now) {
                 ends.add(now);
             }
         };
@@ -271,7 +271,7 @@
             for (int i = 0; i < jobs; i++) {
                 ClientRequest c = new ClientRequest(i, 0, 0, 0, -1, 20_000, now, now + Worlds.SECOND, false);
                 BalancerRequest t = new BalancerRequest("t" + i, i, c, b, now, now + Worlds.SECOND);
-                t.gone = true;
+                t.clientGone = true;
                 u.accept(new Attempt(t, 0, u.id(), u, now), false, now);
             }
         });
@@ -289,7 +289,7 @@
         }
 
         @Override
-        public void malformed(Balancer balancer, String what, BalancerRequest request, long now) {
+        public void invalidAction(Balancer balancer, String what, BalancerRequest request, long now) {
             throw new AssertionError(what);
         }
     }
--- a/simulator/src/test/java/loadbalancer/simulator/world/RandomWorldsTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/world/RandomWorldsTest.java
@@ -23,17 +23,17 @@
     private static final List<String> POLICIES = List.of("balance", "random", "jsq-das", "least-in-flight", "seer");
 
     private static WorldPlan plan(int one, int other, int upstreams, int load) {
-        List<WorldPlan.Fault> troubles = new ArrayList<>();
+        List<WorldPlan.Fault> faults = new ArrayList<>();
         for (int kind : new int[] {one, other}) {
             String name = KINDS.get(kind % KINDS.size());
             boolean share = List.of("loss", "hot_key", "fast_errors", "garble", "grey", "deploy")
                     .contains(name);
             double size = share ? 0.2 : 2;
-            troubles.add(Worlds.trouble(name, 1 + kind % 3, 2, 0.4, size, 1.2));
+            faults.add(Worlds.fault(name, 1 + kind % 3, 2, 0.4, size, 1.2));
         }
         return Worlds.small(load / 10.0, upstreams, one % 2 == 0 ? Idempotency.IDEMPOTENT : Idempotency.NON_IDEMPOTENT)
-                .lasting(6 * Worlds.SECOND)
-                .with(troubles);
+                .withLength(6 * Worlds.SECOND)
+                .with(faults);
     }
 
     @Property(tries = 120, seed = "21")
@@ -44,15 +44,15 @@
             @ForAll @IntRange(min = 1, max = 15) int load,
             @ForAll @IntRange(max = 4) int policy,
             @ForAll @LongRange(min = 1, max = 1000) long seed) {
-        Day day =
-                Day.play(plan(one, other, upstreams, load), seed, Variants.maker(Worlds.variant(POLICIES.get(policy))));
+        Day day = Day.play(
+                plan(one, other, upstreams, load), seed, Variants.policyFactory(Worlds.variant(POLICIES.get(policy))));
         Map<String, Double> f = day.figures();
         double outcomes = 0;
         for (AttemptOutcome o : AttemptOutcome.values()) {
             outcomes += f.get("attempts." + o.name().toLowerCase(java.util.Locale.ROOT));
         }
-        boolean killed = plan(one, other, 1, 1).troubles().stream()
-                .anyMatch(t -> t.kind().startsWith("balancers"));
+        boolean killed =
+                plan(one, other, 1, 1).faults().stream().anyMatch(t -> t.kind().startsWith("balancers"));
         if (f.get("attempts") > 0 && !killed) {
             assertEquals(1, outcomes, 1e-9, "each attempt has one outcome: " + f);
         }
@@ -64,7 +64,7 @@
         }
         assertTrue(f.get("G") <= 1 && f.get("G") > -1, f.toString());
         // A policy may push a cold upstream over; none of these loses, repeats or doubles anything.
-        for (RuleViolation b : day.broken()) {
+        for (RuleViolation b : day.violations()) {
             assertEquals(RuleViolation.Rule.COLD, b.rule(), b.toString());
         }
     }
--- a/simulator/src/test/java/loadbalancer/simulator/world/Worlds.java
+++ b/simulator/src/test/java/loadbalancer/simulator/world/Worlds.java
@@ -14,7 +14,7 @@
     private Worlds() {}
 
     /** Three balancers before so many upstreams, of two cores each. */
-    public static WorldPlan small(double load, int upstreams, Idempotency effect, WorldPlan.Fault... troubles) {
+    public static WorldPlan small(double load, int upstreams, Idempotency effect, WorldPlan.Fault... faults) {
         return new WorldPlan(
                 12 * SECOND,
                 Range.of(3),
@@ -79,12 +79,11 @@
                         0,
                         effect)),
                 List.of(new WorldPlan.Tenant("one", 0.6, ONE), new WorldPlan.Tenant("two", 0.4, ONE)),
-                List.of(troubles));
+                List.of(faults));
     }
 
     /** A trouble whose figures are all fixed. */
-    public static WorldPlan.Fault trouble(
-            String kind, double at, double length, double part, double size, double extra) {
+    public static WorldPlan.Fault fault(String kind, double at, double length, double part, double size, double extra) {
         return new WorldPlan.Fault(
                 kind,
                 Range.of(at * SECOND),
