--- a/simulator/src/main/java/loadbalancer/simulator/world/Observer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Observer.java
@@ -31,7 +31,8 @@
     /** Whether that balancer has been told of the upstream's last start. */
     boolean knowsStart(Balancer balancer, Upstream upstream);
 
-    /** A cold upstream was sent too much and fell over; {@code endpointsNotified}: the share from balancers that knew. */
+    /** A cold upstream was sent too much and fell over; {@code endpointsNotified}: the share from balancers that
+     * knew. */
     void upstreamOverloaded(Upstream upstream, double notifiedFraction, long now);
 
     /** A cold upstream has been sent that part of what it bears in the rule's window; 1: all of it. */
--- a/simulator/src/main/java/loadbalancer/simulator/world/WorldPlan.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/WorldPlan.java
@@ -57,7 +57,8 @@
     public record Network(Range same, Range cross, Range client, Range jitter, double loss) {}
 
     /**
-     * Clients. {@code retries}: further tries; {@code attemptTimeoutFraction}: a try's patience as a share of the deadline;
+     * Clients. {@code retries}: further tries; {@code attemptTimeoutFraction}: a try's patience as a share of the
+     * deadline;
      * {@code noticeDelay}: after what time a front notices a dead or new balancer.
      */
     public record Clients(
@@ -119,7 +120,8 @@
             Range keysPerCore) {}
 
     /**
-     * A kind of upstream; {@code cancelDropProbability}: the chance that a world's upstreams drop cancelled waiting work;
+     * A kind of upstream; {@code cancelDropProbability}: the chance that a world's upstreams drop cancelled
+     * waiting work;
      * {@code pool}: the pool that upstreams of this kind belong to, for variants with a front.
      */
     public record Kind(
