--- a/balancer/src/main/java/loadbalancer/dispatch/RequestDispatcher.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/RequestDispatcher.java
@@ -325,7 +325,7 @@
     /** This process may use that part of what the balancer may send to cold upstreams. */
     public void share(double part) {
         ownPart = part;
-        hand(now -> policy.share(ownPart * fewer));
+        hand(now -> policy.setSlowStartFraction(ownPart * fewer));
     }
 
     /**
@@ -336,7 +336,7 @@
         int balancers = boot.settings().balancers();
         long parts = holding.subset().parts();
         fewer = Math.min(parts, balancers);
-        hand(now -> policy.share(ownPart * fewer));
+        hand(now -> policy.setSlowStartFraction(ownPart * fewer));
         String what = holding.summary();
         log.warn(
                 what == null
@@ -413,7 +413,7 @@
     }
 
     @Override
-    public void refuse(String request, long retryAfter) {
+    public void reject(String request, long retryAfter) {
         Exchange x = table.get(request);
         if (x != null && !x.closed) {
             close(x);
@@ -443,7 +443,7 @@
     @Override
     public void probe(String server) {
         long sent = now();
-        boolean reports = boot.settings().reports() != LoadReporting.NONE;
+        boolean reports = boot.settings().loadReporting() != LoadReporting.NONE;
         upstreams.probe(
                 server,
                 reports,
--- a/balancer/src/main/java/loadbalancer/http/RequestValidator.java
+++ b/balancer/src/main/java/loadbalancer/http/RequestValidator.java
@@ -98,7 +98,7 @@
         if (number < 0) {
             throw new IllegalArgumentException("unknown Req-Kind");
         }
-        Idempotency effect = boot.settings().classes().get(number).effect();
+        Idempotency effect = boot.settings().classes().get(number).idempotency();
         HttpMethod method = effect == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
         String repeat = headers.get("Idempotency-Key");
         if (!request.method().equals(method)
--- a/balancer/src/main/java/loadbalancer/process/WarmUp.java
+++ b/balancer/src/main/java/loadbalancer/process/WarmUp.java
@@ -120,7 +120,7 @@
             return;
         }
         int number = begun++ % boot.classes().size();
-        Idempotency effect = boot.settings().classes().get(number).effect();
+        Idempotency effect = boot.settings().classes().get(number).idempotency();
         HttpHeaders headers = new DefaultHttpHeaders()
                 .set(TOKEN, token)
                 .set("Req-Id", "rehearsal-" + begun)
--- a/balancer/src/main/java/loadbalancer/wire/Adapter.java
+++ b/balancer/src/main/java/loadbalancer/wire/Adapter.java
@@ -296,7 +296,7 @@
         }
 
         @Override
-        public void refuse(String request, long retryAfter) {
+        public void reject(String request, long retryAfter) {
             line("REFUSE", request, retryAfter);
         }
 
--- a/balancer/src/test/java/loadbalancer/process/BalancerFixture.java
+++ b/balancer/src/test/java/loadbalancer/process/BalancerFixture.java
@@ -125,7 +125,7 @@
         }
 
         @Override
-        public void share(double part) {
+        public void setSlowStartFraction(double part) {
             told.add("share " + part);
         }
 
--- a/core/src/main/java/loadbalancer/policy/ActiveSettings.java
+++ b/core/src/main/java/loadbalancer/policy/ActiveSettings.java
@@ -29,7 +29,7 @@
                 .mapToLong(RequestClass::latencyObjectiveMicros)
                 .min()
                 .getAsLong();
-        anyIdempotentClass = next.classes().stream().anyMatch(each -> each.effect() == Idempotency.IDEMPOTENT);
+        anyIdempotentClass = next.classes().stream().anyMatch(each -> each.idempotency() == Idempotency.IDEMPOTENT);
         ringPosition = (long) ((next.rank() + 0.5) / next.balancers() * 0x1p64 - 0x1p63);
         tickMicros =
                 Math.max(next.tickMicros(), Math.min(MAX_TICK_MICROS, shortestObjectiveMicros / TICKS_PER_OBJECTIVE));
--- a/core/src/main/java/loadbalancer/policy/AttemptOutcome.java
+++ b/core/src/main/java/loadbalancer/policy/AttemptOutcome.java
@@ -2,13 +2,21 @@
 
 /** How an attempt ended. */
 public enum AttemptOutcome {
+    /** The endpoint answered with success. */
     OK(false),
+    /** The endpoint answered with an error. */
     ERROR(false),
+    /** The endpoint rejected the attempt for want of capacity. */
     FULL(true),
+    /** No answer came in the time that the attempt had. */
     TIMEOUT(false),
+    /** No connection could be made. */
     CONNECT_FAILED(true),
+    /** The connection broke before the answer was complete. */
     RESET(false),
+    /** The policy asked for the attempt to be cancelled. */
     CANCELLED(false),
+    /** The balancer itself could not send the attempt. */
     NOT_SENT(true);
 
     private final boolean neverRan;
@@ -17,7 +25,7 @@
         this.neverRan = neverRan;
     }
 
-    /** True where the outcome proves that the attempt did not run. */
+    /** Whether the outcome proves that the request was not executed by this attempt. */
     public boolean neverRan() {
         return neverRan;
     }
--- a/core/src/main/java/loadbalancer/policy/CandidateSelector.java
+++ b/core/src/main/java/loadbalancer/policy/CandidateSelector.java
@@ -55,7 +55,7 @@
             HashRing ring = endpoints.ring();
             return walk(request, ring.endpoints(), ring.startIndex(request.keyHash), size, false, now);
         }
-        TrafficCosts prices = settings.current().prices();
+        TrafficCosts prices = settings.current().costs();
         double visitInterval = prices.handshake() > 0 ? PRICED_VISIT_INTERVAL_SECONDS : VISIT_INTERVAL_SECONDS;
         int size = (int) Math.max(MIN_SUBSET_SIZE, traffic.arrivalsPerSecond() * visitInterval);
         boolean preferOwnZone = prices.crossZone() > prices.handshake();
--- a/core/src/main/java/loadbalancer/policy/ClientRetryAge.java
+++ b/core/src/main/java/loadbalancer/policy/ClientRetryAge.java
@@ -23,7 +23,7 @@
 
     /** Takes a request that arrives, and returns the µs since the client's first attempt, 0 where it shows none. */
     long elapsedMicros(int classIndex, long timeLeftMicros, boolean clientRetry) {
-        long deadlineMicros = settings.current().classes().get(classIndex).deadline();
+        long deadlineMicros = settings.current().classes().get(classIndex).deadlineMicros();
         if (!clientRetry) {
             firstAttemptMicros[classIndex] = Math.max(firstAttemptMicros[classIndex], timeLeftMicros);
             return 0;
--- a/core/src/main/java/loadbalancer/policy/DiscoveryMode.java
+++ b/core/src/main/java/loadbalancer/policy/DiscoveryMode.java
@@ -1,7 +1,9 @@
 package loadbalancer.policy;
 
-/** How the list of servers is learnt: changes come unasked, or only after watch or fetch. */
+/** How a balancer learns of changes of the endpoint list. */
 public enum DiscoveryMode {
+    /** Discovery sends changes unasked. */
     PUSH,
+    /** Discovery answers when it is asked to watch or to fetch the list. */
     POLL
 }
--- a/core/src/main/java/loadbalancer/policy/Endpoint.java
+++ b/core/src/main/java/loadbalancer/policy/Endpoint.java
@@ -1,17 +1,23 @@
 package loadbalancer.policy;
 
 /**
- * One entry of the list. {@code startedAt} is 0 where the last start is long past; {@code weight}
- * compares servers only; {@code cell}, {@code kind} and {@code zone} are numbers, or -1.
+ * One entry of the endpoint list.
+ *
+ * @param id opaque and unique
+ * @param startedAt when the endpoint last started, µs of the balancer's clock; 0 where that is long past
+ * @param weight capacity in any unit, as it is only compared with that of other endpoints
+ * @param cell number of its cell, the endpoints that share idempotency keys; or -1
+ * @param kind number of its kind of machine, or -1
+ * @param zone number of its zone, or -1
  */
 public record Endpoint(String id, EndpointState state, long startedAt, double weight, int cell, int kind, int zone) {
-    /** The same server in another state. */
-    public Endpoint in(EndpointState other) {
+    /** The same endpoint in another state. */
+    public Endpoint withState(EndpointState other) {
         return new Endpoint(id, other, startedAt, weight, cell, kind, zone);
     }
 
-    /** The same server, started at another time. */
-    public Endpoint startedAt(long other) {
+    /** The same endpoint, started at another time. */
+    public Endpoint withStartedAt(long other) {
         return new Endpoint(id, state, other, weight, cell, kind, zone);
     }
 }
--- a/core/src/main/java/loadbalancer/policy/EndpointListKind.java
+++ b/core/src/main/java/loadbalancer/policy/EndpointListKind.java
@@ -1,13 +1,15 @@
 package loadbalancer.policy;
 
-/**
- * What a list holds: the one kept over a restart, the complete one, changes only or, failed, nothing.
- * {@code LOCAL_OVERRIDE}: changes that this balancer's operators made, which say nothing of discovery.
- */
+/** Where an endpoint list comes from, and whether it is complete. */
 public enum EndpointListKind {
+    /** The complete list that was kept over a restart of the balancer. */
     CACHED,
+    /** The complete list, from discovery. */
     SNAPSHOT,
+    /** Changes only, from discovery. */
     DELTA,
+    /** Nothing: discovery could not be reached or did not answer. */
     UNAVAILABLE,
+    /** Changes that this balancer's operators made, which say nothing about discovery. */
     LOCAL_OVERRIDE
 }
--- a/core/src/main/java/loadbalancer/policy/EndpointState.java
+++ b/core/src/main/java/loadbalancer/policy/EndpointState.java
@@ -1,8 +1,11 @@
 package loadbalancer.policy;
 
-/** A listed server runs, finishes its work without taking more, or has gone. */
+/** Whether an endpoint may be used. */
 public enum EndpointState {
+    /** It takes requests. */
     UP,
+    /** It finishes its work and is sent no more. */
     DRAINING,
+    /** It is no longer there. */
     GONE
 }
--- a/core/src/main/java/loadbalancer/policy/EndpointTable.java
+++ b/core/src/main/java/loadbalancer/policy/EndpointTable.java
@@ -68,7 +68,7 @@
     void update(long now, boolean complete, List<Endpoint> list) {
         if (complete) {
             for (EndpointStats stats : endpoints.values()) {
-                stats.endpoint = stats.endpoint.in(EndpointState.GONE);
+                stats.endpoint = stats.endpoint.withState(EndpointState.GONE);
             }
         }
         for (Endpoint endpoint : list) {
--- a/core/src/main/java/loadbalancer/policy/JsqDasPolicy.java
+++ b/core/src/main/java/loadbalancer/policy/JsqDasPolicy.java
@@ -82,7 +82,7 @@
             int requestClass,
             int tenant,
             String key,
-            long timeLeft,
+            long timeLeftMicros,
             long work,
             boolean clientRetry,
             Actions actions) {
@@ -91,7 +91,7 @@
             components.traffic.recordArrival();
             components.quotas.recordArrival(tenant);
         }
-        RequestState request = arrived(now, id, requestClass, tenant, key, timeLeft, work, clientRetry);
+        RequestState request = arrived(now, id, requestClass, tenant, key, timeLeftMicros, work, clientRetry);
         components.openRequests.add(request);
         if (work > 0) {
             request.relativeSize = components.latencies.recordWork(requestClass, work);
@@ -148,7 +148,7 @@
             String id,
             int attemptNumber,
             AttemptOutcome outcome,
-            long latency,
+            long latencyMicros,
             boolean closed,
             LoadReport load,
             Actions actions) {
@@ -162,7 +162,7 @@
         }
         attemptEnded(attempt, outcome, now);
         components.queueLengths.recordReport(attempt.target, load, now);
-        components.outcomes.record(attempt, outcome, latency, now, actions);
+        components.outcomes.record(attempt, outcome, latencyMicros, now, actions);
         if (closed) {
             components.openRequests.close(request, actions);
         } else if (!request.closed && request.attemptsInFlight == 0) {
@@ -219,7 +219,7 @@
 
     @Override
     public void probed(
-            long now, String server, AttemptOutcome outcome, long latency, LoadReport load, Actions actions) {}
+            long now, String endpoint, AttemptOutcome outcome, long latencyMicros, LoadReport load, Actions actions) {}
 
     @Override
     public void wake(long now, Actions actions) {
@@ -265,8 +265,8 @@
     }
 
     @Override
-    public void share(double part) {
-        components.slowStart.setBudgetFraction(part);
+    public void setSlowStartFraction(double fraction) {
+        components.slowStart.setBudgetFraction(fraction);
     }
 
     @Override
--- a/core/src/main/java/loadbalancer/policy/LoadBalancingPolicy.java
+++ b/core/src/main/java/loadbalancer/policy/LoadBalancingPolicy.java
@@ -4,27 +4,30 @@
 import java.util.Map;
 
 /**
- * The whole interface of the decision module: what one balancer tells it (the methods below) and what it may
- * ask for in return ({@link Actions}).
+ * The interface of the decisions of one balancer: the events that the balancer reports (the methods below), and what
+ * the policy may ask for in return ({@link Actions}). The balancer carries actions out and decides nothing.
  *
- * <p>All times are microseconds in a {@code long}; {@code now} is the caller's clock and never goes back. Ids
- * are opaque. One object serves one balancer and is not thread-safe: events are handed over one at a time, in
- * the order in which they happened, and each returns before the next. Actions are carried out in the order in
- * which they are asked for, at the time {@code now}. A new or restarted balancer is a new object, and its
- * first event is {@link #endpoints} with {@link EndpointListKind#CACHED}. Events about requests, attempts or servers
- * that the module no longer holds are legal and passed over.
+ * <p>All times and durations are microseconds in a {@code long}; {@code now} is the caller's clock and never goes back.
+ * Ids are opaque. One object serves one balancer and is not thread-safe: events are handed over one at a time, in the
+ * order in which they happened, and each returns before the next. Actions are carried out in the order in which they
+ * are asked for, at the time {@code now}.
+ *
+ * <p>A new or restarted balancer is a new object, and its first event is {@link #endpoints} with {@link
+ * EndpointListKind#CACHED}. Events about requests, attempts or endpoints that the policy no longer knows are legal and
+ * ignored.
  */
 public interface LoadBalancingPolicy {
 
-    /** News of the list of servers; {@code servers} is empty for {@link EndpointListKind#FAILED}. */
-    void endpoints(long now, EndpointListKind kind, List<Endpoint> servers, Actions out);
+    /** A list of endpoints has come; {@code endpoints} is empty for {@link EndpointListKind#UNAVAILABLE}. */
+    void endpoints(long now, EndpointListKind kind, List<Endpoint> endpoints, Actions actions);
 
     /**
-     * A request has come in and is owed one final answer before {@code timeLeft} is over.
+     * A request has come in and is owed one final answer before {@code timeLeftMicros} is over.
      *
-     * @param tenant 0 where there are none
+     * @param requestClass index of its class in the settings
+     * @param tenant index of its tenant in the settings, 0 where there are none
      * @param key what the request concerns, or null
-     * @param work the client's guess of the work, or -1
+     * @param work the client's estimate of the work, or -1
      * @param clientRetry the client says that it has tried before
      */
     void request(
@@ -33,16 +36,17 @@
             int requestClass,
             int tenant,
             String key,
-            long timeLeft,
+            long timeLeftMicros,
             long work,
             boolean clientRetry,
-            Actions out);
+            Actions actions);
 
     /**
      * An attempt has ended; each attempt that was sent ends once.
      *
-     * @param attempt the request's attempts are numbered 0, 1, 2 ... in the order of their sends
-     * @param closed the request has had its final answer (an OK is passed to the client by the caller)
+     * @param attempt the request's attempts are numbered 0, 1, 2 ... in the order in which they were sent
+     * @param latencyMicros time since it was sent
+     * @param closed the request has had its final answer (the caller passes an OK to the client)
      * @param load null where no report came with it
      */
     void outcome(
@@ -50,81 +54,82 @@
             String request,
             int attempt,
             AttemptOutcome outcome,
-            long latency,
+            long latencyMicros,
             boolean closed,
             LoadReport load,
-            Actions out);
+            Actions actions);
 
     /** A streamed answer has begun: the attempt belongs to the client, its time-outs no longer hold. */
-    void streamStarted(long now, String request, int attempt, Actions out);
+    void streamStarted(long now, String request, int attempt, Actions actions);
 
-    /** The client has left: nothing more is owed. */
-    void clientGone(long now, String request, Actions out);
+    /** The client has left: it is owed nothing more. */
+    void clientGone(long now, String request, Actions actions);
 
     /** A probe has come back. */
-    void probed(long now, String server, AttemptOutcome outcome, long latency, LoadReport load, Actions out);
+    void probed(
+            long now, String endpoint, AttemptOutcome outcome, long latencyMicros, LoadReport load, Actions actions);
 
-    /** The time asked for with {@link Actions#wake} has come. */
-    void wake(long now, Actions out);
+    /** The time asked for with {@link Actions#wakeAfter} has come. */
+    void wake(long now, Actions actions);
 
-    /** A message from another balancer; this one sends none and reads none. */
-    default void peerMessage(long now, int from, byte[] data, Actions out) {}
+    /** A message from another balancer has come. The default ignores it. */
+    default void peerMessage(long now, int from, byte[] data, Actions actions) {}
 
     /**
-     * Takes new settings, for requests that come from here on; what has been learnt stays.
+     * Takes new settings, for requests that come from here on. What has been learned stays.
      *
-     * @param formerClasses for each class of the new settings its number in those before, or -1
+     * @param formerClasses for each class of the new settings its index in the former ones, or -1
      * @param formerTenants the same for tenants
      */
     default void reconfigure(long now, PolicySettings settings, int[] formerClasses, int[] formerTenants) {}
 
-    /** What has been learnt so far, by names of the module's own, for another module to go on from. */
+    /** What has been learned, by names of the policy's own, for the policy of a successor process to go on from. */
     default Map<String, double[]> learnedState(long now) {
         return Map.of();
     }
 
-    /** Goes on from what another module has learnt; what doesn't fit is passed over. */
+    /** Goes on from what the policy of a predecessor process has learned; what doesn't fit is ignored. */
     default void restore(long now, Map<String, double[]> learnedState) {}
 
     /**
-     * From here on this module may use that part of what its balancer may send to cold servers: another
+     * From here on this policy may use that fraction of what its balancer may send to endpoints in slow start: another
      * process of the same balancer uses the rest.
      */
-    default void share(double part) {}
+    default void setSlowStartFraction(double fraction) {}
 
-    /** What the module may ask for: a sink that the caller implements. */
+    /** What a policy may ask for; the caller implements it. */
     interface Actions {
-        /** Send an attempt; {@code timeout} 0 means until the request's deadline. */
-        void send(String request, String server, long timeout);
+        /** Send an attempt; a {@code timeoutMicros} of 0 means until the request's deadline. */
+        void send(String request, String endpoint, long timeoutMicros);
 
-        /** Final answer: refused, trying again is harmless; {@code retryAfter} 0 gives no advice. */
-        void refuse(String request, long retryAfter);
+        /** Final answer: rejected, a retry by the client is harmless; {@code retryAfterMicros} 0 gives no advice. */
+        void reject(String request, long retryAfterMicros);
 
-        /** Final answer: failed, nothing promised. */
+        /** Final answer: failed, the request may have been executed. */
         void fail(String request);
 
         /** Stop waiting for an attempt. */
         void cancel(String request, int attempt);
 
-        /** Ask a server how it is. */
-        void probe(String server);
+        /** Ask an endpoint for its load. */
+        void probe(String endpoint);
 
         /** Subscribe to changes of the list from here on, or end the subscription. */
         void watch(boolean on);
 
-        /** Ask for the complete list once. */
+        /** Fetch the complete list once. */
         void fetchList();
 
-        /** Close the idle connections to a server. */
-        void closeIdle(String server);
+        /** Close the idle connections to an endpoint. */
+        void closeIdle(String endpoint);
 
         /** Send at most 256 bytes to the balancer of that number, or to all where {@code peer} is -1. */
         void sendToPeer(int peer, byte[] data);
 
-        /** Call {@link LoadBalancingPolicy#wake} once after {@code delay}. */
-        void wakeAfter(long delay);
+        /** Call {@link LoadBalancingPolicy#wake} once after that time. */
+        void wakeAfter(long delayMicros);
 
-        /** A line for the operators. */
+        /** Write a line to the log of the operators. */
         void log(String line);
     }
 }
--- a/core/src/main/java/loadbalancer/policy/LoadReport.java
+++ b/core/src/main/java/loadbalancer/policy/LoadReport.java
@@ -1,10 +1,19 @@
 package loadbalancer.policy;
 
-/** A server's own report; a figure that it doesn't carry is NaN. {@code recentLatency} is in µs. */
+/**
+ * An endpoint's own report of its load; a figure that the report lacks is NaN.
+ *
+ * @param inFlight requests in flight
+ * @param queued requests that wait in the endpoint
+ * @param utilization fraction of the capacity in use
+ * @param recentLatencyMicros mean latency of late
+ * @param throughput requests per second
+ * @param errorsPerSecond requests per second that failed
+ */
 public record LoadReport(
         double inFlight,
         double queued,
         double utilization,
-        double recentLatency,
+        double recentLatencyMicros,
         double throughput,
         double errorsPerSecond) {}
--- a/core/src/main/java/loadbalancer/policy/LoadReporting.java
+++ b/core/src/main/java/loadbalancer/policy/LoadReporting.java
@@ -1,8 +1,11 @@
 package loadbalancer.policy;
 
-/** When servers report their load. */
+/** When endpoints report their load. */
 public enum LoadReporting {
+    /** With each answer. */
     WITH_RESPONSES,
+    /** When they are probed. */
     PROBE,
+    /** Never. */
     NONE
 }
--- a/core/src/main/java/loadbalancer/policy/OpenRequests.java
+++ b/core/src/main/java/loadbalancer/policy/OpenRequests.java
@@ -53,7 +53,7 @@
     void reject(RequestState request, LoadBalancingPolicy.Actions actions) {
         request.closed = true;
         if (RetrySafetyRule.clientMayRetry(request)) {
-            actions.refuse(request.id, retryAfter.delayMicros(admission.level()));
+            actions.reject(request.id, retryAfter.delayMicros(admission.level()));
         } else {
             actions.fail(request.id);
         }
--- a/core/src/main/java/loadbalancer/policy/PolicySettings.java
+++ b/core/src/main/java/loadbalancer/policy/PolicySettings.java
@@ -3,9 +3,16 @@
 import java.util.List;
 
 /**
- * All that a balancer is told at its start. {@code rank} is its number among all, from 0;
- * {@code keyAffinity}: a server needs less work for a key that it served lately; {@code tickMicros} is the
- * shortest step of the clock.
+ * The settings of one balancer's policy.
+ *
+ * @param balancers how many balancers share the traffic
+ * @param rank number of this one among them, from 0
+ * @param zone number of its zone
+ * @param overQuotaWeight factor on the priority weight of requests that are over their tenant's quota
+ * @param weightByWork whether priority weights are per unit of work; else per request
+ * @param loadReporting when endpoints report their load
+ * @param keyAffinity whether an endpoint needs less work for a key that it served lately
+ * @param tickMicros shortest step of the clock
  */
 public record PolicySettings(
         int balancers,
@@ -14,15 +21,20 @@
         List<RequestClass> classes,
         List<TenantQuota> tenants,
         double overQuotaWeight,
-        ServiceObjective goal,
-        TrafficCosts prices,
+        ServiceObjective objective,
+        TrafficCosts costs,
         boolean weightByWork,
         DiscoveryMode discovery,
-        LoadReporting reports,
+        LoadReporting loadReporting,
         boolean keyAffinity,
         SiteLimits limits,
         SafetyBounds bounds,
         long tickMicros) {
+    /**
+     * Copies the lists.
+     *
+     * @throws IllegalArgumentException for figures that no balancer can have
+     */
     public PolicySettings {
         classes = List.copyOf(classes);
         tenants = List.copyOf(tenants);
--- a/core/src/main/java/loadbalancer/policy/QueueLengthEstimator.java
+++ b/core/src/main/java/loadbalancer/policy/QueueLengthEstimator.java
@@ -50,7 +50,7 @@
         }
         double crossing = stats.endpoint.zone() == settings.current().zone()
                 ? 0
-                : CROSS_ZONE_PENALTY * settings.current().prices().crossZone();
+                : CROSS_ZONE_PENALTY * settings.current().costs().crossZone();
         double requests = stats.attemptsInFlight + stats.failedSlotExpiries.size() + remoteQueueLength(stats, now);
         double queue = requests * endpoints.meanWeight() / stats.endpoint.weight();
         return queue + crossing * (1 + queue);
--- a/core/src/main/java/loadbalancer/policy/RequestState.java
+++ b/core/src/main/java/loadbalancer/policy/RequestState.java
@@ -66,7 +66,7 @@
     }
 
     boolean isIdempotent() {
-        return requestClass.effect() == Idempotency.IDEMPOTENT;
+        return requestClass.idempotency() == Idempotency.IDEMPOTENT;
     }
 
     /** Whether any attempt was sent to that start of the endpoint. */
--- a/core/src/main/java/loadbalancer/policy/Requirements.java
+++ b/core/src/main/java/loadbalancer/policy/Requirements.java
@@ -1,16 +1,16 @@
 package loadbalancer.policy;
 
-/** Checks of what a record is made with. */
+/** Checks of the components of a record. Names in messages are those of the settings file. */
 final class Requirements {
     private Requirements() {}
 
     /**
-     * Passes where the condition holds.
+     * Returns where the condition holds.
      *
-     * @throws IllegalArgumentException that names the figure and its value
+     * @throws IllegalArgumentException naming the figure and its value, where it doesn't
      */
-    static void require(boolean holds, String name, Object value) {
-        if (!holds) {
+    static void require(boolean condition, String name, Object value) {
+        if (!condition) {
             throw new IllegalArgumentException("impossible " + name + ": " + value);
         }
     }
--- a/core/src/main/java/loadbalancer/policy/RetryPolicy.java
+++ b/core/src/main/java/loadbalancer/policy/RetryPolicy.java
@@ -26,7 +26,7 @@
     }
 
     private boolean permits(RequestState request, AttemptOutcome outcome, long now) {
-        boolean nonIdempotent = request.requestClass.effect() == Idempotency.NON_IDEMPOTENT;
+        boolean nonIdempotent = request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT;
         boolean safe = outcome.neverRan() || !nonIdempotent && budget.tokens() >= 1;
         long until = request.isIdempotent() ? request.deadlineAt : request.objectiveAt;
         return safe
--- a/core/src/main/java/loadbalancer/policy/RetrySafetyRule.java
+++ b/core/src/main/java/loadbalancer/policy/RetrySafetyRule.java
@@ -29,7 +29,7 @@
             return true;
         }
         RequestClass requestClass = request.requestClass;
-        if (requestClass.effect() == Idempotency.NON_IDEMPOTENT
+        if (requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
                 || now - first.sentAt >= requestClass.keyRetentionMicros() - marginMicros) {
             return false;
         }
@@ -45,6 +45,7 @@
         RequestClass requestClass = request.requestClass;
         return firstThatMayHaveRun(request) == null
                 || request.isIdempotent()
-                || requestClass.effect() == Idempotency.IDEMPOTENT_WITH_KEY && requestClass.scope() == KeyScope.ALL;
+                || requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                        && requestClass.scope() == KeyScope.ALL;
     }
 }
--- a/core/src/main/java/loadbalancer/policy/SafetyBounds.java
+++ b/core/src/main/java/loadbalancer/policy/SafetyBounds.java
@@ -1,6 +1,17 @@
 package loadbalancer.policy;
 
-/** The figures of the rules; {@code keySequencePauseMicros}: a key's rest after an attempt that may still run. */
+/**
+ * Figures of the site's rules.
+ *
+ * @param responseSlackMicros how late after the deadline an answer may be
+ * @param drainGracePeriodMicros how long a draining endpoint finishes its work
+ * @param pollIntervalMicros longest time between two polls of discovery
+ * @param slowStartInitialWeight weight of an endpoint that has just started, above 0 and at most 1
+ * @param slowStartDurationMicros time from the start until the weight is 1
+ * @param overloadFactor multiple of its weighted capacity that overloads an endpoint in slow start
+ * @param overloadWindowMicros time over which that is taken
+ * @param keySequencePauseMicros pause of a key after an attempt that may still run
+ */
 public record SafetyBounds(
         long responseSlackMicros,
         long drainGracePeriodMicros,
@@ -10,6 +21,11 @@
         double overloadFactor,
         long overloadWindowMicros,
         long keySequencePauseMicros) {
+    /**
+     * Checks the figures.
+     *
+     * @throws IllegalArgumentException for figures that no site can have
+     */
     public SafetyBounds {
         Requirements.require(keySequencePauseMicros >= 0, "orderPause", keySequencePauseMicros);
         Requirements.require(
--- a/core/src/main/java/loadbalancer/policy/ServiceObjective.java
+++ b/core/src/main/java/loadbalancer/policy/ServiceObjective.java
@@ -1,4 +1,4 @@
 package loadbalancer.policy;
 
-/** How much the worst-served class and the worst-served tenant count, beside the whole. */
+/** How much each part counts in the site's objective: all requests, the worst window, class and tenant. */
 public record ServiceObjective(double whole, double worstWindow, double worstClass, double worstTenant) {}
--- a/core/src/main/java/loadbalancer/policy/TenantQuota.java
+++ b/core/src/main/java/loadbalancer/policy/TenantQuota.java
@@ -1,7 +1,16 @@
 package loadbalancer.policy;
 
-/** A tenant: requests per second within its share, over all balancers. */
+/**
+ * A tenant.
+ *
+ * @param allowancePerSecond requests per second within its quota, over all balancers
+ */
 public record TenantQuota(double allowancePerSecond) {
+    /**
+     * Checks the figure.
+     *
+     * @throws IllegalArgumentException for a negative allowance
+     */
     public TenantQuota {
         Requirements.require(allowancePerSecond >= 0, "allowancePerSecond", allowancePerSecond);
     }
--- a/core/src/test/java/loadbalancer/policy/Example.java
+++ b/core/src/test/java/loadbalancer/policy/Example.java
@@ -48,7 +48,7 @@
         }
 
         @Override
-        public void refuse(String request, long retryAfter) {}
+        public void reject(String request, long retryAfter) {}
 
         @Override
         public void fail(String request) {}
--- a/core/src/test/java/loadbalancer/policy/FleetColdTest.java
+++ b/core/src/test/java/loadbalancer/policy/FleetColdTest.java
@@ -84,11 +84,11 @@
                             of.classes(),
                             of.tenants(),
                             of.overQuotaWeight(),
-                            of.goal(),
-                            of.prices(),
+                            of.objective(),
+                            of.costs(),
                             of.weightByWork(),
                             of.discovery(),
-                            of.reports(),
+                            of.loadReporting(),
                             of.keyAffinity(),
                             of.limits(),
                             of.bounds(),
@@ -208,7 +208,7 @@
                 List<Endpoint> news = new ArrayList<>();
                 for (int i = k / 1_000 * 5; i < k / 1_000 * 5 + (day.equals("JOIN") ? 2 : 5); i++) {
                     if (!day.equals("JOIN")) {
-                        news.add(boxes.get("s" + i).server.in(EndpointState.GONE));
+                        news.add(boxes.get("s" + i).server.withState(EndpointState.GONE));
                     }
                     news.add(join("cold" + i, now, perSecond));
                 }
--- a/core/src/test/java/loadbalancer/policy/FourRulesTest.java
+++ b/core/src/test/java/loadbalancer/policy/FourRulesTest.java
@@ -280,9 +280,9 @@
             boolean open = outcome == null;
             assertTrue(copies || !open, "two attempts at once");
             if (open || !outcome.neverRan()) {
-                assertTrue(kind.effect() != Idempotency.NON_IDEMPOTENT, "an unsafe request went out twice");
+                assertTrue(kind.idempotency() != Idempotency.NON_IDEMPOTENT, "an unsafe request went out twice");
                 assertTrue(
-                        kind.effect() != Idempotency.IDEMPOTENT_WITH_KEY
+                        kind.idempotency() != Idempotency.IDEMPOTENT_WITH_KEY
                                 || s.at - earlier.at < kind.keyRetentionMicros(),
                         "sent after its window");
             }
--- a/core/src/test/java/loadbalancer/policy/Harness.java
+++ b/core/src/test/java/loadbalancer/policy/Harness.java
@@ -186,7 +186,7 @@
     }
 
     @Override
-    public void refuse(String request, long retryAfter) {
+    public void reject(String request, long retryAfter) {
         log.add(now + " refuse " + request + " " + retryAfter);
         answer(request, "refused");
     }
--- a/core/src/test/java/loadbalancer/policy/LearnedTest.java
+++ b/core/src/test/java/loadbalancer/policy/LearnedTest.java
@@ -395,7 +395,7 @@
             Harness.Sent silent = harness.request("silent", 0);
             harness.pass(Harness.AIM - 5_000);
             int copies = harness.sentFor("silent").size() - 1;
-            assertEquals(kind == IDEMPOTENT ? 1 : 0, copies, "copies of " + kind.effect());
+            assertEquals(kind == IDEMPOTENT ? 1 : 0, copies, "copies of " + kind.idempotency());
             assertTrue(harness.sentFor("silent").stream().skip(1).noneMatch(s -> s.server.equals(silent.server)));
         }
     }
@@ -437,11 +437,11 @@
                                 s.classes(),
                                 List.of(),
                                 0.1,
-                                s.goal(),
-                                s.prices(),
+                                s.objective(),
+                                s.costs(),
                                 false,
                                 s.discovery(),
-                                s.reports(),
+                                s.loadReporting(),
                                 false,
                                 s.limits(),
                                 s.bounds(),
@@ -469,11 +469,11 @@
                                 s.classes(),
                                 List.of(),
                                 0.1,
-                                s.goal(),
-                                s.prices(),
+                                s.objective(),
+                                s.costs(),
                                 true,
                                 s.discovery(),
-                                s.reports(),
+                                s.loadReporting(),
                                 true,
                                 s.limits(),
                                 s.bounds(),
@@ -542,11 +542,11 @@
                                 s.classes(),
                                 List.of(),
                                 0.1,
-                                s.goal(),
-                                s.prices(),
+                                s.objective(),
+                                s.costs(),
                                 true,
                                 s.discovery(),
-                                s.reports(),
+                                s.loadReporting(),
                                 true,
                                 s.limits(),
                                 s.bounds(),
@@ -577,11 +577,11 @@
                                     s.classes(),
                                     List.of(),
                                     0.1,
-                                    s.goal(),
-                                    s.prices(),
+                                    s.objective(),
+                                    s.costs(),
                                     true,
                                     s.discovery(),
-                                    s.reports(),
+                                    s.loadReporting(),
                                     true,
                                     s.limits(),
                                     s.bounds(),
--- a/core/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
+++ b/core/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
@@ -49,14 +49,14 @@
             }
             for (int i = 0; i < k.ended.size(); i++) {
                 boolean mayHaveRun = k.ended.get(i) == null || !k.ended.get(i).neverRan();
-                if (mayHaveRun && k.kind.effect() == Idempotency.NON_IDEMPOTENT) {
+                if (mayHaveRun && k.kind.idempotency() == Idempotency.NON_IDEMPOTENT) {
                     return "an unsafe effect may happen twice";
                 }
                 boolean outside = k.kind.scope() == KeyScope.CELL
                                 && k.servers.get(i).cell() != to.cell()
                         || k.kind.scope() == KeyScope.ZONE && k.servers.get(i).zone() != to.zone();
                 if (mayHaveRun
-                        && k.kind.effect() == Idempotency.IDEMPOTENT_WITH_KEY
+                        && k.kind.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                         && (outside || now - k.at.get(i) >= k.kind.keyRetentionMicros())) {
                     return "a keyed request left its group or window";
                 }
@@ -77,8 +77,8 @@
                 return "answered too late";
             }
             boolean mayHaveRun = k.ended.stream().anyMatch(o -> o == null || !o.neverRan());
-            boolean harmless = k.kind.effect() == Idempotency.IDEMPOTENT
-                    || k.kind.effect() == Idempotency.IDEMPOTENT_WITH_KEY && k.kind.scope() == KeyScope.ALL;
+            boolean harmless = k.kind.idempotency() == Idempotency.IDEMPOTENT
+                    || k.kind.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && k.kind.scope() == KeyScope.ALL;
             return how.equals("refused") && mayHaveRun && !harmless ? "refused though it may have run" : null;
         }
 
@@ -165,7 +165,7 @@
                         random.nextInt(3) > 0 ? AttemptOutcome.OK : all[random.nextInt(all.length - 1)]);
             } else if (what < 84) {
                 String id = "s" + random.nextInt(8);
-                servers.computeIfPresent(id, (i, s) -> s.in(EndpointState.values()[random.nextInt(3)]));
+                servers.computeIfPresent(id, (i, s) -> s.withState(EndpointState.values()[random.nextInt(3)]));
                 harness.list(EndpointListKind.DELTA, List.of(servers.get(id)));
             } else {
                 harness.pass(random.nextLong(20_000));
--- a/core/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
+++ b/core/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
@@ -137,7 +137,7 @@
                 }
             } else if (what < 84) {
                 Endpoint s = servers.get("s" + random.nextInt(8));
-                harness.list(EndpointListKind.DELTA, List.of(s.in(EndpointState.values()[random.nextInt(3)])));
+                harness.list(EndpointListKind.DELTA, List.of(s.withState(EndpointState.values()[random.nextInt(3)])));
             } else if (what < 86 && !classOf.isEmpty()) {
                 String id = List.copyOf(classOf.keySet()).get(random.nextInt(classOf.size()));
                 if (harness.finals.putIfAbsent(id, "gone") == null) {
--- a/discovery/src/main/java/loadbalancer/discovery/Membership.java
+++ b/discovery/src/main/java/loadbalancer/discovery/Membership.java
@@ -101,7 +101,9 @@
             EndpointList.Target t = all.next();
             if (!holding.holds(t.server().id())) {
                 all.remove();
-                passed.put(t.server().id(), new EndpointList.Target(t.server().in(EndpointState.GONE), t.endpoint()));
+                passed.put(
+                        t.server().id(),
+                        new EndpointList.Target(t.server().withState(EndpointState.GONE), t.endpoint()));
             }
         }
     }
@@ -188,7 +190,7 @@
                     theirs.list().stream().map(t -> t.server().id()).collect(Collectors.toSet());
             for (EndpointList.Target t : told.values()) {
                 if (!listed.contains(t.server().id())) {
-                    now.add(new EndpointList.Target(t.server().in(EndpointState.GONE), t.endpoint()));
+                    now.add(new EndpointList.Target(t.server().withState(EndpointState.GONE), t.endpoint()));
                 }
             }
             told.clear();
--- a/discovery/src/main/java/loadbalancer/drain/OperatorDrains.java
+++ b/discovery/src/main/java/loadbalancer/drain/OperatorDrains.java
@@ -67,8 +67,8 @@
      */
     public Endpoint apply(Endpoint listed) {
         boolean draining = listed.state() == EndpointState.UP && out.contains(listed.id());
-        Endpoint server = draining ? listed.in(EndpointState.DRAINING) : listed;
+        Endpoint server = draining ? listed.withState(EndpointState.DRAINING) : listed;
         Long since = back.get(listed.id());
-        return since == null || since <= server.startedAt() ? server : server.startedAt(since);
+        return since == null || since <= server.startedAt() ? server : server.withStartedAt(since);
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/HollowBalancer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/HollowBalancer.java
@@ -67,7 +67,8 @@
         this.client = new DiscoveryClient(
                 loop, discovery, boot, holding, known.rev(), this::now, this::heard, this::complain);
         this.membership = new Membership(holding, new OperatorDrains(), this::now, this::news);
-        holding.onChange(h -> hand(now -> policy.share(Math.min(many, h.subset().parts()))));
+        holding.onChange(h -> hand(
+                now -> policy.setSlowStartFraction(Math.min(many, h.subset().parts()))));
         new PartialListRetry(loop, membership, client, seed);
     }
 
@@ -165,7 +166,7 @@
     }
 
     @Override
-    public void refuse(String request, long retryAfter) {
+    public void reject(String request, long retryAfter) {
         tally.refused++;
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/policies/NoOpActions.java
+++ b/simulator/src/main/java/loadbalancer/simulator/policies/NoOpActions.java
@@ -8,7 +8,7 @@
     public void send(String request, String server, long timeout) {}
 
     @Override
-    public void refuse(String request, long retryAfter) {}
+    public void reject(String request, long retryAfter) {}
 
     @Override
     public void fail(String request) {}
--- a/simulator/src/main/java/loadbalancer/simulator/queue/QueueModel.java
+++ b/simulator/src/main/java/loadbalancer/simulator/queue/QueueModel.java
@@ -336,7 +336,7 @@
         }
 
         @Override
-        public void refuse(String request, long retryAfter) {
+        public void reject(String request, long retryAfter) {
             refused++;
         }
 
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/LiveSite.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/LiveSite.java
@@ -283,7 +283,7 @@
         });
         told.values().forEach(s -> {
             if (!now.containsKey(s.id())) {
-                changes.add(s.in(EndpointState.GONE));
+                changes.add(s.withState(EndpointState.GONE));
             }
         });
         if (changes.isEmpty()) {
--- a/simulator/src/main/java/loadbalancer/simulator/variants/MeteredPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/MeteredPolicy.java
@@ -119,7 +119,7 @@
     }
 
     @Override
-    public void share(double part) {
-        policy.share(part);
+    public void setSlowStartFraction(double part) {
+        policy.setSlowStartFraction(part);
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
@@ -100,10 +100,10 @@
         }
 
         @Override
-        public void refuse(String request, long retryAfter) {
+        public void reject(String request, long retryAfter) {
             Open o = open.get(request);
             over(request, o != null && o.attempts > 0 ? End.FAILED : End.UNSENT);
-            out.refuse(request, retryAfter);
+            out.reject(request, retryAfter);
         }
 
         @Override
@@ -265,7 +265,7 @@
                         clientRetry,
                         draws.uniform()));
         if (v.ticket() == null) {
-            to.refuse(id, v.retryAfter());
+            to.reject(id, v.retryAfter());
             return;
         }
         open.put(id, new Open(v.ticket()));
@@ -371,7 +371,7 @@
     }
 
     @Override
-    public void share(double part) {
-        modules.values().forEach(m -> m.share(part));
+    public void setSlowStartFraction(double part) {
+        modules.values().forEach(m -> m.setSlowStartFraction(part));
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/variants/TextbookPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/TextbookPolicy.java
@@ -205,9 +205,9 @@
 
     private void finish(String id, Open o, Actions out) {
         open.remove(id);
-        boolean harmless = !o.mayHaveRun || settings.classes().get(o.kind).effect() == Idempotency.IDEMPOTENT;
+        boolean harmless = !o.mayHaveRun || settings.classes().get(o.kind).idempotency() == Idempotency.IDEMPOTENT;
         if (harmless) {
-            out.refuse(id, 0);
+            out.reject(id, 0);
         } else {
             out.fail(id);
         }
@@ -238,7 +238,7 @@
             open.remove(id);
             return;
         }
-        boolean may = outcome.neverRan() || settings.classes().get(o.kind).effect() == Idempotency.IDEMPOTENT;
+        boolean may = outcome.neverRan() || settings.classes().get(o.kind).idempotency() == Idempotency.IDEMPOTENT;
         if (may
                 && outcome != AttemptOutcome.NOT_SENT
                 && now < o.deadline
--- a/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
@@ -96,7 +96,7 @@
             list.put(s.id(), s);
             laid.add(
                     outByOperators.containsKey(s.id()) && s.state() == EndpointState.UP
-                            ? s.in(EndpointState.DRAINING)
+                            ? s.withState(EndpointState.DRAINING)
                             : s);
         }
         if (kind != EndpointListKind.UNAVAILABLE) {
@@ -116,7 +116,7 @@
         } else {
             outByOperators.remove(id);
         }
-        Endpoint laid = out ? s.in(EndpointState.DRAINING) : s.startedAt(now);
+        Endpoint laid = out ? s.withState(EndpointState.DRAINING) : s.withStartedAt(now);
         world.judge.told(this, EndpointListKind.LOCAL_OVERRIDE, List.of(laid), now);
         policy.endpoints(now, EndpointListKind.LOCAL_OVERRIDE, List.of(laid), this);
     }
@@ -276,7 +276,7 @@
     }
 
     @Override
-    public void refuse(String request, long retryAfter) {
+    public void reject(String request, long retryAfter) {
         close(request, Clients.End.REFUSED, retryAfter);
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/world/Timeline.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Timeline.java
@@ -400,13 +400,13 @@
                     return;
                 }
                 Balancer next = world.boot(s, old.policy().learnedState(now));
-                old.policy().share(0.5);
-                next.policy().share(0.5);
+                old.policy().setSlowStartFraction(0.5);
+                next.policy().setSlowStartFraction(0.5);
                 world.simulation.at(now + longestDeadline() + 700_000, at -> {
                     if (old.alive()) {
                         old.die(at);
                     }
-                    next.policy().share(1);
+                    next.policy().setSlowStartFraction(1);
                 });
             });
         }
--- a/simulator/src/test/java/loadbalancer/simulator/rules/RuleCheckerTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/rules/RuleCheckerTest.java
@@ -78,7 +78,7 @@
             if (rule == Rule.LOST && next % 50 == 0) {
                 open.remove(id);
             } else if (server == null) {
-                out.refuse(id, 0);
+                out.reject(id, 0);
             } else if (rule == Rule.MALFORMED && next % 50 == 0) {
                 out.send(id, "no such upstream", 0);
                 out.send(id, server, 0);
@@ -113,7 +113,7 @@
             }
             open.remove(id);
             if (outcome.neverRan()) {
-                out.refuse(id, 0);
+                out.reject(id, 0);
             } else {
                 out.fail(id);
             }
