--- a/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
@@ -41,8 +41,9 @@
 import loadbalancer.policy.JsqDasPolicy;
 import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.PolicySettings;
+import loadbalancer.routing.PoolEnvironment;
 import loadbalancer.routing.RoutingGateway;
-import loadbalancer.routing.UpstreamPool;
+import loadbalancer.routing.SitePool;
 import loadbalancer.settings.SettingsReader;
 import loadbalancer.upstream.UpstreamConnectionPool;
 import org.slf4j.LoggerFactory;
@@ -159,7 +160,7 @@
                 return site;
             }
             Map<String, Object> all = new LinkedHashMap<>(site);
-            all.put("pools", gateway.state());
+            all.put("pools", gateway.handoverState());
             return all;
         }
 
@@ -197,7 +198,7 @@
                 membership.inherit(site.out(), site.back(), site.list());
                 dispatcher.restore(site.learnedState());
                 if (gateway != null && state.get("pools") instanceof Map<?, ?> pools) {
-                    gateway.inherit(pools);
+                    gateway.restore(pools);
                 }
                 hasList |= site.list().list().stream().anyMatch(t -> t.server().state() == EndpointState.UP);
                 log.accept("took over from the process before: "
@@ -224,11 +225,11 @@
         }
 
         public boolean down(String id) {
-            return membership.setDown(id) || gateway != null && gateway.setDown(id);
+            return membership.setDown(id) || gateway != null && gateway.drainEndpoint(id);
         }
 
         public boolean up(String id) {
-            return membership.setUp(id) || gateway != null && gateway.setUp(id);
+            return membership.setUp(id) || gateway != null && gateway.restoreEndpoint(id);
         }
 
         @Override
@@ -398,7 +399,7 @@
     private void share(double part) {
         dispatcher.share(part);
         if (gateway != null) {
-            gateway.share(part);
+            gateway.setSlowStartShare(part);
         }
     }
 
@@ -488,17 +489,17 @@
         }
         loop.submit(() -> {
                     if (gateway == null) {
-                        UpstreamPool.Ground ground = new UpstreamPool.Ground(
+                        PoolEnvironment environment = new PoolEnvironment(
                                 loop, module, config.seed(), config.upstreams(), descriptors, clients::shed, log);
                         gateway = new RoutingGateway(
-                                new RoutingGateway.Site(dispatcher, membership),
-                                ground,
+                                new SitePool(dispatcher, membership),
+                                environment,
                                 config.boot(),
                                 descriptors.forUpstreams(),
                                 ClientListener.ROOM);
                         clients.to(gateway);
                     }
-                    gateway.operate(next);
+                    gateway.configure(next);
                     log.event(
                             "operator file taken over: " + next.pools().size() + " pools, "
                                     + next.front().routes().size() + " routes",
--- a/balancer/src/main/java/loadbalancer/routing/PoolConnectionBudget.java
+++ b/balancer/src/main/java/loadbalancer/routing/PoolConnectionBudget.java
@@ -3,58 +3,46 @@
 import loadbalancer.upstream.ConnectionBudget;
 
 /**
- * A pool's part of the connections, and of the bytes held for requests. Guards against a pool whose upstreams hang:
- * its connections pile up, and without a part of its own it would take those of all others.
+ * The upstream connections that one pool may have open, counted against the process's budget as well. A pool whose
+ * endpoints hang piles up connections; its own limit keeps it from taking those of all other pools.
+ *
+ * <p>Owned by one pool; event loop only.
  */
 public final class PoolConnectionBudget implements ConnectionBudget {
-    private final ConnectionBudget all;
-    private int most;
+    private final ConnectionBudget processBudget;
+    private int maxOpen;
     private int open;
-    private long bytesMost;
-    private long bytes;
 
-    public PoolConnectionBudget(ConnectionBudget all, int most, long bytesMost) {
-        this.all = all;
-        set(most, bytesMost);
+    /**
+     * Creates a budget with nothing open.
+     *
+     * @param processBudget what all pools of the process share
+     * @param maxOpen connections that this pool may have open at the most
+     */
+    public PoolConnectionBudget(ConnectionBudget processBudget, int maxOpen) {
+        this.processBudget = processBudget;
+        this.maxOpen = maxOpen;
     }
 
-    /** From here on; what is over it already is not closed, but nothing is added. */
-    public void set(int connections, long memory) {
-        most = connections;
-        bytesMost = memory;
+    /** Changes the limit; connections that are over it already stay open, but none is added. */
+    public void setMaxOpen(int connections) {
+        maxOpen = connections;
     }
 
     @Override
     public void opened() {
         open++;
-        all.opened();
+        processBudget.opened();
     }
 
     @Override
     public void closed() {
         open--;
-        all.closed();
+        processBudget.closed();
     }
 
     @Override
     public boolean full() {
-        return open >= most || all.full();
-    }
-
-    public int open() {
-        return open;
-    }
-
-    /** False where there is no room: nothing is taken then. */
-    public boolean hold(long more) {
-        if (bytes + more > bytesMost) {
-            return false;
-        }
-        bytes += more;
-        return true;
-    }
-
-    public void release(long held) {
-        bytes -= held;
+        return open >= maxOpen || processBudget.full();
     }
 }
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/routing/PoolSettings.java
@@ -0,0 +1,58 @@
+package loadbalancer.routing;
+
+import loadbalancer.operator.PoolSpec;
+import loadbalancer.policy.DiscoveryMode;
+import loadbalancer.policy.PolicySettings;
+import loadbalancer.policy.SiteLimits;
+import loadbalancer.settings.SettingsReader;
+
+/** Derives a pool's settings from the platform's and from the pool's overrides in the operator file. */
+final class PoolSettings {
+    private PoolSettings() {}
+
+    /** The platform's settings with the pool's overrides applied. */
+    static SettingsReader.Boot derive(SettingsReader.Boot site, PoolSpec spec) {
+        Long idleCloseMicros = spec.settings().idleClose();
+        return new SettingsReader.Boot(
+                policySettings(site.settings(), spec),
+                site.loadFields(),
+                site.classes(),
+                site.tenants(),
+                site.zones(),
+                site.kinds(),
+                idleCloseMicros == null ? site.idleClose() : idleCloseMicros);
+    }
+
+    private static PolicySettings policySettings(PolicySettings site, PoolSpec spec) {
+        // A list that stands in the operator file never changes by itself, so it is never polled.
+        DiscoveryMode discovery = spec.discovery() == null ? DiscoveryMode.PUSH : site.discovery();
+        return new PolicySettings(
+                site.balancers(),
+                site.rank(),
+                site.zone(),
+                site.classes(),
+                site.tenants(),
+                site.overQuotaWeight(),
+                site.goal(),
+                site.prices(),
+                site.weightByWork(),
+                discovery,
+                site.reports(),
+                site.keyAffinity(),
+                limits(site.limits(), spec.settings()),
+                site.bounds(),
+                site.tickMicros());
+    }
+
+    private static SiteLimits limits(SiteLimits site, PoolSpec.Overrides overrides) {
+        return new SiteLimits(
+                overrides.maxAttempts() == null ? site.maxAttempts() : overrides.maxAttempts(),
+                site.hedgingAllowed(),
+                site.cancellationAllowed(),
+                overrides.probes() == null ? site.probingAllowed() : overrides.probes(),
+                overrides.connectTimeoutMicros() == null
+                        ? site.connectTimeoutMicros()
+                        : overrides.connectTimeoutMicros(),
+                site.maxRetryAfterMicros());
+    }
+}
--- a/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
@@ -2,19 +2,15 @@
 
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import java.util.ArrayList;
-import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
-import loadbalancer.discovery.Membership;
 import loadbalancer.dispatch.InboundRequest;
 import loadbalancer.dispatch.RequestDispatcher;
 import loadbalancer.dispatch.RequestHandler;
@@ -22,370 +18,260 @@
 import loadbalancer.logs.Log;
 import loadbalancer.operator.OperatorConfig;
 import loadbalancer.operator.PoolSpec;
-import loadbalancer.policy.RequestClass;
 import loadbalancer.process.HandoverState;
 import loadbalancer.router.RequestRouter;
 import loadbalancer.routes.PathTemplate;
 import loadbalancer.routes.Route;
 import loadbalancer.settings.SettingsReader;
-import loadbalancer.upstream.ResponseReader;
 
 /**
- * The front on sockets: hands each request to the dispatcher of the pool that {@link RequestRouter} names, and
- * refuses what
- * that refuses. It decides nothing. All of it runs on the event loop's thread; it is there only with an operator file.
+ * Stands between the clients' side and the pools: hands each request to the dispatcher of the pool that
+ * {@link RequestRouter} names, and rejects what the router rejects. It carries decisions out and takes none. It exists
+ * only with an operator file.
+ *
+ * <p>One a process; event loop only.
  */
 public final class RoutingGateway implements RequestHandler {
-    private static final long LOOK_MS = 100; // between looks at how many upstreams each pool has
-    private static final Runnable NOTHING = () -> {};
-
-    /** The pool that the platform lists, which is there in any case. */
-    public record Site(RequestDispatcher dispatcher, Membership membership) {}
+    private static final long POOL_SIZE_INTERVAL_MILLIS = 100;
+    private static final Runnable NOTHING_TO_CANCEL = () -> {};
 
     private final EventLoop loop;
-    private final Site site;
-    private final UpstreamPool.Ground ground;
-    private final int connections;
-    private final long memory;
+    private final SitePool site;
+    private final PoolLimits allPools;
     private final Log log;
     private final SplittableRandom random;
-    private final Map<String, UpstreamPool> pools = new LinkedHashMap<>();
-    private final Set<UpstreamPool> draining = new LinkedHashSet<>();
-    private final PoolConnectionBudget siteBudget;
-    private final Map<RequestRouter.Reason, Long> refusals = new EnumMap<>(RequestRouter.Reason.class);
+    private final PoolRegistry pools;
+    private final PoolMemoryBudget siteMemory = new PoolMemoryBudget(Long.MAX_VALUE);
+    private final RejectionCounter rejections;
+    private final RoutedReply.Listener replies = new RouterFeedback();
     private OperatorConfig operator;
-    private RequestRouter front;
+    private RequestRouter router;
     private SettingsReader.Boot boot;
-    private List<String> headers = List.of();
+    private List<String> routedHeaders = List.of();
     private double[] ranks = new double[0];
-    private long swaps;
-    private double shared = 1;
+    private long replacements;
 
     /**
-     * A gateway before the site's own pool alone, until {@link #operate} is called.
+     * Creates a gateway that may not be given requests before {@link #configure}.
      *
-     * @param connections to upstreams that all pools may open together
-     * @param memory bytes of bodies that all pools may hold together
+     * @param maxConnections to upstreams that all pools may open together
+     * @param maxBodyBytes bytes of request bodies that all pools may hold together
      */
     public RoutingGateway(
-            Site site, UpstreamPool.Ground ground, SettingsReader.Boot boot, int connections, long memory) {
-        this.loop = ground.loop();
+            SitePool site,
+            PoolEnvironment environment,
+            SettingsReader.Boot boot,
+            int maxConnections,
+            long maxBodyBytes) {
+        this.loop = environment.loop();
         this.site = site;
-        this.ground = ground;
         this.boot = boot;
-        this.connections = connections;
-        this.memory = memory;
-        this.log = ground.log();
-        this.random = new SplittableRandom(ground.seed());
-        this.siteBudget = new PoolConnectionBudget(ground.connections(), Integer.MAX_VALUE, Long.MAX_VALUE);
+        this.allPools = new PoolLimits(maxConnections, maxBodyBytes);
+        this.log = environment.log();
+        this.random = new SplittableRandom(environment.seed());
+        this.pools = new PoolRegistry(environment);
+        this.rejections = new RejectionCounter(log);
     }
 
-    /** Goes by that file from here on: what has the same name goes on, what is gone drains first. */
-    public void operate(OperatorConfig next) {
+    /** Goes by that operator file from here on: pools and routes keep their state by name, removed pools drain. */
+    public void configure(OperatorConfig next) {
         boolean first = operator == null;
         operator = next;
-        int parts = next.pools().size();
-        Set<String> named = new LinkedHashSet<>();
-        for (PoolSpec spec : next.pools()) {
-            named.add(spec.name());
-            int most = spec.connections() > 0 ? spec.connections() : Math.max(1, connections / parts);
-            long bytes = spec.memory() > 0 ? spec.memory() : Math.max(RequestValidator.BODY_MOST, memory / parts);
+        configurePools(next.pools());
+        replaceRouter(new RequestRouter(next.front()));
+        ranks = PriorityRanks.of(boot.settings().classes());
+        updatePoolSizes();
+        if (first) {
+            loop.scheduleWithFixedDelay(
+                    this::updatePoolSizes, POOL_SIZE_INTERVAL_MILLIS, POOL_SIZE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        }
+    }
+
+    private void configurePools(List<PoolSpec> specs) {
+        Set<String> names = new LinkedHashSet<>();
+        for (PoolSpec spec : specs) {
+            names.add(spec.name());
+            PoolLimits limits = PoolLimits.of(spec, specs.size(), allPools);
             if (spec.name().equals(PoolSpec.SITE)) {
-                siteBudget.set(Integer.MAX_VALUE, bytes);
-                continue;
-            }
-            UpstreamPool pool = pools.get(spec.name());
-            if (pool != null && pool.becomes(spec)) {
-                pool.budget().set(most, bytes);
-                pool.become(spec, boot);
+                siteMemory.setMaxBytes(limits.maxBodyBytes());
             } else {
-                if (pool != null) {
-                    drain(pool);
-                }
-                UpstreamPool fresh = new UpstreamPool(
-                        ground, spec, boot, new PoolConnectionBudget(ground.connections(), most, bytes));
-                pools.put(spec.name(), fresh);
-                fresh.start();
-                fresh.dispatcher().share(shared);
+                pools.put(spec, boot, limits);
             }
         }
-        for (UpstreamPool pool : List.copyOf(pools.values())) {
-            if (!named.contains(pool.name())) {
-                drain(pool);
-            }
-        }
-        RequestRouter fresh = new RequestRouter(next.front());
-        if (front != null) {
-            fresh.restore(front);
-            swaps++;
-        }
-        front = fresh;
-        Set<String> wanted = new LinkedHashSet<>();
-        front.table().routes().forEach(r -> wanted.addAll(r.headers().keySet()));
-        headers = List.copyOf(wanted);
-        rank();
-        look();
-        if (first) {
-            loop.scheduleWithFixedDelay(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        pools.retain(names);
+    }
+
+    private void replaceRouter(RequestRouter next) {
+        if (router != null) {
+            next.restore(router);
+            replacements++;
         }
+        router = next;
+        Set<String> headers = new LinkedHashSet<>();
+        next.table().routes().forEach(route -> headers.addAll(route.headers().keySet()));
+        routedHeaders = List.copyOf(headers);
     }
 
-    /** The site's settings have changed. */
+    /** The platform's settings have changed. */
     public void reconfigure(SettingsReader.Boot next) {
         boot = next;
-        pools.values().forEach(p -> p.become(p.spec(), next));
-        rank();
+        pools.reconfigure(next);
+        ranks = PriorityRanks.of(next.settings().classes());
     }
 
-    private void rank() {
-        List<RequestClass> classes = boot.settings().classes();
-        double least =
-                classes.stream().mapToDouble(RequestClass::priorityWeight).min().orElse(0);
-        double most =
-                classes.stream().mapToDouble(RequestClass::priorityWeight).max().orElse(0);
-        ranks = classes.stream()
-                .mapToDouble(c -> most > least ? (c.priorityWeight() - least) / (most - least) : 1)
-                .toArray();
+    /** Passes on to the router how many endpoints of each pool may be sent to. */
+    public void updatePoolSizes() {
+        long now = site.dispatcher().now();
+        router.listed(now, PoolSpec.SITE, site.membership().up());
+        pools.pools()
+                .forEach(pool ->
+                        router.listed(now, pool.name(), pool.membership().up()));
     }
 
-    private void drain(UpstreamPool pool) {
-        pools.remove(pool.name());
-        draining.add(pool);
-        pool.drain(() -> {
-            draining.remove(pool);
-            log.event(
-                    "pool " + pool.name() + " has drained and is closed: "
-                            + pool.dispatcher().summary(),
-                    "pool",
-                    pool.name(),
-                    "drained",
-                    true);
-        });
-    }
-
-    /** Tells the front how many upstreams each pool has. */
-    public void look() {
-        long now = site.dispatcher.now();
-        front.listed(now, PoolSpec.SITE, site.membership.up());
-        pools.values().forEach(p -> front.listed(now, p.name(), p.membership().up()));
+    @Override
+    public boolean holds(String id) {
+        return site.dispatcher().holds(id) || pools.holds(id);
     }
 
-    // ---- requests
-
     @Override
-    public boolean holds(String id) {
-        if (site.dispatcher.holds(id)) {
-            return true;
-        }
-        for (UpstreamPool p : pools.values()) {
-            if (p.dispatcher().holds(id)) {
-                return true;
-            }
-        }
-        for (UpstreamPool p : draining) {
-            if (p.dispatcher().holds(id)) {
-                return true;
-            }
+    public Runnable take(InboundRequest request, RequestDispatcher.Reply reply) {
+        RequestRouter.RoutingDecision decision = router.arrive(site.dispatcher().now(), arrival(request));
+        if (decision.ticket() == null) {
+            reject(decision, reply);
+            return NOTHING_TO_CANCEL;
         }
-        return false;
+        return dispatch(request, decision.ticket(), reply);
     }
 
-    @Override
-    public Runnable take(InboundRequest order, RequestDispatcher.Reply reply) {
-        long now = site.dispatcher.now();
-        RequestRouter.RoutingDecision v = front.arrive(now, arrival(order));
-        if (v.ticket() == null) {
-            count(v.reason());
-            switch (v.answer()) {
-                case NOT_FOUND -> reply.reject(HttpResponseStatus.NOT_FOUND, "no route");
-                case BAD_PATH -> reply.reject(HttpResponseStatus.BAD_REQUEST, "a path that can't be routed");
-                default -> reply.refuse(v.retryAfter());
-            }
-            return NOTHING;
+    private void reject(RequestRouter.RoutingDecision decision, RequestDispatcher.Reply reply) {
+        rejections.increment(decision.reason());
+        switch (decision.answer()) {
+            case NOT_FOUND -> reply.reject(HttpResponseStatus.NOT_FOUND, "no route");
+            case BAD_PATH -> reply.reject(HttpResponseStatus.BAD_REQUEST, "a path that can't be routed");
+            default -> reply.refuse(decision.retryAfter());
         }
-        UpstreamPool pool = pools.get(v.ticket().pool());
-        PoolConnectionBudget budget = pool == null ? siteBudget : pool.budget();
-        if (!budget.hold(order.body().length)) {
-            count(RequestRouter.Reason.POOL_LIMIT);
-            front.ended(now, v.ticket(), RequestRouter.End.UNSENT);
+    }
+
+    private Runnable dispatch(InboundRequest request, RequestRouter.RouteLease lease, RequestDispatcher.Reply reply) {
+        UpstreamPool pool = pools.get(lease.pool());
+        PoolMemoryBudget memory = pool == null ? siteMemory : pool.memory();
+        long bodyBytes = request.body().length;
+        if (!memory.tryReserve(bodyBytes)) {
+            rejections.increment(RequestRouter.Reason.POOL_LIMIT);
+            router.ended(site.dispatcher().now(), lease, RequestRouter.End.UNSENT);
             reply.refuse(operator.front().retryAfter().least());
-            return NOTHING;
+            return NOTHING_TO_CANCEL;
         }
-        long most = v.ticket().deadline();
-        InboundRequest sent = most > 0 && most < order.timeLeft() ? order.within(most) : order;
-        Through through = new Through(reply, v.ticket(), budget, order.body().length);
-        Runnable leave = (pool == null ? site.dispatcher : pool.dispatcher()).take(sent, through);
+        RoutedReply routedReply = new RoutedReply(reply, lease, memory, bodyBytes, replies);
+        RequestDispatcher dispatcher = pool == null ? site.dispatcher() : pool.dispatcher();
+        Runnable cancel = dispatcher.take(withinDeadline(request, lease.deadline()), routedReply);
         return () -> {
-            through.over(RequestRouter.End.GONE);
-            leave.run();
+            routedReply.clientGone();
+            cancel.run();
         };
     }
 
-    private RequestRouter.Arrival arrival(InboundRequest order) {
-        Map<String, String> asked = Map.of();
-        if (!headers.isEmpty()) {
-            asked = new HashMap<>();
-            for (String h : headers) {
-                String value = order.headers().get(h);
-                if (value != null) {
-                    asked.put(h, value);
-                }
-            }
-        }
-        String tenant = order.headers().get(RequestValidator.TENANT);
-        Route.Request request = new Route.Request(
-                order.method().name(),
-                PathTemplate.split(order.uri()),
-                asked,
-                tenant,
-                boot.classes().get(order.requestClass()));
-        return new RequestRouter.Arrival(
-                request, order.key(), ranks[order.requestClass()], order.clientRetry(), random.nextDouble());
+    private static InboundRequest withinDeadline(InboundRequest request, long deadlineMicros) {
+        return deadlineMicros > 0 && deadlineMicros < request.timeLeft() ? request.within(deadlineMicros) : request;
     }
 
-    // One line for each power of two: a storm is not to fill the log.
-    private void count(RequestRouter.Reason reason) {
-        long many = refusals.merge(reason, 1L, Long::sum);
-        if (Long.bitCount(many) == 1) {
-            String name = reason.name().toLowerCase(Locale.ROOT);
-            log.event("refused by the front, " + name + ": " + many, "refused", name, "count", many);
-        }
+    private RequestRouter.Arrival arrival(InboundRequest request) {
+        Route.Request routed = new Route.Request(
+                request.method().name(),
+                PathTemplate.split(request.uri()),
+                routedHeaders(request),
+                request.headers().get(RequestValidator.TENANT),
+                boot.classes().get(request.requestClass()));
+        return new RequestRouter.Arrival(
+                routed, request.key(), ranks[request.requestClass()], request.clientRetry(), random.nextDouble());
     }
 
-    /** The way of a request's one final answer back through the front, which hears how it ended. */
-    private final class Through implements RequestDispatcher.Reply {
-        private final RequestDispatcher.Reply reply;
-        private final RequestRouter.RouteLease ticket;
-        private final PoolConnectionBudget budget;
-        private final long held;
-        private boolean sent;
-        private boolean over;
-
-        public Through(
-                RequestDispatcher.Reply reply,
-                RequestRouter.RouteLease ticket,
-                PoolConnectionBudget budget,
-                long held) {
-            this.reply = reply;
-            this.ticket = ticket;
-            this.budget = budget;
-            this.held = held;
+    private Map<String, String> routedHeaders(InboundRequest request) {
+        if (routedHeaders.isEmpty()) {
+            return Map.of();
         }
-
-        public void over(RequestRouter.End end) {
-            if (!over) {
-                over = true;
-                budget.release(held);
-                front.ended(site.dispatcher.now(), ticket, end);
+        Map<String, String> values = new HashMap<>();
+        for (String header : routedHeaders) {
+            String value = request.headers().get(header);
+            if (value != null) {
+                values.put(header, value);
             }
         }
+        return values;
+    }
 
+    /** Tells the router in use, which may have been replaced since, what becomes of its requests. */
+    private final class RouterFeedback implements RoutedReply.Listener {
         @Override
-        public boolean maySend(int attempt) {
-            sent = true;
-            return attempt == 0 || front.mayTryAgain(site.dispatcher.now(), ticket);
-        }
-
-        @Override
-        public void serve(ResponseReader.Answer answer) {
-            over(RequestRouter.End.SERVED);
-            reply.serve(answer);
-        }
-
-        @Override
-        public void refuse(long retryAfter) {
-            over(sent ? RequestRouter.End.FAILED : RequestRouter.End.UNSENT);
-            reply.refuse(retryAfter);
+        public boolean allowsRetry(RequestRouter.RouteLease lease) {
+            return router.mayTryAgain(site.dispatcher().now(), lease);
         }
 
         @Override
-        public void fail() {
-            over(RequestRouter.End.FAILED);
-            reply.fail();
+        public void ended(RequestRouter.RouteLease lease, RequestRouter.End end) {
+            router.ended(site.dispatcher().now(), lease, end);
         }
     }
 
-    // ---- operators
-
-    /** Takes an upstream of any pool out; false where none has it. */
-    public boolean setDown(String id) {
-        boolean known = false;
-        for (UpstreamPool p : pools.values()) {
-            known |= p.membership().setDown(id);
-        }
-        return known;
+    /** Drains an endpoint in every pool but the site's; false where none has it. */
+    public boolean drainEndpoint(String id) {
+        return pools.anyKnows(pool -> pool.membership().setDown(id));
     }
 
-    /** Puts it back. */
-    public boolean setUp(String id) {
-        boolean known = false;
-        for (UpstreamPool p : pools.values()) {
-            known |= p.membership().setUp(id);
-        }
-        return known;
+    /** Restores an endpoint that {@link #drainEndpoint} has drained; false where no pool has it. */
+    public boolean restoreEndpoint(String id) {
+        return pools.anyKnows(pool -> pool.membership().setUp(id));
     }
 
-    /** What a process that goes on in this one's place has to know of the pools beside the site's, by name. */
-    public Map<String, Object> state() {
-        Map<String, Object> all = new LinkedHashMap<>();
-        pools.values().forEach(p -> all.put(p.name(), p.state()));
-        return all;
+    /** The states of the pools beside the site's, by name, as the handover message to a successor has them. */
+    public Map<String, Object> handoverState() {
+        Map<String, Object> states = new LinkedHashMap<>();
+        pools.pools().forEach(pool -> states.put(pool.name(), pool.handoverState()));
+        return states;
     }
 
-    /** Goes on from that; pools that this process doesn't have are passed over. */
-    public void inherit(Map<?, ?> state) {
-        state.forEach((name, of) -> {
+    /** Goes on from a predecessor's {@link #handoverState}; pools that this process doesn't have are skipped. */
+    public void restore(Map<?, ?> states) {
+        states.forEach((name, state) -> {
             UpstreamPool pool = pools.get(String.valueOf(name));
-            if (pool != null && of instanceof Map<?, ?> told) {
-                pool.inherit(HandoverState.of(told, pool.boot()));
+            if (pool != null && state instanceof Map<?, ?> document) {
+                pool.restore(HandoverState.of(document, pool.boot()));
             }
         });
-        look();
+        updatePoolSizes();
     }
 
-    /** This process may use that part of what the balancer may send to cold upstreams, in each pool. */
-    public void share(double part) {
-        shared = part;
-        pools.values().forEach(p -> p.dispatcher().share(part));
+    /** Sets the fraction of the balancer's slow-start traffic that this process may send, in each pool. */
+    public void setSlowStartShare(double fraction) {
+        pools.setSlowStartShare(fraction);
     }
 
-    /** Pools that take nothing more and still have requests open. */
-    public int draining() {
-        return draining.size();
+    /** How many removed pools still owe answers. */
+    public int drainingPools() {
+        return pools.drainingCount();
     }
 
-    public long swaps() {
-        return swaps;
+    /** How often an operator file has replaced another. */
+    public long replacements() {
+        return replacements;
     }
 
-    public RequestRouter front() {
-        return front;
+    /** The router in use. */
+    public RequestRouter router() {
+        return router;
     }
 
-    /** Runs {@code then} on the loop once no pool beside the site's owes an answer. */
+    /** Runs {@code then} on the event loop once no pool beside the site's owes an answer. */
     public void whenIdle(Runnable then) {
-        List<RequestDispatcher> all = new ArrayList<>();
-        pools.values().forEach(p -> all.add(p.dispatcher()));
-        draining.forEach(p -> all.add(p.dispatcher()));
-        int[] left = {all.size()};
-        if (all.isEmpty()) {
-            then.run();
-        }
-        for (RequestDispatcher d : all) {
-            d.whenIdle(() -> {
-                if (--left[0] == 0) {
-                    then.run();
-                }
-            });
-        }
+        pools.whenIdle(then);
     }
 
-    /** What it came to, for the log. */
+    /** What the pools and the router have done since the start, for the log. */
     public String summary() {
-        return pools.values().stream()
-                        .map(p -> "; pool " + p.name() + ": " + p.dispatcher().summary())
-                        .collect(Collectors.joining())
-                + "; refused by the front: "
-                + refusals.values().stream().mapToLong(n -> n).sum() + ", files taken over: " + (swaps + 1);
+        String poolSummaries = pools.pools().stream()
+                .map(pool -> "; pool " + pool.name() + ": " + pool.dispatcher().summary())
+                .collect(Collectors.joining());
+        return poolSummaries + "; rejected by the router: " + rejections.total() + ", operator files applied: "
+                + (replacements + 1);
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
+++ b/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
@@ -1,12 +1,9 @@
 package loadbalancer.routing;
 
-import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.function.BiFunction;
-import java.util.function.BooleanSupplier;
 import loadbalancer.discovery.DiscoveryClient;
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.discovery.EndpointSubset;
@@ -16,177 +13,150 @@
 import loadbalancer.drain.OperatorDrains;
 import loadbalancer.logs.Log;
 import loadbalancer.operator.PoolSpec;
-import loadbalancer.policy.DiscoveryMode;
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
-import loadbalancer.policy.LoadBalancingPolicy;
-import loadbalancer.policy.PolicySettings;
-import loadbalancer.policy.SiteLimits;
 import loadbalancer.process.HandoverState;
+import loadbalancer.routes.Split;
 import loadbalancer.settings.SettingsReader;
-import loadbalancer.upstream.ConnectionBudget;
 import loadbalancer.upstream.UpstreamConnectionPool;
 
-/** One pool beside the platform's: a module of its own with its list, its connections and its budgets. */
-public final class UpstreamPool {
-    /** What all pools of a process share. */
-    public record Ground(
-            EventLoop loop,
-            BiFunction<PolicySettings, Long, LoadBalancingPolicy> module,
-            long seed,
-            int upstreams,
-            ConnectionBudget connections,
-            BooleanSupplier shedClients,
-            Log log) {}
-
-    private final Ground ground;
+/**
+ * One pool beside the platform's own: a policy with its endpoint list, its upstream connections and its budgets. Made
+ * from an entry of the operator file, which may change while the pool runs. Event loop only.
+ */
+final class UpstreamPool {
+    private final PoolEnvironment environment;
     private final RequestDispatcher dispatcher;
     private final UpstreamConnectionPool upstreams;
     private final Membership membership;
-    private final DiscoveryClient discovery;
-    private final PoolConnectionBudget budget;
+    private final DiscoveryClient discovery; // null where the list stands in the operator file
+    private final PoolConnectionBudget connections;
+    private final PoolMemoryBudget memory;
     private PoolSpec spec;
     private SettingsReader.Boot boot;
 
-    public UpstreamPool(Ground ground, PoolSpec spec, SettingsReader.Boot site, PoolConnectionBudget budget) {
-        this.ground = ground;
+    /**
+     * Creates a pool that has no endpoints until {@link #start}.
+     *
+     * @param site the platform's settings, which the pool's own overrides are applied to
+     */
+    UpstreamPool(PoolEnvironment environment, PoolSpec spec, SettingsReader.Boot site, PoolLimits limits) {
+        this.environment = environment;
         this.spec = spec;
-        this.budget = budget;
-        boot = boot(site, spec);
-        Log log = line -> ground.log.accept("pool " + spec.name() + ": " + line);
-        long seed = ground.seed ^ loadbalancer.routes.Split.hash(spec.name());
-        dispatcher = new RequestDispatcher(ground.loop, boot, ground.module.apply(boot.settings(), seed), log);
-        upstreams = new UpstreamConnectionPool(ground.loop, boot, budget, dispatcher::now);
-        upstreams.shedBy(() -> upstreams.shedIdle() || ground.shedClients.getAsBoolean());
-        EndpointSubset holding =
-                new EndpointSubset(ground.upstreams, boot.settings().rank());
-        membership = new Membership(holding, new OperatorDrains(), dispatcher::now, dispatcher::listed);
-        holding.onChange(dispatcher::holdsPart);
-        discovery = spec.discovery() == null
-                ? null
-                : new DiscoveryClient(
-                        ground.loop,
-                        spec.discovery(),
-                        boot,
-                        holding,
-                        0,
-                        dispatcher::now,
-                        membership::listed,
-                        log::accept);
+        connections = new PoolConnectionBudget(environment.connections(), limits.maxConnections());
+        memory = new PoolMemoryBudget(limits.maxBodyBytes());
+        boot = PoolSettings.derive(site, spec);
+        Log log = line -> environment.log().accept("pool " + spec.name() + ": " + line);
+        long seed = environment.seed() ^ Split.hash(spec.name());
+        dispatcher = new RequestDispatcher(
+                environment.loop(), boot, environment.policyFactory().apply(boot.settings(), seed), log);
+        upstreams = new UpstreamConnectionPool(environment.loop(), boot, connections, dispatcher::now);
+        upstreams.shedBy(
+                () -> upstreams.shedIdle() || environment.shedClientConnection().getAsBoolean());
+        EndpointSubset subset =
+                new EndpointSubset(environment.maxEndpoints(), boot.settings().rank());
+        membership = new Membership(subset, new OperatorDrains(), dispatcher::now, dispatcher::listed);
+        subset.onChange(dispatcher::holdsPart);
+        discovery = spec.discovery() == null ? null : discoveryClient(spec.discovery(), subset, log);
         if (discovery != null) {
-            new PartialListRetry(ground.loop, membership, discovery, seed);
+            new PartialListRetry(environment.loop(), membership, discovery, seed);
         }
         dispatcher.attach(upstreams, discovery);
     }
 
-    /** Begins to learn its list; on the loop's thread. */
-    public void start() {
-        membership.listed(EndpointListKind.CACHED, discovery == null ? fixed() : new EndpointList(0, true, List.of()));
+    private DiscoveryClient discoveryClient(InetSocketAddress address, EndpointSubset subset, Log log) {
+        return new DiscoveryClient(
+                environment.loop(), address, boot, subset, 0, dispatcher::now, membership::listed, log::accept);
+    }
+
+    /** Begins to learn its endpoint list. */
+    void start() {
         if (discovery == null) {
-            membership.listed(EndpointListKind.SNAPSHOT, fixed());
+            membership.listed(EndpointListKind.CACHED, staticList());
+            membership.listed(EndpointListKind.SNAPSHOT, staticList());
         } else {
+            membership.listed(EndpointListKind.CACHED, new EndpointList(0, true, List.of()));
             discovery.start();
         }
     }
 
-    private EndpointList fixed() {
-        List<EndpointList.Target> list = new ArrayList<>();
-        for (InetSocketAddress a : spec.upstreams()) {
-            String id = spec.name() + "/" + a.getAddress().getHostAddress() + ":" + a.getPort();
-            list.add(new EndpointList.Target(
-                    new Endpoint(
-                            id, EndpointState.UP, 0, 1, -1, -1, boot.settings().zone()),
-                    a));
+    private EndpointList staticList() {
+        List<EndpointList.Target> endpoints = new ArrayList<>();
+        for (InetSocketAddress address : spec.upstreams()) {
+            String id = spec.name() + "/" + address.getAddress().getHostAddress() + ":" + address.getPort();
+            Endpoint endpoint = new Endpoint(
+                    id, EndpointState.UP, 0, 1, -1, -1, boot.settings().zone());
+            endpoints.add(new EndpointList.Target(endpoint, address));
         }
-        return new EndpointList(0, true, list);
-    }
-
-    // The platform's settings with what the pool's own say; a list in the file is never asked for.
-    private static SettingsReader.Boot boot(SettingsReader.Boot site, PoolSpec spec) {
-        PolicySettings s = site.settings();
-        SiteLimits l = s.limits();
-        PoolSpec.Overrides o = spec.settings();
-        SiteLimits limits = new SiteLimits(
-                o.maxAttempts() == null ? l.maxAttempts() : o.maxAttempts(),
-                l.hedgingAllowed(),
-                l.cancellationAllowed(),
-                o.probes() == null ? l.probingAllowed() : o.probes(),
-                o.connectTimeoutMicros() == null ? l.connectTimeoutMicros() : o.connectTimeoutMicros(),
-                l.maxRetryAfterMicros());
-        PolicySettings own = new PolicySettings(
-                s.balancers(),
-                s.rank(),
-                s.zone(),
-                s.classes(),
-                s.tenants(),
-                s.overQuotaWeight(),
-                s.goal(),
-                s.prices(),
-                s.weightByWork(),
-                spec.discovery() == null ? DiscoveryMode.PUSH : s.discovery(),
-                s.reports(),
-                s.keyAffinity(),
-                limits,
-                s.bounds(),
-                s.tickMicros());
-        return new SettingsReader.Boot(
-                own,
-                site.loadFields(),
-                site.classes(),
-                site.tenants(),
-                site.zones(),
-                site.kinds(),
-                o.idleClose() == null ? site.idleClose() : o.idleClose());
-    }
-
-    /** Whether it can go on under that spec: a pool whose list came from elsewhere in another way can't. */
-    public boolean becomes(PoolSpec next) {
+        return new EndpointList(0, true, endpoints);
+    }
+
+    /** Whether it can go on by that entry: a pool can't change between a static list and discovery. */
+    boolean canBecome(PoolSpec next) {
         return (next.discovery() == null) == (discovery == null);
     }
 
-    /** Goes on under another spec, and other settings of the site. */
-    public void become(PoolSpec next, SettingsReader.Boot site) {
-        PoolSpec before = spec;
+    /** Changes the limits of its budgets. */
+    void setLimits(PoolLimits limits) {
+        connections.setMaxOpen(limits.maxConnections());
+        memory.setMaxBytes(limits.maxBodyBytes());
+    }
+
+    /**
+     * Goes on by another entry of the operator file, and by other settings of the platform.
+     *
+     * @param next an entry for which {@link #canBecome} is true
+     */
+    void reconfigure(PoolSpec next, SettingsReader.Boot site) {
+        PoolSpec former = spec;
         spec = next;
-        SettingsReader.Boot fresh = boot(site, next);
-        if (!fresh.equals(boot)) {
-            SettingsReader.Boot former = boot;
-            boot = fresh;
-            membership.renumber(former, fresh);
-            dispatcher.reconfigure(fresh);
-            upstreams.reconfigure(fresh);
-            if (discovery != null) {
-                discovery.reconfigure(fresh);
-            }
-        }
+        applySettings(PoolSettings.derive(site, next));
         if (discovery != null) {
             discovery.moveTo(next.discovery());
-        } else if (!before.sameSource(next)) {
-            membership.listed(EndpointListKind.SNAPSHOT, fixed());
+        } else if (!former.sameSource(next)) {
+            membership.listed(EndpointListKind.SNAPSHOT, staticList());
+        }
+    }
+
+    private void applySettings(SettingsReader.Boot next) {
+        if (next.equals(boot)) {
+            return;
+        }
+        SettingsReader.Boot former = boot;
+        boot = next;
+        membership.renumber(former, next);
+        dispatcher.reconfigure(next);
+        upstreams.reconfigure(next);
+        if (discovery != null) {
+            discovery.reconfigure(next);
         }
     }
 
-    /** Takes nothing more; it ends when all it has taken has been answered. */
-    public void drain(Runnable then) {
+    /**
+     * Closes the pool once all that it has taken has been answered; it must not be given more.
+     *
+     * @param whenClosed runs on the event loop after that
+     */
+    void drain(Runnable whenClosed) {
         dispatcher.whenIdle(() -> {
             dispatcher.retire();
             if (discovery != null) {
                 discovery.watch(false);
             }
             upstreams.close();
-            then.run();
+            whenClosed.run();
         });
     }
 
-    /** What a process that goes on in this one's place has to know. */
-    public Map<String, Object> state() {
-        OperatorDrains out = membership.takenOut();
+    /** The pool's state as the handover message to a successor has it. */
+    Map<String, Object> handoverState() {
+        OperatorDrains drains = membership.takenOut();
         return Map.of(
                 "out",
-                List.copyOf(out.out()),
+                List.copyOf(drains.out()),
                 "back",
-                out.back(),
+                drains.back(),
                 "list",
                 membership.told().toJson(boot),
                 "classes",
@@ -196,33 +166,34 @@
     }
 
     /** Goes on from what another process of this balancer knows of the pool of that name. */
-    public void inherit(HandoverState of) {
-        // A list in the file is this process's own: the other may have had another file.
-        membership.inherit(of.out(), of.back(), discovery == null ? new EndpointList(-1, true, List.of()) : of.list());
-        dispatcher.restore(of.learnedState());
+    void restore(HandoverState state) {
+        // A list in the operator file is this process's own: the other may have had another file.
+        EndpointList list = discovery == null ? new EndpointList(-1, true, List.of()) : state.list();
+        membership.inherit(state.out(), state.back(), list);
+        dispatcher.restore(state.learnedState());
     }
 
-    public SettingsReader.Boot boot() {
+    SettingsReader.Boot boot() {
         return boot;
     }
 
-    public String name() {
+    String name() {
         return spec.name();
     }
 
-    public PoolSpec spec() {
+    PoolSpec spec() {
         return spec;
     }
 
-    public RequestDispatcher dispatcher() {
+    RequestDispatcher dispatcher() {
         return dispatcher;
     }
 
-    public Membership membership() {
+    Membership membership() {
         return membership;
     }
 
-    public PoolConnectionBudget budget() {
-        return budget;
+    PoolMemoryBudget memory() {
+        return memory;
     }
 }
--- a/balancer/src/test/java/loadbalancer/process/GatewayTest.java
+++ b/balancer/src/test/java/loadbalancer/process/GatewayTest.java
@@ -153,7 +153,7 @@
         }
         // The limit is free again once its clients have left.
         await(() -> node.loop()
-                        .submit(() -> node.gateway().front().view().get(0).open())
+                        .submit(() -> node.gateway().router().view().get(0).open())
                         .get()
                 == 0);
         assertEquals("200", ask(get("/a/k", "again", ""), first));
@@ -233,8 +233,8 @@
             sent += c.get(20, TimeUnit.SECONDS);
         }
         assertEquals(sent, answers.get());
-        assertEquals(100, node.gateway().swaps());
-        await(() -> node.loop().submit(() -> node.gateway().draining()).get() == 0);
+        assertEquals(100, node.gateway().replacements());
+        await(() -> node.loop().submit(() -> node.gateway().drainingPools()).get() == 0);
     }
 
     private void serveAll(FakeUpstream at1, AtomicBoolean over) {
--- a/balancer/src/test/java/loadbalancer/process/HandoverTest.java
+++ b/balancer/src/test/java/loadbalancer/process/HandoverTest.java
@@ -124,8 +124,8 @@
     private static int upOf(BalancerProcess process) throws Exception {
         return process.loop()
                 .submit(() -> {
-                    process.gateway().look();
-                    return process.gateway().front().view().stream()
+                    process.gateway().updatePoolSizes();
+                    return process.gateway().router().view().stream()
                             .filter(p -> p.name().equals("one"))
                             .findFirst()
                             .orElseThrow()
