--- a/discovery/src/main/java/loadbalancer/settings/ProtocolNames.java
+++ b/discovery/src/main/java/loadbalancer/settings/ProtocolNames.java
@@ -9,8 +9,8 @@
 import loadbalancer.policy.LoadReporting;
 
 /**
- * The words that the platform's settings and the experiment files use for the values of the code's enumerations.
- * This is the only table of them. Immutable; any thread.
+ * The words that the platform's settings and the experiment files use for the values of enumerations. This is the only
+ * table of them. Immutable; any thread.
  */
 public final class ProtocolNames {
     /** What a class of requests allows after an attempt that may have run. */
--- a/discovery/src/main/java/loadbalancer/settings/SettingsReader.java
+++ b/discovery/src/main/java/loadbalancer/settings/SettingsReader.java
@@ -2,10 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
-import java.util.Set;
-import java.util.TreeSet;
 import java.util.function.BiFunction;
 import java.util.stream.Collectors;
 import loadbalancer.policy.DiscoveryMode;
@@ -18,16 +15,23 @@
 import loadbalancer.policy.TrafficCosts;
 
 /**
- * Reads the settings of a balancer from path=value pairs, whether they come from the simulator's wire or from
- * the configuration of a real balancer; keys that it doesn't know are passed over.
+ * Reads the settings of a balancer from path=value pairs, whether they come from the simulator's wire or from the
+ * configuration of a real balancer. Keys that it doesn't know are ignored. The names of the keys are the platform's and
+ * stand here alone; the words of their values stand in {@link ProtocolNames}. All times are in microseconds.
  */
 public final class SettingsReader {
-    private final Map<String, String> values;
-    private final BiFunction<String, String, ? extends RuntimeException> complaint;
+    private final SettingValues values;
 
     /**
-     * What a balancer is started with: the module's settings, the order of values in a load report, the names
-     * that stand for the module's numbers, and after what time (µs) a server closes an idle connection.
+     * What a balancer is started with.
+     *
+     * @param settings of the policy, which knows classes, tenants, zones and kinds by their numbers
+     * @param loadFields names of the values in a load report, in their order on the simulator's wire
+     * @param classes names of the request classes, by number
+     * @param tenants names of the tenants, by number
+     * @param zones names of the zones, by number
+     * @param kinds names of the kinds of hardware, by number
+     * @param idleClose microseconds after which an endpoint closes an idle connection; 0: never
      */
     public record Boot(
             PolicySettings settings,
@@ -38,38 +42,39 @@
             List<String> kinds,
             long idleClose) {}
 
-    private SettingsReader(
-            Map<String, String> values, BiFunction<String, String, ? extends RuntimeException> complaint) {
+    private SettingsReader(SettingValues values) {
         this.values = values;
-        this.complaint = complaint;
     }
 
     /**
      * Reads {@code values}.
      *
-     * @param complaint makes the exception for a path and what is wrong there
+     * @param error makes the exception for a path and what is wrong there
+     * @throws RuntimeException that {@code error} makes, where a setting is missing, malformed or impossible
      */
-    public static Boot read(
-            Map<String, String> values, BiFunction<String, String, ? extends RuntimeException> complaint) {
-        SettingsReader in = new SettingsReader(values, complaint);
+    public static Boot read(Map<String, String> values, BiFunction<String, String, ? extends RuntimeException> error) {
+        SettingValues typed = new SettingValues(values, error);
         try {
             return new Boot(
-                    in.settings(),
-                    in.list("Stats.Fields"),
-                    in.names("Classes"),
-                    in.names("Realms"),
-                    in.list("Areas"),
-                    in.list("Kinds"),
-                    in.whole("Limits.IdleClose", 0L));
+                    new SettingsReader(typed).policySettings(),
+                    typed.list("Stats.Fields"),
+                    typed.each("Classes", "Name"),
+                    typed.each("Realms", "Name"),
+                    typed.list("Areas"),
+                    typed.list("Kinds"),
+                    typed.wholeNumber("Limits.IdleClose", 0L));
         } catch (IllegalArgumentException e) {
-            throw complaint.apply("BootInfo", e.getMessage());
+            throw error.apply("BootInfo", e.getMessage());
         }
     }
 
-    /** The names of the simulator's wire: paths joined by dots, lists of plain values by commas. */
+    /**
+     * Turns nested maps and lists into path=value pairs: paths are joined by dots, lists of plain values by commas, and
+     * a list with maps in it gets a {@code count} and one path for each index. Null values are left out.
+     */
     public static void flatten(String path, Object value, Map<String, String> into) {
         if (value instanceof Map<?, ?> map) {
-            map.forEach((k, v) -> flatten(path.isEmpty() ? k.toString() : path + "." + k, v, into));
+            map.forEach((key, nested) -> flatten(path.isEmpty() ? key.toString() : path + "." + key, nested, into));
         } else if (value instanceof List<?> list) {
             if (list.stream().anyMatch(Map.class::isInstance)) {
                 into.put(path + ".count", Integer.toString(list.size()));
@@ -84,167 +89,110 @@
         }
     }
 
-    /** A value as it stands on the wire, where spaces and commas within values are replaced. */
+    /** A value as it stands on the wire, where underscores replace the spaces and commas within it. */
     public static String plain(Object value) {
         return String.valueOf(value).replace(' ', '_').replace(',', '_');
     }
 
-    private List<String> list(String path) {
-        String value = text(path, "");
-        return value.isEmpty() ? List.of() : List.of(value.split(","));
-    }
-
-    private List<String> names(String path) {
-        List<String> names = new ArrayList<>();
-        for (int i = 0; i < count(path, false); i++) {
-            names.add(text(path + "." + i + ".Name", ""));
-        }
-        return List.copyOf(names);
-    }
-
-    private PolicySettings settings() {
-        int zones = text("Areas", "").split(",").length;
-        int kinds = text("Kinds", "").split(",").length;
-        List<RequestClass> classes = new ArrayList<>();
-        for (int i = 0; i < count("Classes", true); i++) {
-            String at = "Classes." + i + ".";
-            classes.add(new RequestClass(
-                    word(ProtocolNames.IDEMPOTENCY, at + "Idempotency", null),
-                    word(ProtocolNames.KEY_SCOPE, at + "DedupScope", "all"),
-                    whole(at + "KeyTtl", 0L),
-                    whole(at + "GoalTime", null),
-                    whole(at + "GiveUp", null),
-                    decimal(at + "AimStretch", 0.0),
-                    decimal(at + "Gain", 1.0),
-                    decimal(at + "LateShare", 0.0),
-                    flag(at + "Stream", false),
-                    flag(at + "InOrder", false),
-                    indexes(at + "AllowedIn", zones),
-                    indexes(at + "RunsOn", kinds)));
-        }
-        List<TenantQuota> tenants = new ArrayList<>();
-        for (int i = 0; i < count("Realms", false); i++) {
-            tenants.add(new TenantQuota(decimal("Realms." + i + ".AllowancePerS", null)));
-        }
-        int tries = (int) Math.min(Integer.MAX_VALUE, whole("Limits.TryLimit", null));
-        SiteLimits limits = new SiteLimits(
-                tries,
-                flag("Limits.MayDuplicate", null),
-                flag("Limits.Cancel", null),
-                flag("Limits.Probes", null),
-                whole("Limits.DialTimeout", 0L),
-                whole("Limits.MaxRetryAfter", 0L));
-        boolean ask = word(ProtocolNames.DISCOVERY_MODE, "MembershipMode", null) == DiscoveryMode.POLL;
-        SafetyBounds bounds = new SafetyBounds(
-                whole("Rules.AnswerSlack", null),
-                whole("Rules.DrainGrace", null),
-                whole("Rules.AskWithin", ask ? null : 0L),
-                decimal("Rules.ColdFrom", null),
-                whole("Rules.RampTime", null),
-                decimal("Rules.OverloadFactor", null),
-                whole("Rules.Fall", null),
-                whole("Rules.OrderPause", 0L));
-        ServiceObjective goal = new ServiceObjective(
-                decimal("Blend.Whole", 1.0),
-                decimal("Blend.WorstWindow", 0.0),
-                decimal("Blend.WorstClass", 0.0),
-                decimal("Blend.WorstTenant", 0.0));
+    private PolicySettings policySettings() {
+        int zoneCount = values.listSize("Areas");
+        List<RequestClass> classes = requestClasses(zoneCount, values.listSize("Kinds"));
+        List<TenantQuota> tenants = tenantQuotas();
+        SiteLimits limits = siteLimits();
+        DiscoveryMode discovery = values.word(ProtocolNames.DISCOVERY_MODE, "MembershipMode", null);
+        SafetyBounds bounds = safetyBounds(discovery);
+        ServiceObjective objective = serviceObjective();
         return new PolicySettings(
-                (int) Math.min(Integer.MAX_VALUE, whole("Balancers", null)),
-                (int) whole("Rank", 0L),
-                zone(zones),
-                List.copyOf(classes),
-                List.copyOf(tenants),
-                decimal("OverShareWorth", 1.0),
-                goal,
-                new TrafficCosts(decimal("Prices.CrossZone", 0.0), decimal("Prices.Handshake", 0.0)),
-                text("WorthBy", "request").equals("work"),
-                ask ? DiscoveryMode.POLL : DiscoveryMode.PUSH,
-                word(ProtocolNames.LOAD_REPORTING, "Stats.How", "none"),
-                flag("Specifics.WarmKeys", false),
+                values.cappedInt("Balancers"),
+                (int) values.wholeNumber("Rank", 0L),
+                zone(zoneCount),
+                classes,
+                tenants,
+                values.decimal("OverShareWorth", 1.0),
+                objective,
+                trafficCosts(),
+                values.text("WorthBy", "request").equals("work"),
+                discovery,
+                values.word(ProtocolNames.LOAD_REPORTING, "Stats.How", "none"),
+                values.flag("Specifics.WarmKeys", false),
                 limits,
                 bounds,
-                whole("Quantum", null));
+                values.wholeNumber("Quantum", null));
     }
 
-    private String text(String path, String otherwise) {
-        String value = values.get(path);
-        if (value != null && !value.equals("-")) {
-            return value;
-        }
-        if (otherwise == null) {
-            throw complaint.apply(path, "required setting is missing");
+    private List<RequestClass> requestClasses(int zoneCount, int kindCount) {
+        List<RequestClass> classes = new ArrayList<>();
+        for (int i = 0; i < values.count("Classes", true); i++) {
+            classes.add(requestClass("Classes." + i + ".", zoneCount, kindCount));
         }
-        return otherwise;
+        return List.copyOf(classes);
     }
 
-    private long whole(String path, Long otherwise) {
-        String value = text(path, otherwise == null ? null : otherwise.toString());
-        try {
-            return Long.parseLong(value);
-        } catch (NumberFormatException e) {
-            throw complaint.apply(path, "not a whole number: '" + value + "'");
-        }
+    private RequestClass requestClass(String path, int zoneCount, int kindCount) {
+        return new RequestClass(
+                values.word(ProtocolNames.IDEMPOTENCY, path + "Idempotency", null),
+                values.word(ProtocolNames.KEY_SCOPE, path + "DedupScope", "all"),
+                values.wholeNumber(path + "KeyTtl", 0L),
+                values.wholeNumber(path + "GoalTime", null),
+                values.wholeNumber(path + "GiveUp", null),
+                values.decimal(path + "AimStretch", 0.0),
+                values.decimal(path + "Gain", 1.0),
+                values.decimal(path + "LateShare", 0.0),
+                values.flag(path + "Stream", false),
+                values.flag(path + "InOrder", false),
+                values.indexes(path + "AllowedIn", zoneCount),
+                values.indexes(path + "RunsOn", kindCount));
     }
 
-    private double decimal(String path, Double otherwise) {
-        String value = text(path, otherwise == null ? null : otherwise.toString());
-        try {
-            double number = Double.parseDouble(value);
-            if (Double.isFinite(number)) {
-                return number;
-            }
-        } catch (NumberFormatException e) {
-            throw complaint.apply(path, "not a number: '" + value + "'");
+    private List<TenantQuota> tenantQuotas() {
+        List<TenantQuota> quotas = new ArrayList<>();
+        for (int i = 0; i < values.count("Realms", false); i++) {
+            quotas.add(new TenantQuota(values.decimal("Realms." + i + ".AllowancePerS", null)));
         }
-        throw complaint.apply(path, "not a finite number: '" + value + "'");
+        return List.copyOf(quotas);
     }
 
-    private boolean flag(String path, Boolean otherwise) {
-        String value = text(path, otherwise == null ? null : otherwise.toString());
-        return switch (value) {
-            case "true", "1" -> true;
-            case "false", "0" -> false;
-            default -> throw complaint.apply(path, "not true or false: '" + value + "'");
-        };
+    private SiteLimits siteLimits() {
+        return new SiteLimits(
+                values.cappedInt("Limits.TryLimit"),
+                values.flag("Limits.MayDuplicate", null),
+                values.flag("Limits.Cancel", null),
+                values.flag("Limits.Probes", null),
+                values.wholeNumber("Limits.DialTimeout", 0L),
+                values.wholeNumber("Limits.MaxRetryAfter", 0L));
     }
 
-    private int count(String path, boolean required) {
-        long count = whole(path + ".count", required ? null : 0L);
-        if (count < 0 || count > values.size()) {
-            throw complaint.apply(path + ".count", "not a count of what follows: " + count);
-        }
-        return (int) count;
+    private SafetyBounds safetyBounds(DiscoveryMode discovery) {
+        Long pollIntervalFallback = discovery == DiscoveryMode.POLL ? null : Long.valueOf(0);
+        return new SafetyBounds(
+                values.wholeNumber("Rules.AnswerSlack", null),
+                values.wholeNumber("Rules.DrainGrace", null),
+                values.wholeNumber("Rules.AskWithin", pollIntervalFallback),
+                values.decimal("Rules.ColdFrom", null),
+                values.wholeNumber("Rules.RampTime", null),
+                values.decimal("Rules.OverloadFactor", null),
+                values.wholeNumber("Rules.Fall", null),
+                values.wholeNumber("Rules.OrderPause", 0L));
     }
 
-    /** The zone of this instance; it must be one of the named ones, where zones are named. */
-    private int zone(int zones) {
-        long zone = whole("Locality", 0L);
-        if (zone < 0 || zone >= zones && values.containsKey("Areas")) {
-            throw complaint.apply("Locality", "not between 0 and " + (zones - 1) + ": " + zone);
-        }
-        return (int) zone;
+    private ServiceObjective serviceObjective() {
+        return new ServiceObjective(
+                values.decimal("Blend.Whole", 1.0),
+                values.decimal("Blend.WorstWindow", 0.0),
+                values.decimal("Blend.WorstClass", 0.0),
+                values.decimal("Blend.WorstTenant", 0.0));
     }
 
-    /** Positions in a list of {@code size} names; empty where the setting is not given. */
-    private Set<Integer> indexes(String path, int size) {
-        Set<Integer> found = new TreeSet<>();
-        String value = text(path, "");
-        for (String part : value.isEmpty() ? new String[0] : value.split(",", -1)) {
-            if (!part.matches("\\d{1,9}") || Integer.parseInt(part) >= size) {
-                throw complaint.apply(path, "not between 0 and " + (size - 1) + ": '" + part + "'");
-            }
-            found.add(Integer.valueOf(part));
-        }
-        return found;
+    private TrafficCosts trafficCosts() {
+        return new TrafficCosts(values.decimal("Prices.CrossZone", 0.0), values.decimal("Prices.Handshake", 0.0));
     }
 
-    private <E> E word(Map<String, E> words, String path, String otherwise) {
-        String value = text(path, otherwise);
-        E found = words.get(value.toLowerCase(Locale.ROOT));
-        if (found == null) {
-            throw complaint.apply(path, "unknown word: '" + value + "'");
+    /** The number of this instance's zone, which must be one of the named zones where zones are named. */
+    private int zone(int zoneCount) {
+        long zone = values.wholeNumber("Locality", 0L);
+        if (zone < 0 || zone >= zoneCount && values.has("Areas")) {
+            throw values.error("Locality", "not between 0 and " + (zoneCount - 1) + ": " + zone);
         }
-        return found;
+        return (int) zone;
     }
 }
--- a/discovery/src/main/java/loadbalancer/settings/SocketAddresses.java
+++ b/discovery/src/main/java/loadbalancer/settings/SocketAddresses.java
@@ -4,27 +4,31 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Addresses as they are written in configurations and lists. */
+/** Reads socket addresses as configurations and endpoint lists write them. Stateless; any thread. */
 public final class SocketAddresses {
+    private static final String PORT_FORM = "\\d{1,5}";
+    private static final int MAX_PORT = 65_535;
+    private static final String IP_LITERAL_FORM = "[0-9.]+|\\[?[0-9a-fA-F:.]*:[0-9a-fA-F:.]*]?";
+
     private SocketAddresses() {}
 
     /**
-     * Reads {@code address:port}.
+     * Reads {@code address:port}, where the address is an IPv4 or IPv6 literal.
      *
-     * @throws IllegalArgumentException that says what is wrong
+     * @throws IllegalArgumentException that says what is wrong with the text
      */
     public static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         String port = text.substring(colon + 1);
-        if (colon <= 0 || !port.matches("\\d{1,5}") || Integer.parseInt(port) > 65_535) {
+        if (colon <= 0 || !port.matches(PORT_FORM) || Integer.parseInt(port) > MAX_PORT) {
             throw new IllegalArgumentException("not address:port: '" + text + "'");
         }
         return literal(text.substring(0, colon), Integer.parseInt(port));
     }
 
-    // An address literal: there is no DNS here, and a name must not make the start wait for one.
+    // Names are not accepted: the site has no DNS, and a look-up would block the start.
     private static InetSocketAddress literal(String host, int port) {
-        if (!host.matches("[0-9.]+|\\[?[0-9a-fA-F:.]*:[0-9a-fA-F:.]*]?")) {
+        if (!host.matches(IP_LITERAL_FORM)) {
             throw new IllegalArgumentException("not an address: '" + host + "'");
         }
         try {
