--- a/balancer/src/main/java/loadbalancer/Main.java
+++ b/balancer/src/main/java/loadbalancer/Main.java
@@ -12,7 +12,7 @@
 import loadbalancer.cli.Commands;
 import loadbalancer.policy.JsqDasPolicy;
 import loadbalancer.process.BalancerProcess;
-import loadbalancer.wire.Adapter;
+import loadbalancer.wire.SimulatorWireAdapter;
 import loadbalancer.wire.WireException;
 
 /** Starts a real balancer, the adapter on standard input and output, or a tool. */
@@ -30,7 +30,7 @@
                         new InputStreamReader(new FileInputStream(FileDescriptor.in), StandardCharsets.UTF_8),
                         1 << 16);
                 OutputStream out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16)) {
-            new Adapter(JsqDasPolicy::new, in, out).run();
+            new SimulatorWireAdapter(JsqDasPolicy::new, in, out).run();
         } catch (WireException | IOException e) {
             System.err.println("load-balancer: " + e.getMessage());
             System.exit(1);
--- a/balancer/src/test/java/loadbalancer/wire/AdapterTest.java
+++ b/balancer/src/test/java/loadbalancer/wire/SimulatorWireAdapterTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The wire: frames in, frames out, and plain complaints about what is malformed. */
-class AdapterTest {
+class SimulatorWireAdapterTest {
     private static final String SETTINGS = String.join(
             "\t",
             "Balancers=2",
@@ -52,7 +52,7 @@
 
     private static String run(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Adapter(JsqDasPolicy::new, new BufferedReader(new StringReader(input)), out).run();
+        new SimulatorWireAdapter(JsqDasPolicy::new, new BufferedReader(new StringReader(input)), out).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
@@ -96,10 +96,10 @@
     @Test
     void aFailureInTheModuleIsReported() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        Adapter.Factory broken = (settings, seed) -> {
+        SimulatorWireAdapter.PolicyFactory broken = (settings, seed) -> {
             throw new IllegalStateException("odd\tstate");
         };
-        new Adapter(
+        new SimulatorWireAdapter(
                         broken,
                         new BufferedReader(new StringReader("TICK\t1\n" + enlist("balancer/0", SETTINGS) + "GO\n")),
                         out)
