--- a/simulator/src/main/java/loadbalancer/simulator/cli/ScaleCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/ScaleCommand.java
@@ -15,12 +15,12 @@
 import loadbalancer.policy.PolicySettings;
 import loadbalancer.simulator.experiment.Experiment;
 import loadbalancer.simulator.experiment.ExperimentReader;
-import loadbalancer.simulator.judge.Day;
-import loadbalancer.simulator.policies.Quiet;
-import loadbalancer.simulator.variants.Metered;
+import loadbalancer.simulator.policies.NoOpActions;
+import loadbalancer.simulator.rules.Day;
+import loadbalancer.simulator.variants.MeteredPolicy;
 import loadbalancer.simulator.variants.Variants;
 import loadbalancer.simulator.variants.Variants.Variant;
-import loadbalancer.simulator.world.PolicyMaker;
+import loadbalancer.simulator.world.PolicyFactory;
 import loadbalancer.simulator.world.Range;
 import loadbalancer.simulator.world.WorldPlan;
 import picocli.CommandLine.Command;
@@ -96,7 +96,7 @@
         WorldPlan.Discovery d = sitePlan.discovery();
         double times = Math.max(1, balancers / 3.0) * Math.max(1, upstreams / 10.0);
         WorldPlan base =
-                sitePlan.sized(Range.of(balancers), Range.of(upstreams)).lasting(length * 1_000_000L);
+                sitePlan.withSize(Range.of(balancers), Range.of(upstreams)).withLength(length * 1_000_000L);
         WorldPlan plan = new WorldPlan(
                 base.length(),
                 base.balancers(),
@@ -107,13 +107,13 @@
                 base.clients(),
                 new WorldPlan.Discovery(
                         d.ask(),
-                        d.notice(),
-                        d.silentNotice(),
-                        d.add(),
+                        d.noticeDelay(),
+                        d.silentFailureNotice(),
+                        d.registrationDelay(),
                         d.period(),
                         d.spread(),
                         new Range(d.capacity().from() * times, d.capacity().to() * times),
-                        d.callLines(),
+                        d.entriesPerCall(),
                         d.timeout()),
                 base.rules(),
                 base.goal(),
@@ -122,14 +122,14 @@
                 base.kinds(),
                 base.classes(),
                 base.tenants(),
-                base.troubles());
-        Metered.Meter meter = new Metered.Meter();
-        PolicyMaker maker = Variants.maker(variant);
+                base.faults());
+        MeteredPolicy.Meter meter = new MeteredPolicy.Meter();
+        PolicyFactory policyFactory = Variants.policyFactory(variant);
         List<PolicySettings> seen = new ArrayList<>();
         long began = System.nanoTime();
         Day day = Day.play(plan, seed, (settings, s, truth) -> {
             seen.add(settings);
-            return new Metered(maker.make(settings, s, truth), meter, System::nanoTime);
+            return new MeteredPolicy(policyFactory.create(settings, s, truth), meter, System::nanoTime);
         });
         double seconds = (System.nanoTime() - began) / 1e9;
         double requests = day.figures().get("requests");
@@ -144,7 +144,7 @@
                 meter.decisionNanos() / 1e3 / requests,
                 meter.listNanos() / 1e3 / Math.max(1, meter.lists()),
                 meter.allNanos() / 1e9 / length / balancers,
-                memory(maker, seen.get(0), upstreams) / 1024.0,
+                memory(policyFactory, seen.get(0), upstreams) / 1024.0,
                 day.figures().get("events") / seconds,
                 seconds);
         System.out.printf(
@@ -157,15 +157,15 @@
     }
 
     // Bytes of a module that knows the fleet and has served for a while.
-    private static double memory(PolicyMaker maker, PolicySettings settings, int upstreams) {
+    private static double memory(PolicyFactory policyFactory, PolicySettings settings, int upstreams) {
         List<Endpoint> fleet = IntStream.range(0, upstreams)
                 .mapToObj(i -> new Endpoint("u" + i, EndpointState.UP, 0, 1, i / 4, i % 2, i % 3))
                 .toList();
         List<LoadBalancingPolicy> modules = new ArrayList<>();
         long before = used();
         for (int m = 0; m < MODULES; m++) {
-            LoadBalancingPolicy p = maker.make(settings, m, null);
-            Quiet out = new Quiet();
+            LoadBalancingPolicy p = policyFactory.create(settings, m, null);
+            NoOpActions out = new NoOpActions();
             p.endpoints(1, EndpointListKind.CACHED, fleet, out);
             for (int i = 0; i < 2_000; i++) {
                 long now = 1_000 + i * 10_000L;
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/Runner.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/Runner.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import loadbalancer.simulator.judge.Day;
+import loadbalancer.simulator.rules.Day;
 import loadbalancer.simulator.variants.Variants;
 import loadbalancer.simulator.variants.Variants.Variant;
 
@@ -43,7 +43,7 @@
                         Day day = Day.play(
                                 v.calm() ? experiment.plan().with(List.of()) : experiment.plan(),
                                 seed,
-                                Variants.maker(v, experiment.plan()));
+                                Variants.policyFactory(v, experiment.plan()));
                         progress.played(done.incrementAndGet(), all);
                         return day;
                     }));
--- a/simulator/src/test/java/loadbalancer/simulator/experiment/OverloadedFleetTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/experiment/OverloadedFleetTest.java
@@ -5,8 +5,8 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import loadbalancer.simulator.judge.Day;
-import loadbalancer.simulator.judge.Score;
+import loadbalancer.simulator.rules.Day;
+import loadbalancer.simulator.rules.Score;
 import loadbalancer.simulator.variants.Variants;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -18,7 +18,8 @@
 
     private static Score.Series play(String experiment, long seed) throws IOException {
         Experiment read = ExperimentReader.read(FOLDER.resolve(experiment + ".toml"));
-        Day day = Day.play(read.plan(), seed, Variants.maker(read.variants().get(0)));
+        Day day = Day.play(
+                read.plan(), seed, Variants.policyFactory(read.variants().get(0)));
         assertEquals(0.0, day.figures().get("rules.broken"));
         return day.series();
     }
