--- a/balancer/src/test/java/loadbalancer/process/LongListTest.java
+++ b/balancer/src/test/java/loadbalancer/process/LongListTest.java
@@ -72,9 +72,9 @@
         at = node.start();
     }
 
-    private String persisted() throws InterruptedException {
+    private String cached() throws InterruptedException {
         String event = module.next();
-        while (!event.startsWith("PERSISTED")) { // the share of a cold budget comes before it
+        while (!event.startsWith("CACHED")) { // the share of a cold budget comes before it
             event = module.next();
         }
         return event;
@@ -92,7 +92,7 @@
     @Test
     void aStartWithALongListServesWithAPartOfItAndSaysSo() throws IOException, InterruptedException {
         startBounded(longList(41, true, "in_service"));
-        String event = persisted();
+        String event = cached();
         assertTrue(entries(event) > 0 && entries(event) <= MOST, event);
         InetSocketAddress operators = node.listenForOperators();
         assertTrue(node.awaitReady(20_000));
@@ -123,33 +123,33 @@
     @Test
     void aLongListOverAWatchIsHeldInPartAndItsDrainsBind() throws IOException, InterruptedException {
         startBounded(list(41, true, "in_service"));
-        assertEquals("CACHED [s1=UP]", persisted());
+        assertEquals("CACHED [s1=UP]", cached());
         onLoop(() -> module.actions.watch(true));
         FakeUpstream.Got watch = discovery.next();
         watch.raw(OPEN);
         watch.raw(chunk(longList(42, true, "in_service")));
         assertEquals("share 16.0", module.next());
         String event = module.next();
-        assertTrue(event.startsWith("COMPLETE ") && entries(event) <= MOST, event);
+        assertTrue(event.startsWith("SNAPSHOT ") && entries(event) <= MOST, event);
         watch.raw(chunk(longList(43, false, "terminating")));
-        assertEquals(event.replace("COMPLETE", "PARTIAL").replace("=UP", "=DRAINING"), module.next());
+        assertEquals(event.replace("SNAPSHOT", "DELTA").replace("=UP", "=DRAINING"), module.next());
     }
 
     /** Nothing that is held may be sent to, and others may be there: another part is asked for unasked. */
     @Test
     void aBalancerWithNothingOfUseAsksForAnotherPart() throws IOException, InterruptedException {
         startBounded(longList(41, true, "in_service"));
-        String first = persisted();
+        String first = cached();
         onLoop(() -> module.actions.watch(true));
         FakeUpstream.Got watch = discovery.next();
         watch.raw(OPEN);
         watch.raw(chunk(longList(42, false, "terminating")));
-        assertEquals(first.replace("PERSISTED", "PARTIAL").replace("=UP", "=DRAINING"), module.next());
+        assertEquals(first.replace("CACHED", "DELTA").replace("=UP", "=DRAINING"), module.next());
         FakeUpstream.Got fetch = discovery.next();
         assertEquals("GET /api/targets HTTP/1.1", fetch.line());
         fetch.answer(200, "", longList(43, true, "in_service").strip());
         String event = module.next();
-        while (!event.startsWith("COMPLETE")) {
+        while (!event.startsWith("SNAPSHOT")) {
             event = module.next();
         }
         assertTrue(entries(event) > 0, event);
