--- a/balancer/src/main/java/loadbalancer/Main.java
+++ b/balancer/src/main/java/loadbalancer/Main.java
@@ -11,7 +11,7 @@
 import java.nio.charset.StandardCharsets;
 import loadbalancer.cli.Commands;
 import loadbalancer.policy.JsqDasPolicy;
-import loadbalancer.process.BalancerProcess;
+import loadbalancer.process.ServeCommand;
 import loadbalancer.wire.Adapter;
 import loadbalancer.wire.WireException;
 
@@ -21,7 +21,7 @@
 
     public static void main(String[] args) {
         if (args.length == 1 && args[0].equals("serve")) {
-            System.exit(BalancerProcess.serve(System.getenv()));
+            System.exit(ServeCommand.run(System.getenv()));
         }
         if (args.length != 1 || !args[0].equals("wirehost")) {
             System.exit(Commands.run(args));
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/handover/HandoverCodec.java
@@ -0,0 +1,83 @@
+package loadbalancer.handover;
+
+import com.fasterxml.jackson.jr.ob.JSON;
+import java.io.IOException;
+import java.util.Map;
+import loadbalancer.handover.HandoverMessage.DescriptorsInUse;
+import loadbalancer.handover.HandoverMessage.EndpointDrained;
+import loadbalancer.handover.HandoverMessage.EndpointRestored;
+import loadbalancer.handover.HandoverMessage.ServingNotice;
+import loadbalancer.handover.HandoverMessage.StateReply;
+import loadbalancer.handover.HandoverMessage.StateRequest;
+import loadbalancer.handover.HandoverMessage.Unrecognized;
+
+/**
+ * Writes and reads {@link HandoverMessage}s: each is a JSON object on a line of its own, with one field that names it.
+ * Processes of different releases replace each other in both directions, so the fields may not change.
+ */
+final class HandoverCodec {
+    private static final String STATE_REQUEST = "want";
+    private static final String STATE_REQUEST_VALUE = "state";
+    private static final String STATE_REPLY = "state";
+    private static final String ENDPOINT_DRAINED = "down";
+    private static final String ENDPOINT_RESTORED = "up";
+    private static final String DESCRIPTORS_IN_USE = "open";
+    private static final String SERVING_NOTICE = "serving";
+
+    private HandoverCodec() {}
+
+    /**
+     * Returns the message as a line without its end.
+     *
+     * @throws IllegalArgumentException for {@link Unrecognized}, which has no wire form
+     */
+    static String encode(HandoverMessage message) throws IOException {
+        return JSON.std.asString(fields(message));
+    }
+
+    private static Map<String, Object> fields(HandoverMessage message) {
+        if (message instanceof StateRequest) {
+            return Map.of(STATE_REQUEST, STATE_REQUEST_VALUE);
+        } else if (message instanceof StateReply reply) {
+            return Map.of(STATE_REPLY, reply.document().fields());
+        } else if (message instanceof EndpointDrained drained) {
+            return Map.of(ENDPOINT_DRAINED, drained.endpointId());
+        } else if (message instanceof EndpointRestored restored) {
+            return Map.of(ENDPOINT_RESTORED, restored.endpointId());
+        } else if (message instanceof DescriptorsInUse descriptors) {
+            return Map.of(DESCRIPTORS_IN_USE, descriptors.count());
+        } else if (message instanceof ServingNotice) {
+            return Map.of(SERVING_NOTICE, true);
+        }
+        throw new IllegalArgumentException("no wire form: " + message);
+    }
+
+    /**
+     * Reads a line. A state document in it is taken as it is: {@link HandoverDocument} reads it.
+     *
+     * @return the message; {@link Unrecognized} for an object of other fields
+     * @throws HandoverFormatException where the line is not a JSON object
+     */
+    static HandoverMessage decode(String line) throws HandoverFormatException {
+        Map<String, Object> fields;
+        try {
+            fields = JSON.std.mapFrom(line);
+        } catch (IOException e) {
+            throw new HandoverFormatException("not a JSON object: " + e.getMessage(), e);
+        }
+        if (fields.containsKey(STATE_REQUEST)) {
+            return new StateRequest();
+        } else if (fields.get(STATE_REPLY) instanceof Map<?, ?> state) {
+            return new StateReply(new HandoverDocument(state));
+        } else if (fields.get(ENDPOINT_DRAINED) instanceof String endpointId) {
+            return new EndpointDrained(endpointId);
+        } else if (fields.get(ENDPOINT_RESTORED) instanceof String endpointId) {
+            return new EndpointRestored(endpointId);
+        } else if (fields.get(DESCRIPTORS_IN_USE) instanceof Number count) {
+            return new DescriptorsInUse(count.intValue());
+        } else if (fields.containsKey(SERVING_NOTICE)) {
+            return new ServingNotice();
+        }
+        return new Unrecognized();
+    }
+}
--- a/balancer/src/main/java/loadbalancer/handover/HandoverLink.java
+++ b/balancer/src/main/java/loadbalancer/handover/HandoverLink.java
@@ -1,6 +1,5 @@
 package loadbalancer.handover;
 
-import com.fasterxml.jackson.jr.ob.JSON;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -21,198 +20,204 @@
 import java.nio.file.StandardCopyOption;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
 /**
- * Joins a process to the one that it replaces, and later to the one that replaces it, by a Unix socket in a
- * folder that both see. The end of a connection tells that the other process is gone. What lies in the folder
- * from processes long dead does no harm: nobody answers there.
+ * Joins a process to its predecessor, and later to its successor, by a Unix socket in a directory that both see. The
+ * end of a connection says that the other process is gone. Sockets that processes of the past have left in the
+ * directory do no harm: nobody answers there.
+ *
+ * <p>Belongs to the event loop's thread, save {@link #connectToPredecessor()}.
  */
 public final class HandoverLink {
-    private static final String NAME = "handover.sock";
-    private static final int LINE_MOST = 8 << 20;
-    private static final long ANSWER_MS = 1_000; // for the other's state: it may hang
+    private static final String SOCKET_NAME = "handover.sock";
+    private static final int MAX_LINE_BYTES = 8 << 20;
+    private static final long STATE_TIMEOUT_MILLIS = 1_000;
 
-    /** Whom it tells; on the loop's thread. */
-    public interface Owner {
-        /** All that a successor should know. */
-        Map<String, Object> state();
+    /** What the link serves; called on the event loop's thread. */
+    public interface Listener {
+        /** Returns the state that a successor starts from. */
+        HandoverDocument state();
 
-        /** The other process has said something. */
-        void told(Map<String, Object> message);
+        /** Takes a message of the other process; the request for the state and its answer do not come here. */
+        void received(HandoverMessage message);
 
-        /** There is another process from here on, or none any more. */
-        void accompanied(boolean by);
+        /** The first other process has joined, or the last one has left. */
+        void peerPresent(boolean present);
     }
 
     private final EventLoop loop;
-    private final Path folder;
-    private final Owner owner;
+    private final Path directory;
+    private final Listener listener;
     private final Consumer<String> log;
     private final Set<Channel> peers = new LinkedHashSet<>();
-    private Consumer<Map<String, Object>> awaiting;
-    private Channel listener;
-
-    /** {@code folder} may be null: there is no other process then. */
-    public HandoverLink(EventLoop loop, Path folder, Owner owner, Consumer<String> log) {
+    private Consumer<Optional<HandoverDocument>> awaitingState; // null while no answer is awaited
+    private Channel serverChannel;
+
+    /**
+     * Creates a link that is not joined yet.
+     *
+     * @param directory where processes find each other; null where there is no other process
+     */
+    public HandoverLink(EventLoop loop, Path directory, Listener listener, Consumer<String> log) {
         this.loop = loop;
-        this.folder = folder;
-        this.owner = owner;
+        this.directory = directory;
+        this.listener = listener;
         this.log = log;
     }
 
-    /** Looks for a process to replace; returns whether there is one. Not for the loop's thread. */
-    public boolean seek() {
-        if (folder == null || !Files.exists(folder.resolve(NAME))) {
+    /** Connects to a predecessor, and returns whether there is one. Blocks: not for the event loop's thread. */
+    public boolean connectToPredecessor() {
+        if (directory == null || !Files.exists(directory.resolve(SOCKET_NAME))) {
             return false;
         }
         try {
-            new Bootstrap()
+            return new Bootstrap()
                     .group(loop)
                     .channel(NioDomainSocketChannel.class)
-                    .handler(new ChannelInitializer<Channel>() {
-                        @Override
-                        protected void initChannel(Channel channel) {
-                            joined(channel);
-                        }
-                    })
-                    .connect(UnixDomainSocketAddress.of(folder.resolve(NAME)))
-                    .sync();
-            return true;
+                    .handler(peerInitializer())
+                    .connect(UnixDomainSocketAddress.of(directory.resolve(SOCKET_NAME)))
+                    .await()
+                    .isSuccess(); // nobody listens where the socket was left by a process that is gone
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return false;
-        } catch (Exception e) { // sync() rethrows what connect failed with, whatever its type
-            return false; // nobody there: the file was left by a process that is gone
         }
     }
 
-    /** Asks the other process for its state; null where there is none or it doesn't answer in time. */
-    public void ask(Consumer<Map<String, Object>> then) {
+    /** Asks the predecessor for its state; {@code then} gets none where there is none or no answer comes in time. */
+    public void requestState(Consumer<Optional<HandoverDocument>> then) {
         if (peers.isEmpty()) {
-            then.accept(null);
+            then.accept(Optional.empty());
             return;
         }
-        awaiting = then;
-        sendToPeer(Map.of("want", "state"));
-        loop.schedule(
-                () -> {
-                    if (awaiting != null) {
-                        log.accept("the process to replace doesn't answer: going on without what it knows");
-                        answered(null);
-                    }
-                },
-                ANSWER_MS,
-                TimeUnit.MILLISECONDS);
+        awaitingState = then;
+        sendToPeer(new HandoverMessage.StateRequest());
+        loop.schedule(this::stateTimedOut, STATE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+    }
+
+    private void stateTimedOut() {
+        if (awaitingState != null) {
+            log.accept("predecessor did not send its state in time: continuing without it");
+            stateReceived(Optional.empty());
+        }
+    }
+
+    private void stateReceived(Optional<HandoverDocument> state) {
+        Consumer<Optional<HandoverDocument>> then = awaitingState;
+        awaitingState = null;
+        if (then != null) {
+            then.accept(state);
+        }
     }
 
-    /** Lets a successor find this process, in place of the one that it replaces. */
-    public void offer() {
-        if (folder == null || listener != null) {
+    /** Lets a successor find this process, in place of its predecessor. */
+    public void acceptSuccessor() {
+        if (directory == null || serverChannel != null) {
             return;
         }
-        Path own = folder.resolve("handover-" + ProcessHandle.current().pid() + ".sock");
+        Path ownSocket = directory.resolve("handover-" + ProcessHandle.current().pid() + ".sock");
         try {
-            Files.deleteIfExists(own);
-            listener = new ServerBootstrap()
+            Files.deleteIfExists(ownSocket);
+            serverChannel = new ServerBootstrap()
                     .group(loop, loop)
                     .channel(NioServerDomainSocketChannel.class)
-                    .childHandler(new ChannelInitializer<Channel>() {
-                        @Override
-                        protected void initChannel(Channel channel) {
-                            joined(channel);
-                        }
-                    })
-                    .bind(UnixDomainSocketAddress.of(own))
+                    .childHandler(peerInitializer())
+                    .bind(UnixDomainSocketAddress.of(ownSocket))
                     .addListener(bound -> {
                         if (bound.isSuccess()) {
-                            named(own);
+                            publish(ownSocket);
                         } else {
-                            log.accept("no successor can take over from here: "
-                                    + bound.cause().getMessage());
+                            noSuccessor(bound.cause());
                         }
                     })
                     .channel();
         } catch (IOException | IllegalArgumentException e) {
-            log.accept("no successor can take over from here: " + e.getMessage());
+            noSuccessor(e);
         }
     }
 
-    private void named(Path own) {
+    // Bound under a name of its own and then renamed: there is no moment without a socket that answers.
+    private void publish(Path ownSocket) {
         try {
-            Files.move(own, folder.resolve(NAME), StandardCopyOption.ATOMIC_MOVE);
+            Files.move(ownSocket, directory.resolve(SOCKET_NAME), StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
-            log.accept("no successor can take over from here: " + e.getMessage());
+            noSuccessor(e);
         }
     }
 
-    /** Says something to the other process, if there is one. */
-    public void sendToPeer(Map<String, Object> message) {
+    private void noSuccessor(Throwable cause) {
+        log.accept("cannot accept a successor: " + cause.getMessage());
+    }
+
+    /** Sends a message to the other process; without one it is dropped. */
+    public void sendToPeer(HandoverMessage message) {
         try {
-            String line = JSON.std.asString(message) + "\n";
+            String line = HandoverCodec.encode(message) + "\n";
             for (Channel peer : peers) {
                 peer.writeAndFlush(Unpooled.copiedBuffer(line, StandardCharsets.UTF_8));
             }
         } catch (IOException e) {
-            log.accept("can't tell the other process: " + e.getMessage());
+            log.accept("cannot send to the other process: " + e.getMessage());
         }
     }
 
-    /** Takes leave of the other process. */
+    /** Accepts no successor any more and closes the connections to other processes. */
     public void close() {
-        if (listener != null) {
-            listener.close();
+        if (serverChannel != null) {
+            serverChannel.close();
         }
         List.copyOf(peers).forEach(Channel::close);
     }
 
-    private void joined(Channel channel) {
-        channel.pipeline()
-                .addLast(new LineBasedFrameDecoder(LINE_MOST), new StringDecoder(StandardCharsets.UTF_8), new Peer());
-    }
-
-    private void answered(Map<String, Object> state) {
-        Consumer<Map<String, Object>> then = awaiting;
-        awaiting = null;
-        if (then != null) {
-            then.accept(state);
-        }
+    private ChannelInitializer<Channel> peerInitializer() {
+        return new ChannelInitializer<>() {
+            @Override
+            protected void initChannel(Channel channel) {
+                channel.pipeline()
+                        .addLast(
+                                new LineBasedFrameDecoder(MAX_LINE_BYTES),
+                                new StringDecoder(StandardCharsets.UTF_8),
+                                new PeerHandler());
+            }
+        };
     }
 
-    private final class Peer extends SimpleChannelInboundHandler<String> {
+    /** One connection to another process. */
+    private final class PeerHandler extends SimpleChannelInboundHandler<String> {
         @Override
         public void channelActive(ChannelHandlerContext context) {
             peers.add(context.channel());
-            owner.accompanied(true);
+            listener.peerPresent(true);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             peers.remove(context.channel());
             if (peers.isEmpty()) {
-                owner.accompanied(false);
-                answered(null);
+                listener.peerPresent(false);
+                stateReceived(Optional.empty());
             }
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext context, String line) throws IOException {
-            Map<String, Object> message = JSON.std.mapFrom(line);
-            if (message.containsKey("want")) {
-                sendToPeer(Map.of("state", owner.state()));
-            } else if (message.get("state") instanceof Map<?, ?> state) {
-                answered(JSON.std.mapFrom(JSON.std.asString(state)));
+        protected void channelRead0(ChannelHandlerContext context, String line) throws HandoverFormatException {
+            HandoverMessage message = HandoverCodec.decode(line);
+            if (message instanceof HandoverMessage.StateRequest) {
+                sendToPeer(new HandoverMessage.StateReply(listener.state()));
+            } else if (message instanceof HandoverMessage.StateReply reply) {
+                stateReceived(Optional.of(reply.document()));
             } else {
-                owner.told(message);
+                listener.received(message);
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            log.accept("the other process can't be understood: " + cause);
+            log.accept("cannot read a message of the other process: " + cause);
             context.close();
         }
     }
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/process/OperatorCalls.java
@@ -0,0 +1,77 @@
+package loadbalancer.process;
+
+import java.util.function.Supplier;
+import loadbalancer.admin.Operations;
+import loadbalancer.logs.Log;
+
+/** Carries out operators' calls: here, and at the other process of a handover. On the event loop's thread. */
+final class OperatorCalls implements Operations {
+    private final Readiness readiness;
+    private final GracefulShutdown shutdown;
+    private final BalancerPools pools;
+    private final HandoverParticipant handover;
+    private final Supplier<String> note;
+    private final Log log;
+
+    /**
+     * Creates the calls of one process.
+     *
+     * @param note what there is to say of a process that is ready; gives null for nothing
+     */
+    OperatorCalls(
+            Readiness readiness,
+            GracefulShutdown shutdown,
+            BalancerPools pools,
+            HandoverParticipant handover,
+            Supplier<String> note,
+            Log log) {
+        this.readiness = readiness;
+        this.shutdown = shutdown;
+        this.pools = pools;
+        this.handover = handover;
+        this.note = note;
+        this.log = log;
+    }
+
+    @Override
+    public String unreadiness() {
+        if (shutdown.isStopping()) {
+            return "stopping";
+        }
+        return switch (readiness.state()) {
+            case STARTING, WARMING_UP -> "not ready: starting";
+            case AWAITING_ENDPOINTS -> "no list of upstreams yet";
+            case READY -> null;
+        };
+    }
+
+    @Override
+    public String note() {
+        return note.get();
+    }
+
+    @Override
+    public boolean setDown(String id) {
+        boolean known = pools.drain(id);
+        if (known) {
+            handover.announceDrained(id);
+        }
+        logCall("set-down", id, known);
+        return known;
+    }
+
+    @Override
+    public boolean setUp(String id) {
+        boolean known = pools.restore(id);
+        if (known) {
+            handover.announceRestored(id);
+        }
+        logCall("set-up", id, known);
+        return known;
+    }
+
+    private void logCall(String call, String id, boolean known) {
+        String line = call + " " + id + (known ? "" : ": no such upstream");
+        log.event(line, "call", call, "upstream", id, "known", known);
+    }
+}
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/process/ServeCommand.java
@@ -0,0 +1,119 @@
+package loadbalancer.process;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.file.Path;
+import java.util.Map;
+import loadbalancer.handover.InheritedListener;
+import loadbalancer.logs.Log;
+import loadbalancer.logs.Slf4jProvider;
+import loadbalancer.policy.JsqDasPolicy;
+import org.slf4j.LoggerFactory;
+
+/** The command {@code serve}: runs a balancer by the process's environment and its signals. */
+public final class ServeCommand {
+    private static final int EXIT_OK = 0;
+    private static final int EXIT_CANNOT_START = 1;
+    /** For the line that says why the process cannot start to leave. */
+    private static final long ERROR_LINE_TIMEOUT_MILLIS = 2_000;
+    /** For the last lines of an orderly end to leave. */
+    private static final long LAST_LINES_TIMEOUT_MILLIS = 20;
+
+    private final Map<String, String> environment;
+    private final Path operatorFile; // null where there is none
+    private final Log log;
+
+    private ServeCommand(Map<String, String> environment, Log log) {
+        this.environment = environment;
+        this.operatorFile = path(environment.get("ROUTER_OPERATOR_FILE"));
+        this.log = log;
+    }
+
+    private static Path path(String text) {
+        return text == null || text.isBlank() ? null : Path.of(text.strip());
+    }
+
+    /**
+     * Runs a balancer until SIGTERM ends the process; returns only where it cannot start.
+     *
+     * @return the exit code
+     */
+    public static int run(Map<String, String> environment) {
+        ReloadSignal reloadSignal = ReloadSignal.take(); // first of all: until then SIGHUP ends the process
+        Slf4jProvider.install();
+        Log log = Log.to(LoggerFactory.getLogger("load-balancer"));
+        int exitCode = new ServeCommand(environment, log).run(reloadSignal);
+        Slf4jProvider.sink().drain(ERROR_LINE_TIMEOUT_MILLIS);
+        return exitCode;
+    }
+
+    private int run(ReloadSignal reloadSignal) {
+        BalancerProcess process = create();
+        if (process == null || !loadOperatorFile(process) || !listenForOperators(process)) {
+            return EXIT_CANNOT_START;
+        }
+        InetSocketAddress address;
+        try {
+            address = process.start();
+        } catch (IOException | RuntimeException e) { // a failed bind is rethrown as it is, declared or not
+            log.accept("can't listen on " + process.config().listen() + ": " + e.getMessage());
+            return EXIT_CANNOT_START;
+        }
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(process)));
+        takeReloads(process, reloadSignal);
+        // Logged only now: whoever reads the line may send signals at once.
+        log.accept("listening on " + address.getAddress().getHostAddress() + ":" + address.getPort());
+        process.awaitStopped();
+        return EXIT_OK;
+    }
+
+    private BalancerProcess create() {
+        try {
+            BalancerProcess.Platform platform =
+                    new BalancerProcess.Platform(InheritedListener.find(environment), handoverDirectory());
+            return new BalancerProcess(BalancerConfig.read(environment), platform, JsqDasPolicy::new, true, log);
+        } catch (BalancerConfig.Bad | IOException e) {
+            log.accept(e.getMessage());
+            return null;
+        }
+    }
+
+    private Path handoverDirectory() {
+        String directory = environment.get("TMPDIR");
+        return directory == null || directory.isBlank() ? null : Path.of(directory);
+    }
+
+    private boolean loadOperatorFile(BalancerProcess process) {
+        return operatorFile == null || process.operate(operatorFile, true);
+    }
+
+    private boolean listenForOperators(BalancerProcess process) {
+        if (process.config().admin() == null) {
+            return true;
+        }
+        try {
+            process.listenForOperators();
+            return true;
+        } catch (IOException | RuntimeException e) { // as above
+            log.accept("can't listen for operators on " + process.config().admin() + ": " + e.getMessage());
+            return false;
+        }
+    }
+
+    private void takeReloads(BalancerProcess process, ReloadSignal reloadSignal) {
+        if (reloadSignal.lack() != null) {
+            log.warn(reloadSignal.lack(), "sighup", "ignored");
+        }
+        reloadSignal.onEach(() -> {
+            process.reload(() -> BalancerConfig.again(environment));
+            loadOperatorFile(process);
+        });
+    }
+
+    private static void stop(BalancerProcess process) {
+        process.stop();
+        Slf4jProvider.sink().drain(LAST_LINES_TIMEOUT_MILLIS);
+        // Without this the exit code would be that of the signal, not that of an orderly end.
+        Runtime.getRuntime().halt(EXIT_OK);
+    }
+}
--- a/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
@@ -18,12 +18,14 @@
 import loadbalancer.dispatch.InboundRequest;
 import loadbalancer.dispatch.RequestDispatcher;
 import loadbalancer.dispatch.RequestHandler;
+import loadbalancer.handover.HandoverDocument;
+import loadbalancer.handover.HandoverFormatException;
+import loadbalancer.handover.HandoverState;
 import loadbalancer.http.RequestValidator;
 import loadbalancer.logs.Log;
 import loadbalancer.operator.OperatorConfig;
 import loadbalancer.operator.PoolSpec;
 import loadbalancer.policy.RequestClass;
-import loadbalancer.process.HandoverState;
 import loadbalancer.router.RequestRouter;
 import loadbalancer.routes.PathTemplate;
 import loadbalancer.routes.Route;
@@ -326,20 +328,24 @@
     }
 
     /** What a process that goes on in this one's place has to know of the pools beside the site's, by name. */
-    public Map<String, Object> state() {
-        Map<String, Object> all = new LinkedHashMap<>();
+    public Map<String, HandoverState> state() {
+        Map<String, HandoverState> all = new LinkedHashMap<>();
         pools.values().forEach(p -> all.put(p.name(), p.state()));
         return all;
     }
 
-    /** Goes on from that; pools that this process doesn't have are passed over. */
-    public void inherit(Map<?, ?> state) {
-        state.forEach((name, of) -> {
-            UpstreamPool pool = pools.get(String.valueOf(name));
-            if (pool != null && of instanceof Map<?, ?> told) {
-                pool.inherit(HandoverState.of(told, pool.boot()));
+    /**
+     * Goes on from that; pools that this process doesn't have are passed over.
+     *
+     * @throws HandoverFormatException where the state of a pool cannot be read; those before it are restored
+     */
+    public void restore(HandoverDocument document) throws HandoverFormatException {
+        for (String name : document.poolNames()) {
+            UpstreamPool pool = pools.get(name);
+            if (pool != null) {
+                document.pool(name, pool.boot()).ifPresent(pool::restore);
             }
-        });
+        }
         look();
     }
 
--- a/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
+++ b/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
@@ -4,7 +4,6 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.function.BiFunction;
 import java.util.function.BooleanSupplier;
 import loadbalancer.discovery.DiscoveryClient;
@@ -14,6 +13,7 @@
 import loadbalancer.discovery.PartialListRetry;
 import loadbalancer.dispatch.RequestDispatcher;
 import loadbalancer.drain.OperatorDrains;
+import loadbalancer.handover.HandoverState;
 import loadbalancer.logs.Log;
 import loadbalancer.operator.PoolSpec;
 import loadbalancer.policy.DiscoveryMode;
@@ -23,7 +23,6 @@
 import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.PolicySettings;
 import loadbalancer.policy.SiteLimits;
-import loadbalancer.process.HandoverState;
 import loadbalancer.settings.SettingsReader;
 import loadbalancer.upstream.ConnectionBudget;
 import loadbalancer.upstream.UpstreamConnectionPool;
@@ -180,26 +179,17 @@
     }
 
     /** What a process that goes on in this one's place has to know. */
-    public Map<String, Object> state() {
-        OperatorDrains out = membership.takenOut();
-        return Map.of(
-                "out",
-                List.copyOf(out.out()),
-                "back",
-                out.back(),
-                "list",
-                membership.told().toJson(boot),
-                "classes",
-                boot.classes(),
-                "learnt",
-                dispatcher.learnedState());
+    public HandoverState state() {
+        OperatorDrains drains = membership.takenOut();
+        return new HandoverState(drains.out(), drains.back(), membership.told(), dispatcher.learnedState(), boot);
     }
 
     /** Goes on from what another process of this balancer knows of the pool of that name. */
-    public void inherit(HandoverState of) {
+    public void restore(HandoverState state) {
         // A list in the file is this process's own: the other may have had another file.
-        membership.inherit(of.out(), of.back(), discovery == null ? new EndpointList(-1, true, List.of()) : of.list());
-        dispatcher.restore(of.learnedState());
+        EndpointList list = discovery == null ? new EndpointList(-1, true, List.of()) : state.endpoints();
+        membership.inherit(state.drained(), state.restoredAtMicros(), list);
+        dispatcher.restore(state.learnedState());
     }
 
     public SettingsReader.Boot boot() {
--- a/balancer/src/test/java/loadbalancer/MainTest.java
+++ b/balancer/src/test/java/loadbalancer/MainTest.java
@@ -143,12 +143,11 @@
             Files.writeString(config, Files.readString(config).replace("127.0.0.1:9\"", "127.0.0.1:7\""));
             hangup(process);
             assertEquals(
-                    "load-balancer: configuration taken over: discovery at 127.0.0.1:7",
-                    nextWith("configuration", err));
+                    "load-balancer: configuration reloaded: discovery at 127.0.0.1:7", nextWith("configuration", err));
             Files.writeString(config, "{");
             hangup(process);
             String line = nextWith("configuration", err);
-            assertTrue(line.startsWith("load-balancer: configuration not taken over: can't read"), line);
+            assertTrue(line.startsWith("load-balancer: configuration rejected: can't read"), line);
             process.destroy();
             assertEquals(0, process.waitFor());
         }
@@ -173,8 +172,7 @@
             process.onExit().thenRun(() -> drainTo(file));
             Files.writeString(file, text.replace("127.0.0.1:9\"", "127.0.0.1:7\""));
             assertEquals(
-                    "load-balancer: configuration taken over: discovery at 127.0.0.1:7",
-                    nextWith("configuration", err));
+                    "load-balancer: configuration reloaded: discovery at 127.0.0.1:7", nextWith("configuration", err));
             process.destroy();
             assertEquals(0, process.waitFor());
         }
@@ -227,8 +225,7 @@
             Files.writeString(config, Files.readString(config).replace("127.0.0.1:9\"", "127.0.0.1:7\""));
             hangup(process);
             assertEquals(
-                    "load-balancer: configuration taken over: discovery at 127.0.0.1:7",
-                    nextWith("configuration", err));
+                    "load-balancer: configuration reloaded: discovery at 127.0.0.1:7", nextWith("configuration", err));
             process.destroy();
             assertEquals(0, process.waitFor());
         }
--- a/balancer/src/test/java/loadbalancer/process/DiscoveryTest.java
+++ b/balancer/src/test/java/loadbalancer/process/DiscoveryTest.java
@@ -245,8 +245,8 @@
             assertTrue(second.isEmpty());
         }
         synchronized (log) {
-            assertEquals("configuration not taken over: no good", log.get(0));
-            assertTrue(log.get(1).startsWith("configuration taken over: discovery at 127."), log.toString());
+            assertEquals("configuration rejected: no good", log.get(0));
+            assertTrue(log.get(1).startsWith("configuration reloaded: discovery at 127."), log.toString());
         }
     }
 
--- a/balancer/src/test/java/loadbalancer/process/OperatorsTest.java
+++ b/balancer/src/test/java/loadbalancer/process/OperatorsTest.java
@@ -79,7 +79,7 @@
         EndpointList again = EndpointList.of(
                 JSON.std.anyFrom(list(42, true, "in_service")),
                 config(1024, settings(), 0).boot());
-        onLoop(() -> node.listed(EndpointListKind.SNAPSHOT, again));
+        onLoop(() -> node.endpointsListed(EndpointListKind.SNAPSHOT, again));
         assertEquals("SNAPSHOT [s1=DRAINING]", module.next());
         long before = System.currentTimeMillis() * 1000;
         call("set-up s1\n");
@@ -87,7 +87,7 @@
         // The node's clock is monotonic and set once, by a clock of whole milliseconds: a second to spare.
         assertTrue(module.startedAt.get("s1") >= before - 1_000_000);
         long back = module.startedAt.get("s1");
-        onLoop(() -> node.listed(EndpointListKind.SNAPSHOT, again));
+        onLoop(() -> node.endpointsListed(EndpointListKind.SNAPSHOT, again));
         assertEquals("SNAPSHOT [s1=UP]", module.next());
         assertEquals(back, module.startedAt.get("s1")); // the same start: it is not cold a second time
         call("set-up s1\n");
@@ -101,7 +101,7 @@
         EndpointList gone = EndpointList.of(
                 JSON.std.anyFrom("{\"rev\":42,\"all\":true,\"targets\":[]}"),
                 config(1024, settings(), 0).boot());
-        onLoop(() -> node.listed(EndpointListKind.SNAPSHOT, gone));
+        onLoop(() -> node.endpointsListed(EndpointListKind.SNAPSHOT, gone));
         assertTrue(call("set-down s1\n").startsWith("ACK "));
         assertTrue(call("set-up s1\n").startsWith("ACK "));
         assertTrue(call("set-up s1\n").startsWith("NAK ")); // nobody has it any more
--- a/balancer/src/test/java/loadbalancer/process/ReloadTest.java
+++ b/balancer/src/test/java/loadbalancer/process/ReloadTest.java
@@ -104,7 +104,7 @@
             int lines = log.size();
             reload(broken);
             assertEquals(lines + 1, log.size());
-            assertTrue(log.get(lines).startsWith("configuration not taken over: "), log.get(lines));
+            assertTrue(log.get(lines).startsWith("configuration rejected: "), log.get(lines));
         }
         assertTrue(module.told.stream().noneMatch(t -> t.startsWith("reconfigured")));
         try (Client client = new Client(at)) {
--- a/balancer/src/test/java/loadbalancer/process/ShortOfDescriptorsTest.java
+++ b/balancer/src/test/java/loadbalancer/process/ShortOfDescriptorsTest.java
@@ -135,7 +135,7 @@
             assertTrue(held > 41 && held <= 128, held + " descriptors");
             Files.writeString(config, Files.readString(config).replace("\"seed\"", "\"noted\": 1, \"seed\""));
             run("kill", "-HUP", String.valueOf(process.pid()));
-            nextWith("configuration taken over");
+            nextWith("configuration reloaded");
             served();
         } finally {
             for (BalancerFixture.Client one : crowd) {
