--- a/simulator/src/main/java/loadbalancer/simulator/variants/FrontedPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
@@ -18,13 +18,13 @@
 import loadbalancer.router.RequestRouter;
 import loadbalancer.router.RequestRouter.End;
 import loadbalancer.routes.Route;
-import loadbalancer.simulator.sim.Draws;
+import loadbalancer.simulator.engine.RandomStream;
 
 /**
  * A front before several pools, each with a module of its own, played as one module: what the balancer does on
  * sockets. The kind of an upstream tells its pool. One module, the first pool's, speaks with discovery; all hear.
  */
-final class FrontedPolicy implements LoadBalancingPolicy {
+final class RoutedPolicy implements LoadBalancingPolicy {
     /** What the world's numbers stand for. */
     record Names(List<String> classes, List<String> tenants, List<String> kindPools, List<Double> worths) {}
 
@@ -41,10 +41,10 @@
 
     private static final String[] ROOT = {""};
 
-    private final FrontSpec.Use use;
+    private final RoutingSpec.Use use;
     private final PolicySettings settings;
     private final Names names;
-    private final Draws draws;
+    private final RandomStream random;
     private final long begin;
     private final Map<String, LoadBalancingPolicy> modules = new LinkedHashMap<>();
     private final Map<String, Map<String, EndpointState>> states = new HashMap<>();
@@ -57,19 +57,19 @@
     private Actions out;
     private long time;
 
-    FrontedPolicy(
-            FrontSpec.Use use,
+    RoutedPolicy(
+            RoutingSpec.Use use,
             PolicySettings settings,
             Names names,
-            Draws draws,
+            RandomStream random,
             long begin,
             Function<String, LoadBalancingPolicy> module) {
         this.use = use;
         this.settings = settings;
         this.names = names;
-        this.draws = draws;
+        this.random = random;
         this.begin = begin;
-        for (FrontSpec.Pool p : use.spec().pools()) {
+        for (RoutingSpec.Pool p : use.spec().pools()) {
             modules.put(p.name(), module.apply(p.name()));
             states.put(p.name(), new HashMap<>());
         }
@@ -100,10 +100,10 @@
         }
 
         @Override
-        public void refuse(String request, long retryAfter) {
+        public void reject(String request, long retryAfter) {
             Open o = open.get(request);
             over(request, o != null && o.attempts > 0 ? End.FAILED : End.UNSENT);
-            out.refuse(request, retryAfter);
+            out.reject(request, retryAfter);
         }
 
         @Override
@@ -263,9 +263,9 @@
                         key,
                         rank,
                         clientRetry,
-                        draws.uniform()));
+                        random.uniform()));
         if (v.ticket() == null) {
-            to.refuse(id, v.retryAfter());
+            to.reject(id, v.retryAfter());
             return;
         }
         open.put(id, new Open(v.ticket()));
@@ -371,7 +371,7 @@
     }
 
     @Override
-    public void share(double part) {
-        modules.values().forEach(m -> m.share(part));
+    public void setSlowStartFraction(double part) {
+        modules.values().forEach(m -> m.setSlowStartFraction(part));
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/variants/Variants.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/Variants.java
@@ -3,13 +3,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import loadbalancer.policy.JsqDasPolicy;
+import loadbalancer.simulator.engine.RandomStream;
+import loadbalancer.simulator.engine.RandomStreams;
 import loadbalancer.simulator.policies.Chooser;
 import loadbalancer.simulator.policies.Choosers;
 import loadbalancer.simulator.policies.ServerView;
-import loadbalancer.simulator.sim.Draws;
-import loadbalancer.simulator.sim.Streams;
-import loadbalancer.simulator.world.PolicyMaker;
-import loadbalancer.simulator.world.Truth;
+import loadbalancer.simulator.world.GroundTruth;
+import loadbalancer.simulator.world.PolicyFactory;
 import loadbalancer.simulator.world.World;
 import loadbalancer.simulator.world.WorldPlan;
 
@@ -28,7 +28,7 @@
      * @param front what stands before the pools, and how this variant uses it; null: nothing, and all is one pool
      * @param calm it is played without the troubles: what they cost is the difference to it
      */
-    public record Variant(String name, String policy, Choosers.Figures figures, FrontSpec.Use front, boolean calm) {
+    public record Variant(String name, String policy, Choosers.Figures figures, RoutingSpec.Use front, boolean calm) {
         /** A variant without a front, under all troubles. */
         public Variant(String name, String policy, Choosers.Figures figures) {
             this(name, policy, figures, null, false);
@@ -37,7 +37,7 @@
 
     private Variants() {}
 
-    /** All names that {@link #maker} takes. */
+    /** All names that {@link #policyFactory} takes. */
     public static List<String> names() {
         List<String> names = new ArrayList<>(List.of(OWN, SEER, LEAST_IN_FLIGHT));
         names.addAll(Choosers.NAMES);
@@ -49,7 +49,7 @@
      *
      * @throws IllegalArgumentException for a policy that there isn't
      */
-    public static PolicyMaker maker(Variant v) {
+    public static PolicyFactory policyFactory(Variant v) {
         if (v.policy.equals(OWN)) {
             return (settings, seed, truth) -> new JsqDasPolicy(settings, seed);
         }
@@ -57,24 +57,24 @@
             throw new IllegalArgumentException("no policy '" + v.policy + "'");
         }
         return (settings, seed, truth) -> {
-            Draws draws = new Streams(seed).of("policy", 0, "choice");
+            RandomStream random = new RandomStreams(seed).of("policy", 0, "choice");
             Seer seer = new Seer(truth, settings.zone());
             Chooser chooser = v.policy.equals(SEER)
                     ? seer
                     : Choosers.named(v.policy.equals(LEAST_IN_FLIGHT) ? "jsq" : v.policy, v.figures);
-            TextbookPolicy policy = new TextbookPolicy(settings, chooser, draws, truth);
+            TextbookPolicy policy = new TextbookPolicy(settings, chooser, random, truth);
             seer.sees(policy);
             return policy;
         };
     }
 
     /** The same for worlds of that plan, with the variant's front where it has one. */
-    public static PolicyMaker maker(Variant v, WorldPlan plan) {
-        PolicyMaker inner = maker(v);
+    public static PolicyFactory policyFactory(Variant v, WorldPlan plan) {
+        PolicyFactory inner = policyFactory(v);
         if (v.front == null) {
             return inner;
         }
-        FrontedPolicy.Names names = new FrontedPolicy.Names(
+        RoutedPolicy.Names names = new RoutedPolicy.Names(
                 plan.classes().stream().map(WorldPlan.RequestKind::name).toList(),
                 plan.tenants().stream().map(WorldPlan.Tenant::name).toList(),
                 plan.kinds().stream().map(WorldPlan.Kind::pool).toList(),
@@ -82,24 +82,24 @@
                         .map(WorldPlan.RequestKind::priorityWeight)
                         .toList());
         return (settings, seed, truth) -> {
-            Streams streams = new Streams(seed);
-            return new FrontedPolicy(
+            RandomStreams streams = new RandomStreams(seed);
+            return new RoutedPolicy(
                     v.front,
                     settings,
                     names,
                     streams.of("front", 0, "advice"),
-                    World.began(),
-                    pool -> inner.make(settings, streams.seed("pool " + pool, 0), truth));
+                    World.dayStart(),
+                    pool -> inner.create(settings, streams.seed("pool " + pool, 0), truth));
         };
     }
 
     /** Sends to where the answer would come first, given the true state. */
     private static final class Seer implements Chooser {
-        private final Truth truth;
+        private final GroundTruth truth;
         private final int zone;
         private TextbookPolicy policy;
 
-        Seer(Truth truth, int zone) {
+        Seer(GroundTruth truth, int zone) {
             this.truth = truth;
             this.zone = zone;
         }
@@ -109,13 +109,13 @@
         }
 
         @Override
-        public int choose(ServerView view, Draws draws) {
+        public int choose(ServerView view, RandomStream random) {
             int best = -1;
             double least = 0;
-            int from = draws.below(view.size());
+            int from = random.below(view.size());
             for (int i = 0; i < view.size(); i++) {
                 int at = (from + i) % view.size();
-                double time = truth.answerTime(policy.idAt(at), zone);
+                double time = truth.responseTimeMicros(policy.idAt(at), zone);
                 if (best < 0 || time < least) {
                     best = at;
                     least = time;
--- /dev/null
+++ b/simulator/src/main/java/loadbalancer/simulator/world/NoOpObserver.java
@@ -0,0 +1,50 @@
+package loadbalancer.simulator.world;
+
+import java.util.List;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointListKind;
+
+/** Hears of everything and keeps nothing: for worlds that are judged by somebody else. */
+class NoOpObserver implements Observer {
+    @Override
+    public void requestAccepted(BalancerRequest request, long now) {}
+
+    @Override
+    public void attemptStarting(Attempt attempt, long now) {}
+
+    @Override
+    public void attemptEnded(Attempt attempt, AttemptOutcome outcome, long now) {}
+
+    @Override
+    public void requestAnswered(BalancerRequest request, Clients.End end, long retryAfter, long now) {}
+
+    @Override
+    public void answeredTwice(BalancerRequest request, Clients.End end, long now) {}
+
+    @Override
+    public void deadlineMissed(BalancerRequest request, long now) {}
+
+    @Override
+    public void endpointsNotified(Balancer balancer, EndpointListKind kind, List<Endpoint> servers, long now) {}
+
+    @Override
+    public boolean knowsStart(Balancer balancer, Upstream upstream) {
+        return true;
+    }
+
+    @Override
+    public void upstreamOverloaded(Upstream upstream, double notifiedFraction, long now) {}
+
+    @Override
+    public void coldLoad(Upstream upstream, double fraction, long now) {}
+
+    @Override
+    public void invalidAction(Balancer balancer, String description, BalancerRequest request, long now) {}
+
+    @Override
+    public void requestIssued(ClientRequest request, long now) {}
+
+    @Override
+    public void requestFinished(ClientRequest request, boolean served, long now) {}
+}
--- a/simulator/src/test/java/loadbalancer/simulator/judge/JudgeTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/rules/RuleCheckerTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.simulator.judge;
+package loadbalancer.simulator.rules;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -17,7 +17,7 @@
 import loadbalancer.policy.Idempotency;
 import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.LoadReport;
-import loadbalancer.simulator.judge.Broken.Rule;
+import loadbalancer.simulator.rules.RuleViolation.Rule;
 import loadbalancer.simulator.world.WorldPlan;
 import loadbalancer.simulator.world.Worlds;
 import org.junit.jupiter.api.Test;
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** For each rule a policy that breaks just that rule, and the judge names it. */
-class JudgeTest {
+class RuleCheckerTest {
     /** Sends each request to the next upstream, once; keeps every rule but the planted one. */
     private static final class Planted implements LoadBalancingPolicy {
         private final Rule rule;
@@ -78,7 +78,7 @@
             if (rule == Rule.LOST && next % 50 == 0) {
                 open.remove(id);
             } else if (server == null) {
-                out.refuse(id, 0);
+                out.reject(id, 0);
             } else if (rule == Rule.MALFORMED && next % 50 == 0) {
                 out.send(id, "no such upstream", 0);
                 out.send(id, server, 0);
@@ -113,7 +113,7 @@
             }
             open.remove(id);
             if (outcome.neverRan()) {
-                out.refuse(id, 0);
+                out.reject(id, 0);
             } else {
                 out.fail(id);
             }
@@ -144,8 +144,8 @@
                 0.3,
                 8,
                 twoMayRun ? Idempotency.IDEMPOTENT : Idempotency.NON_IDEMPOTENT,
-                Worlds.trouble("fast_errors", 1, 10, 0.25, 0.5, 0),
-                Worlds.trouble("deploy", 2, 3, 0.25, 0.25, 4));
+                Worlds.fault("fast_errors", 1, 10, 0.25, 0.5, 0),
+                Worlds.fault("deploy", 2, 3, 0.25, 0.25, 4));
         return Day.play(plan, 6, (settings, seed, truth) -> new Planted(rule));
     }
 
@@ -153,21 +153,22 @@
     @EnumSource(Rule.class)
     void thePlantedRuleAndNoOtherIsNamed(Rule rule) {
         Day day = play(rule);
-        Set<Rule> named = day.broken().stream().map(Broken::rule).collect(Collectors.toSet());
-        assertEquals(Set.of(rule), named, () -> day.broken().get(0).toString());
+        Set<Rule> named = day.violations().stream().map(RuleViolation::rule).collect(Collectors.toSet());
+        assertEquals(Set.of(rule), named, () -> day.violations().get(0).toString());
         assertTrue(day.figures().get("rules.broken") >= 1);
     }
 
     @Test
     void thePolicyThatPlantsNothingBreaksNothing() {
-        assertEquals(List.of(), play(null).broken());
+        assertEquals(List.of(), play(null).violations());
     }
 
     @Test
     void aBrokenRuleShowsTheRequestTheTimeAndTheChainThatLedThere() {
-        Broken b = play(Rule.DUPLICATE).broken().get(0);
+        RuleViolation b = play(Rule.DUPLICATE).violations().get(0);
         assertTrue(b.at() > 1_000_000 && b.subject().startsWith("r"), b.toString());
-        assertTrue(b.chain().get(0).contains("sent to ") && b.chain().get(1).contains("attempt 0 ERROR"), b.toString());
-        assertFalse(b.what().isEmpty());
+        assertTrue(
+                b.events().get(0).contains("sent to ") && b.events().get(1).contains("attempt 0 ERROR"), b.toString());
+        assertFalse(b.description().isEmpty());
     }
 }
--- a/simulator/src/test/java/loadbalancer/simulator/hunt/HuntTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/search/RandomSearchTest.java
@@ -1,4 +1,4 @@
-package loadbalancer.simulator.hunt;
+package loadbalancer.simulator.search;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,13 +10,13 @@
 import loadbalancer.policy.Idempotency;
 import loadbalancer.simulator.experiment.Experiment;
 import loadbalancer.simulator.experiment.ExperimentReader;
-import loadbalancer.simulator.judge.Day;
+import loadbalancer.simulator.rules.Day;
 import loadbalancer.simulator.variants.Variants;
 import loadbalancer.simulator.world.Worlds;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class HuntTest {
+class RandomSearchTest {
     @TempDir
     private Path folder;
 
@@ -36,26 +36,27 @@
     void aFindIsShrunkAndWrittenAsAnExperimentThatStillShowsIt() throws IOException {
         Experiment site = ExperimentReader.read(Path.of("../experiments/booking-day.toml"))
                 .under(List.of(Worlds.variant("least-in-flight")));
-        Hunt hunt = new Hunt(site, 3, 4);
-        List<Hunt.Find> finds = hunt.search(60, (done, all) -> {});
+        RandomSearch hunt = new RandomSearch(site, 3, 4);
+        List<RandomSearch.Find> finds = hunt.search(60, (done, all) -> {});
         assertTrue(finds.size() > 0, "something is found in 60 rough worlds");
-        Hunt.Find small = hunt.shrink(finds.get(0));
-        assertTrue(
-                small.plan().troubles().size() <= finds.get(0).plan().troubles().size());
+        RandomSearch.Find small = hunt.shrink(finds.get(0));
+        assertTrue(small.plan().faults().size() <= finds.get(0).plan().faults().size());
         assertEquals(finds.get(0).what(), small.what());
         Path file = Files.writeString(folder.resolve("find.toml"), ExperimentWriter.write(small));
         Experiment read = ExperimentReader.read(file);
         assertEquals(small.plan(), read.plan(), "what is written reads as the same world");
         Day day = Day.play(
-                read.plan(), read.firstSeed(), Variants.maker(read.variants().get(0)));
-        Day direct = Day.play(small.plan(), small.seed(), Variants.maker(small.variant()));
+                read.plan(),
+                read.firstSeed(),
+                Variants.policyFactory(read.variants().get(0)));
+        Day direct = Day.play(small.plan(), small.seed(), Variants.policyFactory(small.variant()));
         assertEquals(direct.figures(), day.figures());
     }
 
     @Test
     void theSameSeedHuntsTheSameWorlds() {
-        List<Hunt.Find> once = new Hunt(experiment("random"), 5, 1).search(6, (done, all) -> {});
-        List<Hunt.Find> again = new Hunt(experiment("random"), 5, 3).search(6, (done, all) -> {});
+        List<RandomSearch.Find> once = new RandomSearch(experiment("random"), 5, 1).search(6, (done, all) -> {});
+        List<RandomSearch.Find> again = new RandomSearch(experiment("random"), 5, 3).search(6, (done, all) -> {});
         assertEquals(once, again);
     }
 }
