--- a/balancer/src/main/java/loadbalancer/process/BalancerPools.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerPools.java
@@ -36,19 +36,19 @@
 
     /** Drains an endpoint administratively, drained or not; false where no pool knows the id. */
     boolean drain(String endpointId) {
-        return membership.setDown(endpointId) || gateway != null && gateway.setDown(endpointId);
+        return membership.setDown(endpointId) || gateway != null && gateway.drainEndpoint(endpointId);
     }
 
     /** Restores an endpoint, drained or not; false where no pool knows the id. */
     boolean restore(String endpointId) {
-        return membership.setUp(endpointId) || gateway != null && gateway.setUp(endpointId);
+        return membership.setUp(endpointId) || gateway != null && gateway.restoreEndpoint(endpointId);
     }
 
-    /** Sets the fraction of the balancer's budget for cold endpoints that this process may use, 0 to 1. */
-    void setColdBudgetFraction(double fraction) {
+    /** Sets the fraction of the balancer's slow-start budget that this process may use, 0 to 1. */
+    void setSlowStartShare(double fraction) {
         dispatcher.share(fraction);
         if (gateway != null) {
-            gateway.share(fraction);
+            gateway.setSlowStartShare(fraction);
         }
     }
 
@@ -64,7 +64,7 @@
         OperatorDrains drains = membership.takenOut();
         HandoverState site =
                 new HandoverState(drains.out(), drains.back(), membership.told(), dispatcher.learnedState(), settings);
-        return gateway == null ? HandoverDocument.of(site) : HandoverDocument.of(site, gateway.state());
+        return gateway == null ? HandoverDocument.of(site) : HandoverDocument.of(site, gateway.handoverState());
     }
 
     /**
--- a/balancer/src/main/java/loadbalancer/process/HandoverParticipant.java
+++ b/balancer/src/main/java/loadbalancer/process/HandoverParticipant.java
@@ -17,7 +17,7 @@
 
 /**
  * A process's part in a handover: as a successor it restores the predecessor's state, as a predecessor it gives its
- * own, and while there are two they share the descriptors and the budget for cold endpoints, and what operators drain
+ * own, and while there are two they share the descriptors and the slow-start budget, and what operators drain
  * or restore at one holds for both.
  *
  * <p>Belongs to the event loop's thread, save {@link #connectToPredecessor()}.
@@ -26,7 +26,7 @@
     private static final long DESCRIPTOR_REPORT_INTERVAL_MILLIS = 100;
     /** Descriptors of a process besides its connections, for its files and listeners. */
     private static final int OTHER_DESCRIPTORS = 24;
-    /** Of the budget for cold endpoints, for each of two processes that serve. */
+    /** Of the slow-start budget, for each of two processes that serve. */
     private static final double SHARED_FRACTION = 0.5;
 
     private final EventLoop loop;
@@ -72,7 +72,7 @@
         link.requestState(document -> {
             boolean hasEndpoints = document.isPresent() && restore(document.get());
             if (document.isPresent()) {
-                pools.setColdBudgetFraction(SHARED_FRACTION);
+                pools.setSlowStartShare(SHARED_FRACTION);
             }
             then.accept(hasEndpoints);
         });
@@ -126,7 +126,7 @@
         } else if (message instanceof HandoverMessage.DescriptorsInUse inUse) {
             descriptors.leave(inUse.count() + OTHER_DESCRIPTORS);
         } else if (message instanceof HandoverMessage.ServingNotice) {
-            pools.setColdBudgetFraction(SHARED_FRACTION);
+            pools.setSlowStartShare(SHARED_FRACTION);
         }
     }
 
@@ -144,7 +144,7 @@
         }
         if (!present) {
             descriptors.leave(0);
-            pools.setColdBudgetFraction(1);
+            pools.setSlowStartShare(1);
         }
     }
 }
--- a/balancer/src/main/java/loadbalancer/process/Reconfiguration.java
+++ b/balancer/src/main/java/loadbalancer/process/Reconfiguration.java
@@ -13,8 +13,9 @@
 import loadbalancer.operator.OperatorConfig;
 import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.PolicySettings;
+import loadbalancer.routing.PoolEnvironment;
 import loadbalancer.routing.RoutingGateway;
-import loadbalancer.routing.UpstreamPool;
+import loadbalancer.routing.SitePool;
 import loadbalancer.settings.SettingsReader;
 import loadbalancer.upstream.UpstreamConnectionPool;
 
@@ -132,7 +133,7 @@
             parts.pools.attach(gateway);
             parts.clients.to(gateway);
         }
-        parts.pools.gateway().operate(next);
+        parts.pools.gateway().configure(next);
         int pools = next.pools().size();
         int routes = next.front().routes().size();
         log.event(
@@ -146,7 +147,7 @@
     }
 
     private RoutingGateway createGateway() {
-        UpstreamPool.Ground ground = new UpstreamPool.Ground(
+        PoolEnvironment environment = new PoolEnvironment(
                 parts.loop,
                 parts.policies,
                 config.seed(),
@@ -155,8 +156,8 @@
                 parts.clients::shed,
                 log);
         return new RoutingGateway(
-                new RoutingGateway.Site(parts.dispatcher, parts.membership),
-                ground,
+                new SitePool(parts.dispatcher, parts.membership),
+                environment,
                 config.boot(),
                 parts.descriptors.forUpstreams(),
                 ClientListener.ROOM);
