--- a/balancer/src/main/java/loadbalancer/cli/Commands.java
+++ b/balancer/src/main/java/loadbalancer/cli/Commands.java
@@ -13,9 +13,12 @@
 import loadbalancer.operator.OperatorReader;
 import loadbalancer.process.OperatorFileLoader;
 import loadbalancer.router.RequestRouter;
+import loadbalancer.router.RouteConfig;
 import loadbalancer.router.RoutingConfig;
 import loadbalancer.routes.PathTemplate;
 import loadbalancer.routes.Route;
+import loadbalancer.routes.RouteExplanation;
+import loadbalancer.routes.RouteRequest;
 import loadbalancer.toml.Faults;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -162,40 +165,40 @@
             String plain = words[1].split("[?#]", 2)[0];
             String about = key != null ? key : plain.substring(plain.lastIndexOf('/') + 1);
             RequestRouter front = new RequestRouter(o.front());
-            Route.Explanation why = front.table().explain(new Route.Request(words[0], path, named, tenant, kind));
-            int code = why.taken() == null ? unmatched(o.front()) : taken(o.front(), front, why.taken(), about);
-            String limit = front.limitOf(tenant, why.taken());
+            RouteExplanation why = front.table().explain(new RouteRequest(words[0], path, named, tenant, kind));
+            int code = why.match() == null ? unmatched(o.front()) : taken(o.front(), front, why.match(), about);
+            String limit = front.describeQuota(tenant, why.match());
             out().println("quota    " + (limit == null ? "none" : limit));
             why.others().forEach(other -> out().println("not      " + other));
             return code;
         }
 
         private int unmatched(RoutingConfig plan) {
-            if (plan.unmatched() == null) {
+            if (plan.unmatchedPool() == null) {
                 out().println("refused  404: no route takes it");
                 return 1;
             }
             out().println("route    none takes it");
-            out().println("pool     " + plan.unmatched() + ", as all that no route takes");
+            out().println("pool     " + plan.unmatchedPool() + ", as all that no route takes");
             return 0;
         }
 
         private int taken(RoutingConfig plan, RequestRouter front, Route route, String about) {
-            RoutingConfig.RoutePlan r = plan.routes().stream()
-                    .filter(p -> p.match() == route)
+            RouteConfig r = plan.routes().stream()
+                    .filter(p -> p.route() == route)
                     .findFirst()
                     .orElseThrow();
-            int way = front.way(route, about);
+            int way = front.destinationOf(route, about);
             out().println("route    " + route.name() + ": " + ConfigVocabulary.of(route));
             out().println("pool     "
                     + (way < 0
                             ? "none: all weights are 0"
-                            : r.ways().get(way).pool()
-                                    + (r.ways().size() > 1
+                            : r.destinations().get(way).pool()
+                                    + (r.destinations().size() > 1
                                             ? ", by the split " + ConfigVocabulary.ways(r) + " for key '" + about + "'"
                                             : "")));
             if (way >= 0) {
-                String pool = r.ways().get(way).pool();
+                String pool = r.destinations().get(way).pool();
                 String spills = ConfigVocabulary.spills(r);
                 if (!spills.isEmpty()) {
                     out().println("spills   to " + spills + ", as the health of " + pool + " falls");
@@ -204,7 +207,7 @@
                                 "limit    of pool " + pool + ": " + ConfigVocabulary.of(p.limit())));
             }
             out().println("rate     of the route: " + ConfigVocabulary.of(r.rate()));
-            out().println("retries  " + ConfigVocabulary.of(r.retries()));
+            out().println("retries  " + ConfigVocabulary.of(r.retryBudget()));
             return way < 0 ? 1 : 0;
         }
     }
@@ -247,8 +250,8 @@
             String form = "%-" + NAME_WIDTH + "s %-" + MATCH_WIDTH + "s %s%n";
             out().printf(form, "route", "takes", "to");
             for (Route r : new RequestRouter(o.front()).table().routes()) {
-                RoutingConfig.RoutePlan plan = o.front().routes().stream()
-                        .filter(p -> p.match() == r)
+                RouteConfig plan = o.front().routes().stream()
+                        .filter(p -> p.route() == r)
                         .findFirst()
                         .orElseThrow();
                 String spills = ConfigVocabulary.spills(plan);
@@ -262,9 +265,9 @@
                             form,
                             "(others)",
                             "",
-                            o.front().unmatched() == null
+                            o.front().unmatchedPool() == null
                                     ? "refused"
-                                    : o.front().unmatched());
+                                    : o.front().unmatchedPool());
             return 0;
         }
     }
--- a/balancer/src/main/java/loadbalancer/operator/ConfigVocabulary.java
+++ b/balancer/src/main/java/loadbalancer/operator/ConfigVocabulary.java
@@ -8,11 +8,16 @@
 import java.util.Objects;
 import java.util.TreeSet;
 import java.util.stream.Collectors;
-import loadbalancer.limits.ConcurrencyLimit;
-import loadbalancer.limits.TokenTree.Rate;
+import loadbalancer.limits.ConcurrencyLimitConfig;
+import loadbalancer.limits.LimitAlgorithm;
+import loadbalancer.limits.RateLimit;
+import loadbalancer.router.Destination;
+import loadbalancer.router.PoolConfig;
+import loadbalancer.router.QuotaConfig;
+import loadbalancer.router.RetryBudgetConfig;
+import loadbalancer.router.RouteConfig;
 import loadbalancer.router.RoutingConfig;
-import loadbalancer.router.RoutingConfig.RoutePlan;
-import loadbalancer.router.RoutingConfig.Way;
+import loadbalancer.router.TenantQuotaConfig;
 import loadbalancer.routes.Route;
 import loadbalancer.toml.Units;
 
@@ -44,7 +49,7 @@
     }
 
     /** Where a route's requests go, with each pool's part. */
-    public static String ways(RoutePlan r) {
+    public static String ways(RouteConfig r) {
         return parts(r).entrySet().stream()
                 .map(e -> parts(r).size() == 1 && e.getValue() > 0
                         ? e.getKey()
@@ -53,18 +58,18 @@
     }
 
     /** Where traffic spills over to; empty where nowhere. */
-    public static String spills(RoutePlan r) {
-        return r.ways().stream()
-                .flatMap(w -> w.spills().stream())
+    public static String spills(RouteConfig r) {
+        return r.destinations().stream()
+                .flatMap(w -> w.spillTargets().stream())
                 .distinct()
-                .map(s -> s.pool() + " up to " + percent(s.most()))
+                .map(s -> s.pool() + " up to " + percent(s.maxShare()))
                 .collect(Collectors.joining(", "));
     }
 
-    private static Map<String, Double> parts(RoutePlan r) {
-        double sum = r.ways().stream().mapToDouble(Way::weight).sum();
+    private static Map<String, Double> parts(RouteConfig r) {
+        double sum = r.destinations().stream().mapToDouble(Destination::weight).sum();
         Map<String, Double> parts = new LinkedHashMap<>();
-        r.ways().forEach(w -> parts.put(w.pool(), sum <= 0 ? 0 : w.weight() / sum));
+        r.destinations().forEach(w -> parts.put(w.pool(), sum <= 0 ? 0 : w.weight() / sum));
         return parts;
     }
 
@@ -74,7 +79,7 @@
     }
 
     /** A rate with its burst and ceiling. */
-    public static String of(Rate r) {
+    public static String of(RateLimit r) {
         return r == null
                 ? "none"
                 : Units.RATE.write(r.perSecond()) + ", " + Math.round(r.burst()) + " at once"
@@ -82,21 +87,21 @@
     }
 
     /** A concurrency limit. */
-    public static String of(ConcurrencyLimit.Plan l) {
+    public static String of(ConcurrencyLimitConfig l) {
         return l == null
                 ? "none"
-                : l.kind() == ConcurrencyLimit.Kind.FIXED
-                        ? l.start() + " at once"
-                        : l.kind().name().toLowerCase(Locale.ROOT) + " from " + l.start() + ", " + l.least() + " to "
-                                + l.most();
+                : l.algorithm() == LimitAlgorithm.FIXED
+                        ? l.initial() + " at once"
+                        : l.algorithm().name().toLowerCase(Locale.ROOT) + " from " + l.initial() + ", " + l.min()
+                                + " to " + l.max();
     }
 
     /** A retry budget. */
-    public static String of(RoutingConfig.Retries r) {
+    public static String of(RetryBudgetConfig r) {
         return r == null
                 ? "none"
-                : percent(r.share()) + " of first tries and " + Units.RATE.write(r.leastPerSecond())
-                        + (r.countClients() ? ", clients' own among them" : "");
+                : percent(r.ratio()) + " of first tries and " + Units.RATE.write(r.minPerSecond())
+                        + (r.countClientRetries() ? ", clients' own among them" : "");
     }
 
     private static String source(PoolSpec p) {
@@ -120,12 +125,12 @@
         changed(
                 out,
                 NO_ROUTE,
-                before.front().unmatched() == null
+                before.front().unmatchedPool() == null
                         ? "refused"
-                        : "go to " + before.front().unmatched(),
-                next.front().unmatched() == null
+                        : "go to " + before.front().unmatchedPool(),
+                next.front().unmatchedPool() == null
                         ? "refused"
-                        : "go to " + next.front().unmatched());
+                        : "go to " + next.front().unmatchedPool());
         quotas(before.front().quotas(), next.front().quotas(), out);
         changed(
                 out,
@@ -135,8 +140,8 @@
         changed(
                 out,
                 "part of limits kept for what is worth most",
-                percent(before.front().reserve()),
-                percent(next.front().reserve()));
+                percent(before.front().reservedFraction()),
+                percent(next.front().reservedFraction()));
         changed(out, "advice to refused clients", advice(before.front()), advice(next.front()));
         changed(
                 out,
@@ -147,8 +152,8 @@
     }
 
     private static String advice(RoutingConfig f) {
-        return Units.TIME.write(f.retryAfter().least()) + " to "
-                + Units.TIME.write(f.retryAfter().most());
+        return Units.TIME.write(f.retryAfter().minMicros()) + " to "
+                + Units.TIME.write(f.retryAfter().maxMicros());
     }
 
     private static void changed(List<String> out, String what, String before, String next) {
@@ -158,10 +163,10 @@
     }
 
     private static void pools(OperatorConfig before, OperatorConfig next, List<String> out) {
-        Map<String, RoutingConfig.PoolPlan> was = new LinkedHashMap<>();
+        Map<String, PoolConfig> was = new LinkedHashMap<>();
         before.front().pools().forEach(p -> was.put(p.name(), p));
-        for (RoutingConfig.PoolPlan p : next.front().pools()) {
-            RoutingConfig.PoolPlan old = was.remove(p.name());
+        for (PoolConfig p : next.front().pools()) {
+            PoolConfig old = was.remove(p.name());
             PoolSpec spec = next.pool(p.name());
             String name = "pool " + p.name();
             if (old == null) {
@@ -184,7 +189,7 @@
         was.keySet().forEach(gone -> out.add("pool " + gone + ": dropped; it drains first"));
     }
 
-    private static String strength(RoutingConfig.PoolPlan p) {
+    private static String strength(PoolConfig p) {
         return p.fullStrength() == 0 ? "learnt" : String.valueOf(p.fullStrength());
     }
 
@@ -193,34 +198,34 @@
     }
 
     private static void routes(RoutingConfig before, RoutingConfig next, List<String> out) {
-        Map<String, RoutePlan> was = new LinkedHashMap<>();
-        before.routes().forEach(r -> was.put(r.match().name(), r));
-        for (RoutePlan r : next.routes()) {
-            String name = "route " + r.match().name();
-            RoutePlan old = was.remove(r.match().name());
+        Map<String, RouteConfig> was = new LinkedHashMap<>();
+        before.routes().forEach(r -> was.put(r.route().name(), r));
+        for (RouteConfig r : next.routes()) {
+            String name = "route " + r.route().name();
+            RouteConfig old = was.remove(r.route().name());
             if (old == null) {
-                out.add(name + ": new, " + of(r.match()) + " to " + ways(r));
+                out.add(name + ": new, " + of(r.route()) + " to " + ways(r));
                 continue;
             }
-            changed(out, name + " takes", of(old.match()), of(r.match()));
+            changed(out, name + " takes", of(old.route()), of(r.route()));
             if (!parts(old).equals(parts(r))) {
                 out.add(name + ": " + ways(old) + " -> " + ways(r) + "; " + percent(moving(old, r))
                         + " of its keys move");
             }
             changed(out, name + " spills to", empty(spills(old)), empty(spills(r)));
-            changed(out, name + ": retries", of(old.retries()), of(r.retries()));
+            changed(out, name + ": retries", of(old.retryBudget()), of(r.retryBudget()));
             changed(out, name + ": rate", of(old.rate()), of(r.rate()));
             changed(
                     out,
                     name + ": deadline",
-                    old.deadline() == 0 ? "the client's" : Units.TIME.write(old.deadline()),
-                    r.deadline() == 0 ? "the client's" : Units.TIME.write(r.deadline()));
-            changed(out, name + ": spare", percent(old.spare()), percent(r.spare()));
+                    old.deadlineMicros() == 0 ? "the client's" : Units.TIME.write(old.deadlineMicros()),
+                    r.deadlineMicros() == 0 ? "the client's" : Units.TIME.write(r.deadlineMicros()));
+            changed(out, name + ": spare", percent(old.spareFactor()), percent(r.spareFactor()));
             changed(out, name + ": return", percent(old.returnPerSecond()) + "/s", percent(r.returnPerSecond()) + "/s");
         }
         was.values()
                 .forEach(r -> out.add(
-                        "route " + r.match().name() + ": dropped, " + of(r.match()) + " goes to the next that fits"));
+                        "route " + r.route().name() + ": dropped, " + of(r.route()) + " goes to the next that fits"));
     }
 
     private static String empty(String text) {
@@ -228,7 +233,7 @@
     }
 
     // With rendezvous hashing just what the pools that shrink lose moves.
-    private static double moving(RoutePlan old, RoutePlan r) {
+    private static double moving(RouteConfig old, RouteConfig r) {
         Map<String, Double> was = parts(old);
         Map<String, Double> is = parts(r);
         double lost = 0;
@@ -238,14 +243,14 @@
         return lost;
     }
 
-    private static void quotas(RoutingConfig.Quotas before, RoutingConfig.Quotas next, List<String> out) {
+    private static void quotas(QuotaConfig before, QuotaConfig next, List<String> out) {
         changed(out, "quota of the site", of(before.site()), of(next.site()));
         changed(out, "quota of all others", of(before.others()), of(next.others()));
         TreeSet<String> tenants = new TreeSet<>(before.tenants().keySet());
         tenants.addAll(next.tenants().keySet());
         for (String t : tenants) {
-            RoutingConfig.TenantQuota a = before.tenants().get(t);
-            RoutingConfig.TenantQuota b = next.tenants().get(t);
+            TenantQuotaConfig a = before.tenants().get(t);
+            TenantQuotaConfig b = next.tenants().get(t);
             String others = "as all others";
             changed(out, "quota of tenant " + t, a == null ? others : of(a.rate()), b == null ? others : of(b.rate()));
             TreeSet<String> routes =
--- a/balancer/src/main/java/loadbalancer/operator/OperatorReader.java
+++ b/balancer/src/main/java/loadbalancer/operator/OperatorReader.java
@@ -11,9 +11,18 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.regex.Pattern;
-import loadbalancer.limits.ConcurrencyLimit;
-import loadbalancer.limits.TokenTree.Rate;
+import loadbalancer.limits.ConcurrencyLimitConfig;
+import loadbalancer.limits.LimitAlgorithm;
+import loadbalancer.limits.RateLimit;
+import loadbalancer.router.Destination;
+import loadbalancer.router.PoolConfig;
+import loadbalancer.router.QuotaConfig;
+import loadbalancer.router.RetryAfterBounds;
+import loadbalancer.router.RetryBudgetConfig;
+import loadbalancer.router.RouteConfig;
 import loadbalancer.router.RoutingConfig;
+import loadbalancer.router.SpillTarget;
+import loadbalancer.router.TenantQuotaConfig;
 import loadbalancer.routes.PathTemplate;
 import loadbalancer.routes.Route;
 import loadbalancer.settings.SocketAddresses;
@@ -62,18 +71,18 @@
     private OperatorConfig read(Source source) {
         Section root = new Section(source, source.tree(), "");
         List<PoolSpec> specs = new ArrayList<>();
-        List<RoutingConfig.PoolPlan> pools = new ArrayList<>();
+        List<PoolConfig> pools = new ArrayList<>();
         for (Section s : root.tables("pool")) {
             pool(s, specs, pools);
         }
         if (!poolPlaces.containsKey(PoolSpec.SITE)) {
             poolPlaces.put(PoolSpec.SITE, "");
             specs.add(new PoolSpec(PoolSpec.SITE, null, List.of(), 0, 0, PoolSpec.Overrides.NONE));
-            pools.add(new RoutingConfig.PoolPlan(PoolSpec.SITE, null, 0));
+            pools.add(new PoolConfig(PoolSpec.SITE, null, 0));
         }
-        List<RoutingConfig.RoutePlan> routes = new ArrayList<>();
+        List<RouteConfig> routes = new ArrayList<>();
         for (Section s : root.tables("route")) {
-            RoutingConfig.RoutePlan r = route(s, routes);
+            RouteConfig r = route(s, routes);
             if (r != null) {
                 routes.add(r);
             }
@@ -91,9 +100,9 @@
         if (reserve >= 1) {
             front.fault("reserve", "'reserve' is " + reserve + ": all of a limit kept leaves none to the cheapest");
         }
-        RoutingConfig.Advice advice = advice(front);
+        RetryAfterBounds advice = advice(front);
         front.done();
-        RoutingConfig.Quotas quotas = quotas(root);
+        QuotaConfig quotas = quotas(root);
         OperatorConfig.LogPlan log = log(root);
         root.done();
         source.check();
@@ -107,7 +116,7 @@
 
     // ---- pools
 
-    private void pool(Section s, List<PoolSpec> specs, List<RoutingConfig.PoolPlan> plans) {
+    private void pool(Section s, List<PoolSpec> specs, List<PoolConfig> plans) {
         String name = name(s, "pool", poolPlaces);
         boolean own = name.equals(PoolSpec.SITE);
         InetSocketAddress discovery = s.has("discovery") ? address(s, "discovery", s.text("discovery", null)) : null;
@@ -132,7 +141,7 @@
         int full = s.has("full_strength") ? (int) s.number("full_strength", Measure.COUNT) : 0;
         int connections = s.has("connections") ? (int) s.number("connections", Measure.COUNT) : 0;
         Double memory = s.figure("memory", Units.SIZE);
-        ConcurrencyLimit.Plan limit = s.has("limit") ? limit(s.table("limit")) : null;
+        ConcurrencyLimitConfig limit = s.has("limit") ? limit(s.table("limit")) : null;
         PoolSpec.Overrides settings = PoolSpec.Overrides.NONE;
         if (s.has("settings")) {
             Section o = s.table("settings");
@@ -149,7 +158,7 @@
         s.done();
         specs.add(new PoolSpec(
                 name, discovery, upstreams, connections, memory == null ? 0 : memory.longValue(), settings));
-        plans.add(new RoutingConfig.PoolPlan(name, limit, full));
+        plans.add(new PoolConfig(name, limit, full));
     }
 
     private static Double positive(Section s, String key) {
@@ -165,15 +174,15 @@
         return figure == null ? null : Long.valueOf(Math.round(figure));
     }
 
-    private static ConcurrencyLimit.Plan limit(Section s) {
-        ConcurrencyLimit.Kind kind = s.word("kind", ConcurrencyLimit.Kind.class, null);
+    private static ConcurrencyLimitConfig limit(Section s) {
+        LimitAlgorithm kind = s.word("kind", LimitAlgorithm.class, null);
         if (!kind.name().equalsIgnoreCase(s.text("kind", ""))) {
             return null; // at fault: what else is wanted goes by the kind
         }
-        ConcurrencyLimit.Plan plan = null;
-        if (kind == ConcurrencyLimit.Kind.FIXED) {
+        ConcurrencyLimitConfig plan = null;
+        if (kind == LimitAlgorithm.FIXED) {
             int most = (int) s.number("most", Measure.NUMBER);
-            plan = ConcurrencyLimit.Plan.fixed(Math.max(0, most));
+            plan = ConcurrencyLimitConfig.fixed(Math.max(0, most));
         } else {
             int least = (int) s.number("least", Measure.COUNT, 1);
             int most = (int) s.number("most", Measure.COUNT, 10_000);
@@ -183,7 +192,7 @@
             } else if (start < least || start > most) {
                 s.fault("start", "'start' is " + start + ", not between 'least' and 'most', " + least + " and " + most);
             } else {
-                plan = new ConcurrencyLimit.Plan(kind, start, least, most);
+                plan = new ConcurrencyLimitConfig(kind, start, least, most);
             }
         }
         s.done();
@@ -201,7 +210,7 @@
 
     // ---- routes
 
-    private RoutingConfig.RoutePlan route(Section s, List<RoutingConfig.RoutePlan> before) {
+    private RouteConfig route(Section s, List<RouteConfig> before) {
         String name = name(s, "route", routePlaces);
         String path = s.text("path", null);
         PathTemplate template = null;
@@ -221,8 +230,8 @@
         Map<String, String> headers = headers(s);
         Set<String> tenants = names(s, "tenants", "tenant", site.tenants());
         Set<String> classes = names(s, "classes", "class", site.classes());
-        List<RoutingConfig.Spill> spills = spills(s);
-        List<RoutingConfig.Way> ways = ways(s, name, spills);
+        List<SpillTarget> spills = spills(s);
+        List<Destination> ways = ways(s, name, spills);
         double spare = s.number("spare", Measure.NUMBER, SPARE);
         if (spare < 1) {
             s.fault("spare", "'spare' is " + spare + ": 1 or more is wanted");
@@ -231,16 +240,16 @@
         if (back <= 0) {
             s.fault("return_per_s", "'return_per_s' is 0: traffic would never come back");
         }
-        RoutingConfig.Retries retries = s.has("retries") ? retries(s.table("retries")) : null;
-        Rate rate = s.has("rate") ? rate(s.table("rate")) : null;
+        RetryBudgetConfig retries = s.has("retries") ? retries(s.table("retries")) : null;
+        RateLimit rate = s.has("rate") ? rate(s.table("rate")) : null;
         Double deadline = positive(s, "deadline");
         s.done();
         if (template == null || ways.isEmpty() || spare < 1 || back <= 0) {
             return null;
         }
         Route match = new Route(name, template, methods, headers, tenants, classes, before.size());
-        for (RoutingConfig.RoutePlan other : before) {
-            Route o = other.match();
+        for (RouteConfig other : before) {
+            Route o = other.route();
             if (!o.name().equals(name)
                     && o.path().equals(template)
                     && o.methods().equals(match.methods())
@@ -253,8 +262,7 @@
                                 + routePlaces.get(o.name()) + ") asks for the same");
             }
         }
-        return new RoutingConfig.RoutePlan(
-                match, ways, spare, back, retries, rate, deadline == null ? 0 : Math.round(deadline));
+        return new RouteConfig(match, ways, spare, back, retries, rate, deadline == null ? 0 : Math.round(deadline));
     }
 
     private static Map<String, String> headers(Section s) {
@@ -275,8 +283,8 @@
         return headers;
     }
 
-    private List<RoutingConfig.Spill> spills(Section s) {
-        List<RoutingConfig.Spill> spills = new ArrayList<>();
+    private List<SpillTarget> spills(Section s) {
+        List<SpillTarget> spills = new ArrayList<>();
         for (Object item : s.items("spill")) {
             String pool;
             double most = 1;
@@ -296,16 +304,16 @@
             if (spills.stream().anyMatch(p -> p.pool().equals(named))) {
                 s.fault("spill", "pool '" + pool + "' is named twice");
             }
-            spills.add(new RoutingConfig.Spill(pool, most));
+            spills.add(new SpillTarget(pool, most));
         }
         return spills;
     }
 
-    private List<RoutingConfig.Way> ways(Section s, String name, List<RoutingConfig.Spill> spills) {
+    private List<Destination> ways(Section s, String name, List<SpillTarget> spills) {
         if (!s.has("to")) {
             s.fault("to", "route '" + name + "' has no 'to': a pool, or several with weights");
         }
-        List<RoutingConfig.Way> ways = new ArrayList<>();
+        List<Destination> ways = new ArrayList<>();
         double sum = 0;
         List<Object> items = s.items("to");
         int listed = items.size();
@@ -328,7 +336,7 @@
                 s.fault("spill", "traffic can't spill from pool '" + pool + "' into itself");
             }
             sum += weight;
-            ways.add(new RoutingConfig.Way(
+            ways.add(new Destination(
                     pool,
                     weight,
                     spills.stream().filter(p -> !p.pool().equals(named)).toList()));
@@ -341,20 +349,18 @@
         return ways;
     }
 
-    private static RoutingConfig.Retries retries(Section s) {
+    private static RetryBudgetConfig retries(Section s) {
         double share = s.number("share", Measure.SHARE, 0.2);
         Double least = s.has("least") ? s.figure("least", Units.RATE) : Double.valueOf(1);
         Double window = s.has("window") ? positive(s, "window") : Double.valueOf(WINDOW);
         boolean count = s.flag("count_clients", false);
         s.done();
-        return least == null || window == null
-                ? null
-                : new RoutingConfig.Retries(share, least, Math.round(window), count);
+        return least == null || window == null ? null : new RetryBudgetConfig(share, least, Math.round(window), count);
     }
 
     // ---- rates
 
-    private static Rate rate(Section s) {
+    private static RateLimit rate(Section s) {
         Double rate = s.figure("rate", Units.RATE);
         if (rate == null && !s.has("rate")) {
             s.fault("rate", "a limit without 'rate': such as \"200/s\"");
@@ -372,16 +378,16 @@
         }
         s.done();
         return rate == null || ceiling == null || ceiling < rate || burst < 1
-                ? new Rate(1, 1, 1)
-                : new Rate(rate, burst, ceiling);
+                ? new RateLimit(1, 1, 1)
+                : new RateLimit(rate, burst, ceiling);
     }
 
-    private RoutingConfig.Quotas quotas(Section root) {
+    private QuotaConfig quotas(Section root) {
         if (!root.has("quota")) {
-            return RoutingConfig.Quotas.none();
+            return QuotaConfig.none();
         }
         Section q = root.table("quota");
-        Map<String, RoutingConfig.TenantQuota> tenants = new LinkedHashMap<>();
+        Map<String, TenantQuotaConfig> tenants = new LinkedHashMap<>();
         Section all = q.table("tenant");
         double sum = 0;
         for (String tenant : all.keys()) {
@@ -392,29 +398,29 @@
             if (site.tenants() != null) {
                 known(t, "", "tenant", tenant, site.tenants());
             }
-            Map<String, Rate> routes = new LinkedHashMap<>();
+            Map<String, RateLimit> routes = new LinkedHashMap<>();
             Section r = t.table("route");
             for (String route : r.keys()) {
                 known(r, route, "route", route, routePlaces.keySet());
                 routes.put(route, rate(r.table(route)));
             }
-            Rate own = rate(t);
+            RateLimit own = rate(t);
             sum += own.perSecond();
-            tenants.put(tenant, new RoutingConfig.TenantQuota(own, routes));
+            tenants.put(tenant, new TenantQuotaConfig(own, routes));
         }
-        Rate others = q.has("others") ? rate(q.table("others")) : null;
+        RateLimit others = q.has("others") ? rate(q.table("others")) : null;
         sum += others == null ? 0 : others.perSecond();
-        Rate whole = rate(q);
+        RateLimit whole = rate(q);
         if (sum > whole.perSecond() * (1 + 1e-9)) {
             notes.add(q.place("") + ": note: the tenants' rates add up to " + Units.RATE.write(sum)
                     + ", over the site's " + Units.RATE.write(whole.perSecond()) + ": all of them at once get more");
         }
-        return new RoutingConfig.Quotas(whole, tenants, others);
+        return new QuotaConfig(whole, tenants, others);
     }
 
     // ---- the rest
 
-    private RoutingConfig.Advice advice(Section front) {
+    private RetryAfterBounds advice(Section front) {
         Double least = front.has("retry_after_least")
                 ? front.figure("retry_after_least", Units.TIME)
                 : Double.valueOf(ADVICE_LEAST);
@@ -422,21 +428,21 @@
         Double most =
                 front.has("retry_after_most") ? front.figure("retry_after_most", Units.TIME) : Double.valueOf(usual);
         if (least == null || most == null) {
-            return new RoutingConfig.Advice(0, 0);
+            return new RetryAfterBounds(0, 0);
         }
         if (least > most) {
             front.fault(
                     front.has("retry_after_least") ? "retry_after_least" : "retry_after_most",
                     "'retry_after_least' is over 'retry_after_most', " + Units.TIME.write(least) + " and "
                             + Units.TIME.write(most));
-            return new RoutingConfig.Advice(0, 0);
+            return new RetryAfterBounds(0, 0);
         }
         if (site.retryAfterMost() > 0 && most > site.retryAfterMost()) {
             front.fault(
                     "retry_after_most",
                     "'retry_after_most' is over what the settings allow, " + Units.TIME.write(site.retryAfterMost()));
         }
-        return new RoutingConfig.Advice(Math.round(least), Math.round(most));
+        return new RetryAfterBounds(Math.round(least), Math.round(most));
     }
 
     private static OperatorConfig.LogPlan log(Section root) {
--- a/balancer/src/main/java/loadbalancer/routing/RejectionCounter.java
+++ b/balancer/src/main/java/loadbalancer/routing/RejectionCounter.java
@@ -4,14 +4,14 @@
 import java.util.Locale;
 import java.util.Map;
 import loadbalancer.logs.Log;
-import loadbalancer.router.RequestRouter;
+import loadbalancer.router.RejectionReason;
 
 /**
  * Counts the requests that the router rejects, by reason, and logs the count at each power of two, so that a flood of
  * rejected requests does not fill the log. Event loop only.
  */
 final class RejectionCounter {
-    private final Map<RequestRouter.Reason, Long> counts = new EnumMap<>(RequestRouter.Reason.class);
+    private final Map<RejectionReason, Long> counts = new EnumMap<>(RejectionReason.class);
     private final Log log;
 
     RejectionCounter(Log log) {
@@ -19,7 +19,7 @@
     }
 
     /** Counts one rejected request. */
-    void increment(RequestRouter.Reason reason) {
+    void increment(RejectionReason reason) {
         long count = counts.merge(reason, 1L, Long::sum);
         if (Long.bitCount(count) == 1) {
             String name = reason.name().toLowerCase(Locale.ROOT);
--- a/balancer/src/main/java/loadbalancer/routing/RoutedReply.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutedReply.java
@@ -1,7 +1,8 @@
 package loadbalancer.routing;
 
 import loadbalancer.dispatch.RequestDispatcher;
-import loadbalancer.router.RequestRouter;
+import loadbalancer.router.LeaseEnd;
+import loadbalancer.router.RouteLease;
 import loadbalancer.upstream.ResponseReader;
 
 /**
@@ -12,14 +13,14 @@
     /** Who is notified of what happens to a routed request. */
     interface Listener {
         /** Whether the router's retry budget allows a further attempt; counts it where so. */
-        boolean allowsRetry(RequestRouter.RouteLease lease);
+        boolean allowsRetry(RouteLease lease);
 
         /** The request has ended; called once. */
-        void ended(RequestRouter.RouteLease lease, RequestRouter.End end);
+        void ended(RouteLease lease, LeaseEnd end);
     }
 
     private final RequestDispatcher.Reply client;
-    private final RequestRouter.RouteLease lease;
+    private final RouteLease lease;
     private final PoolMemoryBudget memory;
     private final long reservedBytes;
     private final Listener listener;
@@ -33,7 +34,7 @@
      */
     RoutedReply(
             RequestDispatcher.Reply client,
-            RequestRouter.RouteLease lease,
+            RouteLease lease,
             PoolMemoryBudget memory,
             long reservedBytes,
             Listener listener) {
@@ -46,10 +47,10 @@
 
     /** The client has left before its answer. */
     void clientGone() {
-        end(RequestRouter.End.GONE);
+        end(LeaseEnd.CLIENT_GONE);
     }
 
-    private void end(RequestRouter.End end) {
+    private void end(LeaseEnd end) {
         if (!ended) {
             ended = true;
             memory.release(reservedBytes);
@@ -65,19 +66,19 @@
 
     @Override
     public void serve(ResponseReader.Answer answer) {
-        end(RequestRouter.End.SERVED);
+        end(LeaseEnd.SERVED);
         client.serve(answer);
     }
 
     @Override
     public void refuse(long retryAfterMicros) {
-        end(sent ? RequestRouter.End.FAILED : RequestRouter.End.UNSENT);
+        end(sent ? LeaseEnd.FAILED : LeaseEnd.NOT_SENT);
         client.refuse(retryAfterMicros);
     }
 
     @Override
     public void fail() {
-        end(RequestRouter.End.FAILED);
+        end(LeaseEnd.FAILED);
         client.fail();
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
@@ -19,9 +19,14 @@
 import loadbalancer.operator.OperatorConfig;
 import loadbalancer.operator.PoolSpec;
 import loadbalancer.process.HandoverState;
+import loadbalancer.router.LeaseEnd;
+import loadbalancer.router.RejectionReason;
 import loadbalancer.router.RequestRouter;
+import loadbalancer.router.RouteLease;
+import loadbalancer.router.RoutingDecision;
+import loadbalancer.router.RoutingRequest;
 import loadbalancer.routes.PathTemplate;
-import loadbalancer.routes.Route;
+import loadbalancer.routes.RouteRequest;
 import loadbalancer.settings.SettingsReader;
 
 /**
@@ -122,10 +127,10 @@
     /** Passes on to the router how many endpoints of each pool may be sent to. */
     public void updatePoolSizes() {
         long now = site.dispatcher().now();
-        router.listed(now, PoolSpec.SITE, site.membership().up());
+        router.setEndpointsUp(now, PoolSpec.SITE, site.membership().up());
         pools.pools()
-                .forEach(pool ->
-                        router.listed(now, pool.name(), pool.membership().up()));
+                .forEach(pool -> router.setEndpointsUp(
+                        now, pool.name(), pool.membership().up()));
     }
 
     @Override
@@ -135,36 +140,36 @@
 
     @Override
     public Runnable take(InboundRequest request, RequestDispatcher.Reply reply) {
-        RequestRouter.RoutingDecision decision = router.arrive(site.dispatcher().now(), arrival(request));
-        if (decision.ticket() == null) {
+        RoutingDecision decision = router.route(site.dispatcher().now(), routingRequest(request));
+        if (decision.lease() == null) {
             reject(decision, reply);
             return NOTHING_TO_CANCEL;
         }
-        return dispatch(request, decision.ticket(), reply);
+        return dispatch(request, decision.lease(), reply);
     }
 
-    private void reject(RequestRouter.RoutingDecision decision, RequestDispatcher.Reply reply) {
+    private void reject(RoutingDecision decision, RequestDispatcher.Reply reply) {
         rejections.increment(decision.reason());
-        switch (decision.answer()) {
+        switch (decision.outcome()) {
             case NOT_FOUND -> reply.reject(HttpResponseStatus.NOT_FOUND, "no route");
             case BAD_PATH -> reply.reject(HttpResponseStatus.BAD_REQUEST, "a path that can't be routed");
-            default -> reply.refuse(decision.retryAfter());
+            default -> reply.refuse(decision.retryAfterMicros());
         }
     }
 
-    private Runnable dispatch(InboundRequest request, RequestRouter.RouteLease lease, RequestDispatcher.Reply reply) {
+    private Runnable dispatch(InboundRequest request, RouteLease lease, RequestDispatcher.Reply reply) {
         UpstreamPool pool = pools.get(lease.pool());
         PoolMemoryBudget memory = pool == null ? siteMemory : pool.memory();
         long bodyBytes = request.body().length;
         if (!memory.tryReserve(bodyBytes)) {
-            rejections.increment(RequestRouter.Reason.POOL_LIMIT);
-            router.ended(site.dispatcher().now(), lease, RequestRouter.End.UNSENT);
-            reply.refuse(operator.front().retryAfter().least());
+            rejections.increment(RejectionReason.POOL_LIMIT);
+            router.ended(site.dispatcher().now(), lease, LeaseEnd.NOT_SENT);
+            reply.refuse(operator.front().retryAfter().minMicros());
             return NOTHING_TO_CANCEL;
         }
         RoutedReply routedReply = new RoutedReply(reply, lease, memory, bodyBytes, replies);
         RequestDispatcher dispatcher = pool == null ? site.dispatcher() : pool.dispatcher();
-        Runnable cancel = dispatcher.take(withinDeadline(request, lease.deadline()), routedReply);
+        Runnable cancel = dispatcher.take(withinDeadline(request, lease.deadlineMicros()), routedReply);
         return () -> {
             routedReply.clientGone();
             cancel.run();
@@ -175,15 +180,15 @@
         return deadlineMicros > 0 && deadlineMicros < request.timeLeft() ? request.within(deadlineMicros) : request;
     }
 
-    private RequestRouter.Arrival arrival(InboundRequest request) {
-        Route.Request routed = new Route.Request(
+    private RoutingRequest routingRequest(InboundRequest request) {
+        RouteRequest attributes = new RouteRequest(
                 request.method().name(),
                 PathTemplate.split(request.uri()),
                 routedHeaders(request),
                 request.headers().get(RequestValidator.TENANT),
                 boot.classes().get(request.requestClass()));
-        return new RequestRouter.Arrival(
-                routed, request.key(), ranks[request.requestClass()], request.clientRetry(), random.nextDouble());
+        return new RoutingRequest(
+                attributes, request.key(), ranks[request.requestClass()], request.clientRetry(), random.nextDouble());
     }
 
     private Map<String, String> routedHeaders(InboundRequest request) {
@@ -203,12 +208,12 @@
     /** Tells the router in use, which may have been replaced since, what becomes of its requests. */
     private final class RouterFeedback implements RoutedReply.Listener {
         @Override
-        public boolean allowsRetry(RequestRouter.RouteLease lease) {
-            return router.mayTryAgain(site.dispatcher().now(), lease);
+        public boolean allowsRetry(RouteLease lease) {
+            return router.allowsRetry(site.dispatcher().now(), lease);
         }
 
         @Override
-        public void ended(RequestRouter.RouteLease lease, RequestRouter.End end) {
+        public void ended(RouteLease lease, LeaseEnd end) {
             router.ended(site.dispatcher().now(), lease, end);
         }
     }
--- a/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
+++ b/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
@@ -17,7 +17,7 @@
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
 import loadbalancer.process.HandoverState;
-import loadbalancer.routes.Split;
+import loadbalancer.routes.TrafficSplit;
 import loadbalancer.settings.SettingsReader;
 import loadbalancer.upstream.UpstreamConnectionPool;
 
@@ -48,7 +48,7 @@
         memory = new PoolMemoryBudget(limits.maxBodyBytes());
         boot = PoolSettings.derive(site, spec);
         Log log = line -> environment.log().accept("pool " + spec.name() + ": " + line);
-        long seed = environment.seed() ^ Split.hash(spec.name());
+        long seed = environment.seed() ^ TrafficSplit.hash(spec.name());
         dispatcher = new RequestDispatcher(
                 environment.loop(), boot, environment.policyFactory().apply(boot.settings(), seed), log);
         upstreams = new UpstreamConnectionPool(environment.loop(), boot, connections, dispatcher::now);
--- a/balancer/src/test/java/loadbalancer/operator/OperatorReaderTest.java
+++ b/balancer/src/test/java/loadbalancer/operator/OperatorReaderTest.java
@@ -127,11 +127,19 @@
         assertEquals(512 * 1024, o.pool("agents").memory());
         assertEquals(8, o.front().pools().get(1).fullStrength());
         assertEquals(3, o.front().instances(), "as the platform says");
-        assertEquals(1_500_000, o.front().retryAfter().most(), "and the settings' bound");
+        assertEquals(1_500_000, o.front().retryAfter().maxMicros(), "and the settings' bound");
         assertEquals(1, o.front().quotas().others().perSecond(), 1e-9);
-        assertEquals(800_000, o.front().routes().get(0).deadline());
+        assertEquals(800_000, o.front().routes().get(0).deadlineMicros());
         assertEquals(
-                0.5, o.front().routes().get(0).ways().get(1).spills().get(0).most());
+                0.5,
+                o.front()
+                        .routes()
+                        .get(0)
+                        .destinations()
+                        .get(1)
+                        .spillTargets()
+                        .get(0)
+                        .maxShare());
         assertTrue(o.log().json());
         assertEquals(List.of(), o.notes());
         OperatorConfig loose = OperatorReader.read(
--- a/balancer/src/test/java/loadbalancer/process/GatewayTest.java
+++ b/balancer/src/test/java/loadbalancer/process/GatewayTest.java
@@ -153,7 +153,8 @@
         }
         // The limit is free again once its clients have left.
         await(() -> node.loop()
-                        .submit(() -> node.gateway().router().view().get(0).open())
+                        .submit(() ->
+                                node.gateway().router().poolStatus().get(0).inFlight())
                         .get()
                 == 0);
         assertEquals("200", ask(get("/a/k", "again", ""), first));
--- a/balancer/src/test/java/loadbalancer/process/HandoverTest.java
+++ b/balancer/src/test/java/loadbalancer/process/HandoverTest.java
@@ -125,11 +125,11 @@
         return process.loop()
                 .submit(() -> {
                     process.gateway().updatePoolSizes();
-                    return process.gateway().router().view().stream()
+                    return process.gateway().router().poolStatus().stream()
                             .filter(p -> p.name().equals("one"))
                             .findFirst()
                             .orElseThrow()
-                            .upstreams();
+                            .endpointsUp();
                 })
                 .get(20, TimeUnit.SECONDS);
     }
--- a/core/src/main/java/loadbalancer/limits/AimdLimit.java
+++ b/core/src/main/java/loadbalancer/limits/AimdLimit.java
@@ -5,17 +5,19 @@
  * more with each round of answers while the limit is used, a tenth less where some were dropped, once per round.
  */
 final class AimdLimit implements ConcurrencyLimit {
-    private static final double DECREASE = 0.9;
-    private static final double SMOOTH = 0.1;
+    private static final double DECREASE_FACTOR = 0.9;
+    private static final double LATENCY_SMOOTHING = 0.1;
+    /** The limit is in use where the requests in flight, times this, reach it. */
+    private static final double USED_FACTOR = 2.0;
 
-    private final Plan plan;
+    private final ConcurrencyLimitConfig config;
     private double limit;
-    private double round; // µs that a request takes, about
-    private long decreasedAt = Long.MIN_VALUE;
+    private double roundMicros; // smoothed latency
+    private long decreasedAtMicros = Long.MIN_VALUE;
 
-    AimdLimit(Plan plan) {
-        this.plan = plan;
-        this.limit = plan.start();
+    AimdLimit(ConcurrencyLimitConfig config) {
+        this.config = config;
+        this.limit = config.initial();
     }
 
     @Override
@@ -24,17 +26,22 @@
     }
 
     @Override
-    public void ended(long now, long latency, boolean dropped, int open) {
+    public void ended(long nowMicros, long latencyMicros, boolean dropped, int inFlight) {
         if (dropped) {
-            if (decreasedAt == Long.MIN_VALUE || now - decreasedAt >= round) {
-                limit = Math.max(plan.least(), limit * DECREASE);
-                decreasedAt = now;
-            }
+            decrease(nowMicros);
             return;
         }
-        round += SMOOTH * (latency - round);
-        if (2.0 * open >= limit) { // one that isn't used has shown nothing
-            limit = Math.min(plan.most(), limit + 1 / limit);
+        roundMicros += LATENCY_SMOOTHING * (latencyMicros - roundMicros);
+        // Requests that end well below the limit say nothing of what the pool could take beyond it.
+        if (USED_FACTOR * inFlight >= limit) {
+            limit = Math.min(config.max(), limit + 1 / limit);
+        }
+    }
+
+    private void decrease(long nowMicros) {
+        if (decreasedAtMicros == Long.MIN_VALUE || nowMicros - decreasedAtMicros >= roundMicros) {
+            limit = Math.max(config.min(), limit * DECREASE_FACTOR);
+            decreasedAtMicros = nowMicros;
         }
     }
 }
--- a/core/src/main/java/loadbalancer/limits/FixedLimit.java
+++ b/core/src/main/java/loadbalancer/limits/FixedLimit.java
@@ -14,5 +14,5 @@
     }
 
     @Override
-    public void ended(long now, long latency, boolean dropped, int open) {}
+    public void ended(long nowMicros, long latencyMicros, boolean dropped, int inFlight) {}
 }
--- a/core/src/main/java/loadbalancer/limits/GradientLimit.java
+++ b/core/src/main/java/loadbalancer/limits/GradientLimit.java
@@ -1,43 +1,30 @@
 package loadbalancer.limits;
 
 /**
- * Moves the limit by the ratio of base to present latency, plus the square root of the limit as room for bursts (as
- * in Envoy's adaptive concurrency filter and Netflix' gradient limit). Both grow with the limit, so a large pool moves
- * as fast as a small one.
+ * Moves the limit by the ratio of base to present latency, plus the square root of the limit as room for bursts, as in
+ * Envoy's adaptive concurrency filter and the gradient limit of Netflix' concurrency-limits. Both grow with the limit,
+ * so a large pool moves as fast as a small one.
  */
-final class GradientLimit implements ConcurrencyLimit {
-    private static final double BUFFER = 1.25; // latency above the base that is no queue yet
-    private static final double LEAST = 0.5;
-    private static final double SMOOTH = 0.5;
+final class GradientLimit extends LatencyLimit {
+    /** Latency above the base, by this factor, does not count as queueing yet. */
+    private static final double LATENCY_TOLERANCE = 1.25;
 
-    private final Plan plan;
-    private final BaseLatency base = new BaseLatency();
-    private double limit;
+    private static final double MIN_GRADIENT = 0.5;
+    private static final double SMOOTHING = 0.5;
+    private static final double DROP_FACTOR = 0.9;
 
-    GradientLimit(Plan plan) {
-        this.plan = plan;
-        this.limit = plan.start();
+    GradientLimit(ConcurrencyLimitConfig config) {
+        super(config);
     }
 
     @Override
-    public int limit() {
-        return (int) Math.max(plan.least(), base.probing() ? limit * BaseLatency.PROBE : limit);
-    }
-
-    @Override
-    public void ended(long now, long latency, boolean dropped, int open) {
-        if (!base.add(now, latency, dropped, open)) {
-            return;
-        }
-        double gradient = Math.max(LEAST, Math.min(1, BUFFER * base.base() / Math.max(1, base.mean())));
-        double next = gradient * limit + Math.sqrt(limit);
-        if (base.dropped()) {
-            next = Math.min(next, limit * 0.9);
-        }
-        if (next < limit || 2.0 * base.busiest() >= limit) {
-            limit += SMOOTH * (next - limit);
+    double next(double current, BaseLatencyEstimator window, boolean used) {
+        double ratio = LATENCY_TOLERANCE * window.baseMicros() / Math.max(1, window.meanMicros());
+        double gradient = Math.max(MIN_GRADIENT, Math.min(1, ratio));
+        double target = gradient * current + Math.sqrt(current);
+        if (window.dropped()) {
+            target = Math.min(target, current * DROP_FACTOR);
         }
-        limit = Math.max(plan.least(), Math.min(plan.most(), limit));
-        base.next(limit);
+        return target < current || used ? current + SMOOTHING * (target - current) : current;
     }
 }
--- a/core/src/main/java/loadbalancer/limits/RetryBudget.java
+++ b/core/src/main/java/loadbalancer/limits/RetryBudget.java
@@ -1,58 +1,67 @@
 package loadbalancer.limits;
 
 /**
- * How many further tries a route may make: a share of its first tries over a sliding time, and a few per second for
- * routes that see little (the idea is Finagle's RetryBudget). Where clients mark their own retries, those draw on it
- * too: a storm of them then leaves none to the balancer, which is right. Pure; times in µs.
+ * How many retries a route may make: a ratio of its first attempts over a sliding window, and a few per second for
+ * routes with little traffic, as in Finagle's RetryBudget. Where clients mark their own retries, those draw on the
+ * budget too, so that a storm of them leaves none to the balancer.
+ *
+ * <p>Pure: the caller brings the time, which must not go back. Not thread-safe.
  */
 public final class RetryBudget {
-    private final double share;
-    private final double leastPerSecond;
-    private final double window;
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    private final double ratio;
+    private final double minPerSecond;
+    private final double windowMicros;
     private double balance;
-    private long at = Long.MIN_VALUE;
+    private long updatedAtMicros = Long.MIN_VALUE;
 
     /**
-     * A budget.
+     * Creates a budget that holds the retries that are free within one window.
      *
-     * @param share further tries for each first one, 0 or more
-     * @param leastPerSecond further tries per second that are free
-     * @param window µs over which first tries count
+     * @param ratio retries for each first attempt, 0 or more
+     * @param minPerSecond retries per second that are free
+     * @param windowMicros over which first attempts count
+     * @throws IllegalArgumentException where one of them is out of its range
      */
-    public RetryBudget(double share, double leastPerSecond, long window) {
-        if (!(share >= 0) || !(leastPerSecond >= 0) || window <= 0) {
+    public RetryBudget(double ratio, double minPerSecond, long windowMicros) {
+        if (!(ratio >= 0) || !(minPerSecond >= 0) || windowMicros <= 0) {
             throw new IllegalArgumentException(
-                    "impossible budget: share " + share + ", " + leastPerSecond + " per second, window " + window);
+                    "impossible budget: share " + ratio + ", " + minPerSecond + " per second, window " + windowMicros);
         }
-        this.share = share;
-        this.leastPerSecond = leastPerSecond;
-        this.window = window;
-        this.balance = leastPerSecond * window / 1e6;
+        this.ratio = ratio;
+        this.minPerSecond = minPerSecond;
+        this.windowMicros = windowMicros;
+        this.balance = freeRetries();
+    }
+
+    private double freeRetries() {
+        return minPerSecond * windowMicros / MICROS_PER_SECOND;
     }
 
-    private void refresh(long now) {
-        double passed = at == Long.MIN_VALUE ? 0 : Math.max(0, now - at);
-        at = Math.max(at, now);
-        // What was saved fades: an idle hour's savings are no licence for a storm.
-        double free = leastPerSecond * window / 1e6;
-        balance = free + (balance - free) * Math.exp(-passed / window);
+    // Unused budget expires, so that an idle hour's savings cannot feed a retry storm.
+    private void expire(long nowMicros) {
+        double elapsedMicros = updatedAtMicros == Long.MIN_VALUE ? 0 : Math.max(0, nowMicros - updatedAtMicros);
+        updatedAtMicros = Math.max(updatedAtMicros, nowMicros);
+        double free = freeRetries();
+        balance = free + (balance - free) * Math.exp(-elapsedMicros / windowMicros);
     }
 
-    /** Goes on from another budget, with what that one had left. */
+    /** Goes on with what another budget had left. */
     public void restore(RetryBudget former) {
         balance = former.balance;
-        at = former.at;
+        updatedAtMicros = former.updatedAtMicros;
     }
 
-    /** A first try has come. */
-    public void deposit(long now) {
-        refresh(now);
-        balance += share;
+    /** A first attempt is made. */
+    public void deposit(long nowMicros) {
+        expire(nowMicros);
+        balance += ratio;
     }
 
-    /** Takes one further try; false where there is none left. */
-    public boolean withdraw(long now) {
-        refresh(now);
+    /** Takes one retry; false, and nothing is taken, where none is left. */
+    public boolean tryWithdraw(long nowMicros) {
+        expire(nowMicros);
         if (balance < 1) {
             return false;
         }
--- /dev/null
+++ b/core/src/main/java/loadbalancer/router/DestinationState.java
@@ -0,0 +1,89 @@
+package loadbalancer.router;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import loadbalancer.routes.Overflow;
+import loadbalancer.routes.TrafficSplit;
+
+/** A destination of a route: its pool, those that traffic spills over to, and each one's share of the traffic. */
+final class DestinationState {
+    private static final long SHARES_INTERVAL_MICROS = 50_000;
+    private static final int DISCARDED_BITS = 11; // the other 53 are exact in a double
+    private static final double UNIT = 0x1.0p-53;
+
+    private final List<PoolState> pools = new ArrayList<>();
+    private final Overflow overflow;
+    private final double spareFactor;
+    private double[] shares; // null until first needed
+    private long sharesAtMicros = Long.MIN_VALUE;
+
+    DestinationState(RouteConfig route, Destination destination, Map<String, PoolState> poolsByName) {
+        List<SpillTarget> targets = destination.spillTargets();
+        double[] maxShares = new double[1 + targets.size()];
+        maxShares[0] = 1;
+        pools.add(poolsByName.get(destination.pool()));
+        for (int i = 0; i < targets.size(); i++) {
+            maxShares[1 + i] = targets.get(i).maxShare();
+            pools.add(poolsByName.get(targets.get(i).pool()));
+        }
+        spareFactor = route.spareFactor();
+        overflow = new Overflow(spareFactor, route.returnPerSecond(), maxShares);
+    }
+
+    /** The pool for a key; null where no pool can take it. */
+    PoolState choose(long nowMicros, long key) {
+        if (pools.size() == 1) {
+            return pools.get(0);
+        }
+        updateShares(nowMicros);
+        // By the key and not at random: the same keys spill first, and stay where they have been.
+        double position = (TrafficSplit.hash(Long.toString(key)) >>> DISCARDED_BITS) * UNIT;
+        for (int i = 0; i < shares.length; i++) {
+            position -= shares[i];
+            if (position < 0) {
+                return pools.get(i);
+            }
+        }
+        return null;
+    }
+
+    private void updateShares(long nowMicros) {
+        if (shares != null && nowMicros - sharesAtMicros < SHARES_INTERVAL_MICROS) {
+            return;
+        }
+        double[] healthyFractions = new double[pools.size()];
+        for (int i = 0; i < healthyFractions.length; i++) {
+            healthyFractions[i] = pools.get(i).healthyFraction(nowMicros, share(i), spareFactor);
+        }
+        shares = overflow.shares(nowMicros, healthyFractions);
+        sharesAtMicros = nowMicros;
+    }
+
+    private double share(int pool) {
+        if (shares != null) {
+            return shares[pool];
+        }
+        return pool == 0 ? 1 : 0;
+    }
+
+    /** The shares of its pools as last computed; empty where none were needed yet. */
+    double[] shares() {
+        return shares == null ? new double[0] : shares.clone();
+    }
+
+    void replacePool(PoolState former, PoolState next) {
+        pools.replaceAll(pool -> pool == former ? next : pool);
+    }
+
+    /** Goes on from another's shares, where it is between the same pools. */
+    void restore(DestinationState former) {
+        if (poolNames().equals(former.poolNames())) {
+            overflow.restore(former.overflow);
+        }
+    }
+
+    private List<String> poolNames() {
+        return pools.stream().map(PoolState::name).toList();
+    }
+}
--- a/core/src/main/java/loadbalancer/router/RoutingConfig.java
+++ b/core/src/main/java/loadbalancer/router/RoutingConfig.java
@@ -2,128 +2,64 @@
 
 import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
-import loadbalancer.limits.ConcurrencyLimit;
-import loadbalancer.limits.TokenTree.Rate;
-import loadbalancer.routes.Route;
 
 /**
- * All that a front goes by. Immutable; names are checked when it is made.
+ * All that a {@link RequestRouter} goes by. Immutable.
  *
- * @param unmatched the pool for requests that no route takes; null: they are answered "not found"
+ * @param unmatchedPool the pool for requests that no route takes; null: they are answered "not found"
  * @param instances balancers that share the rates, this one included, 1 or more
- * @param reserve share of a limit that is kept for the requests worth most, from 0 to under 1
- * @param retryAfter bounds of the advice that goes with a refusal
+ * @param reservedFraction of a limit that is kept for the requests of the highest priority, from 0 to under 1
+ * @param retryAfter bounds of the advice that goes with a rejection
  */
 public record RoutingConfig(
-        List<PoolPlan> pools,
-        List<RoutePlan> routes,
-        String unmatched,
-        Quotas quotas,
+        List<PoolConfig> pools,
+        List<RouteConfig> routes,
+        String unmatchedPool,
+        QuotaConfig quotas,
         int instances,
-        double reserve,
-        Advice retryAfter) {
-
-    /** Bounds of {@code Retry-After}, in µs; {@code most} 0: no advice is given. */
-    public record Advice(long least, long most) {
-        public Advice {
-            if (least < 0 || most < least && most != 0) {
-                throw new IllegalArgumentException("impossible advice: from " + least + " to " + most);
-            }
-        }
-    }
-
-    /** A pool; {@code limit} null: none. {@code fullStrength}: upstreams as a rule, or 0 to learn it. */
-    public record PoolPlan(String name, ConcurrencyLimit.Plan limit, int fullStrength) {}
-
-    /** Where traffic of a route spills over to, and the share of the route's traffic that may at the most. */
-    public record Spill(String pool, double most) {}
-
-    /** One part of a split: a pool, its weight, and where its traffic goes as its health falls. */
-    public record Way(String pool, double weight, List<Spill> spills) {
-        public Way {
-            spills = List.copyOf(spills);
-        }
-    }
-
-    /** Retry budget of a route: as {@link loadbalancer.limits.RetryBudget} has it. */
-    public record Retries(double share, double leastPerSecond, long window, boolean countClients) {}
-
-    /**
-     * A route and what it does.
-     *
-     * @param spare as {@link loadbalancer.routes.Overflow} has it
-     * @param returnPerSecond the same
-     * @param retries null: no budget
-     * @param rate the route's own limit for the whole site; null: none
-     * @param deadline the longest that a request of this route may take, in µs; 0: as its client says
-     */
-    public record RoutePlan(
-            Route match,
-            List<Way> ways,
-            double spare,
-            double returnPerSecond,
-            Retries retries,
-            Rate rate,
-            long deadline) {
-        public RoutePlan {
-            ways = List.copyOf(ways);
-        }
-    }
-
-    /** A tenant's rate for the whole site, and rates of routes within it. */
-    public record TenantQuota(Rate rate, Map<String, Rate> routes) {
-        public TenantQuota {
-            routes = Map.copyOf(routes);
+        double reservedFraction,
+        RetryAfterBounds retryAfter) {
+    /** Throws IllegalArgumentException for a pool that is named and missing, or named twice, and for odd numbers. */
+    public RoutingConfig {
+        pools = List.copyOf(pools);
+        routes = List.copyOf(routes);
+        Set<String> poolNames = poolNames(pools);
+        for (RouteConfig route : routes) {
+            requirePools(poolNames, route);
         }
-    }
-
-    /**
-     * Rates of the whole site.
-     *
-     * @param site of all together; null: there are no rates
-     * @param others of all tenants together that are not named, the unknown among them; null: they go by the site's
-     */
-    public record Quotas(Rate site, Map<String, TenantQuota> tenants, Rate others) {
-        public Quotas {
-            tenants = Map.copyOf(tenants);
+        if (unmatchedPool != null) {
+            requirePool(poolNames, unmatchedPool, "(unmatched)");
         }
-
-        /** No rates at all. */
-        public static Quotas none() {
-            return new Quotas(null, Map.of(), null);
+        if (instances < 1 || !(reservedFraction >= 0 && reservedFraction < 1)) {
+            throw new IllegalArgumentException(
+                    "impossible front: " + instances + " instances, reserve " + reservedFraction);
         }
     }
 
-    public RoutingConfig {
-        pools = List.copyOf(pools);
-        routes = List.copyOf(routes);
+    private static Set<String> poolNames(List<PoolConfig> pools) {
         Set<String> names = new HashSet<>();
-        for (PoolPlan p : pools) {
-            if (!names.add(p.name)) {
-                throw new IllegalArgumentException("two pools are called '" + p.name + "'");
+        for (PoolConfig pool : pools) {
+            if (!names.add(pool.name())) {
+                throw new IllegalArgumentException("two pools are called '" + pool.name() + "'");
             }
         }
-        for (RoutePlan r : routes) {
-            if (r.ways.isEmpty()) {
-                throw new IllegalArgumentException("route '" + r.match.name() + "' leads to no pool");
-            }
-            for (Way w : r.ways) {
-                require(names, w.pool, r.match.name());
-                w.spills.forEach(s -> require(names, s.pool, r.match.name()));
-            }
-        }
-        if (unmatched != null) {
-            require(names, unmatched, "(unmatched)");
+        return names;
+    }
+
+    private static void requirePools(Set<String> poolNames, RouteConfig config) {
+        String route = config.route().name();
+        if (config.destinations().isEmpty()) {
+            throw new IllegalArgumentException("route '" + route + "' leads to no pool");
         }
-        if (instances < 1 || !(reserve >= 0 && reserve < 1)) {
-            throw new IllegalArgumentException("impossible front: " + instances + " instances, reserve " + reserve);
+        for (Destination destination : config.destinations()) {
+            requirePool(poolNames, destination.pool(), route);
+            destination.spillTargets().forEach(target -> requirePool(poolNames, target.pool(), route));
         }
     }
 
-    private static void require(Set<String> names, String pool, String route) {
-        if (!names.contains(pool)) {
+    private static void requirePool(Set<String> poolNames, String pool, String route) {
+        if (!poolNames.contains(pool)) {
             throw new IllegalArgumentException("route '" + route + "': no pool '" + pool + "'");
         }
     }
--- /dev/null
+++ b/core/src/main/java/loadbalancer/router/RoutingDecision.java
@@ -0,0 +1,25 @@
+package loadbalancer.router;
+
+/**
+ * What the router decides about a request.
+ *
+ * @param lease what the request holds until {@link RequestRouter#ended}; null unless it was admitted
+ * @param retryAfterMicros advice for the client; 0 for none
+ */
+public record RoutingDecision(RoutingOutcome outcome, RejectionReason reason, RouteLease lease, long retryAfterMicros) {
+    static RoutingDecision admitted(RouteLease lease) {
+        return new RoutingDecision(RoutingOutcome.ADMITTED, RejectionReason.NONE, lease, 0);
+    }
+
+    static RoutingDecision rejected(RejectionReason reason, long retryAfterMicros) {
+        return new RoutingDecision(RoutingOutcome.REJECTED, reason, null, retryAfterMicros);
+    }
+
+    static RoutingDecision notFound() {
+        return new RoutingDecision(RoutingOutcome.NOT_FOUND, RejectionReason.NO_ROUTE, null, 0);
+    }
+
+    static RoutingDecision badPath() {
+        return new RoutingDecision(RoutingOutcome.BAD_PATH, RejectionReason.BAD_PATH, null, 0);
+    }
+}
--- /dev/null
+++ b/core/src/main/java/loadbalancer/router/TenantQuotaConfig.java
@@ -0,0 +1,12 @@
+package loadbalancer.router;
+
+import java.util.Map;
+import loadbalancer.limits.RateLimit;
+
+/** A tenant's rate for the whole site, and the rates of routes within it by the routes' names. */
+public record TenantQuotaConfig(RateLimit rate, Map<String, RateLimit> routes) {
+    /** Copies the map. */
+    public TenantQuotaConfig {
+        routes = Map.copyOf(routes);
+    }
+}
--- a/core/src/main/java/loadbalancer/routes/Overflow.java
+++ b/core/src/main/java/loadbalancer/routes/Overflow.java
@@ -4,58 +4,62 @@
 
 /**
  * Divides traffic between pools in an order of preference. A pool takes all while it is healthy enough; as the healthy
- * share of its upstreams falls, the rest goes to the next by degrees, never more than that one's own limit allows.
- * What has left returns slowly, so that a pool that has just come back is not pushed over again.
+ * fraction of its endpoints falls, the rest goes to the next by degrees, never more than that one's own limit allows.
+ * What has left returns slowly, so that a pool that has just come back is not overloaded again. Envoy's priority levels
+ * do the first, without limits and with return at once.
  *
- * <p>A state machine on the caller's clock (µs, never back), without I/O. Envoy's priority levels have the same first
- * part, without limits and with return at once.
+ * <p>A state machine on the caller's clock, which must not go back. Not thread-safe.
  */
 public final class Overflow {
-    private final double spare;
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    private final double spareFactor;
     private final double returnPerSecond;
-    private final double[] limits;
+    private final double[] maxShares;
     private final double[] shares;
-    private long at = Long.MIN_VALUE;
+    private long updatedAtMicros = Long.MIN_VALUE;
 
     /**
-     * Between pools, the preferred one first.
+     * Creates an overflow whose traffic all goes to the first pool.
      *
-     * @param spare what a healthy upstream can take of others' work, 1 or more: with 1.4 a pool keeps all its traffic
-     *     until under 1 / 1.4 of it is healthy
-     * @param returnPerSecond share of the traffic that returns per second at the most
-     * @param limits share of the traffic that each pool may take at the most, over 0
+     * @param spareFactor what a healthy endpoint can take of others' work, 1 or more: with 1.4 a pool keeps all its
+     *     traffic until under 1 / 1.4 of it is healthy
+     * @param returnPerSecond fraction of the traffic that returns per second at the most
+     * @param maxShares fraction of the traffic that each pool may take at the most, over 0; the preferred pool first
+     * @throws IllegalArgumentException where one of them is out of its range
      */
-    public Overflow(double spare, double returnPerSecond, double... limits) {
-        if (!(spare >= 1)
+    public Overflow(double spareFactor, double returnPerSecond, double... maxShares) {
+        if (!(spareFactor >= 1)
                 || !(returnPerSecond > 0)
-                || limits.length == 0
-                || Arrays.stream(limits).anyMatch(l -> !(l > 0))) {
-            throw new IllegalArgumentException("impossible overflow: spare " + spare + ", return " + returnPerSecond
-                    + ", limits " + Arrays.toString(limits));
+                || maxShares.length == 0
+                || Arrays.stream(maxShares).anyMatch(share -> !(share > 0))) {
+            throw new IllegalArgumentException("impossible overflow: spare " + spareFactor + ", return "
+                    + returnPerSecond + ", limits " + Arrays.toString(maxShares));
         }
-        this.spare = spare;
+        this.spareFactor = spareFactor;
         this.returnPerSecond = returnPerSecond;
-        this.limits = limits.clone();
-        this.shares = new double[limits.length];
+        this.maxShares = maxShares.clone();
+        this.shares = new double[maxShares.length];
         shares[0] = 1;
     }
 
     /**
-     * The share of the traffic that each pool gets from now on. They add up to at most 1: what no pool can take is to
-     * be refused.
+     * The fraction of the traffic that each pool gets from now on. They add up to at most 1: what no pool can take is
+     * to be rejected.
      *
-     * @param healthy for each pool the healthy share of its upstreams, from 0 to 1
+     * @param healthyFractions for each pool the healthy fraction of its endpoints, from 0 to 1
      */
-    public double[] shares(long now, double... healthy) {
-        double seconds = at == Long.MIN_VALUE ? 0 : Math.max(0, now - at) / 1e6;
-        at = Math.max(at, now);
-        double before = 0; // what this pool and the preferred ones had
+    public double[] shares(long nowMicros, double... healthyFractions) {
+        double seconds =
+                updatedAtMicros == Long.MIN_VALUE ? 0 : Math.max(0, nowMicros - updatedAtMicros) / MICROS_PER_SECOND;
+        updatedAtMicros = Math.max(updatedAtMicros, nowMicros);
+        double formerSum = 0; // what this pool and the preferred ones had
         double sum = 0; // and what they get
         for (int i = 0; i < shares.length; i++) {
-            before += shares[i];
+            formerSum += shares[i];
             // Leaving is immediate, and so is what no later pool can take; returning from those is not.
-            double most = Math.max(before + returnPerSecond * seconds, 1 - capacity(i + 1, healthy));
-            shares[i] = Math.max(0, Math.min(able(i, healthy), Math.min(1, most) - sum));
+            double maxSum = Math.max(formerSum + returnPerSecond * seconds, 1 - capacityFrom(i + 1, healthyFractions));
+            shares[i] = Math.max(0, Math.min(capacity(i, healthyFractions), Math.min(1, maxSum) - sum));
             sum += shares[i];
         }
         return shares.clone();
@@ -65,18 +69,18 @@
     public void restore(Overflow former) {
         if (former.shares.length == shares.length) {
             System.arraycopy(former.shares, 0, shares, 0, shares.length);
-            at = former.at;
+            updatedAtMicros = former.updatedAtMicros;
         }
     }
 
-    private double able(int pool, double[] healthy) {
-        return Math.min(limits[pool], Math.min(1, spare * Math.max(0, healthy[pool])));
+    private double capacity(int pool, double[] healthyFractions) {
+        return Math.min(maxShares[pool], Math.min(1, spareFactor * Math.max(0, healthyFractions[pool])));
     }
 
-    private double capacity(int from, double[] healthy) {
+    private double capacityFrom(int firstPool, double[] healthyFractions) {
         double sum = 0;
-        for (int i = from; i < limits.length; i++) {
-            sum += able(i, healthy);
+        for (int i = firstPool; i < maxShares.length; i++) {
+            sum += capacity(i, healthyFractions);
         }
         return sum;
     }
--- a/core/src/main/java/loadbalancer/routes/PoolHealth.java
+++ b/core/src/main/java/loadbalancer/routes/PoolHealth.java
@@ -1,82 +1,90 @@
 package loadbalancer.routes;
 
 /**
- * What part of its usual work a pool can do: the listed upstreams against its full strength, and the requests that
- * it serves against those that it is given. Pure; times in µs.
+ * What fraction of its usual work a pool can do: the listed endpoints against its full strength, and the requests that
+ * it serves against those that it is given. Not thread-safe.
  */
 public final class PoolHealth {
-    private static final double FADE = 1e6; // µs over which ends count
-    private static final double FULL_STRENGTH_FADE = 600e6; // a fleet made smaller on purpose is the full one by then
-    private static final double WELL = 0.9; // served of what was given, above which nothing is wrong
-    private static final double PRIOR = 5; // ends that a new or idle pool is credited with
+    private static final double OUTCOME_DECAY_MICROS = 1e6;
+    /** A fleet that was made smaller on purpose counts as the full one after about this time. */
+    private static final double FULL_STRENGTH_DECAY_MICROS = 600e6;
+    /** A pool that serves this fraction of what it is given is healthy. */
+    private static final double HEALTHY_SUCCESS_RATE = 0.9;
+    /** Served requests that a new or idle pool is credited with. */
+    private static final double PRIOR_SUCCESSES = 5;
 
-    private final int fullStrength;
-    private double strength;
-    private int up;
-    private boolean told;
-    private long listedAt;
+    private final int configuredStrength; // 0: learned
+    private double fullStrength;
+    private int endpointsUp;
+    private boolean listed;
+    private long strengthUpdatedMicros;
     private double served;
     private double given;
-    private long endedAt = Long.MIN_VALUE;
+    private long outcomesUpdatedMicros = Long.MIN_VALUE;
 
-    /** {@code fullStrength}: how many upstreams the pool has as a rule, or 0 to learn it. */
+    /**
+     * Creates the health of a pool without endpoints.
+     *
+     * @param fullStrength how many endpoints the pool has as a rule; 0 to learn it
+     */
     public PoolHealth(int fullStrength) {
+        this.configuredStrength = fullStrength;
         this.fullStrength = fullStrength;
-        this.strength = fullStrength;
     }
 
-    /** So many upstreams may be sent to now. */
-    public void listed(long now, int upstreams) {
-        fade(now);
-        up = upstreams;
-        told = true;
-        listedAt = now;
-        if (fullStrength == 0) {
-            strength = Math.max(strength, up);
+    /** The pool has that many endpoints that requests may be sent to. */
+    public void setEndpointsUp(long nowMicros, int endpoints) {
+        decayStrength(nowMicros);
+        endpointsUp = endpoints;
+        listed = true;
+        strengthUpdatedMicros = nowMicros;
+        if (configuredStrength == 0) {
+            fullStrength = Math.max(fullStrength, endpointsUp);
         }
     }
 
-    // The strength that was learnt falls towards what there is; a quarter of an hour on, that is the usual.
-    private void fade(long now) {
-        if (told && fullStrength == 0) {
-            strength = up + (strength - up) * Math.exp(-Math.max(0, now - listedAt) / FULL_STRENGTH_FADE);
-            listedAt = Math.max(listedAt, now);
+    // A learned strength falls towards what there is.
+    private void decayStrength(long nowMicros) {
+        if (listed && configuredStrength == 0) {
+            double kept = Math.exp(-Math.max(0, nowMicros - strengthUpdatedMicros) / FULL_STRENGTH_DECAY_MICROS);
+            fullStrength = endpointsUp + (fullStrength - endpointsUp) * kept;
+            strengthUpdatedMicros = Math.max(strengthUpdatedMicros, nowMicros);
         }
     }
 
     /** A request that the pool was given has ended. */
-    public void ended(long now, boolean wasServed) {
-        recall(now);
+    public void ended(long nowMicros, boolean wasServed) {
+        decayOutcomes(nowMicros);
         given++;
         served += wasServed ? 1 : 0;
     }
 
-    private void recall(long now) {
-        if (endedAt != Long.MIN_VALUE && now > endedAt) {
-            double kept = Math.exp(-(now - endedAt) / FADE);
+    private void decayOutcomes(long nowMicros) {
+        if (outcomesUpdatedMicros != Long.MIN_VALUE && nowMicros > outcomesUpdatedMicros) {
+            double kept = Math.exp(-(nowMicros - outcomesUpdatedMicros) / OUTCOME_DECAY_MICROS);
             served *= kept;
             given *= kept;
         }
-        endedAt = Math.max(endedAt, now);
+        outcomesUpdatedMicros = Math.max(outcomesUpdatedMicros, nowMicros);
     }
 
     /**
-     * From 0 to 1.
+     * The fraction of its usual work that the pool can do, from 0 to 1.
      *
-     * @param share the share of the traffic that the pool gets now
-     * @param spare what a healthy upstream can take of others' work, as {@link Overflow} has it
+     * @param share the fraction of the traffic that the pool gets now
+     * @param spareFactor what a healthy endpoint can take of others' work, as {@link Overflow} has it
      */
-    public double healthy(long now, double share, double spare) {
-        fade(now);
-        recall(now);
-        double listed = strength <= 0 ? 0 : Math.min(1, up / strength);
-        double well = (served + PRIOR) / (given + PRIOR);
-        // What it serves of what it gets, it can: no more than that is asked of it until it does well again.
-        return Math.min(listed, well >= WELL ? 1 : well * share / spare);
+    public double healthyFraction(long nowMicros, double share, double spareFactor) {
+        decayStrength(nowMicros);
+        decayOutcomes(nowMicros);
+        double up = fullStrength <= 0 ? 0 : Math.min(1, endpointsUp / fullStrength);
+        double successRate = (served + PRIOR_SUCCESSES) / (given + PRIOR_SUCCESSES);
+        // It can do what it serves of what it gets, and is given no more than that until it is healthy again.
+        return Math.min(up, successRate >= HEALTHY_SUCCESS_RATE ? 1 : successRate * share / spareFactor);
     }
 
-    /** Upstreams that may be sent to, as last told. */
-    public int up() {
-        return up;
+    /** Endpoints that requests may be sent to. */
+    public int endpointsUp() {
+        return endpointsUp;
     }
 }
--- a/core/src/main/java/loadbalancer/routes/Route.java
+++ b/core/src/main/java/loadbalancer/routes/Route.java
@@ -1,15 +1,16 @@
 package loadbalancer.routes;
 
 import java.util.Comparator;
-import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
 
 /**
- * What a request must be like to take this route. Empty sets and maps ask for nothing. Header names are compared in
- * any case, values as they are; {@code place} is the route's place in the file, which decides between equals.
+ * What a request must be like to take this route. Empty sets and maps ask for nothing.
+ *
+ * @param headers required values, compared exactly, by names, compared in any case
+ * @param position of the route in the file, which decides between routes that are equally specific
  */
 public record Route(
         String name,
@@ -18,78 +19,83 @@
         Map<String, String> headers,
         Set<String> tenants,
         Set<String> classes,
-        int place) {
+        int position) {
+    /** Copies the collections, with the names of headers in lower case. */
     public Route {
         methods = Set.copyOf(methods);
         tenants = Set.copyOf(tenants);
         classes = Set.copyOf(classes);
-        Map<String, String> lower = new TreeMap<>();
-        headers.forEach((k, v) -> lower.put(k.toLowerCase(Locale.ROOT), v));
-        headers = Map.copyOf(lower);
+        Map<String, String> lowerCase = new TreeMap<>();
+        headers.forEach((header, value) -> lowerCase.put(header.toLowerCase(Locale.ROOT), value));
+        headers = Map.copyOf(lowerCase);
     }
 
     /**
-     * A request, as far as routes care. {@code headers} has lower-case names; {@code tenant} and {@code kind} are null
-     * where a request names none.
+     * The stated order: the more specific first. The path decides segment by segment (a literal before a parameter, a
+     * parameter before the end of a {@code **}), then the number of headers, then whether methods, tenants and classes
+     * are named, in that order, and at last the position in the file.
      */
-    public record Request(String method, String[] path, Map<String, String> headers, String tenant, String kind) {}
-
-    /**
-     * The stated order: the more specific first. The path decides segment by segment (a literal before a place, a
-     * place before the end of a {@code **}), then the number of headers, then whether methods, tenants and classes
-     * are named, in that order, and at last the place in the file.
-     */
-    public static final Comparator<Route> MOST_SPECIFIC = Comparator.comparing(Route::path, Route::byPath)
-            .thenComparing(r -> -r.headers.size())
-            .thenComparing(r -> r.methods.isEmpty())
-            .thenComparing(r -> r.tenants.isEmpty())
-            .thenComparing(r -> r.classes.isEmpty())
-            .thenComparingInt(Route::place);
+    public static final Comparator<Route> MOST_SPECIFIC = Comparator.comparing(Route::path, Route::comparePaths)
+            .thenComparing(route -> -route.headers.size())
+            .thenComparing(route -> route.methods.isEmpty())
+            .thenComparing(route -> route.tenants.isEmpty())
+            .thenComparing(route -> route.classes.isEmpty())
+            .thenComparingInt(Route::position);
 
     // Of two templates that match one path, the first difference decides; the texts of literals can't differ then.
-    private static int byPath(PathTemplate a, PathTemplate b) {
-        int both = Math.min(a.segments().size(), b.segments().size());
-        for (int i = 0; i < both; i++) {
+    private static int comparePaths(PathTemplate left, PathTemplate right) {
+        int common = Math.min(left.segments().size(), right.segments().size());
+        for (int i = 0; i < common; i++) {
             int order = Boolean.compare(
-                    a.segments().get(i).place(), b.segments().get(i).place());
+                    left.segments().get(i).parameter(), right.segments().get(i).parameter());
             if (order != 0) {
                 return order;
             }
         }
-        int longer = Integer.compare(b.segments().size(), a.segments().size());
-        return longer != 0 ? longer : Boolean.compare(a.rest(), b.rest());
+        int longerFirst =
+                Integer.compare(right.segments().size(), left.segments().size());
+        return longerFirst != 0 ? longerFirst : Boolean.compare(left.rest(), right.rest());
     }
 
-    /** Why this route doesn't take the request, in words; null where it does. */
-    public String refusal(Request r) {
-        if (!path.matches(r.path)) {
+    /** Why this route doesn't take the request, as a sentence for operators; null where it does. */
+    public String mismatch(RouteRequest request) {
+        if (!path.matches(request.path())) {
             return "the path isn't " + path;
         }
-        return refusalButPath(r);
+        return mismatchBeyondPath(request);
     }
 
     /** The same where the path is known to match. */
-    String refusalButPath(Request r) {
-        if (!methods.isEmpty() && !methods.contains(r.method)) {
-            return "the method is " + r.method + ", not "
+    String mismatchBeyondPath(RouteRequest request) {
+        if (!methods.isEmpty() && !methods.contains(request.method())) {
+            return "the method is " + request.method() + ", not "
                     + String.join(" or ", methods.stream().sorted().toList());
         }
-        for (Map.Entry<String, String> h : headers.entrySet()) {
-            String value = r.headers.get(h.getKey());
-            if (!h.getValue().equals(value)) {
-                return "header " + h.getKey() + " is " + (value == null ? "missing" : "'" + value + "'") + ", not '"
-                        + h.getValue() + "'";
-            }
+        String header = headerMismatch(request);
+        if (header != null) {
+            return header;
+        }
+        if (!allows(tenants, request.tenant())) {
+            return "the tenant is " + (request.tenant() == null ? "not named" : request.tenant());
         }
-        if (!tenants.isEmpty() && !(r.tenant != null && tenants.contains(r.tenant))) {
-            return "the tenant is " + (r.tenant == null ? "not named" : r.tenant);
+        if (!allows(classes, request.requestClass())) {
+            return "the class is " + (request.requestClass() == null ? "not named" : request.requestClass());
         }
-        if (!classes.isEmpty() && !(r.kind != null && classes.contains(r.kind))) {
-            return "the class is " + (r.kind == null ? "not named" : r.kind);
+        return null;
+    }
+
+    private String headerMismatch(RouteRequest request) {
+        for (Map.Entry<String, String> required : headers.entrySet()) {
+            String value = request.headers().get(required.getKey());
+            if (!required.getValue().equals(value)) {
+                return "header " + required.getKey() + " is " + (value == null ? "missing" : "'" + value + "'")
+                        + ", not '" + required.getValue() + "'";
+            }
         }
         return null;
     }
 
-    /** The route and why the others don't take the request, or come after it; for operators. */
-    public record Explanation(Route taken, List<String> others) {}
+    private static boolean allows(Set<String> names, String name) {
+        return names.isEmpty() || name != null && names.contains(name);
+    }
 }
--- a/core/src/test/java/loadbalancer/limits/ConcurrencyLimitTest.java
+++ b/core/src/test/java/loadbalancer/limits/ConcurrencyLimitTest.java
@@ -7,8 +7,6 @@
 import java.util.ArrayDeque;
 import java.util.PriorityQueue;
 import java.util.Random;
-import loadbalancer.limits.ConcurrencyLimit.Kind;
-import loadbalancer.limits.ConcurrencyLimit.Plan;
 import org.junit.jupiter.api.Test;
 
 /** The limits before a station of so many servers, first come first served, with a waiting room. */
@@ -26,8 +24,8 @@
     }
 
     // Arrivals at `load` times capacity; each takes 10 ms of a server, `heavier` times that after half of the time.
-    private static Seen run(Plan plan, int servers, double load, double heavier, int room) {
-        ConcurrencyLimit limit = plan.make();
+    private static Seen run(ConcurrencyLimitConfig plan, int servers, double load, double heavier, int room) {
+        ConcurrencyLimit limit = plan.create();
         Random random = new Random(7);
         PriorityQueue<End> running = new PriorityQueue<>();
         ArrayDeque<long[]> waiting = new ArrayDeque<>();
@@ -82,23 +80,37 @@
 
     @Test
     void aFixedLimitStays() {
-        Seen seen = run(Plan.fixed(40), 10, 1.5, 1, 1000);
+        Seen seen = run(ConcurrencyLimitConfig.fixed(40), 10, 1.5, 1, 1000);
         assertEquals(40, seen.limit, 1e-9);
-        assertEquals(0, new Plan(Kind.FIXED, 0, 0, 0).make().limit());
+        assertEquals(
+                0,
+                new ConcurrencyLimitConfig(LimitAlgorithm.FIXED, 0, 0, 0)
+                        .create()
+                        .limit());
         for (int[] p : new int[][] {{5, 10, 20}, {30, 10, 20}, {10, 0, 20}}) {
-            assertThrows(IllegalArgumentException.class, () -> new Plan(Kind.AIMD, p[0], p[1], p[2]));
+            assertThrows(
+                    IllegalArgumentException.class,
+                    () -> new ConcurrencyLimitConfig(LimitAlgorithm.AIMD, p[0], p[1], p[2]));
         }
     }
 
     @Test
     void allKeepGoodputAndOnlyThoseThatSeeLatencyKeepTheQueueShort() {
         for (int servers : new int[] {10, 100}) {
-            double aimd = run(new Plan(Kind.AIMD, servers, 1, 100 * servers), servers, 1.4, 1, 20 * servers).latency;
-            for (Kind kind : new Kind[] {Kind.AIMD, Kind.VEGAS, Kind.GRADIENT}) {
-                Seen s = run(new Plan(kind, servers, 1, 100 * servers), servers, 1.4, 1, 20 * servers);
+            double aimd = run(
+                            new ConcurrencyLimitConfig(LimitAlgorithm.AIMD, servers, 1, 100 * servers),
+                            servers,
+                            1.4,
+                            1,
+                            20 * servers)
+                    .latency;
+            for (LimitAlgorithm kind :
+                    new LimitAlgorithm[] {LimitAlgorithm.AIMD, LimitAlgorithm.VEGAS, LimitAlgorithm.GRADIENT}) {
+                Seen s =
+                        run(new ConcurrencyLimitConfig(kind, servers, 1, 100 * servers), servers, 1.4, 1, 20 * servers);
                 assertTrue(s.goodput > 0.8, kind + " before " + servers + ": " + s);
                 assertTrue(
-                        kind == Kind.AIMD || s.latency < aimd / 3,
+                        kind == LimitAlgorithm.AIMD || s.latency < aimd / 3,
                         kind + " before " + servers + ": " + s + ", " + aimd);
             }
         }
@@ -106,16 +118,17 @@
 
     @Test
     void whatBecomesHeavierIsLearntAsTheNewBase() {
-        for (Kind kind : new Kind[] {Kind.VEGAS, Kind.GRADIENT}) {
-            Seen s = run(new Plan(kind, 10, 1, 10_000), 10, 1.4, 4, 1000);
+        for (LimitAlgorithm kind : new LimitAlgorithm[] {LimitAlgorithm.VEGAS, LimitAlgorithm.GRADIENT}) {
+            Seen s = run(new ConcurrencyLimitConfig(kind, 10, 1, 10_000), 10, 1.4, 4, 1000);
             assertTrue(s.goodput > 0.75, kind + ": " + s);
         }
     }
 
     @Test
     void aLimitThatIsNotUsedDoesntGrow() {
-        for (Kind kind : new Kind[] {Kind.AIMD, Kind.VEGAS, Kind.GRADIENT}) {
-            Seen s = run(new Plan(kind, 100, 1, 10_000), 10, 0.3, 1, 1000);
+        for (LimitAlgorithm kind :
+                new LimitAlgorithm[] {LimitAlgorithm.AIMD, LimitAlgorithm.VEGAS, LimitAlgorithm.GRADIENT}) {
+            Seen s = run(new ConcurrencyLimitConfig(kind, 100, 1, 10_000), 10, 0.3, 1, 1000);
             assertTrue(s.limit <= 101, kind + ": " + s);
         }
     }
--- a/core/src/test/java/loadbalancer/limits/LimitsTest.java
+++ b/core/src/test/java/loadbalancer/limits/LimitsTest.java
@@ -6,7 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import loadbalancer.limits.TokenTree.Rate;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
@@ -16,15 +15,15 @@
 class LimitsTest {
     private static final long SECOND = 1_000_000;
 
-    private static TokenTree tree() {
-        TokenTree tree = new TokenTree("site", new Rate(100, 10, 100));
-        tree.add("site", "one", new Rate(60, 6, 100));
-        tree.add("site", "two", new Rate(40, 4, 100));
+    private static TokenBucketTree tree() {
+        TokenBucketTree tree = new TokenBucketTree("site", new RateLimit(100, 10, 100));
+        tree.add("site", "one", new RateLimit(60, 6, 100));
+        tree.add("site", "two", new RateLimit(40, 4, 100));
         return tree;
     }
 
     /** Requests per second that pass, of so many asked for by each. */
-    private static double[] passing(TokenTree tree, double one, double two, int seconds) {
+    private static double[] passing(TokenBucketTree tree, double one, double two, int seconds) {
         double[] passed = new double[2];
         double[] due = new double[2];
         for (long now = 0; now < seconds * SECOND; now += 1_000) {
@@ -32,7 +31,7 @@
             due[1] += two / 1000;
             for (int i = 0; i < 2; i++) {
                 for (; due[i] >= 1; due[i]--) {
-                    passed[i] += tree.take(now, i == 0 ? "one" : "two") ? 1 : 0;
+                    passed[i] += tree.tryTake(now, i == 0 ? "one" : "two") ? 1 : 0;
                 }
             }
         }
@@ -57,20 +56,20 @@
 
     @Test
     void aLimitOfNothingAClockThatStandsAndAnIdleHour() {
-        TokenTree tree = new TokenTree("site", new Rate(10, 5, 10));
-        tree.add("site", "none", new Rate(0, 1, 0));
-        assertTrue(tree.take(0, "none"), "the burst of one");
-        assertFalse(tree.take(3600 * SECOND, "none"), "and never again");
+        TokenBucketTree tree = new TokenBucketTree("site", new RateLimit(10, 5, 10));
+        tree.add("site", "none", new RateLimit(0, 1, 0));
+        assertTrue(tree.tryTake(0, "none"), "the burst of one");
+        assertFalse(tree.tryTake(3600 * SECOND, "none"), "and never again");
         int passed = 0;
         for (int i = 0; i < 100; i++) {
-            passed += tree.take(3600 * SECOND, "site") ? 1 : 0;
+            passed += tree.tryTake(3600 * SECOND, "site") ? 1 : 0;
         }
         assertEquals(5, passed, "a burst after an idle hour is one burst");
-        assertFalse(tree.take(0, "site"), "a step back gives nothing");
-        assertThrows(IllegalArgumentException.class, () -> tree.take(0, "nobody"));
-        assertThrows(IllegalArgumentException.class, () -> tree.add("nobody", "x", new Rate(1, 1, 1)));
-        assertThrows(IllegalArgumentException.class, () -> tree.add("site", "none", new Rate(1, 1, 1)));
-        assertThrows(IllegalArgumentException.class, () -> new Rate(2, 1, 1));
+        assertFalse(tree.tryTake(0, "site"), "a step back gives nothing");
+        assertThrows(IllegalArgumentException.class, () -> tree.tryTake(0, "nobody"));
+        assertThrows(IllegalArgumentException.class, () -> tree.add("nobody", "x", new RateLimit(1, 1, 1)));
+        assertThrows(IllegalArgumentException.class, () -> tree.add("site", "none", new RateLimit(1, 1, 1)));
+        assertThrows(IllegalArgumentException.class, () -> new RateLimit(2, 1, 1));
     }
 
     @Property(tries = 200, seed = "4")
@@ -82,7 +81,7 @@
             now += 100_000;
             budget.deposit(now);
             for (int i = 0; i < wanted; i++) {
-                granted += budget.withdraw(now) ? 1 : 0;
+                granted += budget.tryWithdraw(now) ? 1 : 0;
             }
         }
         // Free: ten at the start, and one a second; a tenth of a second for each first try.
@@ -95,7 +94,7 @@
         for (int i = 0; i < 1000; i++) {
             budget.deposit(i);
         }
-        assertTrue(budget.withdraw(1000));
-        assertFalse(budget.withdraw(3600 * SECOND));
+        assertTrue(budget.tryWithdraw(1000));
+        assertFalse(budget.tryWithdraw(3600 * SECOND));
     }
 }
--- a/core/src/test/java/loadbalancer/routes/RouteTableTest.java
+++ b/core/src/test/java/loadbalancer/routes/RouteTableTest.java
@@ -51,7 +51,7 @@
     }
 
     @Provide
-    Arbitrary<Route.Request> requests() {
+    Arbitrary<RouteRequest> requests() {
         Arbitrary<String[]> path = Arbitraries.of("a", "b", "c", "")
                 .list()
                 .ofMinSize(1)
@@ -63,16 +63,16 @@
                         Arbitraries.<Map<String, String>>of(Map.of(), Map.of("h", "1"), Map.of("h", "2", "i", "1")),
                         Arbitraries.of("s", "t", "u").injectNull(0.3),
                         Arbitraries.of("s", "u").injectNull(0.3))
-                .as(Route.Request::new);
+                .as(RouteRequest::new);
     }
 
     /** The tree finds just what the plain definition finds: the first in the stated order that refuses nothing. */
     @Property(tries = 2000, seed = "7")
     void theTreeAgreesWithTheDefinition(
-            @ForAll("routes") List<Route> routes, @ForAll("requests") Route.Request request) {
+            @ForAll("routes") List<Route> routes, @ForAll("requests") RouteRequest request) {
         Route expected = routes.stream()
                 .sorted(Route.MOST_SPECIFIC)
-                .filter(r -> r.refusal(request) == null)
+                .filter(r -> r.mismatch(request) == null)
                 .findFirst()
                 .orElse(null);
         RouteTable table = new RouteTable(routes);
@@ -82,8 +82,8 @@
                 table.explain(request).others().size());
     }
 
-    private static Route.Request get(String path) {
-        return new Route.Request("GET", PathTemplate.split(path), Map.of(), null, null);
+    private static RouteRequest get(String path) {
+        return new RouteRequest("GET", PathTemplate.split(path), Map.of(), null, null);
     }
 
     @ParameterizedTest
@@ -135,9 +135,9 @@
     void headerNamesCountInAnyCaseAndTheirValuesAsTheyAre() {
         Route route = new Route("r", PathTemplate.of("/**"), Set.of(), Map.of("X-Pool", "New"), Set.of(), Set.of(), 0);
         RouteTable table = new RouteTable(List.of(route));
-        Route.Request request = new Route.Request("GET", new String[] {"a"}, Map.of("x-pool", "New"), null, null);
+        RouteRequest request = new RouteRequest("GET", new String[] {"a"}, Map.of("x-pool", "New"), null, null);
         assertEquals(route, table.find(request));
-        Route.Request other = new Route.Request("GET", new String[] {"a"}, Map.of("x-pool", "new"), null, null);
+        RouteRequest other = new RouteRequest("GET", new String[] {"a"}, Map.of("x-pool", "new"), null, null);
         assertEquals(
                 "r: header x-pool is 'new', not 'New'",
                 table.explain(other).others().get(0));
--- a/core/src/test/java/loadbalancer/routes/SplitTest.java
+++ b/core/src/test/java/loadbalancer/routes/TrafficSplitTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-class SplitTest {
+class TrafficSplitTest {
     private static final String[] POOLS = {"old", "new", "spare"};
 
     /** From 0 to all in twenty steps: each key moves once, to the growing pool, and stays. */
@@ -18,10 +18,10 @@
     void whileOneWeightGrowsNoKeyThatHasMovedMovesBack() {
         int[] at = new int[20_000];
         for (int step = 0; step <= 20; step++) {
-            Split split = new Split(POOLS, new double[] {5, step * step, 2});
+            TrafficSplit split = new TrafficSplit(POOLS, new double[] {5, step * step, 2});
             int moved = 0;
             for (int key = 0; key < at.length; key++) {
-                int pool = split.choose(Split.hash("key" + key));
+                int pool = split.choose(TrafficSplit.hash("key" + key));
                 boolean allowed = step == 0 || pool == at[key] || pool == 1;
                 assertTrue(allowed, "key " + key + " went from " + at[key] + " to " + pool);
                 moved += pool == 1 ? 1 : 0;
@@ -37,22 +37,22 @@
             @ForAll @DoubleRange(min = 0, max = 10) double a,
             @ForAll @DoubleRange(min = 0.5, max = 10) double b,
             @ForAll @IntRange(max = 1000) int salt) {
-        Split split = new Split(new String[] {"a", "b"}, new double[] {a, b});
+        TrafficSplit split = new TrafficSplit(new String[] {"a", "b"}, new double[] {a, b});
         int first = 0;
         for (int key = 0; key < 4000; key++) {
-            first += split.choose(Split.hash(salt + "/" + key)) == 0 ? 1 : 0;
+            first += split.choose(TrafficSplit.hash(salt + "/" + key)) == 0 ? 1 : 0;
         }
         assertEquals(a / (a + b), first / 4000.0, 0.05);
     }
 
     @Test
     void aPoolOfWeightNothingGetsNothingAndAllNothingIsNoPool() {
-        Split split = new Split(POOLS, new double[] {0, 1, 0});
+        TrafficSplit split = new TrafficSplit(POOLS, new double[] {0, 1, 0});
         for (int key = 0; key < 100; key++) {
             assertEquals(1, split.choose(key));
         }
-        assertEquals(-1, new Split(POOLS, new double[3]).choose(1));
-        assertThrows(IllegalArgumentException.class, () -> new Split(POOLS, new double[] {1, -1, 0}));
-        assertThrows(IllegalArgumentException.class, () -> new Split(POOLS, new double[] {1, Double.NaN, 0}));
+        assertEquals(-1, new TrafficSplit(POOLS, new double[3]).choose(1));
+        assertThrows(IllegalArgumentException.class, () -> new TrafficSplit(POOLS, new double[] {1, -1, 0}));
+        assertThrows(IllegalArgumentException.class, () -> new TrafficSplit(POOLS, new double[] {1, Double.NaN, 0}));
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/RoutingReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/RoutingReader.java
@@ -4,7 +4,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import loadbalancer.limits.ConcurrencyLimit;
+import loadbalancer.limits.LimitAlgorithm;
 import loadbalancer.simulator.variants.RoutingSpec;
 import loadbalancer.simulator.world.WorldPlan;
 import loadbalancer.toml.Section;
@@ -28,7 +28,7 @@
             if (!pools.contains(name)) {
                 p.fault("name", "no [[kind]] is of pool '" + name + "'" + Section.meant(name, pools));
             }
-            ConcurrencyLimit.Kind limit = p.has("limit") ? p.word("limit", ConcurrencyLimit.Kind.class, null) : null;
+            LimitAlgorithm limit = p.has("limit") ? p.word("limit", LimitAlgorithm.class, null) : null;
             own.add(new RoutingSpec.Pool(
                     name,
                     limit,
@@ -140,8 +140,7 @@
                                 + String.join(", ", PARTS.stream().sorted().toList()) + Section.meant(w, PARTS));
             }
         }
-        ConcurrencyLimit.Kind limit =
-                variant.has("limit") ? variant.word("limit", ConcurrencyLimit.Kind.class, null) : null;
+        LimitAlgorithm limit = variant.has("limit") ? variant.word("limit", LimitAlgorithm.class, null) : null;
         return new RoutingSpec.Use(
                 front,
                 limit,
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/RoutesAxis.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/RoutesAxis.java
@@ -9,11 +9,18 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import loadbalancer.limits.ConcurrencyLimit;
+import loadbalancer.limits.ConcurrencyLimitConfig;
+import loadbalancer.limits.LimitAlgorithm;
+import loadbalancer.router.Destination;
+import loadbalancer.router.PoolConfig;
+import loadbalancer.router.QuotaConfig;
 import loadbalancer.router.RequestRouter;
+import loadbalancer.router.RetryAfterBounds;
+import loadbalancer.router.RouteConfig;
 import loadbalancer.router.RoutingConfig;
 import loadbalancer.routes.PathTemplate;
 import loadbalancer.routes.Route;
+import loadbalancer.routes.RouteRequest;
 import loadbalancer.routes.RouteTable;
 
 /**
@@ -52,10 +59,10 @@
         figures.put("table_heap_per_route_bytes", Repeated.retained(() -> new RouteTable(routes)) / size);
         figures.put("table_made_ms", Repeated.millis(() -> new RouteTable(routes)));
         RouteTable table = new RouteTable(routes);
-        Route.Request[] requests = new Route.Request[PATHS];
+        RouteRequest[] requests = new RouteRequest[PATHS];
         for (int i = 0; i < PATHS; i++) {
             int r = (int) (i * 7919L % size);
-            requests[i] = new Route.Request(
+            requests[i] = new RouteRequest(
                     "GET", PathTemplate.split(path(r).replace("{key}", "k" + i)), Map.of(), null, "lookup");
         }
         int[] next = {0};
@@ -84,20 +91,19 @@
     }
 
     private static RoutingConfig plan(List<Route> routes) {
-        ConcurrencyLimit.Plan limit = new ConcurrencyLimit.Plan(ConcurrencyLimit.Kind.FIXED, 100, 10, 1000);
-        List<RoutingConfig.RoutePlan> plans = new ArrayList<>();
+        ConcurrencyLimitConfig limit = new ConcurrencyLimitConfig(LimitAlgorithm.FIXED, 100, 10, 1000);
+        List<RouteConfig> plans = new ArrayList<>();
         for (Route r : routes) {
-            plans.add(new RoutingConfig.RoutePlan(
-                    r, List.of(new RoutingConfig.Way("site", 1, List.of())), 1.2, 0.05, null, null, 0));
+            plans.add(new RouteConfig(r, List.of(new Destination("site", 1, List.of())), 1.2, 0.05, null, null, 0));
         }
         return new RoutingConfig(
-                List.of(new RoutingConfig.PoolPlan("site", limit, 10)),
+                List.of(new PoolConfig("site", limit, 10)),
                 plans,
                 "site",
-                RoutingConfig.Quotas.none(),
+                QuotaConfig.none(),
                 1,
                 0.1,
-                new RoutingConfig.Advice(100_000, 1_500_000));
+                new RetryAfterBounds(100_000, 1_500_000));
     }
 
     private static void write(Path file, long size) throws IOException {
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/TenantsAxis.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/TenantsAxis.java
@@ -7,7 +7,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.IntStream;
-import loadbalancer.limits.TokenTree;
+import loadbalancer.limits.RateLimit;
+import loadbalancer.limits.TokenBucketTree;
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
@@ -76,14 +77,15 @@
             module.reconfigure(now[0], settings, new int[] {0}, same);
             return module;
         }));
-        TokenTree.Rate rate = new TokenTree.Rate(1e9, 1e6, 1e9);
+        RateLimit rate = new RateLimit(1e9, 1e6, 1e9);
         figures.put("quotas_heap_per_tenant_bytes", Repeated.retained(() -> quotas(size, rate)) / size);
-        TokenTree tree = quotas(size, rate);
+        TokenBucketTree tree = quotas(size, rate);
         String[] names =
                 IntStream.range(0, NAMES).mapToObj(i -> "t" + i * 7919L % size).toArray(String[]::new);
         int[] next = {0};
         figures.put(
-                "quota_take_ns", Repeated.nanos(() -> tree.take(now[0]++, names[next[0] = next[0] + 1 & NAMES - 1])));
+                "quota_take_ns",
+                Repeated.nanos(() -> tree.tryTake(now[0]++, names[next[0] = next[0] + 1 & NAMES - 1])));
         RealStart.measure(setup, realms, Map.of(), size + " tenants", figures, missed);
         return new ScalePoint(name(), size, figures, missed);
     }
@@ -94,8 +96,8 @@
         return SettingsReader.read(flat, (path, what) -> new IllegalStateException(path + ": " + what));
     }
 
-    private static TokenTree quotas(long size, TokenTree.Rate rate) {
-        TokenTree tree = new TokenTree("site", rate);
+    private static TokenBucketTree quotas(long size, RateLimit rate) {
+        TokenBucketTree tree = new TokenBucketTree("site", rate);
         for (int i = 0; i < size; i++) {
             tree.add("site", "t" + i, rate);
         }
--- a/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
@@ -15,9 +15,12 @@
 import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.LoadReport;
 import loadbalancer.policy.PolicySettings;
+import loadbalancer.router.LeaseEnd;
 import loadbalancer.router.RequestRouter;
-import loadbalancer.router.RequestRouter.End;
-import loadbalancer.routes.Route;
+import loadbalancer.router.RouteLease;
+import loadbalancer.router.RoutingDecision;
+import loadbalancer.router.RoutingRequest;
+import loadbalancer.routes.RouteRequest;
 import loadbalancer.simulator.engine.RandomStream;
 
 /**
@@ -31,10 +34,10 @@
     private record Wake(long at, String pool) {}
 
     private static final class Open {
-        final RequestRouter.RouteLease ticket;
+        final RouteLease ticket;
         int attempts;
 
-        Open(RequestRouter.RouteLease ticket) {
+        Open(RouteLease ticket) {
             this.ticket = ticket;
         }
     }
@@ -87,7 +90,7 @@
         @Override
         public void send(String request, String server, long timeout) {
             Open o = open.get(request);
-            if (o != null && o.attempts > 0 && !front.mayTryAgain(time, o.ticket)) {
+            if (o != null && o.attempts > 0 && !front.allowsRetry(time, o.ticket)) {
                 int denied = o.attempts++;
                 later.add(() -> modules.get(pool)
                         .outcome(time, request, denied, AttemptOutcome.NOT_SENT, 0, false, null, this));
@@ -102,13 +105,13 @@
         @Override
         public void refuse(String request, long retryAfter) {
             Open o = open.get(request);
-            over(request, o != null && o.attempts > 0 ? End.FAILED : End.UNSENT);
+            over(request, o != null && o.attempts > 0 ? LeaseEnd.FAILED : LeaseEnd.NOT_SENT);
             out.refuse(request, retryAfter);
         }
 
         @Override
         public void fail(String request) {
-            over(request, End.FAILED);
+            over(request, LeaseEnd.FAILED);
             out.fail(request);
         }
 
@@ -168,7 +171,7 @@
         return actions.computeIfAbsent(pool, ToWorld::new);
     }
 
-    private void over(String request, End end) {
+    private void over(String request, LeaseEnd end) {
         Open o = open.get(request);
         if (o != null) {
             front.ended(time, o.ticket, end);
@@ -212,7 +215,7 @@
         }
         own.forEach((pool, some) -> {
             if (kind != EndpointListKind.UNAVAILABLE) {
-                front.listed(now, pool, (int) states.get(pool).values().stream()
+                front.setEndpointsUp(now, pool, (int) states.get(pool).values().stream()
                         .filter(s -> s == EndpointState.UP)
                         .count());
             }
@@ -251,10 +254,10 @@
         double least = worths.stream().mapToDouble(w -> w).min().orElse(1);
         double most = worths.stream().mapToDouble(w -> w).max().orElse(1);
         double rank = most > least ? (worths.get(kind) - least) / (most - least) : 1;
-        RequestRouter.RoutingDecision v = front.arrive(
+        RoutingDecision v = front.route(
                 now,
-                new RequestRouter.Arrival(
-                        new Route.Request(
+                new RoutingRequest(
+                        new RouteRequest(
                                 "GET",
                                 ROOT,
                                 Map.of(),
@@ -264,12 +267,12 @@
                         rank,
                         clientRetry,
                         random.uniform()));
-        if (v.ticket() == null) {
-            to.refuse(id, v.retryAfter());
+        if (v.lease() == null) {
+            to.refuse(id, v.retryAfterMicros());
             return;
         }
-        open.put(id, new Open(v.ticket()));
-        String pool = v.ticket().pool();
+        open.put(id, new Open(v.lease()));
+        String pool = v.lease().pool();
         modules.get(pool).request(now, id, kind, tenant, key, timeLeft, work, clientRetry, actions(pool));
         settle();
     }
@@ -291,7 +294,7 @@
         }
         String pool = o.ticket.pool();
         if (outcome == AttemptOutcome.OK) {
-            over(id, End.SERVED);
+            over(id, LeaseEnd.SERVED);
         }
         modules.get(pool).outcome(now, id, attempt, outcome, latency, closed, load, actions(pool));
         settle();
@@ -312,7 +315,7 @@
         begin(now, to);
         Open o = open.get(id);
         if (o != null) {
-            over(id, End.GONE);
+            over(id, LeaseEnd.CLIENT_GONE);
             modules.get(o.ticket.pool()).clientGone(now, id, actions(o.ticket.pool()));
         }
         settle();
--- a/simulator/src/main/java/loadbalancer/simulator/variants/RoutingSpec.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/RoutingSpec.java
@@ -5,10 +5,19 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import loadbalancer.limits.ConcurrencyLimit;
-import loadbalancer.limits.TokenTree.Rate;
+import loadbalancer.limits.ConcurrencyLimitConfig;
+import loadbalancer.limits.LimitAlgorithm;
+import loadbalancer.limits.RateLimit;
 import loadbalancer.policy.PolicySettings;
+import loadbalancer.router.Destination;
+import loadbalancer.router.PoolConfig;
+import loadbalancer.router.QuotaConfig;
+import loadbalancer.router.RetryAfterBounds;
+import loadbalancer.router.RetryBudgetConfig;
+import loadbalancer.router.RouteConfig;
 import loadbalancer.router.RoutingConfig;
+import loadbalancer.router.SpillTarget;
+import loadbalancer.router.TenantQuotaConfig;
 import loadbalancer.routes.PathTemplate;
 import loadbalancer.routes.Route;
 
@@ -25,8 +34,7 @@
         List<Pool> pools, List<Way> routes, double tenantRate, double tenantCeiling, double siteRate, double reserve) {
 
     /** A pool: its limit's kind (null: none) and, for each upstream, where the limit begins, its floor and its cap. */
-    public record Pool(
-            String name, ConcurrencyLimit.Kind limit, double start, double least, double most, int fullStrength) {}
+    public record Pool(String name, LimitAlgorithm limit, double start, double least, double most, int fullStrength) {}
 
     /**
      * A route by classes (none: all).
@@ -58,8 +66,7 @@
      * @param toldTimes what a balancer believes of the number of instances: this times the truth, and
      *     {@code toldMore} more
      */
-    public record Use(
-            RoutingSpec spec, ConcurrencyLimit.Kind limit, Set<String> without, double toldTimes, int toldMore) {}
+    public record Use(RoutingSpec spec, LimitAlgorithm limit, Set<String> without, double toldTimes, int toldMore) {}
 
     private static final long RETRY_WINDOW = 10_000_000;
     private static final long ADVICE_LEAST = 50_000;
@@ -73,34 +80,33 @@
             Map<String, Integer> upstreams,
             long time) {
         int told = Math.max(1, (int) Math.round(settings.balancers() * use.toldTimes) + use.toldMore);
-        List<RoutingConfig.PoolPlan> all = new ArrayList<>();
+        List<PoolConfig> all = new ArrayList<>();
         for (Pool p : pools) {
             double each = Math.max(1, upstreams.getOrDefault(p.name, 1)) / (double) settings.balancers();
-            ConcurrencyLimit.Kind kind = use.limit != null ? use.limit : p.limit;
+            LimitAlgorithm kind = use.limit != null ? use.limit : p.limit;
             int least = Math.max(1, (int) Math.round(p.least * each));
             int start = Math.max(least, (int) Math.round(p.start * each));
-            ConcurrencyLimit.Plan limit = kind == null || use.without.contains("limits")
+            ConcurrencyLimitConfig limit = kind == null || use.without.contains("limits")
                     ? null
-                    : new ConcurrencyLimit.Plan(kind, start, least, Math.max(start, (int) Math.round(p.most * each)));
-            all.add(new RoutingConfig.PoolPlan(p.name, limit, p.fullStrength));
+                    : new ConcurrencyLimitConfig(kind, start, least, Math.max(start, (int) Math.round(p.most * each)));
+            all.add(new PoolConfig(p.name, limit, p.fullStrength));
         }
-        List<RoutingConfig.RoutePlan> ways = new ArrayList<>();
+        List<RouteConfig> ways = new ArrayList<>();
         for (int i = 0; i < routes.size(); i++) {
             ways.add(route(routes.get(i), use, i, time));
         }
-        RoutingConfig.Quotas quotas = RoutingConfig.Quotas.none();
+        QuotaConfig quotas = QuotaConfig.none();
         if (tenantRate > 0 && !use.without.contains("quotas")) {
-            Map<String, RoutingConfig.TenantQuota> own = new LinkedHashMap<>();
+            Map<String, TenantQuotaConfig> own = new LinkedHashMap<>();
             double sum = 0;
             for (int i = 0; i < tenants.size(); i++) {
                 double allowance = settings.tenants().get(i).allowancePerSecond();
                 sum += allowance;
                 own.put(
                         tenants.get(i),
-                        new RoutingConfig.TenantQuota(
-                                rate(allowance * tenantRate, allowance * tenantCeiling), Map.of()));
+                        new TenantQuotaConfig(rate(allowance * tenantRate, allowance * tenantCeiling), Map.of()));
             }
-            quotas = new RoutingConfig.Quotas(rate(sum * siteRate, sum * siteRate), own, null);
+            quotas = new QuotaConfig(rate(sum * siteRate, sum * siteRate), own, null);
         }
         return new RoutingConfig(
                 all,
@@ -109,32 +115,30 @@
                 quotas,
                 told,
                 reserve,
-                new RoutingConfig.Advice(ADVICE_LEAST, settings.limits().maxRetryAfterMicros()));
+                new RetryAfterBounds(ADVICE_LEAST, settings.limits().maxRetryAfterMicros()));
     }
 
     // A second's worth may come at once: shares are counted over a second as well.
-    private static Rate rate(double perSecond, double ceiling) {
-        return new Rate(perSecond, Math.max(1, perSecond), Math.max(perSecond, ceiling));
+    private static RateLimit rate(double perSecond, double ceiling) {
+        return new RateLimit(perSecond, Math.max(1, perSecond), Math.max(perSecond, ceiling));
     }
 
-    private RoutingConfig.RoutePlan route(Way w, Use use, int place, long time) {
+    private RouteConfig route(Way w, Use use, int place, long time) {
         double moved = w.steps == 0 || time < w.stepsFrom || use.without.contains("steps")
                 ? 0
                 : Math.min(1, Math.floor((time - w.stepsFrom) * (double) w.steps / w.stepsLength + 1) / w.steps);
-        List<RoutingConfig.Spill> spills = use.without.contains("spill")
+        List<SpillTarget> spills = use.without.contains("spill")
                 ? List.of()
-                : w.spill.stream()
-                        .map(s -> new RoutingConfig.Spill(s, w.spillMost))
-                        .toList();
-        List<RoutingConfig.Way> ways = new ArrayList<>();
+                : w.spill.stream().map(s -> new SpillTarget(s, w.spillMost)).toList();
+        List<Destination> ways = new ArrayList<>();
         for (int i = 0; i < w.to.size(); i++) {
             double weight = w.steps == 0 ? w.weights.get(i) : i == 0 ? 1 - moved : i == w.to.size() - 1 ? moved : 0;
-            ways.add(new RoutingConfig.Way(w.to.get(i), weight, spills));
+            ways.add(new Destination(w.to.get(i), weight, spills));
         }
-        RoutingConfig.Retries retries = w.retryShare < 0 || use.without.contains("retries")
+        RetryBudgetConfig retries = w.retryShare < 0 || use.without.contains("retries")
                 ? null
-                : new RoutingConfig.Retries(w.retryShare, 1, RETRY_WINDOW, w.countClients);
-        return new RoutingConfig.RoutePlan(
+                : new RetryBudgetConfig(w.retryShare, 1, RETRY_WINDOW, w.countClients);
+        return new RouteConfig(
                 new Route(w.name, PathTemplate.of("/**"), Set.of(), Map.of(), Set.of(), w.classes, place),
                 ways,
                 w.spare,
--- a/simulator/src/test/java/loadbalancer/simulator/world/HardCasesTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/world/HardCasesTest.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import loadbalancer.limits.ConcurrencyLimit;
+import loadbalancer.limits.LimitAlgorithm;
 import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.policy.Idempotency;
 import loadbalancer.policy.JsqDasPolicy;
@@ -95,7 +95,7 @@
     }
 
     private static final RoutingSpec FRONT = new RoutingSpec(
-            List.of(new RoutingSpec.Pool("site", ConcurrencyLimit.Kind.GRADIENT, 8, 1, 100, 0)),
+            List.of(new RoutingSpec.Pool("site", LimitAlgorithm.GRADIENT, 8, 1, 100, 0)),
             List.of(new RoutingSpec.Way(
                     "all", Set.of(), List.of("site"), List.of(1.0), List.of(), 1, 1.2, 0.05, 0.1, true, 0, 0, 1)),
             1,
