--- a/balancer/src/main/java/loadbalancer/wire/ActionEncoder.java
+++ b/balancer/src/main/java/loadbalancer/wire/ActionEncoder.java
@@ -57,7 +57,7 @@
     }
 
     @Override
-    public void refuse(String request, long retryAfterMicros) {
+    public void reject(String request, long retryAfterMicros) {
         line("REFUSE", request, retryAfterMicros);
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
@@ -103,10 +103,10 @@
         }
 
         @Override
-        public void refuse(String request, long retryAfter) {
+        public void reject(String request, long retryAfter) {
             Open o = open.get(request);
             over(request, o != null && o.attempts > 0 ? LeaseEnd.FAILED : LeaseEnd.NOT_SENT);
-            out.refuse(request, retryAfter);
+            out.reject(request, retryAfter);
         }
 
         @Override
@@ -268,7 +268,7 @@
                         clientRetry,
                         random.uniform()));
         if (v.lease() == null) {
-            to.refuse(id, v.retryAfterMicros());
+            to.reject(id, v.retryAfterMicros());
             return;
         }
         open.put(id, new Open(v.lease()));
@@ -374,7 +374,7 @@
     }
 
     @Override
-    public void share(double part) {
-        modules.values().forEach(m -> m.share(part));
+    public void setSlowStartFraction(double part) {
+        modules.values().forEach(m -> m.setSlowStartFraction(part));
     }
 }
