--- a/balancer/src/main/java/loadbalancer/dispatch/RequestDispatcher.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/RequestDispatcher.java
@@ -19,6 +19,7 @@
 import loadbalancer.logs.Log;
 import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.LearnedStateCodec;
 import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.LoadReport;
 import loadbalancer.policy.LoadReporting;
@@ -314,12 +315,12 @@
 
     /** What the module has learnt, for a process that is to go on in its place. */
     public Map<String, double[]> learnedState() {
-        return policy.learnedState(now());
+        return LearnedStateCodec.encode(policy.learnedState(now()));
     }
 
     /** Gives the module what another has learnt. */
     public void restore(Map<String, double[]> learnedState) {
-        hand(now -> policy.restore(now, learnedState));
+        hand(now -> policy.restore(now, LearnedStateCodec.decode(learnedState)));
     }
 
     /** This process may use that part of what the balancer may send to cold upstreams. */
--- a/balancer/src/test/java/loadbalancer/process/BalancerFixture.java
+++ b/balancer/src/test/java/loadbalancer/process/BalancerFixture.java
@@ -21,6 +21,7 @@
 import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.LearnedState;
 import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.LoadReport;
 import loadbalancer.policy.PolicySettings;
@@ -34,7 +35,7 @@
         public final BlockingQueue<String> told = new LinkedBlockingQueue<>();
         public final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
         public final Map<String, Long> startedAt = new ConcurrentHashMap<>();
-        public volatile Map<String, double[]> learnedState = Map.of();
+        public volatile LearnedState learnedState = LearnedState.NONE;
         public volatile long timeout;
         public volatile boolean broken;
         public volatile boolean again;
@@ -113,14 +114,14 @@
         }
 
         @Override
-        public Map<String, double[]> learnedState(long now) {
+        public LearnedState learnedState(long now) {
             return learnedState;
         }
 
         @Override
-        public void restore(long now, Map<String, double[]> from) {
-            if (!from.isEmpty()) {
-                told.add("resumed " + from.get("own")[0]);
+        public void restore(long now, LearnedState from) {
+            if (from.traffic() != null) {
+                told.add("resumed " + from.traffic().arrivals());
             }
         }
 
--- a/balancer/src/test/java/loadbalancer/process/HandoverDocumentTest.java
+++ b/balancer/src/test/java/loadbalancer/process/HandoverDocumentTest.java
@@ -31,6 +31,8 @@
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
+import loadbalancer.policy.LearnedState;
+import loadbalancer.policy.LearnedStateCodec;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -52,7 +54,7 @@
         }
 
         @Override
-        public void restore(long now, Map<String, double[]> from) {
+        public void restore(long now, LearnedState from) {
             learnedState = from;
         }
     }
@@ -163,13 +165,14 @@
         predecessor.send(resource("recorded-state.json"));
         predecessor.send("{\"up\":\"s1\"}"); // not drained: changes nothing, and ends after the state has been read
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (policies.get(1).learnedState.isEmpty() && System.nanoTime() < until) {
+        while (policies.get(1).learnedState == LearnedState.NONE && System.nanoTime() < until) {
             TimeUnit.MILLISECONDS.sleep(5);
         }
         node.loop().submit(() -> {}).get(20, TimeUnit.SECONDS);
     }
 
-    private static void assertLearned(Map<String, Object> recorded, Map<String, double[]> learned) {
+    private static void assertLearned(Map<String, Object> recorded, LearnedState state) {
+        Map<String, double[]> learned = LearnedStateCodec.encode(state);
         assertEquals(recorded.keySet(), learned.keySet());
         recorded.forEach((name, figures) -> assertArrayEquals(
                 ((List<?>) figures)
--- a/balancer/src/test/java/loadbalancer/process/HandoverTest.java
+++ b/balancer/src/test/java/loadbalancer/process/HandoverTest.java
@@ -17,6 +17,7 @@
 import java.util.concurrent.TimeUnit;
 import loadbalancer.handover.InheritedListener;
 import loadbalancer.policy.JsqDasPolicy;
+import loadbalancer.policy.LearnedState;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -68,7 +69,14 @@
 
     @Test
     void theSuccessorKnowsWhatIsOutAndWhatWasLearnt() throws Exception {
-        module.learnedState = Map.of("own", new double[] {0.25});
+        module.learnedState = new LearnedState(
+                new LearnedState.Latencies(null, null),
+                null,
+                null,
+                new LearnedState.Tenants(null, null),
+                new LearnedState.Traffic(0.25, 0, 0, 0),
+                Map.of(),
+                Map.of());
         node = process(module);
         awaitOffer();
         node.loop().submit(() -> node.operations().setDown("s1")).get(20, TimeUnit.SECONDS);
--- a/core/src/main/java/loadbalancer/policy/ClientRetryAge.java
+++ b/core/src/main/java/loadbalancer/policy/ClientRetryAge.java
@@ -48,9 +48,9 @@
         return learned;
     }
 
-    /** Takes over what a predecessor has learned; passed over where it has another number of classes. */
+    /** Takes over what a predecessor has learned; passed over where it is null or of another number of classes. */
     void restore(double[] learned) {
-        if (learned.length != firstAttemptMicros.length) {
+        if (learned == null || learned.length != firstAttemptMicros.length) {
             return;
         }
         for (int i = 0; i < learned.length; i++) {
--- a/core/src/main/java/loadbalancer/policy/JsqDasPolicy.java
+++ b/core/src/main/java/loadbalancer/policy/JsqDasPolicy.java
@@ -3,7 +3,6 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.Locale;
-import java.util.Map;
 
 /**
  * Load balancing by JSQ-DAS (Gardner and Stephens, "Smart Dispatching in Heterogeneous Systems"), within the rules of
@@ -270,13 +269,13 @@
     }
 
     @Override
-    public Map<String, double[]> learnedState(long now) {
-        return LearnedStateCodec.encode(learnedStates.collect(now));
+    public LearnedState learnedState(long now) {
+        return learnedStates.collect(now);
     }
 
     @Override
-    public void restore(long now, Map<String, double[]> learnedState) {
-        learnedStates.restore(LearnedStateCodec.decode(learnedState), now);
+    public void restore(long now, LearnedState learnedState) {
+        learnedStates.restore(learnedState, now);
         statistics.refresh(now);
     }
 }
--- a/core/src/main/java/loadbalancer/policy/LatencyTracker.java
+++ b/core/src/main/java/loadbalancer/policy/LatencyTracker.java
@@ -89,11 +89,7 @@
 
     /** Takes over what a predecessor has learned; figures of another number of classes are passed over. */
     void restore(LearnedState.Latencies learned) {
-        if (learned.expectedMicros().length == expectedMicros.length) {
-            expectedMicros = learned.expectedMicros().clone();
-        }
-        if (learned.meanWork().length == meanWork.length) {
-            meanWork = learned.meanWork().clone();
-        }
+        expectedMicros = LearnedState.ifFits(learned.expectedMicros(), expectedMicros);
+        meanWork = LearnedState.ifFits(learned.meanWork(), meanWork);
     }
 }
--- a/core/src/main/java/loadbalancer/policy/LearnedState.java
+++ b/core/src/main/java/loadbalancer/policy/LearnedState.java
@@ -1,24 +1,42 @@
 package loadbalancer.policy;
 
+import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /**
  * What a policy has learned, for the policy of a successor process to go on from. A part that a predecessor did not
- * hand over, or not in a form that fits, is null or an empty array. Arrays are not to be changed.
+ * hand over, or not in a form that fits, is null. Arrays are not to be changed.
  *
  * @param firstAttemptMicros by class: the longest time that a first attempt had
  * @param endpoints by id
+ * @param pools by name, what the policies of several pools have learned; empty for the policy of one pool
  */
-record LearnedState(
+public record LearnedState(
         Latencies latencies,
         double[] firstAttemptMicros,
         Admission admission,
         Tenants tenants,
         Traffic traffic,
-        Map<String, EndpointHistory> endpoints) {
-    LearnedState {
-        endpoints = new LinkedHashMap<>(endpoints);
+        Map<String, EndpointHistory> endpoints,
+        Map<String, LearnedState> pools) {
+    /** Nothing that has been learned. */
+    public static final LearnedState NONE = ofPools(Map.of());
+
+    /** Copies the maps, in their order. */
+    public LearnedState {
+        endpoints = Collections.unmodifiableMap(new LinkedHashMap<>(endpoints));
+        pools = Collections.unmodifiableMap(new LinkedHashMap<>(pools));
+    }
+
+    /** What the policies of several pools have learned, by name of the pool. */
+    public static LearnedState ofPools(Map<String, LearnedState> pools) {
+        return new LearnedState(new Latencies(null, null), null, null, new Tenants(null, null), null, Map.of(), pools);
+    }
+
+    /** A copy of the learned figures, or the present ones where the learned are null or of another number. */
+    static double[] ifFits(double[] learned, double[] present) {
+        return learned != null && learned.length == present.length ? learned.clone() : present;
     }
 
     /**
@@ -26,7 +44,7 @@
      *
      * @param meanWork mean hint of the work, 0 where there was none
      */
-    record Latencies(double[] expectedMicros, double[] meanWork) {}
+    public record Latencies(double[] expectedMicros, double[] meanWork) {}
 
     /**
      * Statistics of {@link AdmissionController}.
@@ -38,7 +56,7 @@
      * @param lowTierLevel shed level of the tiers of low weight
      * @param level shed level
      */
-    record Admission(
+    public record Admission(
             double[] arrivals, double completed, double scored, double scoreSum, double lowTierLevel, double level) {}
 
     /**
@@ -47,7 +65,7 @@
      * @param demand decayed number of requests
      * @param quotaTokens requests that are within the quota at once
      */
-    record Tenants(double[] demand, double[] quotaTokens) {}
+    public record Tenants(double[] demand, double[] quotaTokens) {}
 
     /**
      * Statistics of all requests of the balancer.
@@ -56,7 +74,7 @@
      * @param rejectedAttempts decayed number of attempts that endpoints did not take
      * @param retryTokens what the retry budget holds
      */
-    record Traffic(double arrivals, double rejectedAttempts, double retryTokens, double meanAttemptsInFlight) {}
+    public record Traffic(double arrivals, double rejectedAttempts, double retryTokens, double meanAttemptsInFlight) {}
 
     /**
      * What is known of one start of an endpoint: times are relative, counts decayed.
@@ -66,7 +84,7 @@
      * @param microsSinceSuccess time since the last success
      * @param awaitsFirstRequest whether the endpoint is due for a request whatever its rank
      */
-    record EndpointHistory(
+    public record EndpointHistory(
             long startedAt,
             double accomplishment,
             double successCount,
--- a/core/src/main/java/loadbalancer/policy/LearnedStateCodec.java
+++ b/core/src/main/java/loadbalancer/policy/LearnedStateCodec.java
@@ -4,13 +4,16 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Objects;
 
 /**
  * Writes and reads {@link LearnedState} as named arrays of figures: the form in which a process hands it to its
  * successor. Names and positions are a format between releases, which must not change; a name that is not known, or an
  * array that has another length than this release writes, is passed over.
+ *
+ * <p>What the policies of several pools have learned is not written: each pool has a document of its own.
  */
-final class LearnedStateCodec {
+public final class LearnedStateCodec {
     private static final String EXPECTED_LATENCIES = "usual";
     private static final String MEAN_WORK = "work";
     private static final String FIRST_ATTEMPT_TIMES = "first";
@@ -23,12 +26,11 @@
     private static final int ADMISSION_SCALARS = 5;
     private static final int TRAFFIC_FIGURES = 4;
     private static final int ENDPOINT_FIGURES = 11;
-    private static final double[] ABSENT = {};
 
     private LearnedStateCodec() {}
 
     /** The named arrays, in a map of the caller's own. */
-    static Map<String, double[]> encode(LearnedState state) {
+    public static Map<String, double[]> encode(LearnedState state) {
         Map<String, double[]> encoded = new HashMap<>();
         encoded.put(EXPECTED_LATENCIES, state.latencies().expectedMicros());
         encoded.put(MEAN_WORK, state.latencies().meanWork());
@@ -38,11 +40,12 @@
         encoded.put(QUOTA_TOKENS, state.tenants().quotaTokens());
         encoded.put(TRAFFIC, encode(state.traffic()));
         state.endpoints().forEach((id, history) -> encoded.put(ENDPOINT_PREFIX + id, encode(history)));
+        encoded.values().removeIf(Objects::isNull);
         return encoded;
     }
 
     /** What the named arrays say, as far as they fit. */
-    static LearnedState decode(Map<String, double[]> encoded) {
+    public static LearnedState decode(Map<String, double[]> encoded) {
         Map<String, LearnedState.EndpointHistory> endpoints = new LinkedHashMap<>();
         encoded.forEach((name, figures) -> {
             if (name.startsWith(ENDPOINT_PREFIX) && figures != null && figures.length == ENDPOINT_FIGURES) {
@@ -50,20 +53,19 @@
             }
         });
         return new LearnedState(
-                new LearnedState.Latencies(figures(encoded, EXPECTED_LATENCIES), figures(encoded, MEAN_WORK)),
-                figures(encoded, FIRST_ATTEMPT_TIMES),
-                decodeAdmission(figures(encoded, ADMISSION)),
-                new LearnedState.Tenants(figures(encoded, TENANT_DEMAND), figures(encoded, QUOTA_TOKENS)),
-                decodeTraffic(figures(encoded, TRAFFIC)),
-                endpoints);
-    }
-
-    private static double[] figures(Map<String, double[]> encoded, String name) {
-        double[] figures = encoded.get(name);
-        return figures == null ? ABSENT : figures;
+                new LearnedState.Latencies(encoded.get(EXPECTED_LATENCIES), encoded.get(MEAN_WORK)),
+                encoded.get(FIRST_ATTEMPT_TIMES),
+                decodeAdmission(encoded.get(ADMISSION)),
+                new LearnedState.Tenants(encoded.get(TENANT_DEMAND), encoded.get(QUOTA_TOKENS)),
+                decodeTraffic(encoded.get(TRAFFIC)),
+                endpoints,
+                Map.of());
     }
 
     static double[] encode(LearnedState.Admission admission) {
+        if (admission == null) {
+            return null;
+        }
         int tiers = admission.arrivals().length;
         double[] figures = Arrays.copyOf(admission.arrivals(), tiers + ADMISSION_SCALARS);
         figures[tiers] = admission.completed();
@@ -75,10 +77,10 @@
     }
 
     private static LearnedState.Admission decodeAdmission(double[] figures) {
-        int tiers = figures.length - ADMISSION_SCALARS;
-        if (tiers <= 0) {
+        if (figures == null || figures.length <= ADMISSION_SCALARS) {
             return null;
         }
+        int tiers = figures.length - ADMISSION_SCALARS;
         return new LearnedState.Admission(
                 Arrays.copyOf(figures, tiers),
                 figures[tiers],
@@ -89,13 +91,16 @@
     }
 
     private static double[] encode(LearnedState.Traffic traffic) {
+        if (traffic == null) {
+            return null;
+        }
         return new double[] {
             traffic.arrivals(), traffic.rejectedAttempts(), traffic.retryTokens(), traffic.meanAttemptsInFlight()
         };
     }
 
     private static LearnedState.Traffic decodeTraffic(double[] figures) {
-        return figures.length != TRAFFIC_FIGURES
+        return figures == null || figures.length != TRAFFIC_FIGURES
                 ? null
                 : new LearnedState.Traffic(figures[0], figures[1], figures[2], figures[3]);
     }
--- a/core/src/main/java/loadbalancer/policy/LearnedStateTransfer.java
+++ b/core/src/main/java/loadbalancer/policy/LearnedStateTransfer.java
@@ -27,7 +27,8 @@
                         components.traffic.rejectedAttempts(),
                         components.retryBudget.tokens(),
                         components.queueLengths.meanAttemptsInFlight()),
-                histories);
+                histories,
+                Map.of());
     }
 
     /** Hands each part what a predecessor's has learned; endpoints that aren't known here are passed over. */
--- a/core/src/main/java/loadbalancer/policy/LoadBalancingPolicy.java
+++ b/core/src/main/java/loadbalancer/policy/LoadBalancingPolicy.java
@@ -1,7 +1,6 @@
 package loadbalancer.policy;
 
 import java.util.List;
-import java.util.Map;
 
 /**
  * The interface of the decisions of one balancer: the events that the balancer reports (the methods below), and what
@@ -83,13 +82,13 @@
      */
     default void reconfigure(long now, PolicySettings settings, int[] formerClasses, int[] formerTenants) {}
 
-    /** What has been learned, by names of the policy's own, for the policy of a successor process to go on from. */
-    default Map<String, double[]> learnedState(long now) {
-        return Map.of();
+    /** What has been learned, for the policy of a successor process to go on from. */
+    default LearnedState learnedState(long now) {
+        return LearnedState.NONE;
     }
 
     /** Goes on from what the policy of a predecessor process has learned; what doesn't fit is ignored. */
-    default void restore(long now, Map<String, double[]> learnedState) {}
+    default void restore(long now, LearnedState learnedState) {}
 
     /**
      * From here on this policy may use that fraction of what its balancer may send to endpoints in slow start: another
--- a/core/src/main/java/loadbalancer/policy/TenantQuotas.java
+++ b/core/src/main/java/loadbalancer/policy/TenantQuotas.java
@@ -119,11 +119,7 @@
 
     /** Takes over what a predecessor has learned; figures of another number of tenants are passed over. */
     void restore(LearnedState.Tenants learned) {
-        if (learned.demand().length == demand.length) {
-            demand = learned.demand().clone();
-        }
-        if (learned.quotaTokens().length == tokens.length) {
-            tokens = learned.quotaTokens().clone();
-        }
+        demand = LearnedState.ifFits(learned.demand(), demand);
+        tokens = LearnedState.ifFits(learned.quotaTokens(), tokens);
     }
 }
--- a/core/src/test/java/loadbalancer/policy/ReconfigureTest.java
+++ b/core/src/test/java/loadbalancer/policy/ReconfigureTest.java
@@ -12,26 +12,29 @@
     private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
     private static final RequestClass NON_IDEMPOTENT = Harness.kind(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
 
+    private static Map<String, double[]> learnedState(Harness harness) {
+        return LearnedStateCodec.encode(harness.policy.learnedState(harness.now));
+    }
+
     @Test
     void figuresOfClassesMoveWithTheirNames() {
         Harness harness = new Harness(Harness.settings(IDEMPOTENT, NON_IDEMPOTENT), 1)
                 .list(EndpointListKind.CACHED, Harness.fleet(3));
-        double[] before = harness.policy.learnedState(harness.now).get("usual");
+        double[] before = learnedState(harness).get("usual");
         harness.policy.reconfigure(harness.now, Harness.settings(NON_IDEMPOTENT, IDEMPOTENT), new int[] {1, 0}, NONE);
         assertArrayEquals(
-                new double[] {before[1], before[0]},
-                harness.policy.learnedState(harness.now).get("usual"));
+                new double[] {before[1], before[0]}, learnedState(harness).get("usual"));
     }
 
     @Test
     void aSuccessorGoesOnFromWhatWasLearnt() {
         Harness harness = new Harness(Harness.settings(IDEMPOTENT), 1).list(EndpointListKind.CACHED, Harness.fleet(3));
         Harness next = new Harness(Harness.settings(IDEMPOTENT), 2).list(EndpointListKind.CACHED, Harness.fleet(3));
-        Map<String, double[]> learnedState = harness.policy.learnedState(harness.now);
+        Map<String, double[]> learnedState = learnedState(harness);
         learnedState.put("usual", new double[] {1234});
         learnedState.put("work", new double[] {1, 2, 3}); // of another number of classes: passed over
-        next.policy.restore(next.now, learnedState);
-        assertEquals(1234, next.policy.learnedState(next.now).get("usual")[0]);
-        assertEquals(1, next.policy.learnedState(next.now).get("work").length);
+        next.policy.restore(next.now, LearnedStateCodec.decode(learnedState));
+        assertEquals(1234, learnedState(next).get("usual")[0]);
+        assertEquals(1, learnedState(next).get("work").length);
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/variants/MeteredPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/MeteredPolicy.java
@@ -5,6 +5,7 @@
 import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.LearnedState;
 import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.LoadReport;
 
@@ -109,12 +110,12 @@
     }
 
     @Override
-    public java.util.Map<String, double[]> learnedState(long now) {
+    public LearnedState learnedState(long now) {
         return policy.learnedState(now);
     }
 
     @Override
-    public void restore(long now, java.util.Map<String, double[]> learnedState) {
+    public void restore(long now, LearnedState learnedState) {
         policy.restore(now, learnedState);
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
@@ -12,6 +12,7 @@
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
+import loadbalancer.policy.LearnedState;
 import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.LoadReport;
 import loadbalancer.policy.PolicySettings;
@@ -351,23 +352,16 @@
     }
 
     @Override
-    public Map<String, double[]> learnedState(long now) {
-        Map<String, double[]> all = new HashMap<>();
-        modules.forEach((pool, m) -> m.learnedState(now).forEach((k, v) -> all.put(pool + "\n" + k, v)));
-        return all;
+    public LearnedState learnedState(long now) {
+        Map<String, LearnedState> pools = new HashMap<>();
+        modules.forEach((pool, policy) -> pools.put(pool, policy.learnedState(now)));
+        return LearnedState.ofPools(pools);
     }
 
     @Override
-    public void restore(long now, Map<String, double[]> learnedState) {
-        modules.forEach((pool, m) -> {
-            Map<String, double[]> own = new HashMap<>();
-            learnedState.forEach((k, v) -> {
-                if (k.startsWith(pool + "\n")) {
-                    own.put(k.substring(pool.length() + 1), v);
-                }
-            });
-            m.restore(now, own);
-        });
+    public void restore(long now, LearnedState learnedState) {
+        modules.forEach(
+                (pool, policy) -> policy.restore(now, learnedState.pools().getOrDefault(pool, LearnedState.NONE)));
     }
 
     @Override
--- a/simulator/src/main/java/loadbalancer/simulator/world/World.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/World.java
@@ -11,6 +11,7 @@
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointState;
 import loadbalancer.policy.KeyScope;
+import loadbalancer.policy.LearnedState;
 import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.LoadReporting;
 import loadbalancer.policy.PolicySettings;
@@ -334,7 +335,7 @@
     // ---- balancers
 
     /** Starts a process of that balancer, with the list as {@code former} or the register last had it. */
-    Balancer startBalancer(BalancerSlot slot, Map<String, double[]> learnedState) {
+    Balancer startBalancer(BalancerSlot slot, LearnedState learnedState) {
         int incarnation = slot.nextIncarnation();
         long now = simulation.now();
         LoadBalancingPolicy policy = policyFactory.create(
