--- a/core/src/test/java/loadbalancer/policy/DispatchTest.java
+++ b/core/src/test/java/loadbalancer/policy/DispatchTest.java
@@ -31,7 +31,7 @@
         // Ranked by listed weight, all balancers sent their first requests to the same half of the servers.
         Map<String, Integer> first = new HashMap<>();
         for (int seed = 0; seed < 2000; seed++) {
-            first.merge(halves(seed).request("r", 0).server, 1, Integer::sum);
+            first.merge(halves(seed).request("r", 0).endpoint, 1, Integer::sum);
         }
         assertEquals(Set.of("s0", "s1", "s2", "s3", "s4", "s5"), first.keySet());
         for (int count : first.values()) {
@@ -50,7 +50,7 @@
                 Harness.Sent sent = harness.request("w" + i, 0);
                 harness.now += 1000;
                 harness.end(sent, AttemptOutcome.OK);
-                order.add(sent.server);
+                order.add(sent.endpoint);
             }
             Map<String, Integer> counts = new HashMap<>();
             order.forEach(s -> counts.merge(s, 1, Integer::sum));
@@ -59,7 +59,7 @@
                     .map(Map.Entry::getKey)
                     .toList();
             if (new HashSet<>(counts.values()).size() == counts.size()) {
-                wins.merge(ranked.indexOf(harness.request("x", 0).server), 1, Integer::sum);
+                wins.merge(ranked.indexOf(harness.request("x", 0).endpoint), 1, Integer::sum);
             }
         }
         double all = wins.values().stream().mapToInt(Integer::intValue).sum();
@@ -76,10 +76,10 @@
             Harness harness = halves(seed);
             Set<String> busy = new HashSet<>();
             for (int i = 0; i < 3; i++) {
-                busy.add(harness.request("r" + i, 0).server);
+                busy.add(harness.request("r" + i, 0).endpoint);
             }
             if (busy.size() == 3) {
-                assertTrue(!busy.contains(harness.request("next", 0).server));
+                assertTrue(!busy.contains(harness.request("next", 0).endpoint));
             }
         }
     }
@@ -119,9 +119,9 @@
         harness.now += 500;
         harness.end(bad, AttemptOutcome.ERROR); // the retry goes elsewhere
         assertEquals(2, harness.sentFor("bad").size());
-        assertTrue(!harness.sentFor("bad").get(1).server.equals(bad.server));
+        assertTrue(!harness.sentFor("bad").get(1).endpoint.equals(bad.endpoint));
         for (int i = 0; i < 2; i++) { // two other servers are empty: the failed one's slot still counts
-            assertTrue(!harness.request("n" + i, 0).server.equals(bad.server));
+            assertTrue(!harness.request("n" + i, 0).endpoint.equals(bad.endpoint));
         }
     }
 }
--- a/core/src/test/java/loadbalancer/policy/FleetColdTest.java
+++ b/core/src/test/java/loadbalancer/policy/FleetColdTest.java
@@ -28,18 +28,18 @@
 
     /** An upstream: so many requests a second when it is warm, fewer while it is cold. */
     private static final class Box {
-        final Endpoint server;
+        final Endpoint endpoint;
         final double perSecond;
         final List<Long> came = new ArrayList<>();
         final ArrayDeque<Work> line = new ArrayDeque<>();
 
-        Box(Endpoint server, double perSecond) {
-            this.server = server;
+        Box(Endpoint endpoint, double perSecond) {
+            this.endpoint = endpoint;
             this.perSecond = perSecond;
         }
 
         boolean cold() {
-            return server.startedAt() > 0;
+            return endpoint.startedAt() > 0;
         }
 
         double part(long now, SafetyBounds b) {
@@ -49,7 +49,7 @@
                             1,
                             b.slowStartInitialWeight()
                                     + (1 - b.slowStartInitialWeight())
-                                            * (now - server.startedAt())
+                                            * (now - endpoint.startedAt())
                                             / b.slowStartDurationMicros());
         }
     }
@@ -120,7 +120,7 @@
             }
             for (; looked.get(i) < h.sends.size(); looked.set(i, looked.get(i) + 1)) {
                 Harness.Sent sent = h.sends.get(looked.get(i));
-                Box box = boxes.get(sent.server);
+                Box box = boxes.get(sent.endpoint);
                 box.came.add(now);
                 if (box.line.size() >= SLOTS + QUEUE) {
                     h.end(sent, AttemptOutcome.FULL);
@@ -208,7 +208,7 @@
                 List<Endpoint> news = new ArrayList<>();
                 for (int i = k / 1_000 * 5; i < k / 1_000 * 5 + (day.equals("JOIN") ? 2 : 5); i++) {
                     if (!day.equals("JOIN")) {
-                        news.add(boxes.get("s" + i).server.withState(EndpointState.GONE));
+                        news.add(boxes.get("s" + i).endpoint.withState(EndpointState.GONE));
                     }
                     news.add(join("cold" + i, now, perSecond));
                 }
@@ -220,7 +220,7 @@
         for (Box box : boxes.values()) {
             if (box.cold()) {
                 double excess = excess(box.came, box, bounds);
-                assertTrue(excess <= 0, box.server.id() + " falls, by " + excess + " requests");
+                assertTrue(excess <= 0, box.endpoint.id() + " falls, by " + excess + " requests");
                 used += box.came.size();
             }
         }
--- a/core/src/test/java/loadbalancer/policy/FourRulesTest.java
+++ b/core/src/test/java/loadbalancer/policy/FourRulesTest.java
@@ -46,7 +46,7 @@
         Harness.Sent first = harness.request("r", 0);
         harness.end(first, outcome);
         assertEquals(2, harness.sentFor("r").size());
-        assertFalse(harness.sentFor("r").get(1).server.equals(first.server));
+        assertFalse(harness.sentFor("r").get(1).endpoint.equals(first.endpoint));
     }
 
     @Test
@@ -64,7 +64,7 @@
         harness.warmUp(60, 0, 40_000);
         Harness.Sent first = harness.request("r", 0);
         assertEquals(0, first.timeout, "what may be repeated is not cut: its work would be done twice");
-        harness.pass(Harness.AIM);
+        harness.pass(Harness.LATENCY_OBJECTIVE);
         assertEquals(1, harness.sentFor("r").size());
     }
 
@@ -79,7 +79,7 @@
             harness.end(first, AttemptOutcome.ERROR);
             Harness.Sent second = harness.sentFor("r").get(1);
             if (scope != KeyScope.ALL) { // cell and zone alternate over the fleet
-                assertEquals(first.server.charAt(1) % 2, second.server.charAt(1) % 2);
+                assertEquals(first.endpoint.charAt(1) % 2, second.endpoint.charAt(1) % 2);
             }
         }
     }
@@ -91,7 +91,7 @@
         Harness.Sent first = harness.request("r", 0);
         harness.pass(2_500_000); // the window is 2 s from the first send
         for (Harness.Sent copy : harness.sentFor("r")) {
-            assertTrue(copy.at - first.at < 2_000_000);
+            assertTrue(copy.sentAt - first.sentAt < 2_000_000);
         }
         int before = harness.sentFor("r").size();
         harness.sentFor("r").forEach(s -> harness.end(s, AttemptOutcome.ERROR));
@@ -107,12 +107,12 @@
         harness.list(EndpointListKind.DELTA, List.of(new Endpoint("s1", EndpointState.GONE, 0, 1, 1, 1, 1)));
         for (int i = 0; i < 30; i++) {
             Harness.Sent sent = harness.request("r" + i, 0);
-            assertEquals("s2", sent.server);
+            assertEquals("s2", sent.endpoint);
             harness.pass(30_000);
             harness.end(sent, AttemptOutcome.OK);
         }
         harness.list(EndpointListKind.SNAPSHOT, List.of(Harness.up("s1")));
-        assertEquals("s1", harness.request("x", 0).server, "missing in a complete list is gone");
+        assertEquals("s1", harness.request("x", 0).endpoint, "missing in a complete list is gone");
     }
 
     @Test
@@ -203,7 +203,7 @@
                     if (outcome == AttemptOutcome.OK && gone.contains(sent.request)) {
                         outcome = AttemptOutcome.CANCELLED;
                     }
-                    ended.computeIfAbsent(sent.request, k -> new TreeMap<>()).put(sent.number, outcome);
+                    ended.computeIfAbsent(sent.request, k -> new TreeMap<>()).put(sent.attempt, outcome);
                     harness.end(sent, outcome);
                 }
             } else if (what < 90 && !deadlines.isEmpty()) {
@@ -239,17 +239,18 @@
             }
             // Attempts whose own time-out or request's deadline has come end then, as on the wire.
             for (Harness.Sent s : new ArrayList<>(harness.sends)) {
-                long until =
-                        s.timeout > 0 ? Math.min(s.at + s.timeout, deadlines.get(s.request)) : deadlines.get(s.request);
+                long until = s.timeout > 0
+                        ? Math.min(s.sentAt + s.timeout, deadlines.get(s.request))
+                        : deadlines.get(s.request);
                 if (!s.ended && harness.now >= until) {
-                    ended.computeIfAbsent(s.request, k -> new TreeMap<>()).put(s.number, AttemptOutcome.TIMEOUT);
+                    ended.computeIfAbsent(s.request, k -> new TreeMap<>()).put(s.attempt, AttemptOutcome.TIMEOUT);
                     harness.end(s, AttemptOutcome.TIMEOUT);
                 }
             }
             for (; checked < harness.sends.size(); checked++) {
                 Harness.Sent s = harness.sends.get(checked);
-                Long since = unusable.get(s.server);
-                assertTrue(since == null || s.at <= since, "sent to a draining or gone server: " + s.server);
+                Long since = unusable.get(s.endpoint);
+                assertTrue(since == null || s.sentAt <= since, "sent to a draining or gone server: " + s.endpoint);
                 checkRepeat(harness, s, kinds.get(classOf.get(s.request)), ended, copies);
             }
         }
@@ -273,17 +274,17 @@
             Map<String, Map<Integer, AttemptOutcome>> ended,
             boolean copies) {
         for (Harness.Sent earlier : harness.sentFor(s.request)) {
-            if (earlier.number >= s.number) {
+            if (earlier.attempt >= s.attempt) {
                 continue;
             }
-            AttemptOutcome outcome = ended.getOrDefault(s.request, Map.of()).get(earlier.number);
+            AttemptOutcome outcome = ended.getOrDefault(s.request, Map.of()).get(earlier.attempt);
             boolean open = outcome == null;
             assertTrue(copies || !open, "two attempts at once");
             if (open || !outcome.neverRan()) {
                 assertTrue(kind.idempotency() != Idempotency.NON_IDEMPOTENT, "an unsafe request went out twice");
                 assertTrue(
                         kind.idempotency() != Idempotency.IDEMPOTENT_WITH_KEY
-                                || s.at - earlier.at < kind.keyRetentionMicros(),
+                                || s.sentAt - earlier.sentAt < kind.keyRetentionMicros(),
                         "sent after its window");
             }
             assertTrue(outcome != AttemptOutcome.OK, "sent after it was served");
--- a/core/src/test/java/loadbalancer/policy/FurtherRulesTest.java
+++ b/core/src/test/java/loadbalancer/policy/FurtherRulesTest.java
@@ -19,7 +19,7 @@
                 effect,
                 KeyScope.ALL,
                 2_000_000,
-                Harness.AIM,
+                Harness.LATENCY_OBJECTIVE,
                 Harness.DEADLINE,
                 0,
                 1,
@@ -35,7 +35,7 @@
                 Idempotency.IDEMPOTENT,
                 KeyScope.ALL,
                 0,
-                Harness.AIM,
+                Harness.LATENCY_OBJECTIVE,
                 Harness.DEADLINE,
                 0,
                 1,
@@ -79,7 +79,7 @@
         harness.pass(30_000);
         harness.end(first, outcome);
         assertEquals("failed", harness.finals.get("a"));
-        harness.pass(Harness.PAUSE - 10_000);
+        harness.pass(Harness.KEY_SEQUENCE_PAUSE - 10_000);
         assertEquals(0, harness.sentFor("b").size(), "the key rests");
         harness.pass(50_000);
         assertEquals(1, harness.sentFor("b").size(), "then the next one goes");
@@ -95,7 +95,7 @@
         harness.pass(50_000);
         assertEquals(0, harness.sentFor("b").size(), "its attempt has no outcome yet");
         harness.end(first, AttemptOutcome.CANCELLED);
-        harness.pass(Harness.PAUSE - 10_000);
+        harness.pass(Harness.KEY_SEQUENCE_PAUSE - 10_000);
         assertEquals(0, harness.sentFor("b").size());
         harness.pass(50_000);
         assertEquals(1, harness.sentFor("b").size());
@@ -123,18 +123,18 @@
     void aBoundClassGoesNowhereElse() {
         Harness harness = fleet(IDEMPOTENT, bound(Set.of(1), Set.of()), bound(Set.of(), Set.of(0)));
         for (int i = 0; i < 40; i++) { // zones and kinds alternate over the fleet
-            assertEquals(1, harness.request("z" + i, 1).server.charAt(1) % 2);
-            assertEquals(0, harness.request("k" + i, 2).server.charAt(1) % 2);
+            assertEquals(1, harness.request("z" + i, 1).endpoint.charAt(1) % 2);
+            assertEquals(0, harness.request("k" + i, 2).endpoint.charAt(1) % 2);
             harness.pass(10_000);
         }
         harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, AttemptOutcome.ERROR));
         harness.pass(Harness.DEADLINE);
         harness.sends.stream()
                 .filter(s -> s.request.startsWith("z"))
-                .forEach(s -> assertEquals(1, s.server.charAt(1) % 2, "retries and copies too"));
+                .forEach(s -> assertEquals(1, s.endpoint.charAt(1) % 2, "retries and copies too"));
         harness.sends.stream()
                 .filter(s -> s.request.startsWith("k"))
-                .forEach(s -> assertEquals(0, s.server.charAt(1) % 2, "retries and copies too"));
+                .forEach(s -> assertEquals(0, s.endpoint.charAt(1) % 2, "retries and copies too"));
     }
 
     @Test
@@ -147,7 +147,7 @@
         assertEquals(1, harness.sentFor("free").size());
         assertEquals(0, harness.sentFor("bound").size());
         harness.list(EndpointListKind.DELTA, List.of(new Endpoint("own", EndpointState.UP, 0, 1, 0, 0, 7)));
-        assertEquals("own", harness.sentFor("bound").get(0).server);
+        assertEquals("own", harness.sentFor("bound").get(0).endpoint);
         harness.request("bound2", 1);
         harness.list(EndpointListKind.DELTA, List.of(new Endpoint("own", EndpointState.GONE, 0, 1, 0, 0, 7)));
         harness.request("bound3", 1);
--- a/core/src/test/java/loadbalancer/policy/Harness.java
+++ b/core/src/test/java/loadbalancer/policy/Harness.java
@@ -5,27 +5,27 @@
 import java.util.List;
 import java.util.Map;
 
-/** Drives one module by hand and writes down what it asks for. */
+/** Drives one policy by hand and records what it asks for. */
 final class Harness implements LoadBalancingPolicy.Actions {
     static final long START = 1_000_000_000L;
-    static final long AIM = 600_000;
+    static final long LATENCY_OBJECTIVE = 600_000;
     static final long DEADLINE = 3_000_000;
-    static final long PAUSE = 100_000;
+    static final long KEY_SEQUENCE_PAUSE = 100_000;
 
-    /** An attempt that was sent; {@code ended} once its outcome was told. */
+    /** An attempt that was sent; {@code ended} once its outcome was reported. */
     static final class Sent {
         final String request;
-        final int number;
-        final String server;
-        final long at;
+        final int attempt;
+        final String endpoint;
+        final long sentAt;
         final long timeout;
         boolean ended;
 
-        Sent(String request, int number, String server, long at, long timeout) {
+        Sent(String request, int attempt, String endpoint, long sentAt, long timeout) {
             this.request = request;
-            this.number = number;
-            this.server = server;
-            this.at = at;
+            this.attempt = attempt;
+            this.endpoint = endpoint;
+            this.sentAt = sentAt;
             this.timeout = timeout;
         }
     }
@@ -40,14 +40,14 @@
     long wakeAt = Long.MAX_VALUE;
     int watches;
     int doubleFinals;
-    double reported = Double.NaN; // in-flight figure that outcomes carry, if any
+    double reportedInFlight = Double.NaN; // in the load report of each outcome
 
     Harness(PolicySettings settings, long seed) {
         policy = new JsqDasPolicy(settings, seed);
     }
 
-    static RequestClass kind(Idempotency effect, KeyScope scope) {
-        return new RequestClass(effect, scope, 2_000_000, AIM, DEADLINE, 0, 1, 0.3, false);
+    static RequestClass kind(Idempotency idempotency, KeyScope scope) {
+        return new RequestClass(idempotency, scope, 2_000_000, LATENCY_OBJECTIVE, DEADLINE, 0, 1, 0.3, false);
     }
 
     static PolicySettings settings(RequestClass... classes) {
@@ -56,7 +56,7 @@
 
     static PolicySettings settings(
             int balancers,
-            boolean copies,
+            boolean hedging,
             DiscoveryMode discovery,
             List<TenantQuota> tenants,
             RequestClass... classes) {
@@ -73,11 +73,42 @@
                 discovery,
                 LoadReporting.NONE,
                 false,
-                new SiteLimits(5, copies, true, true, 250_000, 0),
-                new SafetyBounds(20_000, 1_000_000, 10_000_000, 0.2, 20_000_000, 2.5, 1_500_000, PAUSE),
+                new SiteLimits(5, hedging, true, true, 250_000, 0),
+                new SafetyBounds(20_000, 1_000_000, 10_000_000, 0.2, 20_000_000, 2.5, 1_500_000, KEY_SEQUENCE_PAUSE),
                 5_000);
     }
 
+    /** The same settings for another number of balancers, without tenants. */
+    static PolicySettings settings(
+            PolicySettings base, int balancers, int rank, boolean weightByWork, boolean keyAffinity) {
+        return new PolicySettings(
+                balancers,
+                rank,
+                base.zone(),
+                base.classes(),
+                List.of(),
+                base.overQuotaWeight(),
+                base.objective(),
+                base.costs(),
+                weightByWork,
+                base.discovery(),
+                base.loadReporting(),
+                keyAffinity,
+                base.limits(),
+                base.bounds(),
+                base.tickMicros());
+    }
+
+    /** A harness with so many endpoints. */
+    static Harness withFleet(int endpoints, RequestClass... classes) {
+        return new Harness(settings(classes), 11).list(EndpointListKind.CACHED, fleet(endpoints));
+    }
+
+    /** A harness without endpoints: requests are queued. */
+    static Harness withoutEndpoints(RequestClass... classes) {
+        return new Harness(settings(classes), 11).list(EndpointListKind.CACHED, List.of());
+    }
+
     static Endpoint up(String id) {
         return new Endpoint(id, EndpointState.UP, 0, 1, 0, 0, 0);
     }
@@ -90,8 +121,8 @@
         return list;
     }
 
-    Harness list(EndpointListKind kind, List<Endpoint> servers) {
-        policy.endpoints(now, kind, servers, this);
+    Harness list(EndpointListKind kind, List<Endpoint> endpoints) {
+        policy.endpoints(now, kind, endpoints, this);
         return this;
     }
 
@@ -104,8 +135,8 @@
         return request(id, requestClass, tenant, timeLeft, false);
     }
 
-    /** A marked resubmission. */
-    Sent again(String id, int requestClass, long timeLeft) {
+    /** A request that the client marks as a retry. */
+    Sent clientRetry(String id, int requestClass, long timeLeft) {
         return request(id, requestClass, 0, timeLeft, true);
     }
 
@@ -133,15 +164,15 @@
         policy.outcome(
                 now,
                 sent.request,
-                sent.number,
+                sent.attempt,
                 outcome,
-                now - sent.at,
+                now - sent.sentAt,
                 closed,
-                new LoadReport(reported, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN),
+                new LoadReport(reportedInFlight, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN),
                 this);
     }
 
-    /** Lets time pass, waking the module when it asked for it. */
+    /** Lets time pass, waking the policy when it asked for it. */
     void pass(long time) {
         long until = now + time;
         while (wakeAt <= until) {
@@ -152,7 +183,7 @@
         now = until;
     }
 
-    /** Serves requests one after another so that the module learns what is usual. */
+    /** Serves requests one after another so that the policy learns the expected latency. */
     void warmUp(int requests, int requestClass, long latency) {
         for (int i = 0; i < requests; i++) {
             Sent sent = request("warm-" + now + "-" + i, requestClass);
@@ -161,9 +192,40 @@
         }
     }
 
-    long sentTo(String server, long since) {
+    /** Serves four requests of the first class at a time; attempts at the bad endpoints end as given. */
+    void serve(int rounds, long latency, Map<String, AttemptOutcome> bad) {
+        for (int i = 0; i < rounds; i++) {
+            for (int j = 0; j < 4; j++) {
+                request("q" + now + "/" + i + "/" + j, 0);
+            }
+            pass(latency);
+            sends.stream()
+                    .filter(s -> !s.ended)
+                    .toList()
+                    .forEach(s -> end(s, bad.getOrDefault(s.endpoint, AttemptOutcome.OK)));
+        }
+    }
+
+    /** Serves requests one by one, each answered after its latency; returns how many of them were sent. */
+    int serveOneByOne(int requests, int requestClass, int tenant, long latency) {
+        int sent = 0;
+        for (int i = 0; i < requests; i++) {
+            Sent first = request("o" + now + "/" + i, requestClass, tenant, DEADLINE);
+            pass(latency);
+            if (first != null) {
+                sent++;
+                end(first, AttemptOutcome.OK);
+                sentFor(first.request).stream()
+                        .filter(hedged -> !hedged.ended)
+                        .forEach(hedged -> end(hedged, AttemptOutcome.CANCELLED));
+            }
+        }
+        return sent;
+    }
+
+    long sentTo(String endpoint, long since) {
         return sends.stream()
-                .filter(s -> s.server.equals(server) && s.at >= since)
+                .filter(s -> s.endpoint.equals(endpoint) && s.sentAt >= since)
                 .count();
     }
 
@@ -172,10 +234,10 @@
     }
 
     @Override
-    public void send(String request, String server, long timeout) {
-        int number = attempts.merge(request, 1, Integer::sum) - 1;
-        sends.add(new Sent(request, number, server, now, timeout));
-        log.add(now + " send " + request + " " + server + " " + timeout);
+    public void send(String request, String endpoint, long timeoutMicros) {
+        int attempt = attempts.merge(request, 1, Integer::sum) - 1;
+        sends.add(new Sent(request, attempt, endpoint, now, timeoutMicros));
+        log.add(now + " send " + request + " " + endpoint + " " + timeoutMicros);
     }
 
     private void answer(String request, String how) {
@@ -186,8 +248,8 @@
     }
 
     @Override
-    public void reject(String request, long retryAfter) {
-        log.add(now + " refuse " + request + " " + retryAfter);
+    public void reject(String request, long retryAfterMicros) {
+        log.add(now + " reject " + request + " " + retryAfterMicros);
         answer(request, "refused");
     }
 
@@ -203,8 +265,8 @@
     }
 
     @Override
-    public void probe(String server) {
-        log.add(now + " probe " + server);
+    public void probe(String endpoint) {
+        log.add(now + " probe " + endpoint);
     }
 
     @Override
@@ -218,22 +280,22 @@
     }
 
     @Override
-    public void closeIdle(String server) {
-        log.add(now + " close " + server);
+    public void closeIdle(String endpoint) {
+        log.add(now + " close " + endpoint);
     }
 
     @Override
     public void sendToPeer(int peer, byte[] data) {
-        log.add(now + " tell " + peer);
+        log.add(now + " peer " + peer);
     }
 
     @Override
-    public void wakeAfter(long delay) {
-        wakeAt = Math.min(wakeAt, now + delay);
+    public void wakeAfter(long delayMicros) {
+        wakeAt = Math.min(wakeAt, now + delayMicros);
     }
 
     @Override
     public void log(String line) {
-        log.add(now + " remark " + line);
+        log.add(now + " log " + line);
     }
 }
--- /dev/null
+++ b/core/src/test/java/loadbalancer/policy/HedgingPolicyTest.java
@@ -0,0 +1,50 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.Map;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+
+/** Hedged requests, as the whole policy shows them. */
+class HedgingPolicyTest {
+    private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
+    private static final RequestClass NON_IDEMPOTENT = Harness.kind(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
+
+    @Test
+    void anIdempotentRequestWithoutAnAnswerIsHedgedOnce() {
+        for (RequestClass kind : List.of(IDEMPOTENT, NON_IDEMPOTENT)) {
+            Harness harness = Harness.withFleet(6, kind);
+            harness.serve(60, 20_000, Map.of());
+            Harness.Sent silent = harness.request("silent", 0);
+            harness.pass(Harness.LATENCY_OBJECTIVE - 5_000);
+            int copies = harness.sentFor("silent").size() - 1;
+            assertEquals(kind == IDEMPOTENT ? 1 : 0, copies, "copies of " + kind.idempotency());
+            assertTrue(harness.sentFor("silent").stream().skip(1).noneMatch(s -> s.endpoint.equals(silent.endpoint)));
+        }
+    }
+
+    @Test
+    void hedgedRequestsAreBoundedAndCeaseWhileAttemptsAreRejected() {
+        Harness harness = Harness.withFleet(6, IDEMPOTENT);
+        harness.serve(60, 20_000, Map.of());
+        for (int i = 0; i < 60; i++) {
+            harness.request("burst" + i, 0);
+        }
+        harness.pass(Harness.LATENCY_OBJECTIVE);
+        long copies = harness.sends.stream()
+                .filter(s -> s.request.startsWith("burst") && s.attempt > 0)
+                .count();
+        assertTrue(copies > 0 && copies <= 10, "a budget of ten at most, not one for each of 60: " + copies);
+        Harness full = Harness.withFleet(6, IDEMPOTENT);
+        full.serve(60, 20_000, Map.of());
+        List<Harness.Sent> turned =
+                IntStream.range(0, 8).mapToObj(i -> full.request("full" + i, 0)).toList();
+        turned.forEach(s -> full.end(s, AttemptOutcome.FULL));
+        full.request("wait", 0);
+        full.pass(Harness.LATENCY_OBJECTIVE);
+        assertEquals(1, full.sentFor("wait").size());
+    }
+}
--- a/core/src/test/java/loadbalancer/policy/LibraryTest.java
+++ b/core/src/test/java/loadbalancer/policy/LibraryTest.java
@@ -123,7 +123,7 @@
                 harness.request("r" + i, 0, 0, deadline);
                 harness.pass(1_000_000 / rate);
                 harness.sends.stream()
-                        .filter(s -> !s.ended && harness.now - s.at >= latency)
+                        .filter(s -> !s.ended && harness.now - s.sentAt >= latency)
                         .toList()
                         .forEach(s -> harness.end(s, AttemptOutcome.OK));
             }
@@ -146,7 +146,7 @@
             harness.sends.stream()
                     .filter(s -> !s.ended)
                     .toList()
-                    .forEach(s -> harness.end(s, s.number % 7 == 6 ? AttemptOutcome.ERROR : AttemptOutcome.OK));
+                    .forEach(s -> harness.end(s, s.attempt % 7 == 6 ? AttemptOutcome.ERROR : AttemptOutcome.OK));
             if (i % 50 == 0) { // machines come and go under new names
                 harness.list(
                         EndpointListKind.SNAPSHOT, List.of(Harness.up("a" + i), Harness.up("b" + i), Harness.up("c")));
--- /dev/null
+++ b/core/src/test/java/loadbalancer/policy/OverloadTest.java
@@ -0,0 +1,203 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
+
+/** What the whole policy sheds under overload, and how it recovers. */
+class OverloadTest {
+    private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
+    private static final RequestClass NON_IDEMPOTENT = Harness.kind(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
+
+    @Test
+    void requestsAreSentAtOnceAfterAnOverload() {
+        Harness harness = Harness.withFleet(6, IDEMPOTENT);
+        harness.serve(200, 30_000, Map.of());
+        for (int i = 0; i < 60; i++) { // everything takes ten times as long
+            harness.request("slow" + i, 0);
+            harness.pass(50_000);
+            harness.sends.stream()
+                    .filter(s -> !s.ended && harness.now - s.sentAt >= 400_000)
+                    .toList()
+                    .forEach(s -> harness.end(s, AttemptOutcome.OK));
+        }
+        harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, AttemptOutcome.OK));
+        harness.pass(4_000_000);
+        int sent = 0;
+        for (int i = 0; i < 10 * 12; i++) { // twelve at a time
+            sent += harness.request("after" + i, 0) != null ? 1 : 0;
+            while (i % 12 == 11 && i < 9 * 12 && harness.sends.stream().anyMatch(s -> !s.ended)) {
+                harness.pass(30_000);
+                harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, AttemptOutcome.OK));
+                sent = 0;
+            }
+        }
+        assertTrue(sent >= 8, "only " + sent + " of 12 were sent at once");
+    }
+
+    @Test
+    void aLongTimeWithoutAWakeIsNoFailure() {
+        Harness harness = Harness.withFleet(1, IDEMPOTENT);
+        for (int i = 0; i < 10; i++) {
+            harness.end(harness.request("r" + i, 0), AttemptOutcome.OK);
+        }
+        harness.now += 2_000_000_000L;
+        harness.policy.wake(harness.now, harness);
+        assertTrue(harness.request("after", 0) != null);
+    }
+
+    @Test
+    void aClientRetryThatIsLateHasLowPriority() {
+        Harness harness = Harness.withFleet(6, IDEMPOTENT);
+        harness.serve(20, 20_000, Map.of());
+        int refused = 0;
+        int sent = 0;
+        for (int i = 0; i < 20; i++) {
+            harness.clientRetry("late" + i, 0, Harness.DEADLINE - Harness.LATENCY_OBJECTIVE - 200_000);
+            harness.clientRetry("quick" + i, 0, Harness.DEADLINE - 150_000); // this one can still be in time
+            refused += "refused".equals(harness.finals.get("late" + i)) ? 1 : 0;
+            sent += harness.sentFor("quick" + i).size();
+        }
+        assertEquals(20, sent, "what can be in time is sent");
+        assertTrue(refused >= 14, "late ones are let in again by degrees only: refused " + refused);
+    }
+
+    @Test
+    void aClientRetryThatMayBeInTimeIsSentLikeAnyRequest() {
+        Harness harness = Harness.withFleet(6, IDEMPOTENT);
+        harness.serve(20, 20_000, Map.of());
+        harness.clientRetry("again", 0, Harness.DEADLINE); // as much time as a first try: age unknown
+        assertEquals(1, harness.sentFor("again").size());
+    }
+
+    @Test
+    void overloadShedsAPartThatIsAdmittedAgainAfterIt() {
+        Harness harness = Harness.withFleet(6, IDEMPOTENT);
+        assertEquals(40, harness.serveOneByOne(40, 0, 0, 50_000), "a calm day is served whole");
+        harness.serveOneByOne(30, 0, 0, 900_000);
+        int late = harness.serveOneByOne(20, 0, 0, 900_000);
+        assertTrue(late < 14, "with all late a part is turned away at once: sent " + late + " of 20");
+        harness.serveOneByOne(200, 0, 0, 50_000);
+        assertTrue(harness.serveOneByOne(40, 0, 0, 50_000) >= 39, "and let in again");
+    }
+
+    @Test
+    void theOverloadScoreDecaysWithoutAnswers() {
+        Harness harness = Harness.withFleet(6, IDEMPOTENT);
+        harness.serveOneByOne(60, 0, 0, 1_800_000);
+        harness.pass(20_000_000);
+        assertTrue(harness.serveOneByOne(20, 0, 0, 50_000) >= 19);
+    }
+
+    @Test
+    void theLowestPriorityWeightIsRejectedFirst() {
+        RequestClass dear = new RequestClass(
+                Idempotency.NON_IDEMPOTENT,
+                KeyScope.ALL,
+                0,
+                Harness.LATENCY_OBJECTIVE,
+                Harness.DEADLINE,
+                0,
+                9,
+                0,
+                false);
+        Harness harness = Harness.withFleet(6, NON_IDEMPOTENT, dear);
+        for (int i = 0; i < 30; i++) {
+            harness.serveOneByOne(1, 0, 0, 350_000);
+            harness.serveOneByOne(1, 1, 0, 350_000);
+        }
+        int cheap = harness.serveOneByOne(10, 0, 0, 1_000);
+        int valued = harness.serveOneByOne(10, 1, 0, 1_000);
+        assertTrue(valued >= 8 && cheap <= 2, "sent: " + valued + " dear, " + cheap + " cheap");
+    }
+
+    @Test
+    void withWeightsByRequestAllClassesAreRejectedAlike() {
+        RequestClass dear = new RequestClass(
+                Idempotency.NON_IDEMPOTENT,
+                KeyScope.ALL,
+                0,
+                Harness.LATENCY_OBJECTIVE,
+                Harness.DEADLINE,
+                0,
+                9,
+                0,
+                false);
+        PolicySettings s = Harness.settings(NON_IDEMPOTENT, dear);
+        Harness harness =
+                new Harness(Harness.settings(s, 1, 0, false, false), 3).list(EndpointListKind.CACHED, Harness.fleet(6));
+        for (int i = 0; i < 40; i++) {
+            harness.serveOneByOne(1, 0, 0, 500_000);
+            harness.serveOneByOne(1, 1, 0, 500_000);
+        }
+        int cheap = harness.serveOneByOne(60, 0, 0, 1_000);
+        int valued = harness.serveOneByOne(60, 1, 0, 1_000);
+        assertTrue(cheap >= valued / 2, "sent: " + valued + " dear, " + cheap + " cheap");
+    }
+
+    @ParameterizedTest
+    @EnumSource(
+            value = AttemptOutcome.class,
+            names = {"NOT_SENT", "CONNECT_FAILED", "RESET", "ERROR"})
+    void failuresForOtherReasonsThanLoadShedNothing(AttemptOutcome outcome) {
+        Harness harness = Harness.withFleet(6, NON_IDEMPOTENT);
+        harness.serve(20, 20_000, Map.of());
+        for (int i = 0; i < 200; i++) {
+            Harness.Sent sent = harness.request("failed" + i, 0);
+            for (int more = 0; more < 9 && sent != null; more++) {
+                harness.end(sent, outcome);
+                sent = harness.sends.stream().filter(s -> !s.ended).findFirst().orElse(null);
+            }
+            harness.pass(1_000);
+        }
+        harness.pass(200_000); // all servers look bad, so all are used
+        int before = harness.sends.size();
+        harness.request("after", 0);
+        assertTrue(harness.sends.size() > before, "the next is sent");
+    }
+
+    @Test
+    void aTimeWithoutEndpointsShedsNothing() {
+        Harness harness = Harness.withoutEndpoints(NON_IDEMPOTENT);
+        for (int i = 0; i < 200; i++) {
+            harness.request("held" + i, 0);
+            harness.pass(10_000);
+        }
+        harness.pass(Harness.DEADLINE);
+        harness.list(EndpointListKind.DELTA, Harness.fleet(3));
+        for (int i = 0; i < 5; i++) {
+            assertTrue(harness.request("after" + i, 0) != null, "sent as soon as there are servers");
+        }
+    }
+
+    @Test
+    void admissionRecoversAsFastAsItSheds() {
+        Harness harness = Harness.withFleet(6, IDEMPOTENT);
+        harness.serveOneByOne(40, 0, 0, 50_000);
+        for (int i = 0; i < 20; i++) { // two seconds of late answers, ten a second
+            Harness.Sent sent = harness.request("late" + i, 0);
+            harness.pass(100_000);
+            if (sent != null) {
+                harness.now += 1;
+                harness.policy.outcome(
+                        harness.now,
+                        sent.request,
+                        sent.attempt,
+                        AttemptOutcome.OK,
+                        2 * Harness.LATENCY_OBJECTIVE,
+                        true,
+                        null,
+                        harness);
+                sent.ended = true;
+            }
+        }
+        int during = harness.serveOneByOne(20, 0, 0, 50_000);
+        assertTrue(during > 0, "some are still sent, or nothing would ever be learnt");
+        harness.serveOneByOne(20, 0, 0, 50_000); // two seconds of good ones in all
+        assertTrue(harness.serveOneByOne(40, 0, 0, 1_000) >= 38, "and then nearly all are");
+    }
+}
--- a/core/src/test/java/loadbalancer/policy/PollScheduleTest.java
+++ b/core/src/test/java/loadbalancer/policy/PollScheduleTest.java
@@ -1,5 +1,7 @@
 package loadbalancer.policy;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
@@ -73,4 +75,31 @@
             assertTrue(sum / SEEDS >= 1_200_000, "every " + sum / SEEDS + " us");
         }
     }
+
+    @Test
+    void discoveryIsPolledAgainAfterErrorsAndSilenceAtABoundedRate() {
+        Harness harness = new Harness(
+                        Harness.settings(
+                                2,
+                                true,
+                                DiscoveryMode.POLL,
+                                List.of(),
+                                Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL)),
+                        3)
+                .list(EndpointListKind.CACHED, Harness.fleet(2));
+        assertEquals(1, harness.watches);
+        harness.pass(7_000_000); // silence: asked again within AskWithin
+        assertEquals(2, harness.watches);
+        for (int i = 0; i < 20; i++) { // 20 s of errors
+            harness.list(EndpointListKind.UNAVAILABLE, List.of());
+            harness.pass(1_000_000);
+        }
+        assertTrue(harness.watches >= 5 && harness.watches <= 16, "asked " + harness.watches + " times in 27 s");
+        int before = harness.watches;
+        harness.list(EndpointListKind.DELTA, List.of());
+        harness.pass(60_000_000);
+        assertEquals(before, harness.watches, "subscribed: nothing more to ask");
+        Harness empty = new Harness(Harness.settings(Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL)), 3);
+        assertNull(empty.list(EndpointListKind.CACHED, List.of()).request("r", 0));
+    }
 }
--- a/core/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
+++ b/core/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
@@ -189,15 +189,15 @@
     }
 
     private static void end(Harness harness, Checker checker, Harness.Sent s, AttemptOutcome outcome) {
-        checker.requests.get(s.request).ended.set(s.number, outcome);
+        checker.requests.get(s.request).ended.set(s.attempt, outcome);
         harness.end(s, outcome);
     }
 
     private static int sends(Harness harness, Checker checker, Map<String, Endpoint> servers, int from) {
         for (int i = from; i < harness.sends.size(); i++) {
             Harness.Sent s = harness.sends.get(i);
-            Endpoint to = servers.get(s.server);
-            assertNull(checker.sent(s.request, to, to.state() == EndpointState.UP, s.at), s.request);
+            Endpoint to = servers.get(s.endpoint);
+            assertNull(checker.sent(s.request, to, to.state() == EndpointState.UP, s.sentAt), s.request);
         }
         return harness.sends.size();
     }
@@ -220,14 +220,14 @@
             }
             harness.pass(10_000 + random.nextLong(20_000));
             harness.sends.stream()
-                    .filter(s -> !s.ended && harness.now - s.at >= 30_000)
+                    .filter(s -> !s.ended && harness.now - s.sentAt >= 30_000)
                     .toList()
                     .forEach(s -> harness.end(s, AttemptOutcome.OK));
             started = i < 500 ? harness.now : started;
         }
         List<Long> sends = harness.sends.stream()
-                .filter(s -> s.server.equals("cold"))
-                .map(s -> s.at)
+                .filter(s -> s.endpoint.equals("cold"))
+                .map(s -> s.sentAt)
                 .toList();
         assertTrue(sends.size() > 20, "it is used: " + sends.size());
         assertNull(cold(sends, started, 40, settings.bounds()));
--- a/core/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
+++ b/core/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
@@ -32,7 +32,7 @@
             out.merge(id, -1, Integer::sum);
             if (Set.of(AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED)
                     .contains(outcome)) {
-                rest.put(id, now + Harness.PAUSE);
+                rest.put(id, now + Harness.KEY_SEQUENCE_PAUSE);
             }
         }
 
@@ -72,7 +72,7 @@
         assertTrue(checker.send("b", 1).contains("before a was over"), "an attempt is still out");
         checker.ended("a", AttemptOutcome.TIMEOUT, 2);
         assertTrue(checker.send("b", 3).contains("rests"));
-        assertEquals(null, checker.send("b", 2 + Harness.PAUSE));
+        assertEquals(null, checker.send("b", 2 + Harness.KEY_SEQUENCE_PAUSE));
         RequestClass bound = kind(Idempotency.IDEMPOTENT, false, Set.of(1), Set.of(0));
         assertTrue(Checker.placed(bound, new Endpoint("s", EndpointState.UP, 0, 1, 0, 0, 0)) != null);
         assertTrue(Checker.placed(bound, new Endpoint("s", EndpointState.UP, 0, 1, 0, 1, 1)) != null);
@@ -85,7 +85,7 @@
                 effect,
                 KeyScope.ALL,
                 2_000_000,
-                Harness.AIM,
+                Harness.LATENCY_OBJECTIVE,
                 Harness.DEADLINE,
                 0,
                 1,
@@ -180,8 +180,8 @@
         int checked = from;
         for (; checked < harness.sends.size(); checked++) {
             Harness.Sent s = harness.sends.get(checked);
-            assertEquals(null, checker.send(s.request, s.at));
-            assertEquals(null, Checker.placed(kinds.get(classOf.get(s.request)), servers.get(s.server)));
+            assertEquals(null, checker.send(s.request, s.sentAt));
+            assertEquals(null, Checker.placed(kinds.get(classOf.get(s.request)), servers.get(s.endpoint)));
         }
         return checked;
     }
--- /dev/null
+++ b/core/src/test/java/loadbalancer/policy/RequestQueueTest.java
@@ -0,0 +1,39 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Requests that wait for an endpoint. */
+class RequestQueueTest {
+    private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
+
+    @Test
+    void theMostUrgentQueuedRequestIsSentFirst() {
+        RequestClass patient = new RequestClass(
+                Idempotency.IDEMPOTENT,
+                KeyScope.ALL,
+                0,
+                4 * Harness.LATENCY_OBJECTIVE,
+                4 * Harness.DEADLINE,
+                0,
+                1,
+                0,
+                false);
+        Harness harness = Harness.withoutEndpoints(IDEMPOTENT, patient);
+        harness.request("patient", 1, 0, 4 * Harness.DEADLINE);
+        harness.request("urgent", 0);
+        harness.list(EndpointListKind.DELTA, Harness.fleet(1));
+        assertEquals(
+                List.of("urgent", "patient"),
+                harness.sends.stream().map(s -> s.request).toList());
+    }
+
+    @Test
+    void aRequestWithNoTimeLeftIsAnsweredAtOnce() {
+        Harness harness = Harness.withoutEndpoints(IDEMPOTENT);
+        harness.request("spent", 0, 0, 2_000);
+        assertEquals("refused", harness.finals.get("spent"));
+    }
+}
--- /dev/null
+++ b/core/src/test/java/loadbalancer/policy/ResponseTimeoutRuleTest.java
@@ -0,0 +1,22 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+
+/** How long an attempt may take. */
+class ResponseTimeoutRuleTest {
+    private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
+    private static final RequestClass NON_IDEMPOTENT = Harness.kind(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
+
+    @Test
+    void aNonIdempotentRequestTimesOutAtItsLatencyObjective() {
+        Harness harness = Harness.withFleet(6, IDEMPOTENT, NON_IDEMPOTENT);
+        assertEquals(Harness.LATENCY_OBJECTIVE, harness.request("once", 1).timeout);
+        assertEquals(0, harness.request("safe", 0).timeout, "its client would only come again");
+        Harness.Sent late = harness.sentFor("once").get(0);
+        harness.pass(Harness.LATENCY_OBJECTIVE);
+        harness.end(late, AttemptOutcome.TIMEOUT);
+        assertEquals("failed", harness.finals.get("once"));
+    }
+}
