--- a/core/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
+++ b/core/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void theSuccessorGoesOnAtTheSameLevelUnlessTheTiersDiffer() {
+    void aSuccessorGoesOnAtTheSameLevelUnlessTheTiersDiffer() {
         double[] tiers = {0.1, 1};
         AdmissionController former = new AdmissionController(tiers, 1, new SplittableRandom(1));
         former.admits(1);
--- a/core/src/test/java/loadbalancer/policy/Harness.java
+++ b/core/src/test/java/loadbalancer/policy/Harness.java
@@ -4,6 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 
 /** Drives one policy by hand and records what it asks for. */
 final class Harness implements LoadBalancingPolicy.Actions {
@@ -50,6 +51,24 @@
         return new RequestClass(idempotency, scope, 2_000_000, LATENCY_OBJECTIVE, DEADLINE, 0, 1, 0.3, false);
     }
 
+    /** A class with order and placement. */
+    static RequestClass kind(
+            Idempotency idempotency, boolean orderedDelivery, Set<Integer> zones, Set<Integer> machineKinds) {
+        return new RequestClass(
+                idempotency,
+                KeyScope.ALL,
+                2_000_000,
+                LATENCY_OBJECTIVE,
+                DEADLINE,
+                0,
+                1,
+                0.3,
+                false,
+                orderedDelivery,
+                zones,
+                machineKinds);
+    }
+
     static PolicySettings settings(RequestClass... classes) {
         return settings(1, true, DiscoveryMode.PUSH, List.of(), classes);
     }
--- a/core/src/test/java/loadbalancer/policy/LibraryTest.java
+++ b/core/src/test/java/loadbalancer/policy/JsqDasPolicyTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What users of the library rely on. */
-class LibraryTest {
+class JsqDasPolicyTest {
     private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
 
     @Test
@@ -163,7 +163,7 @@
     }
 
     @Test
-    void theReadmeQuotesLogLinesThatTheModuleWrites() throws IOException {
+    void theReadmeQuotesLogLinesThatThePolicyWrites() throws IOException {
         String rules = sourcesOfThePolicy();
         String page = Files.readString(Path.of("../README.md"));
         for (String line : List.of(
--- a/core/src/test/java/loadbalancer/policy/DispatchTest.java
+++ b/core/src/test/java/loadbalancer/policy/JsqDasSelectorTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The ordinary path is JSQ-DAS. */
-class DispatchTest {
+class JsqDasSelectorTest {
     private static final PolicySettings IDEMPOTENT =
             Harness.settings(Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL));
 
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void withoutCountsEachBalancerRanksInAnOrderOfItsOwn() {
+    void withoutAccomplishmentEachBalancerRanksInAnOrderOfItsOwn() {
         // Ranked by listed weight, all balancers sent their first requests to the same half of the servers.
         Map<String, Integer> first = new HashMap<>();
         for (int seed = 0; seed < 2000; seed++) {
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void twoServersAndFewerThanSampledAreUsedToo() {
+    void fewerEndpointsThanAreSampledAreUsedToo() {
         for (int size = 1; size <= 3; size++) {
             Harness harness = new Harness(IDEMPOTENT, 7).list(EndpointListKind.CACHED, Harness.fleet(size));
             assertNotNull(harness.request("r", 0));
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void aFastFailureKeepsItsSlotAndEarnsNoRank() {
+    void aFastFailureKeepsItsSlotAndEarnsNoAccomplishment() {
         Harness harness = new Harness(IDEMPOTENT, 3).list(EndpointListKind.CACHED, Harness.fleet(4));
         harness.warmUp(40, 0, 50_000);
         Harness.Sent bad = harness.request("bad", 0);
--- a/core/src/test/java/loadbalancer/policy/FurtherRulesTest.java
+++ b/core/src/test/java/loadbalancer/policy/OrderAndPlacementTest.java
@@ -10,24 +10,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Order by key and placement. */
-class FurtherRulesTest {
+/** Ordered delivery by key, and placement. */
+class OrderAndPlacementTest {
     private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
 
-    private static RequestClass ordered(Idempotency effect) {
-        return new RequestClass(
-                effect,
-                KeyScope.ALL,
-                2_000_000,
-                Harness.LATENCY_OBJECTIVE,
-                Harness.DEADLINE,
-                0,
-                1,
-                0.3,
-                false,
-                true,
-                Set.of(),
-                Set.of());
+    private static RequestClass ordered(Idempotency idempotency) {
+        return Harness.kind(idempotency, true, Set.of(), Set.of());
     }
 
     private static RequestClass bound(Set<Integer> zones, Set<Integer> kinds) {
@@ -53,7 +41,7 @@
     }
 
     @Test
-    void aKeysRequestsGoOneByOneInTheOrderTaken() {
+    void requestsOfAKeyAreSentOneByOneInTheOrderOfArrival() {
         Harness harness = fleet(ordered(Idempotency.IDEMPOTENT_WITH_KEY), ordered(Idempotency.IDEMPOTENT));
         Harness.Sent first = harness.keyed("a", 0, "k");
         assertNull(harness.keyed("b", 1, "k"), "all ordered classes share their keys");
@@ -72,7 +60,7 @@
     @EnumSource(
             value = AttemptOutcome.class,
             names = {"TIMEOUT", "RESET", "CANCELLED"})
-    void aKeyRestsAfterAnAttemptThatMayStillRun(AttemptOutcome outcome) {
+    void aKeySequencePausesAfterAnAttemptThatMayStillRun(AttemptOutcome outcome) {
         Harness harness = fleet(ordered(Idempotency.NON_IDEMPOTENT));
         Harness.Sent first = harness.keyed("a", 0, "k");
         harness.keyed("b", 0, "k");
@@ -86,7 +74,7 @@
     }
 
     @Test
-    void theKeyRestsAlsoWhenTheClientHasLeft() {
+    void aKeySequencePausesAlsoWhenTheClientHasLeft() {
         Harness harness = fleet(ordered(Idempotency.IDEMPOTENT));
         Harness.Sent first = harness.keyed("a", 0, "k");
         harness.keyed("b", 0, "k");
@@ -102,14 +90,14 @@
     }
 
     @Test
-    void theOneThatHasTheTurnIsTriedAgainWithoutAWait() {
+    void theFirstRequestOfAKeyIsRetriedWithoutAPause() {
         Harness harness = fleet(ordered(Idempotency.IDEMPOTENT));
         harness.end(harness.keyed("a", 0, "k"), AttemptOutcome.RESET);
         assertEquals(2, harness.sentFor("a").size());
     }
 
     @Test
-    void aRequestWhoseTurnNeverComesIsAnsweredInTime() {
+    void aRequestThatNeverBecomesTheFirstOfItsKeyIsAnsweredInTime() {
         Harness harness = fleet(ordered(Idempotency.IDEMPOTENT));
         harness.keyed("a", 0, "k");
         long from = harness.now;
@@ -120,7 +108,7 @@
     }
 
     @Test
-    void aBoundClassGoesNowhereElse() {
+    void aClassWithPlacementIsSentNowhereElse() {
         Harness harness = fleet(IDEMPOTENT, bound(Set.of(1), Set.of()), bound(Set.of(), Set.of(0)));
         for (int i = 0; i < 40; i++) { // zones and kinds alternate over the fleet
             assertEquals(1, harness.request("z" + i, 1).endpoint.charAt(1) % 2);
@@ -138,7 +126,7 @@
     }
 
     @Test
-    void aBoundRequestWaitsForAServerOfItsOwnWithoutHoldingUpOthers() {
+    void aRequestWithPlacementWaitsWithoutDelayingOthers() {
         Harness harness = new Harness(Harness.settings(IDEMPOTENT, bound(Set.of(7), Set.of())), 3)
                 .list(EndpointListKind.CACHED, List.of());
         harness.request("bound", 1);
--- a/core/src/test/java/loadbalancer/policy/OverloadTest.java
+++ b/core/src/test/java/loadbalancer/policy/OverloadTest.java
@@ -54,23 +54,23 @@
     void aClientRetryThatIsLateHasLowPriority() {
         Harness harness = Harness.withFleet(6, IDEMPOTENT);
         harness.serve(20, 20_000, Map.of());
-        int refused = 0;
+        int rejected = 0;
         int sent = 0;
         for (int i = 0; i < 20; i++) {
             harness.clientRetry("late" + i, 0, Harness.DEADLINE - Harness.LATENCY_OBJECTIVE - 200_000);
             harness.clientRetry("quick" + i, 0, Harness.DEADLINE - 150_000); // this one can still be in time
-            refused += "refused".equals(harness.finals.get("late" + i)) ? 1 : 0;
+            rejected += "refused".equals(harness.finals.get("late" + i)) ? 1 : 0;
             sent += harness.sentFor("quick" + i).size();
         }
         assertEquals(20, sent, "what can be in time is sent");
-        assertTrue(refused >= 14, "late ones are let in again by degrees only: refused " + refused);
+        assertTrue(rejected >= 14, "late ones are admitted by degrees only: rejected " + rejected);
     }
 
     @Test
     void aClientRetryThatMayBeInTimeIsSentLikeAnyRequest() {
         Harness harness = Harness.withFleet(6, IDEMPOTENT);
         harness.serve(20, 20_000, Map.of());
-        harness.clientRetry("again", 0, Harness.DEADLINE); // as much time as a first try: age unknown
+        harness.clientRetry("again", 0, Harness.DEADLINE); // as much time as a first attempt: age unknown
         assertEquals(1, harness.sentFor("again").size());
     }
 
@@ -80,9 +80,9 @@
         assertEquals(40, harness.serveOneByOne(40, 0, 0, 50_000), "a calm day is served whole");
         harness.serveOneByOne(30, 0, 0, 900_000);
         int late = harness.serveOneByOne(20, 0, 0, 900_000);
-        assertTrue(late < 14, "with all late a part is turned away at once: sent " + late + " of 20");
+        assertTrue(late < 14, "with all late a part is rejected at once: sent " + late + " of 20");
         harness.serveOneByOne(200, 0, 0, 50_000);
-        assertTrue(harness.serveOneByOne(40, 0, 0, 50_000) >= 39, "and let in again");
+        assertTrue(harness.serveOneByOne(40, 0, 0, 50_000) >= 39, "and admitted again");
     }
 
     @Test
@@ -95,7 +95,7 @@
 
     @Test
     void theLowestPriorityWeightIsRejectedFirst() {
-        RequestClass dear = new RequestClass(
+        RequestClass heavy = new RequestClass(
                 Idempotency.NON_IDEMPOTENT,
                 KeyScope.ALL,
                 0,
@@ -105,19 +105,21 @@
                 9,
                 0,
                 false);
-        Harness harness = Harness.withFleet(6, NON_IDEMPOTENT, dear);
+        Harness harness = Harness.withFleet(6, NON_IDEMPOTENT, heavy);
         for (int i = 0; i < 30; i++) {
             harness.serveOneByOne(1, 0, 0, 350_000);
             harness.serveOneByOne(1, 1, 0, 350_000);
         }
-        int cheap = harness.serveOneByOne(10, 0, 0, 1_000);
-        int valued = harness.serveOneByOne(10, 1, 0, 1_000);
-        assertTrue(valued >= 8 && cheap <= 2, "sent: " + valued + " dear, " + cheap + " cheap");
+        int lightSent = harness.serveOneByOne(10, 0, 0, 1_000);
+        int heavySent = harness.serveOneByOne(10, 1, 0, 1_000);
+        assertTrue(
+                heavySent >= 8 && lightSent <= 2,
+                "sent: " + heavySent + " of the higher weight, " + lightSent + " of the lower");
     }
 
     @Test
     void withWeightsByRequestAllClassesAreRejectedAlike() {
-        RequestClass dear = new RequestClass(
+        RequestClass heavy = new RequestClass(
                 Idempotency.NON_IDEMPOTENT,
                 KeyScope.ALL,
                 0,
@@ -127,16 +129,18 @@
                 9,
                 0,
                 false);
-        PolicySettings s = Harness.settings(NON_IDEMPOTENT, dear);
+        PolicySettings s = Harness.settings(NON_IDEMPOTENT, heavy);
         Harness harness =
                 new Harness(Harness.settings(s, 1, 0, false, false), 3).list(EndpointListKind.CACHED, Harness.fleet(6));
         for (int i = 0; i < 40; i++) {
             harness.serveOneByOne(1, 0, 0, 500_000);
             harness.serveOneByOne(1, 1, 0, 500_000);
         }
-        int cheap = harness.serveOneByOne(60, 0, 0, 1_000);
-        int valued = harness.serveOneByOne(60, 1, 0, 1_000);
-        assertTrue(cheap >= valued / 2, "sent: " + valued + " dear, " + cheap + " cheap");
+        int lightSent = harness.serveOneByOne(60, 0, 0, 1_000);
+        int heavySent = harness.serveOneByOne(60, 1, 0, 1_000);
+        assertTrue(
+                lightSent >= heavySent / 2,
+                "sent: " + heavySent + " of the higher weight, " + lightSent + " of the lower");
     }
 
     @ParameterizedTest
@@ -154,7 +158,7 @@
             }
             harness.pass(1_000);
         }
-        harness.pass(200_000); // all servers look bad, so all are used
+        harness.pass(200_000); // all endpoints look unhealthy, so all are used
         int before = harness.sends.size();
         harness.request("after", 0);
         assertTrue(harness.sends.size() > before, "the next is sent");
@@ -170,7 +174,7 @@
         harness.pass(Harness.DEADLINE);
         harness.list(EndpointListKind.DELTA, Harness.fleet(3));
         for (int i = 0; i < 5; i++) {
-            assertTrue(harness.request("after" + i, 0) != null, "sent as soon as there are servers");
+            assertTrue(harness.request("after" + i, 0) != null, "sent as soon as there are endpoints");
         }
     }
 
@@ -196,7 +200,7 @@
             }
         }
         int during = harness.serveOneByOne(20, 0, 0, 50_000);
-        assertTrue(during > 0, "some are still sent, or nothing would ever be learnt");
+        assertTrue(during > 0, "some are still sent, or nothing would be learned");
         harness.serveOneByOne(20, 0, 0, 50_000); // two seconds of good ones in all
         assertTrue(harness.serveOneByOne(40, 0, 0, 1_000) >= 38, "and then nearly all are");
     }
--- a/core/src/test/java/loadbalancer/policy/PollScheduleTest.java
+++ b/core/src/test/java/loadbalancer/policy/PollScheduleTest.java
@@ -40,7 +40,7 @@
 
     /** Discovery comes back just as a call has failed, and the next call fails as well, by waiting. */
     @Test
-    void discoveryIsReachedAgainInTimeForASecondTryHoweverLongItWasDown() {
+    void discoveryIsReachedInTimeForASecondPollHoweverLongItWasDown() {
         for (long seed = 0; seed < SEEDS; seed++) {
             long[] pauses = pauses(seed);
             for (int i = 1; i < CALLS; i++) {
@@ -52,7 +52,7 @@
 
     /** Staleness gives a silent watch up so early that one failed try fits in before the grace is over. */
     @Test
-    void afterAWatchThatFellSilentASecondTryFitsIntoTheTimeThatTellingLeaves() {
+    void afterASilentWatchASecondPollFitsIntoTheNotificationTime() {
         for (long seed = 0; seed < SEEDS; seed++) {
             long[] pauses = pauses(seed);
             long second = pauses[0] + WAITING + pauses[1];
@@ -62,7 +62,7 @@
 
     /** A fleet doesn't come all at once: its calls are spread over most of the longest pause. */
     @Test
-    void aFleetIsSpreadAndDoesNotHammer() {
+    void thePollsOfAFleetAreSpread() {
         for (int call = 4; call < CALLS; call++) {
             TreeSet<Long> at = new TreeSet<>();
             double sum = 0;
--- a/core/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
+++ b/core/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Order and placement over random legal sequences of events, against a checker of its own. */
+/** Ordered delivery and placement over random legal sequences of events, checked by a rule checker. */
 class RandomOrderAndPlacementTest {
     /** Knows the requests of a key in the order taken and what was sent; says what is wrong with a send. */
     private static final class Checker {
@@ -73,38 +73,21 @@
         checker.ended("a", AttemptOutcome.TIMEOUT, 2);
         assertTrue(checker.send("b", 3).contains("rests"));
         assertEquals(null, checker.send("b", 2 + Harness.KEY_SEQUENCE_PAUSE));
-        RequestClass bound = kind(Idempotency.IDEMPOTENT, false, Set.of(1), Set.of(0));
+        RequestClass bound = Harness.kind(Idempotency.IDEMPOTENT, false, Set.of(1), Set.of(0));
         assertTrue(Checker.placed(bound, new Endpoint("s", EndpointState.UP, 0, 1, 0, 0, 0)) != null);
         assertTrue(Checker.placed(bound, new Endpoint("s", EndpointState.UP, 0, 1, 0, 1, 1)) != null);
         assertEquals(null, Checker.placed(bound, new Endpoint("s", EndpointState.UP, 0, 1, 0, 0, 1)));
     }
 
-    private static RequestClass kind(
-            Idempotency effect, boolean orderedDelivery, Set<Integer> zones, Set<Integer> kinds) {
-        return new RequestClass(
-                effect,
-                KeyScope.ALL,
-                2_000_000,
-                Harness.LATENCY_OBJECTIVE,
-                Harness.DEADLINE,
-                0,
-                1,
-                0.3,
-                false,
-                orderedDelivery,
-                zones,
-                kinds);
-    }
-
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void randomEventsKeepOrderAndPlacement(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<RequestClass> kinds = List.of(
-                kind(Idempotency.IDEMPOTENT, true, Set.of(), Set.of()),
-                kind(Idempotency.NON_IDEMPOTENT, true, Set.of(0), Set.of()),
-                kind(Idempotency.IDEMPOTENT_WITH_KEY, false, Set.of(), Set.of(1)),
-                kind(Idempotency.IDEMPOTENT, false, Set.of(1), Set.of(0)));
+                Harness.kind(Idempotency.IDEMPOTENT, true, Set.of(), Set.of()),
+                Harness.kind(Idempotency.NON_IDEMPOTENT, true, Set.of(0), Set.of()),
+                Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, false, Set.of(), Set.of(1)),
+                Harness.kind(Idempotency.IDEMPOTENT, false, Set.of(1), Set.of(0)));
         Harness harness = new Harness(Harness.settings(kinds.toArray(new RequestClass[0])), seed);
         Checker checker = new Checker();
         Map<String, Integer> classOf = new LinkedHashMap<>();
--- a/core/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
+++ b/core/src/test/java/loadbalancer/policy/RandomSafetyRulesTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The four rules over random legal events, judged by a checker that is itself shown to catch violations. */
-class RandomFourRulesTest {
+/** The safety rules over random legal events, checked by a rule checker that is itself shown to catch violations. */
+class RandomSafetyRulesTest {
     private static final long SLACK = 20_000;
 
     /** What is known of one request. */
@@ -90,15 +90,15 @@
     }
 
     /** Most sends to a cold server within any window, against its budget of all balancers. */
-    static String cold(List<Long> sends, long started, double warmPerSecond, SafetyBounds b) {
+    static String cold(List<Long> sends, long started, double warmPerSecond, SafetyBounds bounds) {
         for (int i = 0; i < sends.size(); i++) {
             long from = sends.get(i);
-            double part = b.slowStartInitialWeight()
-                    + (1 - b.slowStartInitialWeight()) * (from - started) / b.slowStartDurationMicros();
-            long until = from + b.overloadWindowMicros();
+            double part = bounds.slowStartInitialWeight()
+                    + (1 - bounds.slowStartInitialWeight()) * (from - started) / bounds.slowStartDurationMicros();
+            long until = from + bounds.overloadWindowMicros();
             long many = sends.stream().filter(t -> t >= from && t < until).count();
-            double most = b.overloadFactor() * part * warmPerSecond * b.overloadWindowMicros() / 1e6 + 2;
-            if (many > most && from - started < b.slowStartDurationMicros()) {
+            double most = bounds.overloadFactor() * part * warmPerSecond * bounds.overloadWindowMicros() / 1e6 + 2;
+            if (many > most && from - started < bounds.slowStartDurationMicros()) {
                 return many + " sends in a window that bears " + most;
             }
         }
@@ -188,9 +188,9 @@
         assertTrue(seen > 800, "enough was sent: " + seen);
     }
 
-    private static void end(Harness harness, Checker checker, Harness.Sent s, AttemptOutcome outcome) {
-        checker.requests.get(s.request).ended.set(s.attempt, outcome);
-        harness.end(s, outcome);
+    private static void end(Harness harness, Checker checker, Harness.Sent sent, AttemptOutcome outcome) {
+        checker.requests.get(sent.request).ended.set(sent.attempt, outcome);
+        harness.end(sent, outcome);
     }
 
     private static int sends(Harness harness, Checker checker, Map<String, Endpoint> servers, int from) {
@@ -204,7 +204,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void coldServersBearWhatRandomTrafficSends(long seed) {
+    void endpointsInSlowStartBearWhatRandomTrafficSends(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         PolicySettings settings = Harness.settings(Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL));
         Harness harness = new Harness(settings, seed).list(EndpointListKind.CACHED, Harness.fleet(5));
--- a/core/src/test/java/loadbalancer/policy/ReconfigureTest.java
+++ b/core/src/test/java/loadbalancer/policy/ReconfigureTest.java
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void figuresOfClassesMoveWithTheirNames() {
+    void statisticsOfClassesMoveWithTheirNames() {
         Harness harness = new Harness(Harness.settings(IDEMPOTENT, NON_IDEMPOTENT), 1)
                 .list(EndpointListKind.CACHED, Harness.fleet(3));
         double[] before = learnedState(harness).get("usual");
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aSuccessorGoesOnFromWhatWasLearnt() {
+    void aSuccessorGoesOnFromWhatWasLearned() {
         Harness harness = new Harness(Harness.settings(IDEMPOTENT), 1).list(EndpointListKind.CACHED, Harness.fleet(3));
         Harness next = new Harness(Harness.settings(IDEMPOTENT), 2).list(EndpointListKind.CACHED, Harness.fleet(3));
         Map<String, double[]> learnedState = learnedState(harness);
--- a/core/src/test/java/loadbalancer/policy/FourRulesTest.java
+++ b/core/src/test/java/loadbalancer/policy/SafetyRulesTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The four rules, class kind by class kind, and over random but legal sequences of events. */
-class FourRulesTest {
+/** The safety rules for each sort of request class, and over random but legal sequences of events. */
+class SafetyRulesTest {
     private static final RequestClass NON_IDEMPOTENT = Harness.kind(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
     private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
 
@@ -30,7 +30,7 @@
     @EnumSource(
             value = AttemptOutcome.class,
             names = {"ERROR", "TIMEOUT", "RESET", "CANCELLED"})
-    void anUnsafeRequestThatMayHaveRunFails(AttemptOutcome outcome) {
+    void aNonIdempotentRequestThatMayHaveRunFails(AttemptOutcome outcome) {
         Harness harness = warm(NON_IDEMPOTENT);
         harness.end(harness.request("r", 0), outcome);
         assertEquals("failed", harness.finals.get("r"));
@@ -41,7 +41,7 @@
     @EnumSource(
             value = AttemptOutcome.class,
             names = {"FULL", "CONNECT_FAILED"})
-    void anUnsafeRequestThatNeverRanGoesElsewhere(AttemptOutcome outcome) {
+    void aNonIdempotentRequestThatNeverRanIsRetriedElsewhere(AttemptOutcome outcome) {
         Harness harness = warm(NON_IDEMPOTENT);
         Harness.Sent first = harness.request("r", 0);
         harness.end(first, outcome);
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void anUnsafeRequestGetsNoSecondCopy() {
+    void aNonIdempotentRequestIsNotHedged() {
         Harness harness = warm(NON_IDEMPOTENT);
         harness.request("r", 0);
         harness.pass(Harness.DEADLINE - 100_000);
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void noSecondCopyWhereTheSiteForbidsIt() {
+    void nothingIsHedgedWhereTheSiteForbidsIt() {
         Harness harness = new Harness(Harness.settings(1, false, DiscoveryMode.PUSH, List.of(), IDEMPOTENT), 5)
                 .list(EndpointListKind.CACHED, Harness.fleet(6));
         harness.warmUp(60, 0, 40_000);
@@ -70,7 +70,7 @@
 
     @ParameterizedTest
     @EnumSource(KeyScope.class)
-    void aKeyedRequestStaysWithinTheGroupThatRemembersIt(KeyScope scope) {
+    void aRequestWithAnIdempotencyKeyStaysWithinTheScopeOfTheKey(KeyScope scope) {
         for (int seed = 0; seed < 20; seed++) {
             Harness harness = new Harness(Harness.settings(Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, scope)), seed)
                     .list(EndpointListKind.CACHED, Harness.fleet(6));
@@ -86,7 +86,7 @@
 
     @ParameterizedTest
     @EnumSource(KeyScope.class)
-    void aKeyedRequestIsNotSentAgainAfterItsWindow(KeyScope scope) {
+    void aRequestWithAnIdempotencyKeyIsNotRetriedAfterTheRetentionOfTheKey(KeyScope scope) {
         Harness harness = warm(Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, scope));
         Harness.Sent first = harness.request("r", 0);
         harness.pass(2_500_000); // the window is 2 s from the first send
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void nothingNewGoesToADrainingOrGoneServer() {
+    void noRequestIsSentToADrainingOrGoneEndpoint() {
         Harness harness = new Harness(Harness.settings(IDEMPOTENT), 1).list(EndpointListKind.CACHED, Harness.fleet(3));
         harness.list(EndpointListKind.DELTA, List.of(new Endpoint("s0", EndpointState.DRAINING, 0, 1, 0, 0, 0)));
         harness.list(EndpointListKind.DELTA, List.of(new Endpoint("s1", EndpointState.GONE, 0, 1, 1, 1, 1)));
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void everyRequestIsAnsweredWhenNoServerIsListed() {
+    void everyRequestIsAnsweredWhenNoEndpointIsListed() {
         Harness harness =
                 new Harness(Harness.settings(IDEMPOTENT, NON_IDEMPOTENT), 1).list(EndpointListKind.CACHED, List.of());
         assertNull(harness.request("a", 0));
@@ -129,7 +129,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 8})
-    void aColdServerGetsLessThanItsPart(int balancers) {
+    void anEndpointInSlowStartGetsLessThanItsWeight(int balancers) {
         // One warm server gives 50 answers a second to this balancer; the cold one may take its part of that.
         PolicySettings settings = Harness.settings(balancers, true, DiscoveryMode.PUSH, List.of(), IDEMPOTENT);
         Harness harness = new Harness(settings, 1).list(EndpointListKind.CACHED, Harness.fleet(4));
@@ -144,7 +144,7 @@
     }
 
     @Test
-    void aRestartUnderTheSameIdIsColdAgain() {
+    void anEndpointThatRestartsIsInSlowStartAgain() {
         Harness harness = new Harness(Harness.settings(IDEMPOTENT), 1).list(EndpointListKind.CACHED, Harness.fleet(2));
         harness.warmUp(100, 0, 20_000);
         harness.list(EndpointListKind.DELTA, List.of(new Endpoint("s0", EndpointState.UP, harness.now, 1, 0, 0, 0)));
@@ -269,22 +269,22 @@
 
     private static void checkRepeat(
             Harness harness,
-            Harness.Sent s,
+            Harness.Sent sent,
             RequestClass kind,
             Map<String, Map<Integer, AttemptOutcome>> ended,
             boolean copies) {
-        for (Harness.Sent earlier : harness.sentFor(s.request)) {
-            if (earlier.attempt >= s.attempt) {
+        for (Harness.Sent earlier : harness.sentFor(sent.request)) {
+            if (earlier.attempt >= sent.attempt) {
                 continue;
             }
-            AttemptOutcome outcome = ended.getOrDefault(s.request, Map.of()).get(earlier.attempt);
+            AttemptOutcome outcome = ended.getOrDefault(sent.request, Map.of()).get(earlier.attempt);
             boolean open = outcome == null;
             assertTrue(copies || !open, "two attempts at once");
             if (open || !outcome.neverRan()) {
                 assertTrue(kind.idempotency() != Idempotency.NON_IDEMPOTENT, "an unsafe request went out twice");
                 assertTrue(
                         kind.idempotency() != Idempotency.IDEMPOTENT_WITH_KEY
-                                || s.sentAt - earlier.sentAt < kind.keyRetentionMicros(),
+                                || sent.sentAt - earlier.sentAt < kind.keyRetentionMicros(),
                         "sent after its window");
             }
             assertTrue(outcome != AttemptOutcome.OK, "sent after it was served");
--- a/core/src/test/java/loadbalancer/policy/TenantQuotasTest.java
+++ b/core/src/test/java/loadbalancer/policy/TenantQuotasTest.java
@@ -37,10 +37,10 @@
                 served.get(id.charAt(0) - '0')[1]++;
             }
         });
-        double share0 = served.get(0)[1] / 12.0;
-        double part1 = served.get(1)[1] / (double) served.get(1)[0];
-        assertTrue(part1 > 0.1, "the tenant within its share comes first: " + part1);
-        assertTrue(share0 >= 12, "the other keeps most of its share of 20 a second: " + share0);
+        double ofFirst = served.get(0)[1] / 12.0;
+        double fractionOfSecond = served.get(1)[1] / (double) served.get(1)[0];
+        assertTrue(fractionOfSecond > 0.1, "the tenant within its quota comes first: " + fractionOfSecond);
+        assertTrue(ofFirst >= 12, "the other keeps most of its quota of 20 a second: " + ofFirst);
     }
 
     @Test
@@ -49,11 +49,11 @@
         Harness harness = new Harness(Harness.settings(10, true, DiscoveryMode.PUSH, tenants, NON_IDEMPOTENT), 3)
                 .list(EndpointListKind.CACHED, Harness.fleet(6));
         int sent = 0;
-        for (int i = 0; i < 60; i++) { // 71 s of 270 ms each: this balancer's part of a share is 60
+        for (int i = 0; i < 60; i++) { // 71 s of 270 ms each: this balancer's part of a quota is 60
             sent += harness.serveOneByOne(3, 0, 0, 270_000);
             harness.serveOneByOne(i % 10 < 7 ? 1 : 0, 0, 1, 270_000);
             harness.serveOneByOne(i % 10 < 7 ? 1 : 0, 0, 2, 270_000);
         }
-        assertTrue(sent >= 55 && sent <= 80, "its share of 60 is served, not its excess: " + sent);
+        assertTrue(sent >= 55 && sent <= 80, "its quota of 60 is served, not its excess: " + sent);
     }
 }
