--- a/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
+++ b/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
@@ -3,7 +3,6 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import loadbalancer.discovery.DiscoveryClient;
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.discovery.EndpointSubset;
@@ -11,13 +10,13 @@
 import loadbalancer.discovery.PartialListRetry;
 import loadbalancer.dispatch.RequestDispatcher;
 import loadbalancer.drain.OperatorDrains;
+import loadbalancer.handover.HandoverState;
 import loadbalancer.logs.Log;
 import loadbalancer.operator.PoolSpec;
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
-import loadbalancer.process.HandoverState;
-import loadbalancer.routes.Split;
+import loadbalancer.routes.TrafficSplit;
 import loadbalancer.settings.SettingsReader;
 import loadbalancer.upstream.UpstreamConnectionPool;
 
@@ -48,7 +47,7 @@
         memory = new PoolMemoryBudget(limits.maxBodyBytes());
         boot = PoolSettings.derive(site, spec);
         Log log = line -> environment.log().accept("pool " + spec.name() + ": " + line);
-        long seed = environment.seed() ^ Split.hash(spec.name());
+        long seed = environment.seed() ^ TrafficSplit.hash(spec.name());
         dispatcher = new RequestDispatcher(
                 environment.loop(), boot, environment.policyFactory().apply(boot.settings(), seed), log);
         upstreams = new UpstreamConnectionPool(environment.loop(), boot, connections, dispatcher::now);
@@ -149,27 +148,17 @@
         });
     }
 
-    /** The pool's state as the handover message to a successor has it. */
-    Map<String, Object> handoverState() {
+    /** The pool's state as a successor starts from it. */
+    HandoverState handoverState() {
         OperatorDrains drains = membership.takenOut();
-        return Map.of(
-                "out",
-                List.copyOf(drains.out()),
-                "back",
-                drains.back(),
-                "list",
-                membership.told().toJson(boot),
-                "classes",
-                boot.classes(),
-                "learnt",
-                dispatcher.learnedState());
+        return new HandoverState(drains.out(), drains.back(), membership.told(), dispatcher.learnedState(), boot);
     }
 
     /** Goes on from what another process of this balancer knows of the pool of that name. */
     void restore(HandoverState state) {
         // A list in the operator file is this process's own: the other may have had another file.
-        EndpointList list = discovery == null ? new EndpointList(-1, true, List.of()) : state.list();
-        membership.inherit(state.out(), state.back(), list);
+        EndpointList list = discovery == null ? new EndpointList(-1, true, List.of()) : state.endpoints();
+        membership.inherit(state.drained(), state.restoredAtMicros(), list);
         dispatcher.restore(state.learnedState());
     }
 
--- a/core/src/test/java/loadbalancer/policy/FleetSlowStartTest.java
+++ b/core/src/test/java/loadbalancer/policy/FleetSlowStartTest.java
@@ -17,7 +17,8 @@
 
 /**
  * An endpoint in slow start bears the sum of what all balancers of a fleet send, each of which knows its own part
- * alone: by the site's rules up to N + 2 x root of N + 2 requests in the overload window, N being what the settings allow.
+ * alone: by the site's rules up to N + 2 x root of N + 2 requests in the overload window, N being what the settings
+ * allow.
  */
 class FleetSlowStartTest {
     private static final long STEP = 1_000;
