--- a/core/src/test/java/loadbalancer/policy/RandomSafetyRulesTest.java
+++ b/core/src/test/java/loadbalancer/policy/RandomSafetyRulesTest.java
@@ -16,70 +16,91 @@
 
 /** The safety rules over random legal events, checked by a rule checker that is itself shown to catch violations. */
 class RandomSafetyRulesTest {
+    private static final List<RequestClass> CLASSES = List.of(
+            Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL),
+            Harness.kind(Idempotency.NON_IDEMPOTENT, KeyScope.ALL),
+            Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.ALL),
+            Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.CELL),
+            Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.ZONE));
+
     private static final long SLACK = 20_000;
 
     /** What is known of one request. */
     private static final class Known {
-        RequestClass kind;
+        RequestClass requestClass;
         long deadline;
         String answer;
-        final List<Endpoint> servers = new ArrayList<>();
-        final List<Long> at = new ArrayList<>();
-        final List<AttemptOutcome> ended = new ArrayList<>(); // null while out
+        final List<Endpoint> targets = new ArrayList<>();
+        final List<Long> sentAt = new ArrayList<>();
+        final List<AttemptOutcome> outcomes = new ArrayList<>(); // null while in flight
     }
 
-    /** Takes what happens in its order; each call says what rule is broken, or null. */
-    private static final class Checker {
+    /** Is handed what happens in its order; each call says which rule is violated, or null. */
+    private static final class RuleChecker {
         private final Map<String, Known> requests = new HashMap<>();
 
-        void taken(String id, RequestClass kind, long deadline) {
-            Known k = new Known();
-            k.kind = kind;
-            k.deadline = deadline;
-            requests.put(id, k);
+        void arrived(String id, RequestClass requestClass, long deadline) {
+            Known known = new Known();
+            known.requestClass = requestClass;
+            known.deadline = deadline;
+            requests.put(id, known);
         }
 
-        String sent(String id, Endpoint to, boolean usable, long now) {
-            Known k = requests.get(id);
-            if (k.answer != null) {
+        String sent(String id, Endpoint target, boolean usable, long now) {
+            Known known = requests.get(id);
+            if (known.answer != null) {
                 return "sent after its answer";
             }
             if (!usable) {
-                return "sent to a draining or gone server";
+                return "sent to a draining or gone endpoint";
             }
-            for (int i = 0; i < k.ended.size(); i++) {
-                boolean mayHaveRun = k.ended.get(i) == null || !k.ended.get(i).neverRan();
-                if (mayHaveRun && k.kind.idempotency() == Idempotency.NON_IDEMPOTENT) {
-                    return "an unsafe effect may happen twice";
-                }
-                boolean outside = k.kind.scope() == KeyScope.CELL
-                                && k.servers.get(i).cell() != to.cell()
-                        || k.kind.scope() == KeyScope.ZONE && k.servers.get(i).zone() != to.zone();
-                if (mayHaveRun
-                        && k.kind.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                        && (outside || now - k.at.get(i) >= k.kind.keyRetentionMicros())) {
-                    return "a keyed request left its group or window";
+            for (int i = 0; i < known.outcomes.size(); i++) {
+                if (mayHaveRun(known.outcomes.get(i))) {
+                    String violation = repeated(known, i, target, now);
+                    if (violation != null) {
+                        return violation;
+                    }
                 }
             }
-            k.servers.add(to);
-            k.at.add(now);
-            k.ended.add(null);
+            known.targets.add(target);
+            known.sentAt.add(now);
+            known.outcomes.add(null);
             return null;
         }
 
-        String answered(String id, String how, long now) {
-            Known k = requests.get(id);
-            if (k.answer != null) {
+        private static boolean mayHaveRun(AttemptOutcome outcome) {
+            return outcome == null || !outcome.neverRan();
+        }
+
+        private static String repeated(Known known, int earlier, Endpoint target, long now) {
+            RequestClass requestClass = known.requestClass;
+            if (requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
+                return "a non-idempotent effect may happen twice";
+            }
+            Endpoint former = known.targets.get(earlier);
+            boolean outside = requestClass.scope() == KeyScope.CELL && former.cell() != target.cell()
+                    || requestClass.scope() == KeyScope.ZONE && former.zone() != target.zone();
+            boolean expired = now - known.sentAt.get(earlier) >= requestClass.keyRetentionMicros();
+            return requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && (outside || expired)
+                    ? "a request with an idempotency key left its group or window"
+                    : null;
+        }
+
+        String answered(String id, String answer, long now) {
+            Known known = requests.get(id);
+            if (known.answer != null) {
                 return "answered twice";
             }
-            k.answer = how;
-            if (now > k.deadline + SLACK) {
+            known.answer = answer;
+            if (now > known.deadline + SLACK) {
                 return "answered too late";
             }
-            boolean mayHaveRun = k.ended.stream().anyMatch(o -> o == null || !o.neverRan());
-            boolean harmless = k.kind.idempotency() == Idempotency.IDEMPOTENT
-                    || k.kind.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && k.kind.scope() == KeyScope.ALL;
-            return how.equals("refused") && mayHaveRun && !harmless ? "refused though it may have run" : null;
+            RequestClass requestClass = known.requestClass;
+            boolean harmless = requestClass.idempotency() == Idempotency.IDEMPOTENT
+                    || requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                            && requestClass.scope() == KeyScope.ALL;
+            boolean mayHaveRun = known.outcomes.stream().anyMatch(RuleChecker::mayHaveRun);
+            return answer.equals("refused") && mayHaveRun && !harmless ? "refused though it may have run" : null;
         }
 
         String atTheEnd(long now) {
@@ -89,17 +110,17 @@
         }
     }
 
-    /** Most sends to a cold server within any window, against its budget of all balancers. */
-    static String cold(List<Long> sends, long started, double warmPerSecond, SafetyBounds bounds) {
+    /** The window with too many sends to an endpoint in slow start, against the budget of all balancers; or null. */
+    static String slowStartViolation(List<Long> sends, long started, double warmPerSecond, SafetyBounds bounds) {
         for (int i = 0; i < sends.size(); i++) {
             long from = sends.get(i);
-            double part = bounds.slowStartInitialWeight()
+            double weight = bounds.slowStartInitialWeight()
                     + (1 - bounds.slowStartInitialWeight()) * (from - started) / bounds.slowStartDurationMicros();
             long until = from + bounds.overloadWindowMicros();
-            long many = sends.stream().filter(t -> t >= from && t < until).count();
-            double most = bounds.overloadFactor() * part * warmPerSecond * bounds.overloadWindowMicros() / 1e6 + 2;
-            if (many > most && from - started < bounds.slowStartDurationMicros()) {
-                return many + " sends in a window that bears " + most;
+            long count = sends.stream().filter(t -> t >= from && t < until).count();
+            double max = bounds.overloadFactor() * weight * warmPerSecond * bounds.overloadWindowMicros() / 1e6 + 2;
+            if (count > max && from - started < bounds.slowStartDurationMicros()) {
+                return count + " sends in a window that bears " + max;
             }
         }
         return null;
@@ -109,97 +130,106 @@
     void theCheckerCatchesEveryKindOfViolation() {
         Endpoint one = new Endpoint("a", EndpointState.UP, 0, 1, 0, 0, 0);
         Endpoint two = new Endpoint("b", EndpointState.UP, 0, 1, 1, 0, 1);
-        Checker c = new Checker();
-        c.taken("u", Harness.kind(Idempotency.NON_IDEMPOTENT, KeyScope.ALL), 100);
-        assertNull(c.sent("u", one, true, 0));
-        assertTrue(c.sent("u", two, true, 1).contains("twice"));
-        assertTrue(c.answered("u", "refused", 1).contains("may have run"));
-        assertTrue(c.answered("u", "failed", 1).contains("answered twice"));
-        assertTrue(c.sent("u", one, true, 2).contains("after its answer"));
-        c.taken("k", Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.CELL), 100);
-        assertTrue(c.sent("k", one, false, 0).contains("draining"));
-        assertNull(c.sent("k", one, true, 0));
-        assertTrue(c.sent("k", two, true, 0).contains("group"));
-        assertTrue(c.sent("k", one, true, 2_000_000).contains("window"));
-        assertTrue(c.atTheEnd(100 + SLACK + 1).contains("lost"));
-        assertTrue(c.answered("k", "failed", 100 + SLACK + 1).contains("too late"));
-        SafetyBounds b = Harness.settings(Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL))
+        RuleChecker checker = new RuleChecker();
+        checker.arrived("u", Harness.kind(Idempotency.NON_IDEMPOTENT, KeyScope.ALL), 100);
+        assertNull(checker.sent("u", one, true, 0));
+        assertTrue(checker.sent("u", two, true, 1).contains("twice"));
+        assertTrue(checker.answered("u", "refused", 1).contains("may have run"));
+        assertTrue(checker.answered("u", "failed", 1).contains("answered twice"));
+        assertTrue(checker.sent("u", one, true, 2).contains("after its answer"));
+        checker.arrived("k", Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.CELL), 100);
+        assertTrue(checker.sent("k", one, false, 0).contains("draining"));
+        assertNull(checker.sent("k", one, true, 0));
+        assertTrue(checker.sent("k", two, true, 0).contains("group"));
+        assertTrue(checker.sent("k", one, true, 2_000_000).contains("window"));
+        assertTrue(checker.atTheEnd(100 + SLACK + 1).contains("lost"));
+        assertTrue(checker.answered("k", "failed", 100 + SLACK + 1).contains("too late"));
+        SafetyBounds bounds = Harness.settings(Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL))
                 .bounds();
-        assertTrue(cold(LongStream.range(0, 30).boxed().toList(), 0, 10, b) != null);
-        assertNull(cold(List.of(0L, 900_000L), 0, 10, b));
+        assertTrue(slowStartViolation(LongStream.range(0, 30).boxed().toList(), 0, 10, bounds) != null);
+        assertNull(slowStartViolation(List.of(0L, 900_000L), 0, 10, bounds));
     }
 
+    private final RuleChecker checker = new RuleChecker();
+    private final Map<String, Endpoint> endpoints = new HashMap<>();
+    private SplittableRandom random;
+    private Harness harness;
+    private int checkedSends;
+    private int checkedAnswers;
+
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void randomEventsKeepTheRules(long seed) {
-        SplittableRandom random = new SplittableRandom(seed);
-        List<RequestClass> kinds = List.of(
-                Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL),
-                Harness.kind(Idempotency.NON_IDEMPOTENT, KeyScope.ALL),
-                Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.ALL),
-                Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.CELL),
-                Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.ZONE));
-        Harness harness = new Harness(Harness.settings(kinds.toArray(new RequestClass[0])), seed);
-        Checker checker = new Checker();
-        Map<String, Endpoint> servers = new HashMap<>();
-        Harness.fleet(8).forEach(s -> servers.put(s.id(), s));
+        random = new SplittableRandom(seed);
+        harness = new Harness(Harness.settings(CLASSES.toArray(new RequestClass[0])), seed);
+        Harness.fleet(8).forEach(endpoint -> endpoints.put(endpoint.id(), endpoint));
         harness.list(EndpointListKind.CACHED, Harness.fleet(8));
-        int seen = 0;
-        int answers = 0;
         for (int step = 0; step < 4000; step++) {
-            int what = random.nextInt(100);
-            List<Harness.Sent> out =
-                    harness.sends.stream().filter(s -> !s.ended).toList();
-            if (what < 40) {
-                RequestClass kind = kinds.get(random.nextInt(kinds.size()));
-                long left = 100_000 + random.nextLong(2_000_000);
-                checker.taken("r" + step, kind, harness.now + left);
-                harness.request("r" + step, kinds.indexOf(kind), 0, left);
-            } else if (what < 80 && !out.isEmpty()) {
-                Harness.Sent s = out.get(random.nextInt(out.size()));
-                AttemptOutcome[] all = AttemptOutcome.values();
-                end(
-                        harness,
-                        checker,
-                        s,
-                        random.nextInt(3) > 0 ? AttemptOutcome.OK : all[random.nextInt(all.length - 1)]);
-            } else if (what < 84) {
-                String id = "s" + random.nextInt(8);
-                servers.computeIfPresent(id, (i, s) -> s.withState(EndpointState.values()[random.nextInt(3)]));
-                harness.list(EndpointListKind.DELTA, List.of(servers.get(id)));
-            } else {
-                harness.pass(random.nextLong(20_000));
-            }
-            for (Harness.Sent s : new ArrayList<>(harness.sends)) {
-                if (!s.ended && harness.now >= checker.requests.get(s.request).deadline) {
-                    seen = sends(harness, checker, servers, seen);
-                    end(harness, checker, s, AttemptOutcome.TIMEOUT);
-                }
-            }
-            seen = sends(harness, checker, servers, seen);
-            List<String> ids = List.copyOf(harness.finals.keySet());
-            for (; answers < ids.size(); answers++) {
-                String id = ids.get(answers);
-                assertNull(checker.answered(id, harness.finals.get(id), harness.now));
-            }
+            happen(step);
+            timeOutAttempts();
+            checkSends();
+            checkAnswers();
             assertNull(checker.atTheEnd(harness.now));
         }
         assertEquals(0, harness.doubleFinals);
-        assertTrue(seen > 800, "enough was sent: " + seen);
+        assertTrue(checkedSends > 800, "enough was sent: " + checkedSends);
+    }
+
+    private void happen(int step) {
+        int event = random.nextInt(100);
+        List<Harness.Sent> inFlight =
+                harness.sends.stream().filter(s -> !s.ended).toList();
+        if (event < 40) {
+            request("r" + step);
+        } else if (event < 80 && !inFlight.isEmpty()) {
+            Harness.Sent sent = inFlight.get(random.nextInt(inFlight.size()));
+            AttemptOutcome[] all = AttemptOutcome.values();
+            end(sent, random.nextInt(3) > 0 ? AttemptOutcome.OK : all[random.nextInt(all.length - 1)]);
+        } else if (event < 84) {
+            String id = "s" + random.nextInt(8);
+            endpoints.computeIfPresent(id, (i, s) -> s.withState(EndpointState.values()[random.nextInt(3)]));
+            harness.list(EndpointListKind.DELTA, List.of(endpoints.get(id)));
+        } else {
+            harness.pass(random.nextLong(20_000));
+        }
     }
 
-    private static void end(Harness harness, Checker checker, Harness.Sent sent, AttemptOutcome outcome) {
-        checker.requests.get(sent.request).ended.set(sent.attempt, outcome);
+    private void request(String id) {
+        RequestClass requestClass = CLASSES.get(random.nextInt(CLASSES.size()));
+        long timeLeft = 100_000 + random.nextLong(2_000_000);
+        checker.arrived(id, requestClass, harness.now + timeLeft);
+        harness.request(id, CLASSES.indexOf(requestClass), 0, timeLeft);
+    }
+
+    private void timeOutAttempts() {
+        for (Harness.Sent sent : new ArrayList<>(harness.sends)) {
+            if (!sent.ended && harness.now >= checker.requests.get(sent.request).deadline) {
+                checkSends();
+                end(sent, AttemptOutcome.TIMEOUT);
+            }
+        }
+    }
+
+    private void end(Harness.Sent sent, AttemptOutcome outcome) {
+        checker.requests.get(sent.request).outcomes.set(sent.attempt, outcome);
         harness.end(sent, outcome);
     }
 
-    private static int sends(Harness harness, Checker checker, Map<String, Endpoint> servers, int from) {
-        for (int i = from; i < harness.sends.size(); i++) {
-            Harness.Sent s = harness.sends.get(i);
-            Endpoint to = servers.get(s.endpoint);
-            assertNull(checker.sent(s.request, to, to.state() == EndpointState.UP, s.sentAt), s.request);
+    private void checkSends() {
+        for (; checkedSends < harness.sends.size(); checkedSends++) {
+            Harness.Sent sent = harness.sends.get(checkedSends);
+            Endpoint target = endpoints.get(sent.endpoint);
+            boolean usable = target.state() == EndpointState.UP;
+            assertNull(checker.sent(sent.request, target, usable, sent.sentAt), sent.request);
+        }
+    }
+
+    private void checkAnswers() {
+        List<String> ids = List.copyOf(harness.finals.keySet());
+        for (; checkedAnswers < ids.size(); checkedAnswers++) {
+            String id = ids.get(checkedAnswers);
+            assertNull(checker.answered(id, harness.finals.get(id), harness.now));
         }
-        return harness.sends.size();
     }
 
     @ParameterizedTest
@@ -230,6 +260,6 @@
                 .map(s -> s.sentAt)
                 .toList();
         assertTrue(sends.size() > 20, "it is used: " + sends.size());
-        assertNull(cold(sends, started, 40, settings.bounds()));
+        assertNull(slowStartViolation(sends, started, 40, settings.bounds()));
     }
 }
