--- a/balancer/src/main/java/loadbalancer/dispatch/RequestDispatcher.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/RequestDispatcher.java
@@ -294,7 +294,7 @@
         if (targets != null) {
             upstreams.listed(targets, now());
         }
-        hand(now -> policy.endpoints(now, kind, targets == null ? List.of() : targets.servers(), this));
+        hand(now -> policy.endpoints(now, kind, targets == null ? List.of() : targets.endpoints(), this));
     }
 
     /** Takes new settings, for requests that come from here on; what there was before is matched by name. */
@@ -349,9 +349,9 @@
                 "parts",
                 parts,
                 "listed",
-                holding.named(),
+                holding.listedCount(),
                 "most",
-                holding.most());
+                holding.maxEndpoints());
     }
 
     /** The module is told nothing more, and so asks for nothing. */
@@ -460,7 +460,7 @@
     @Override
     public void fetchList() {
         if (discovery != null) {
-            discovery.fetch();
+            discovery.poll();
         }
     }
 
--- a/balancer/src/main/java/loadbalancer/handover/HandoverDocument.java
+++ b/balancer/src/main/java/loadbalancer/handover/HandoverDocument.java
@@ -7,6 +7,8 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
+import loadbalancer.discovery.DiscoveryFormat;
+import loadbalancer.discovery.DiscoveryFormatException;
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.settings.SettingsReader;
 
@@ -50,7 +52,7 @@
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put(DRAINED, List.copyOf(state.drained()));
         fields.put(RESTORED_AT, state.restoredAtMicros());
-        fields.put(ENDPOINTS, state.endpoints().toJson(state.settings()));
+        fields.put(ENDPOINTS, DiscoveryFormat.write(state.endpoints(), state.settings()));
         fields.put(CLASSES, state.settings().classes());
         fields.put(LEARNED_STATE, state.learnedState());
         return fields;
@@ -123,8 +125,8 @@
     private static EndpointList endpoints(Map<?, ?> fields, SettingsReader.Boot settings)
             throws HandoverFormatException {
         try {
-            return EndpointList.of(fields.get(ENDPOINTS), settings);
-        } catch (IllegalArgumentException e) {
+            return DiscoveryFormat.read(fields.get(ENDPOINTS), settings);
+        } catch (DiscoveryFormatException e) {
             throw new HandoverFormatException(ENDPOINTS + ": " + e.getMessage(), e);
         }
     }
--- a/balancer/src/main/java/loadbalancer/process/BalancerConfig.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerConfig.java
@@ -20,6 +20,7 @@
 import java.util.TreeSet;
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
+import loadbalancer.discovery.DiscoveryFormat;
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.discovery.EndpointSubset;
 import loadbalancer.discovery.ListReader;
@@ -116,7 +117,7 @@
                 return;
             }
             try {
-                known[0] = ListReader.one(
+                known[0] = ListReader.readOne(
                         parser,
                         held.boot,
                         new EndpointSubset(held.most, held.boot.settings().rank()));
@@ -146,7 +147,7 @@
         try {
             return of(environment, json, held -> {
                 try {
-                    return json.get(KNOWN) == null ? NOBODY : EndpointList.of(json.get(KNOWN), held.boot);
+                    return json.get(KNOWN) == null ? NOBODY : DiscoveryFormat.read(json.get(KNOWN), held.boot);
                 } catch (IllegalArgumentException e) {
                     throw new Bad("known: " + e.getMessage());
                 }
@@ -266,7 +267,7 @@
 
     // As many as the heap bears, unless less is wanted.
     private static int upstreams(Object wanted) {
-        int most = EndpointSubset.most(Runtime.getRuntime().maxMemory());
+        int most = EndpointSubset.maxEndpointsForHeap(Runtime.getRuntime().maxMemory());
         if (wanted == null) {
             return most;
         }
--- a/balancer/src/main/java/loadbalancer/process/BalancerPools.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerPools.java
@@ -36,12 +36,12 @@
 
     /** Drains an endpoint administratively, drained or not; false where no pool knows the id. */
     boolean drain(String endpointId) {
-        return membership.setDown(endpointId) || gateway != null && gateway.drainEndpoint(endpointId);
+        return membership.drain(endpointId) || gateway != null && gateway.drainEndpoint(endpointId);
     }
 
     /** Restores an endpoint, drained or not; false where no pool knows the id. */
     boolean restore(String endpointId) {
-        return membership.setUp(endpointId) || gateway != null && gateway.restoreEndpoint(endpointId);
+        return membership.restore(endpointId) || gateway != null && gateway.restoreEndpoint(endpointId);
     }
 
     /** Sets the fraction of the balancer's slow-start budget that this process may use, 0 to 1. */
@@ -61,9 +61,9 @@
 
     /** Returns what a successor starts from. */
     HandoverDocument handoverDocument(SettingsReader.Boot settings) {
-        OperatorDrains drains = membership.takenOut();
-        HandoverState site =
-                new HandoverState(drains.out(), drains.back(), membership.told(), dispatcher.learnedState(), settings);
+        OperatorDrains drains = membership.drains();
+        HandoverState site = new HandoverState(
+                drains.drained(), drains.restoredAtMicros(), membership.listed(), dispatcher.learnedState(), settings);
         return gateway == null ? HandoverDocument.of(site) : HandoverDocument.of(site, gateway.handoverState());
     }
 
@@ -75,7 +75,7 @@
      */
     HandoverState restore(HandoverDocument document, SettingsReader.Boot settings) throws HandoverFormatException {
         HandoverState site = document.site(settings);
-        membership.inherit(site.drained(), site.restoredAtMicros(), site.endpoints());
+        membership.restoreState(site.drained(), site.restoredAtMicros(), site.endpoints());
         dispatcher.restore(site.learnedState());
         if (gateway != null && document.hasPools()) {
             gateway.restore(document);
--- a/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
@@ -108,7 +108,7 @@
                 config.discovery(),
                 config.boot(),
                 subset,
-                config.known().rev(),
+                config.known().version(),
                 dispatcher::now,
                 this::endpointsListed,
                 log::accept);
@@ -188,14 +188,14 @@
             endpointsListed(EndpointListKind.CACHED, known);
             return;
         }
-        membership.listed(EndpointListKind.CACHED, new EndpointList(known.rev(), true, List.of()));
-        membership.hold(known);
-        loop.schedule(this::discoverySilent, discovery.startWithin(), TimeUnit.MICROSECONDS);
+        membership.update(EndpointListKind.CACHED, new EndpointList(known.version(), true, List.of()));
+        membership.holdBack(known);
+        loop.schedule(this::discoverySilent, discovery.startupTimeoutMicros(), TimeUnit.MICROSECONDS);
         loop.schedule(() -> membership.release(), OLD_LIST_HOLD_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private void discoverySilent() {
-        if (!readiness.hasEndpoints() && membership.anyUp()) {
+        if (!readiness.hasEndpoints() && membership.hasUsableEndpoint()) {
             log.accept("no response from discovery: ready, and nothing is sent by the cached list yet");
             readiness.endpointsAvailable();
         }
@@ -203,8 +203,8 @@
 
     // Ready once an endpoint may be sent to: the cached list will do until discovery answers.
     void endpointsListed(EndpointListKind kind, EndpointList endpoints) {
-        membership.listed(kind, endpoints);
-        if (kind == EndpointListKind.SNAPSHOT || endpoints != null && membership.anyUp()) {
+        membership.update(kind, endpoints);
+        if (kind == EndpointListKind.SNAPSHOT || endpoints != null && membership.hasUsableEndpoint()) {
             readiness.endpointsAvailable();
         }
     }
--- a/balancer/src/main/java/loadbalancer/process/HandoverParticipant.java
+++ b/balancer/src/main/java/loadbalancer/process/HandoverParticipant.java
@@ -82,9 +82,10 @@
         try {
             HandoverState site = pools.restore(document, settings.get());
             log.accept("restored from the predecessor: "
-                    + site.endpoints().list().size() + " endpoints, "
+                    + site.endpoints().entries().size() + " endpoints, "
                     + site.drained().size() + " administratively drained");
-            return site.endpoints().list().stream().anyMatch(t -> t.server().state() == EndpointState.UP);
+            return site.endpoints().entries().stream()
+                    .anyMatch(entry -> entry.endpoint().state() == EndpointState.UP);
         } catch (HandoverFormatException e) {
             log.accept("cannot read the predecessor's state: " + e.getMessage());
             return false;
--- a/balancer/src/main/java/loadbalancer/process/WarmUp.java
+++ b/balancer/src/main/java/loadbalancer/process/WarmUp.java
@@ -88,7 +88,7 @@
     }
 
     public void start(InetSocketAddress self) {
-        List<EndpointList.Target> targets = new ArrayList<>();
+        List<EndpointList.Entry> targets = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
             Endpoint server = new Endpoint(
                     "rehearsal-" + i,
@@ -98,7 +98,7 @@
                     0,
                     i % 2,
                     boot.settings().zone());
-            targets.add(new EndpointList.Target(server, self));
+            targets.add(new EndpointList.Entry(server, self));
         }
         EndpointList all = new EndpointList(0, true, targets);
         front.listed(all, dispatcher.now());
--- a/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
@@ -124,10 +124,10 @@
     /** Passes on to the router how many endpoints of each pool may be sent to. */
     public void updatePoolSizes() {
         long now = site.dispatcher().now();
-        router.listed(now, PoolSpec.SITE, site.membership().up());
+        router.listed(now, PoolSpec.SITE, site.membership().usableCount());
         pools.pools()
                 .forEach(pool ->
-                        router.listed(now, pool.name(), pool.membership().up()));
+                        router.listed(now, pool.name(), pool.membership().usableCount()));
     }
 
     @Override
@@ -217,12 +217,12 @@
 
     /** Drains an endpoint in every pool but the site's; false where none has it. */
     public boolean drainEndpoint(String id) {
-        return pools.anyKnows(pool -> pool.membership().setDown(id));
+        return pools.anyKnows(pool -> pool.membership().drain(id));
     }
 
     /** Restores an endpoint that {@link #drainEndpoint} has drained; false where no pool has it. */
     public boolean restoreEndpoint(String id) {
-        return pools.anyKnows(pool -> pool.membership().setUp(id));
+        return pools.anyKnows(pool -> pool.membership().restore(id));
     }
 
     /** The states of the pools beside the site's, by name, as a successor starts from them. */
--- a/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
+++ b/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
@@ -66,27 +66,27 @@
 
     private DiscoveryClient discoveryClient(InetSocketAddress address, EndpointSubset subset, Log log) {
         return new DiscoveryClient(
-                environment.loop(), address, boot, subset, 0, dispatcher::now, membership::listed, log::accept);
+                environment.loop(), address, boot, subset, 0, dispatcher::now, membership::update, log::accept);
     }
 
     /** Begins to learn its endpoint list. */
     void start() {
         if (discovery == null) {
-            membership.listed(EndpointListKind.CACHED, staticList());
-            membership.listed(EndpointListKind.SNAPSHOT, staticList());
+            membership.update(EndpointListKind.CACHED, staticList());
+            membership.update(EndpointListKind.SNAPSHOT, staticList());
         } else {
-            membership.listed(EndpointListKind.CACHED, new EndpointList(0, true, List.of()));
+            membership.update(EndpointListKind.CACHED, new EndpointList(0, true, List.of()));
             discovery.start();
         }
     }
 
     private EndpointList staticList() {
-        List<EndpointList.Target> endpoints = new ArrayList<>();
+        List<EndpointList.Entry> endpoints = new ArrayList<>();
         for (InetSocketAddress address : spec.upstreams()) {
             String id = spec.name() + "/" + address.getAddress().getHostAddress() + ":" + address.getPort();
             Endpoint endpoint = new Endpoint(
                     id, EndpointState.UP, 0, 1, -1, -1, boot.settings().zone());
-            endpoints.add(new EndpointList.Target(endpoint, address));
+            endpoints.add(new EndpointList.Entry(endpoint, address));
         }
         return new EndpointList(0, true, endpoints);
     }
@@ -114,7 +114,7 @@
         if (discovery != null) {
             discovery.moveTo(next.discovery());
         } else if (!former.sameSource(next)) {
-            membership.listed(EndpointListKind.SNAPSHOT, staticList());
+            membership.update(EndpointListKind.SNAPSHOT, staticList());
         }
     }
 
@@ -150,15 +150,16 @@
 
     /** The pool's state as a successor starts from it. */
     HandoverState handoverState() {
-        OperatorDrains drains = membership.takenOut();
-        return new HandoverState(drains.out(), drains.back(), membership.told(), dispatcher.learnedState(), boot);
+        OperatorDrains drains = membership.drains();
+        return new HandoverState(
+                drains.drained(), drains.restoredAtMicros(), membership.listed(), dispatcher.learnedState(), boot);
     }
 
     /** Goes on from what another process of this balancer knows of the pool of that name. */
     void restore(HandoverState state) {
         // A list in the operator file is this process's own: the other may have had another file.
         EndpointList list = discovery == null ? new EndpointList(-1, true, List.of()) : state.endpoints();
-        membership.inherit(state.drained(), state.restoredAtMicros(), list);
+        membership.restoreState(state.drained(), state.restoredAtMicros(), list);
         dispatcher.restore(state.learnedState());
     }
 
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamConnectionPool.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamConnectionPool.java
@@ -133,22 +133,22 @@
     // ---------------------------------------------------------------- the list
 
     public void listed(EndpointList targets, long at) {
-        long now = Math.min(at, targets.toldAt()); // from when on the grace of a drain counts
+        long now = Math.min(at, targets.notifiedAtMicros()); // from when on the grace of a drain counts
         Set<String> named = new HashSet<>();
-        for (EndpointList.Target t : targets.list()) {
-            named.add(t.server().id());
-            Upstream u = upstreams.computeIfAbsent(t.server().id(), Upstream::new);
-            if (t.endpoint() != null && !t.endpoint().equals(u.endpoint)) {
+        for (EndpointList.Entry t : targets.entries()) {
+            named.add(t.endpoint().id());
+            Upstream u = upstreams.computeIfAbsent(t.endpoint().id(), Upstream::new);
+            if (t.address() != null && !t.address().equals(u.endpoint)) {
                 closeIdle(u);
-                u.endpoint = t.endpoint();
+                u.endpoint = t.address();
             }
-            if (t.server().state() == EndpointState.UP) {
+            if (t.endpoint().state() == EndpointState.UP) {
                 u.stopAt = Long.MAX_VALUE;
             } else {
                 stop(u, now);
             }
         }
-        if (targets.all()) {
+        if (targets.complete()) {
             upstreams.values().stream().filter(u -> !named.contains(u.id)).forEach(u -> stop(u, now));
         }
     }
--- a/balancer/src/test/java/loadbalancer/process/OperatorsTest.java
+++ b/balancer/src/test/java/loadbalancer/process/OperatorsTest.java
@@ -16,6 +16,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import loadbalancer.discovery.DiscoveryFormat;
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.policy.EndpointListKind;
 import org.junit.jupiter.api.Test;
@@ -76,7 +77,7 @@
         call("set-down s1\n");
         assertEquals("LOCAL_OVERRIDE [s1=DRAINING]", module.next());
         call("set-down s1\n"); // once more: nothing changes
-        EndpointList again = EndpointList.of(
+        EndpointList again = DiscoveryFormat.read(
                 JSON.std.anyFrom(list(42, true, "in_service")),
                 config(1024, settings(), 0).boot());
         onLoop(() -> node.endpointsListed(EndpointListKind.SNAPSHOT, again));
@@ -98,7 +99,7 @@
     void anUpstreamThatIsOutStaysKnownWhileDiscoveryHasLostIt() throws IOException, InterruptedException {
         startWithOperators();
         call("set-down s1\n");
-        EndpointList gone = EndpointList.of(
+        EndpointList gone = DiscoveryFormat.read(
                 JSON.std.anyFrom("{\"rev\":42,\"all\":true,\"targets\":[]}"),
                 config(1024, settings(), 0).boot());
         onLoop(() -> node.endpointsListed(EndpointListKind.SNAPSHOT, gone));
--- a/core/src/main/java/loadbalancer/staleness/ListStaleness.java
+++ b/core/src/main/java/loadbalancer/staleness/ListStaleness.java
@@ -1,105 +1,120 @@
 package loadbalancer.staleness;
 
 /**
- * When what discovery has to say counts as told, whether or not it has come, and how long a source that says nothing
- * may be waited for. A drain binds from the moment at which it counts as told: a list that comes late, over a watch
- * that had to be opened anew, does not begin the grace anew.
+ * Decides when a change of the endpoint list counts as notified, whether or not it has arrived, and how long a silent
+ * discovery is waited for. A drain binds from the moment at which it counts as notified: a list that arrives late, over
+ * a watch that had to be opened again, does not begin the drain grace period again.
  *
- * <p>Pure: the caller brings the time. All times are in µs.
+ * <p>Pure: the caller brings the time. All times are in µs of the caller's clock. Not thread-safe.
  */
 public final class ListStaleness {
-    /** Between the empty lines of a watch on which nothing changes (the protocol page). */
-    private static final long BEAT = 2_000_000;
-    /** From the silence of a watch on: what it misses then counts as told (the standing terms). */
-    private static final long SILENT = 6_000_000;
-    /** From a new configuration on: what the discovery that it names has to say then counts as told. */
-    private static final long MOVED = 4_000_000;
-    /** That a call may take which fails by waiting, and the pause before the next; that before it is in the margin. */
-    private static final long TRY = 2_750_000;
+    /** Between the empty lines of a watch on which nothing changes. */
+    private static final long HEARTBEAT_INTERVAL_MICROS = 2_000_000;
+    /** From the last sign of life of a watch on, until what it misses counts as notified. */
+    private static final long SILENCE_ALLOWANCE_MICROS = 6_000_000;
+    /** From a new configuration on, until what the discovery that it names has to say counts as notified. */
+    private static final long DISCOVERY_CHANGE_ALLOWANCE_MICROS = 4_000_000;
+    /** What a call that fails by its timeout takes, with the pause before the next one. */
+    private static final long FAILED_CALL_MICROS = 2_750_000;
+
+    private static final long NEVER = Long.MAX_VALUE;
 
     private final boolean pushed;
-    private long grace;
+    private long drainGracePeriodMicros;
     private long pollIntervalMicros;
-    private long due = Long.MAX_VALUE; // when what has been missed counts as told
+    private long missedNotifiedAt = NEVER; // when what has been missed counts as notified
 
     /**
-     * Where lists are pushed, what there is counts as told at once, also before a watch is open.
+     * Begins with nothing missed.
      *
-     * @param grace how long after a drain was told requests may still be sent
+     * @param pushed whether lists are pushed: what there is counts as notified at once then, also without a watch
+     * @param drainGracePeriodMicros how long after the notification of a drain requests may still be sent
      * @param pollIntervalMicros for how long the list of a balancer without a watch holds
      */
-    public ListStaleness(boolean pushed, long grace, long pollIntervalMicros) {
+    public ListStaleness(boolean pushed, long drainGracePeriodMicros, long pollIntervalMicros) {
         this.pushed = pushed;
-        limits(grace, pollIntervalMicros);
+        reconfigure(drainGracePeriodMicros, pollIntervalMicros);
     }
 
     /** Goes by other settings from here on. */
-    public void limits(long newGrace, long newAskWithin) {
-        grace = newGrace;
-        pollIntervalMicros = newAskWithin;
+    public void reconfigure(long newDrainGracePeriodMicros, long newPollIntervalMicros) {
+        drainGracePeriodMicros = newDrainGracePeriodMicros;
+        pollIntervalMicros = newPollIntervalMicros;
     }
 
     /**
-     * How long a watch may say nothing before it is opened anew. What it misses has to be here when the grace is over
-     * that began without it, also if the first try to get it fails: so the shorter the grace, the less. A beat and a
-     * half at least, for one line may be late; two and a quarter at most, for nothing is gained by waiting on.
+     * Returns how long a watch may be silent before it is opened again, in µs. What it misses has to be here when the
+     * grace period is over that began without it, also where the first call for it fails: so the shorter the grace
+     * period, the less. One and a half heartbeats at least, for one may be late; two and a quarter at most, for nothing
+     * is gained by waiting longer.
      */
-    public long patience() {
-        return Math.max(BEAT + BEAT / 2, Math.min(2 * BEAT + BEAT / 4, SILENT - TRY - BEAT / 4 + grace));
+    public long watchIdleTimeoutMicros() {
+        long leastMicros = HEARTBEAT_INTERVAL_MICROS + HEARTBEAT_INTERVAL_MICROS / 2;
+        long mostMicros = 2 * HEARTBEAT_INTERVAL_MICROS + HEARTBEAT_INTERVAL_MICROS / 4;
+        long inTimeMicros =
+                SILENCE_ALLOWANCE_MICROS - FAILED_CALL_MICROS - HEARTBEAT_INTERVAL_MICROS / 4 + drainGracePeriodMicros;
+        return Math.max(leastMicros, Math.min(mostMicros, inTimeMicros));
     }
 
     /**
-     * How long a call may go unanswered before it is tried anew. Where lists are pushed what an agent gets when it is
-     * back counts at once, so a call that hangs must not cost more than half of a grace.
+     * Returns how long a call may go unanswered before it is made again, in µs. Where lists are pushed, what an agent
+     * learns when it is back counts at once, so a call that hangs must not take more than half of a grace period.
      */
-    public long answerWithin() {
-        return pushed ? Math.max(BEAT / 4, Math.min(patience(), grace / 2)) : patience();
+    public long responseTimeoutMicros() {
+        long idleTimeoutMicros = watchIdleTimeoutMicros();
+        return pushed
+                ? Math.max(HEARTBEAT_INTERVAL_MICROS / 4, Math.min(idleTimeoutMicros, drainGracePeriodMicros / 2))
+                : idleTimeoutMicros;
     }
 
     /**
-     * How long a process that has started waits for the first answer before it says that it is ready. A beat and a
-     * half: whoever is there has said something by then, and it is half of the 6 s after which a process has to be
-     * ready at the latest (the standing terms). The other half is for its own start on a slow core.
+     * Returns how long a process that has started waits for the first response before it is ready without one, in µs.
+     * One and a half heartbeats: a discovery that is there has sent something by then, and it is half of the 6 s after
+     * which a process has to be ready. The other half is for the start of the process itself.
      */
-    public long startWithin() {
-        return BEAT + BEAT / 2;
+    public long startupTimeoutMicros() {
+        return HEARTBEAT_INTERVAL_MICROS + HEARTBEAT_INTERVAL_MICROS / 2;
     }
 
     /**
-     * The process has started with a list that may be old. Where lists are pushed what its agent has counted as told
-     * before the process could look at a clock: no grace is left of what the first list says.
+     * The process has started with a list that may be out of date. Where lists are pushed, what its agent has counted
+     * as notified before the process could look at a clock: no grace period is left of what the first list says.
      */
-    public void started(long now) {
+    public void started(long nowMicros) {
         if (pushed) {
-            miss(0);
+            missedFrom(0);
         } else {
-            unwatched(now);
+            watchEnded(nowMicros);
         }
     }
 
-    /** The watch has ended for all to see. */
-    public void unwatched(long now) {
-        miss(now + (pushed ? 0 : Math.min(pollIntervalMicros, SILENT)));
+    /** The watch has ended in a way that both sides see. */
+    public void watchEnded(long nowMicros) {
+        missedFrom(nowMicros + (pushed ? 0 : Math.min(pollIntervalMicros, SILENCE_ALLOWANCE_MICROS)));
     }
 
-    /** The watch has said nothing since then. */
-    public void silentSince(long heard) {
-        miss(heard + SILENT);
+    /** The watch has been silent since then. */
+    public void watchSilentSince(long lastReadMicros) {
+        missedFrom(lastReadMicros + SILENCE_ALLOWANCE_MICROS);
     }
 
-    /** Another discovery is to be gone by, since now. */
-    public void moved(long now) {
-        miss(now + MOVED);
+    /** Another discovery is in use since then. */
+    public void discoveryChanged(long nowMicros) {
+        missedFrom(nowMicros + DISCOVERY_CHANGE_ALLOWANCE_MICROS);
     }
 
-    private void miss(long countsAt) {
-        due = Math.min(due, countsAt);
+    private void missedFrom(long notifiedAtMicros) {
+        missedNotifiedAt = Math.min(missedNotifiedAt, notifiedAtMicros);
     }
 
-    /** A list has come over the present watch, so nothing is missed any more; returns when its news counted as told. */
-    public long told(long now) {
-        long at = Math.min(now, due);
-        due = Long.MAX_VALUE;
-        return at;
+    /**
+     * A list has arrived over the present watch, so nothing is missed any more.
+     *
+     * @return when its changes counted as notified, in µs
+     */
+    public long notified(long nowMicros) {
+        long notifiedAtMicros = Math.min(nowMicros, missedNotifiedAt);
+        missedNotifiedAt = NEVER;
+        return notifiedAtMicros;
     }
 }
--- a/discovery/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/discovery/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -36,252 +36,269 @@
 import loadbalancer.staleness.ListStaleness;
 
 /**
- * Asks discovery for the list and watches its changes: where discovery is asked, only as the module wishes;
- * where lists are pushed, always.
+ * Polls discovery for the endpoint list and watches its changes: where lists are polled, only as the policy wishes;
+ * where they are pushed, always. Belongs to the event loop's thread.
  */
 public final class DiscoveryClient {
-    private static final int CONNECT_MS = 2_000;
-    private static final long AGAIN_MS = 250; // after a failed try, where lists are pushed
-    private static final long SOON_MS = 50; // the same after a watch that worked
+    private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
+    /** Before the next watch, where lists are pushed and a watch has failed without a response. */
+    private static final long RETRY_DELAY_MILLIS = 250;
+    /** The same after a watch that has worked. */
+    private static final long REOPEN_DELAY_MILLIS = 50;
+
+    private static final int STATUS_OK = 200;
 
     private final EventLoop loop;
     private final Set<Call> calls = new LinkedHashSet<>(); // under way
     private InetSocketAddress address;
-    private SettingsReader.Boot boot;
-    private final EndpointSubset holding;
-    private final BiConsumer<EndpointListKind, EndpointList> news;
+    private SettingsReader.Boot settings;
+    private final EndpointSubset subset;
+    private final BiConsumer<EndpointListKind, EndpointList> listener;
     private final Consumer<String> log;
     private final boolean pushed;
-    private final LongSupplier clock;
+    private final LongSupplier clockMicros;
     private final ListStaleness staleness;
-    private long rev;
+    private long version;
     private Call watch;
-    private boolean wanted; // a watch, whether one is open or not
+    private boolean watchWanted; // whether a watch is open or not
 
     /**
-     * {@code news} gets each list and change; FAILED and null where a call or the watch has failed. {@code clock}
-     * counts µs and is the one by which drains are kept.
+     * Creates a client that is not started.
      *
-     * @param holding what is taken of a list that is too long, shared with what keeps it
+     * @param subset which part of a list that is too long is kept, shared with what keeps it
+     * @param version of the list that is known already
+     * @param clockMicros the clock by which drains are kept
+     * @param listener gets each list and change; UNAVAILABLE and null where a poll or the watch has failed
      */
     public DiscoveryClient(
             EventLoop loop,
             InetSocketAddress address,
-            SettingsReader.Boot boot,
-            EndpointSubset holding,
-            long rev,
-            LongSupplier clock,
-            BiConsumer<EndpointListKind, EndpointList> news,
+            SettingsReader.Boot settings,
+            EndpointSubset subset,
+            long version,
+            LongSupplier clockMicros,
+            BiConsumer<EndpointListKind, EndpointList> listener,
             Consumer<String> log) {
         this.loop = loop;
         this.address = address;
-        this.boot = boot;
-        this.holding = holding;
-        this.rev = rev;
-        this.news = news;
+        this.settings = settings;
+        this.subset = subset;
+        this.version = version;
+        this.listener = listener;
         this.log = log;
-        this.clock = clock;
-        this.pushed = boot.settings().discovery() == DiscoveryMode.PUSH;
-        SafetyBounds bounds = boot.settings().bounds();
+        this.clockMicros = clockMicros;
+        this.pushed = settings.settings().discovery() == DiscoveryMode.PUSH;
+        SafetyBounds bounds = settings.settings().bounds();
         this.staleness = new ListStaleness(pushed, bounds.drainGracePeriodMicros(), bounds.pollIntervalMicros());
     }
 
-    /** Begins to watch unasked where lists are pushed. */
+    /** Begins; where lists are pushed, by opening a watch. */
     public void start() {
-        staleness.started(clock.getAsLong());
+        staleness.started(clockMicros.getAsLong());
         if (pushed) {
             watch(true);
         }
     }
 
-    /** How long a process that has started need not be ready for want of an answer, in µs. */
-    public long startWithin() {
-        return staleness.startWithin();
+    /** Returns how long a process that has started may wait for a response before it is ready without one, in µs. */
+    public long startupTimeoutMicros() {
+        return staleness.startupTimeoutMicros();
     }
 
-    /** Subscribes to changes, in place of an earlier subscription, or ends it. */
-    public void watch(boolean on) {
-        wanted = on;
-        Call earlier = watch;
-        watch = on ? new Call("/api/targets?watch=1&from=" + rev, true) : null;
-        if (earlier != null) {
-            earlier.drop();
+    /** Opens a watch, in place of one that is open, or ends it. */
+    public void watch(boolean wanted) {
+        watchWanted = wanted;
+        Call former = watch;
+        watch = wanted ? new Call(DiscoveryFormat.watchPath(version), true) : null;
+        if (former != null) {
+            former.drop();
         }
-        if (on) {
+        if (wanted) {
             watch.open();
         }
     }
 
     /** Reads lists by new settings from here on. */
     public void reconfigure(SettingsReader.Boot next) {
-        boot = next;
-        staleness.limits(
-                next.settings().bounds().drainGracePeriodMicros(),
-                next.settings().bounds().pollIntervalMicros());
+        settings = next;
+        SafetyBounds bounds = next.settings().bounds();
+        staleness.reconfigure(bounds.drainGracePeriodMicros(), bounds.pollIntervalMicros());
     }
 
-    /** Asks for the whole list once. */
-    public void fetch() {
-        new Call("/api/targets", false).open();
+    /** Polls the complete list once. */
+    public void poll() {
+        new Call(DiscoveryFormat.LIST_PATH, false).open();
     }
 
     /**
-     * Goes on at another address: what is asked here is asked anew there, at once. The list stays in use
-     * meanwhile, and nobody is told of a failure, for none has happened. The whole list is asked for: another
-     * discovery may count its versions in another way.
+     * Goes on at another address: calls under way are made again there, at once. The list stays in use meanwhile, and
+     * no failure is notified, for none has happened. The complete list is called for: another discovery may number its
+     * versions in another way.
      */
-    public void moveTo(InetSocketAddress other) {
-        if (other.equals(address)) {
+    public void moveTo(InetSocketAddress next) {
+        if (next.equals(address)) {
             return;
         }
-        address = other;
-        rev = 0;
-        staleness.moved(clock.getAsLong());
+        address = next;
+        version = 0;
+        staleness.discoveryChanged(clockMicros.getAsLong());
         for (Call call : List.copyOf(calls)) {
             call.drop();
             if (!call.watching) {
-                fetch();
+                poll();
             }
         }
-        if (wanted) {
+        if (watchWanted) {
             watch(true);
         }
     }
 
-    /** A call under way; the answer of a watch goes on until its connection ends. */
+    /** A call under way: a poll ends with its list, a watch with its connection. */
     private final class Call extends SimpleChannelInboundHandler<HttpObject> {
-        private final String uri;
+        private final String path;
         private final boolean watching;
-        private final ListReader lists = new ListReader(() -> boot, holding);
+        private final ListReader reader = new ListReader(() -> settings, subset);
         private Channel channel;
-        private Future<?> silence;
-        private long heardAt;
-        private boolean answered; // the module has had what its call was for
-        private boolean over;
+        private Future<?> timeout;
+        private long lastReadMicros;
+        private boolean answered; // a list, or the sign that nothing has changed, has come
+        private boolean ended;
 
-        Call(String uri, boolean watching) {
-            this.uri = uri;
+        Call(String path, boolean watching) {
+            this.path = path;
             this.watching = watching;
         }
 
         void open() {
             calls.add(this);
-            heard();
-            ChannelFuture connected = new Bootstrap()
+            restartTimeout();
+            ChannelFuture connecting = new Bootstrap()
                     .group(loop)
                     .channel(NioSocketChannel.class)
                     .option(ChannelOption.TCP_NODELAY, true)
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
-                        protected void initChannel(Channel ch) {
-                            ch.pipeline().addLast(new HttpClientCodec(), Call.this);
+                        protected void initChannel(Channel connected) {
+                            connected.pipeline().addLast(new HttpClientCodec(), Call.this);
                         }
                     })
                     .connect(address);
-            channel = connected.channel();
-            if (!channel.isRegistered()) { // no descriptor is left: it has no loop to tell of its end
-                loop.execute(this::ended);
+            channel = connecting.channel();
+            if (!channel.isRegistered()) { // no descriptor is left: its end is notified on no event loop
+                loop.execute(this::end);
                 return;
             }
-            channel.closeFuture().addListener(closed -> ended());
-            connected.addListener(done -> {
+            channel.closeFuture().addListener(closed -> end());
+            connecting.addListener(done -> {
                 if (done.isSuccess()) {
-                    DefaultFullHttpRequest ask = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
-                    ask.headers()
-                            .set(HttpHeaderNames.HOST, address.getAddress().getHostAddress() + ":" + address.getPort());
-                    channel.writeAndFlush(ask);
+                    channel.writeAndFlush(request());
                 } else {
-                    ended();
+                    end();
                 }
             });
         }
 
-        /** Ends it, and nobody is told. */
+        private DefaultFullHttpRequest request() {
+            DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
+            String host = address.getAddress().getHostAddress() + ":" + address.getPort();
+            request.headers().set(HttpHeaderNames.HOST, host);
+            return request;
+        }
+
+        /** Ends the call without a notification. */
         void drop() {
-            over = true;
+            ended = true;
             calls.remove(this);
             if (watch == this) {
                 watch = null;
             }
-            silence.cancel(false);
+            timeout.cancel(false);
             if (channel.isRegistered()) {
                 channel.close();
             }
         }
 
-        // Guards against a discovery that is cut off: its connection stays open and silent.
-        private void heard() {
-            heardAt = clock.getAsLong();
-            if (silence != null) {
-                silence.cancel(false);
+        // A discovery that is cut off leaves the connection open and silent.
+        private void restartTimeout() {
+            lastReadMicros = clockMicros.getAsLong();
+            if (timeout != null) {
+                timeout.cancel(false);
             }
-            silence = loop.schedule(
-                    () -> {
-                        if (answered) {
-                            staleness.silentSince(heardAt);
-                        }
-                        ended();
-                    },
-                    answered ? staleness.patience() : staleness.answerWithin(),
-                    TimeUnit.MICROSECONDS);
+            long timeoutMicros = answered ? staleness.watchIdleTimeoutMicros() : staleness.responseTimeoutMicros();
+            timeout = loop.schedule(this::timedOut, timeoutMicros, TimeUnit.MICROSECONDS);
+        }
+
+        private void timedOut() {
+            if (answered) {
+                staleness.watchSilentSince(lastReadMicros);
+            }
+            end();
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-            if (part instanceof HttpResponse answer
-                    && (answer.status().code() != 200 || !answer.decoderResult().isSuccess())) {
-                ended();
+            if (part instanceof HttpResponse response && !isUsable(response)) {
+                end();
             }
-            if (over) {
+            if (ended) {
                 return;
             }
             if (part instanceof HttpContent content) {
-                try {
-                    read(ByteBufUtil.getBytes(content.content()));
-                } catch (IllegalArgumentException e) {
-                    // A change may be lost with it: the next watch, from the last good version, brings it.
-                    log.accept("discovery sent a list that can't be read: " + e.getMessage());
-                    ended();
-                }
+                readContent(content);
             }
-            if (part instanceof LastHttpContent && !over) {
-                if (lists.within()) {
+            if (part instanceof LastHttpContent && !ended) {
+                if (reader.isWithinList()) {
                     log.accept("discovery sent a list that can't be read: it breaks off");
                 }
-                ended();
+                end();
             }
         }
 
-        // An empty line says that nothing has changed. Within a list it says nothing: one that was cut short must
+        private static boolean isUsable(HttpResponse response) {
+            return response.status().code() == STATUS_OK
+                    && response.decoderResult().isSuccess();
+        }
+
+        private void readContent(HttpContent content) {
+            try {
+                read(ByteBufUtil.getBytes(content.content()));
+            } catch (DiscoveryFormatException e) {
+                // A change may be lost with it: the next watch, from the last good version, brings it.
+                log.accept("discovery sent a list that can't be read: " + e.getMessage());
+                end();
+            }
+        }
+
+        // An empty line is a heartbeat: nothing has changed. Within a list it is none: a list that was cut short must
         // not look alive for as long as such lines come.
         private void read(byte[] bytes) {
             boolean blank = new String(bytes, StandardCharsets.ISO_8859_1).isBlank();
-            boolean beat = blank && bytes.length > 0 && !lists.within();
-            boolean first = beat && watching && !answered;
-            answered |= first;
-            if (beat || !blank) {
-                heard();
+            boolean heartbeat = blank && bytes.length > 0 && !reader.isWithinList();
+            boolean firstAnswer = heartbeat && watching && !answered;
+            answered |= firstAnswer;
+            if (heartbeat || !blank) {
+                restartTimeout();
             }
-            if (first) {
-                news(new EndpointList(rev, false, List.of()));
+            if (firstAnswer) {
+                received(new EndpointList(version, false, List.of()));
             } else {
-                lists.read(bytes, list -> {
-                    if (!over) {
-                        news(list);
+                reader.read(bytes, list -> {
+                    if (!ended) {
+                        received(list);
                     }
                 });
             }
         }
 
-        private void news(EndpointList targets) {
-            rev = targets.rev();
+        private void received(EndpointList list) {
+            version = list.version();
             if (!answered) {
                 answered = true;
-                heard(); // from here on the time between two lines counts
+                restartTimeout(); // from here on the time between two lines counts
             }
-            EndpointListKind kind = targets.all() ? EndpointListKind.SNAPSHOT : EndpointListKind.DELTA;
-            news.accept(kind, watching ? targets.told(staleness.told(clock.getAsLong())) : targets);
+            EndpointListKind kind = list.complete() ? EndpointListKind.SNAPSHOT : EndpointListKind.DELTA;
+            listener.accept(kind, watching ? list.withNotifiedAt(staleness.notified(clockMicros.getAsLong())) : list);
             if (!watching) {
                 drop();
             }
@@ -292,27 +309,27 @@
             channel.close();
         }
 
-        private void ended() {
-            if (over) {
+        private void end() {
+            if (ended) {
                 return;
             }
             drop();
             if (watching && answered) {
-                staleness.unwatched(clock.getAsLong());
+                staleness.watchEnded(clockMicros.getAsLong());
             }
             if (!pushed) {
-                news.accept(EndpointListKind.UNAVAILABLE, null);
+                listener.accept(EndpointListKind.UNAVAILABLE, null);
             } else if (watching) {
-                // One that has worked is soon opened anew: what its agent has counts as told meanwhile.
-                loop.schedule(
-                        () -> {
-                            if (watch == null) {
-                                watch(true);
-                            }
-                        },
-                        answered ? SOON_MS : AGAIN_MS,
-                        TimeUnit.MILLISECONDS);
+                // After one that has worked at once: what its agent has counts as notified meanwhile.
+                long delayMillis = answered ? REOPEN_DELAY_MILLIS : RETRY_DELAY_MILLIS;
+                loop.schedule(DiscoveryClient.this::watchAgain, delayMillis, TimeUnit.MILLISECONDS);
             }
         }
     }
+
+    private void watchAgain() {
+        if (watch == null) {
+            watch(true);
+        }
+    }
 }
--- /dev/null
+++ b/discovery/src/main/java/loadbalancer/discovery/DiscoveryFormat.java
@@ -0,0 +1,179 @@
+package loadbalancer.discovery;
+
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointState;
+import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.SocketAddresses;
+
+/**
+ * Discovery's wire form of endpoint lists: the only place that knows its paths, field names and states. Lists are read
+ * from and written to JSON values as a parser gives them (maps, lists, strings, numbers); {@link ListReader} reads them
+ * from bytes. Stateless.
+ */
+public final class DiscoveryFormat {
+    /** The path of the complete list. */
+    static final String LIST_PATH = "/api/targets";
+
+    /** The field of a list that holds its entries. */
+    static final String ENTRIES = "targets";
+
+    private static final String VERSION = "rev";
+    private static final String COMPLETE = "all";
+
+    private static final String ID = "uid";
+    private static final String ADDRESS = "endpoint";
+    private static final String STATE = "state";
+    private static final String STARTED_AT_MILLIS = "boot_ms";
+    private static final String WEIGHT = "capacity_hint";
+    private static final String CELL = "pod_group";
+    private static final String ZONE = "az";
+    private static final String KIND = "model";
+
+    private static final String STATE_UP = "in_service";
+    private static final String STATE_DRAINING = "terminating";
+    private static final String STATE_GONE = "terminated";
+
+    private static final double MICROS_PER_MILLI = 1000;
+    private static final double DEFAULT_WEIGHT = 1;
+    private static final double NO_CELL = -1;
+
+    private DiscoveryFormat() {}
+
+    /** Returns the path of a watch for what changes after that version. */
+    static String watchPath(long version) {
+        return LIST_PATH + "?watch=1&from=" + version;
+    }
+
+    /**
+     * Reads a list.
+     *
+     * @param json as a JSON parser gives it
+     * @param settings by which names of zones and kinds become numbers
+     * @throws DiscoveryFormatException where it is not such a list
+     */
+    public static EndpointList read(Object json, SettingsReader.Boot settings) {
+        if (!(json instanceof Map<?, ?> list) || !(list.get(ENTRIES) instanceof List<?> entries)) {
+            throw new DiscoveryFormatException("no list of targets");
+        }
+        List<EndpointList.Entry> read = new ArrayList<>();
+        for (Object entry : entries) {
+            id(entry);
+            read.add(entry((Map<?, ?>) entry, settings));
+        }
+        return new EndpointList(version(list), isComplete(list), List.copyOf(read));
+    }
+
+    /** Returns the version of a list; 0 where it has none. */
+    static long version(Map<?, ?> list) {
+        return (long) number(list.get(VERSION), 0);
+    }
+
+    /** Whether a list names all endpoints there are. */
+    static boolean isComplete(Map<?, ?> list) {
+        return Boolean.TRUE.equals(list.get(COMPLETE));
+    }
+
+    /**
+     * Returns the id of an entry.
+     *
+     * @throws DiscoveryFormatException where it has none
+     */
+    static String id(Object entry) {
+        if (!(entry instanceof Map<?, ?> fields) || !(fields.get(ID) instanceof String id) || id.isEmpty()) {
+            throw new DiscoveryFormatException("a target without uid");
+        }
+        return id;
+    }
+
+    /**
+     * Returns the state of an entry.
+     *
+     * @throws DiscoveryFormatException where it has none that is known
+     */
+    static EndpointState state(Map<?, ?> entry) {
+        return switch (String.valueOf(entry.get(STATE))) {
+            case STATE_UP -> EndpointState.UP;
+            case STATE_DRAINING -> EndpointState.DRAINING;
+            case STATE_GONE -> EndpointState.GONE;
+            default -> throw new DiscoveryFormatException("unknown state: '" + entry.get(STATE) + "'");
+        };
+    }
+
+    /**
+     * Reads an entry that has an id.
+     *
+     * @throws DiscoveryFormatException where its state or address cannot be read
+     */
+    static EndpointList.Entry entry(Map<?, ?> entry, SettingsReader.Boot settings) {
+        EndpointState state = state(entry);
+        InetSocketAddress address = state == EndpointState.GONE && entry.get(ADDRESS) == null ? null : address(entry);
+        double weight = number(entry.get(WEIGHT), DEFAULT_WEIGHT);
+        Endpoint endpoint = new Endpoint(
+                id(entry),
+                state,
+                Math.round(number(entry.get(STARTED_AT_MILLIS), 0) * MICROS_PER_MILLI),
+                weight > 0 ? weight : DEFAULT_WEIGHT,
+                (int) number(entry.get(CELL), NO_CELL),
+                settings.kinds().indexOf(SettingsReader.plain(entry.get(KIND))),
+                settings.zones().indexOf(SettingsReader.plain(entry.get(ZONE))));
+        return new EndpointList.Entry(endpoint, address);
+    }
+
+    private static InetSocketAddress address(Map<?, ?> entry) {
+        try {
+            return SocketAddresses.address(String.valueOf(entry.get(ADDRESS)));
+        } catch (IllegalArgumentException e) {
+            throw new DiscoveryFormatException(e.getMessage(), e);
+        }
+    }
+
+    private static double number(Object value, double otherwise) {
+        return value instanceof Number number && Double.isFinite(number.doubleValue())
+                ? number.doubleValue()
+                : otherwise;
+    }
+
+    /**
+     * Writes a list, the reverse of {@link #read}. Entries must not be {@link EndpointState#GONE}.
+     *
+     * @param settings by which numbers of zones and kinds become names
+     * @return the list as a JSON writer takes it
+     */
+    public static Map<String, Object> write(EndpointList list, SettingsReader.Boot settings) {
+        List<Map<String, Object>> entries = new ArrayList<>();
+        for (EndpointList.Entry entry : list.entries()) {
+            entries.add(write(entry, settings));
+        }
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put(VERSION, list.version());
+        fields.put(COMPLETE, list.complete());
+        fields.put(ENTRIES, entries);
+        return fields;
+    }
+
+    private static Map<String, Object> write(EndpointList.Entry entry, SettingsReader.Boot settings) {
+        Endpoint endpoint = entry.endpoint();
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put(ID, endpoint.id());
+        fields.put(
+                ADDRESS,
+                entry.address().getAddress().getHostAddress() + ":"
+                        + entry.address().getPort());
+        fields.put(STATE, endpoint.state() == EndpointState.UP ? STATE_UP : STATE_DRAINING);
+        fields.put(STARTED_AT_MILLIS, endpoint.startedAt() / MICROS_PER_MILLI);
+        fields.put(WEIGHT, endpoint.weight());
+        fields.put(CELL, endpoint.cell());
+        if (endpoint.zone() >= 0) {
+            fields.put(ZONE, settings.zones().get(endpoint.zone()));
+        }
+        if (endpoint.kind() >= 0) {
+            fields.put(KIND, settings.kinds().get(endpoint.kind()));
+        }
+        return fields;
+    }
+}
--- a/discovery/src/main/java/loadbalancer/discovery/EndpointSubset.java
+++ b/discovery/src/main/java/loadbalancer/discovery/EndpointSubset.java
@@ -6,112 +6,127 @@
 import loadbalancer.subset.Subset;
 
 /**
- * How many upstreams of one list a process holds at most, and which part of a longer list it holds now. Shared by what
- * reads lists and what keeps them; not thread-safe, all of it runs on one event loop.
+ * How many endpoints of one list a process keeps at most, and which part of a longer list it keeps now. Shared by what
+ * reads the lists and what keeps them; not thread-safe, all of it belongs to one event loop.
  */
 public final class EndpointSubset {
-    /** Bytes of heap for an upstream that is held: its entry, the module's books and its points on the ring. */
-    private static final int EACH = 1_280;
-    /** Of the heap, for what is held: reading a list, requests and answers need the rest. */
-    private static final int SHARE = 4;
+    /** Heap for an endpoint that is kept: its entry, the policy's state and its points on the hash ring. */
+    private static final int BYTES_PER_ENDPOINT = 1_280;
+    /** One part in so many of the heap is for endpoints: reading a list, requests and responses need the rest. */
+    private static final int HEAP_DIVISOR = 4;
 
-    private final int most;
+    private final int maxEndpoints;
     private Subset subset;
-    private Subset sought; // instead, of the next whole list; null: the same
-    private long named;
-    private Consumer<EndpointSubset> changed = h -> {};
+    private Subset nextSubset; // to change to with the next complete list; null: the same
+    private long listedCount;
+    private Consumer<EndpointSubset> onChange = changed -> {};
 
     /**
-     * For the balancer of that rank.
+     * Begins with the whole list.
      *
-     * @param most upstreams that may be held
+     * @param maxEndpoints endpoints that may be kept
+     * @param rank of the balancer among all, which gives its part of a longer list
      */
-    public EndpointSubset(int most, int rank) {
-        this.most = most;
+    public EndpointSubset(int maxEndpoints, int rank) {
+        this.maxEndpoints = maxEndpoints;
         subset = Subset.whole(rank);
     }
 
-    /** How many upstreams a process may hold with a heap of that many bytes. */
-    public static int most(long heap) {
-        return (int) Math.max(1, Math.min(Integer.MAX_VALUE, heap / SHARE / EACH));
+    /** Returns how many endpoints a process may keep with a heap of that many bytes. */
+    public static int maxEndpointsForHeap(long heapBytes) {
+        return (int) Math.max(1, Math.min(Integer.MAX_VALUE, heapBytes / HEAP_DIVISOR / BYTES_PER_ENDPOINT));
     }
 
-    /** Whom to tell when it holds another part than before, or the first part of a list of another length. */
+    /** Sets what runs when another part than before is kept, or the first part of a list of another length. */
     public void onChange(Consumer<EndpointSubset> then) {
-        changed = then;
+        onChange = then;
     }
 
-    /** Upstreams that may be held. */
-    public int most() {
-        return most;
+    /** Returns how many endpoints may be kept. */
+    public int maxEndpoints() {
+        return maxEndpoints;
     }
 
-    /** The part that is held. */
+    /** Returns the part that is kept. */
     public Subset subset() {
         return subset;
     }
 
-    /** How many upstreams the last whole list named. */
-    public long named() {
-        return named;
+    /** Returns how many endpoints the last complete list named. */
+    public long listedCount() {
+        return listedCount;
     }
 
-    /** Whether an upstream of that id is held, if there is one. */
-    public boolean holds(String id) {
-        return subset.holds(Subset.hash(id));
+    /** Whether an endpoint of that id is kept, if there is one. */
+    public boolean contains(String endpointId) {
+        return subset.holds(Subset.hash(endpointId));
     }
 
-    /** Begins to gather a list; {@code whole} where it says that it names all there are. */
-    AdaptiveSample<EndpointList.Target> gather(boolean whole) {
+    /**
+     * Begins to sample a list.
+     *
+     * @param complete whether the list says that it names all endpoints there are
+     */
+    AdaptiveSample<EndpointList.Entry> beginSample(boolean complete) {
         return new AdaptiveSample<>(
-                whole && sought != null ? sought : subset,
-                whole,
-                most,
-                t -> Subset.hash(t.server().id()));
+                complete && nextSubset != null ? nextSubset : subset,
+                complete,
+                maxEndpoints,
+                entry -> Subset.hash(entry.endpoint().id()));
     }
 
-    /** Seeks the next part in the next whole list, for nothing in this one is of use. Until then this one is held. */
-    void seekNext() {
-        sought = (sought == null ? subset : sought).next();
+    /** Changes to another part with the next complete list, as nothing in this one can be used. */
+    void changeToNextSubset() {
+        nextSubset = (nextSubset == null ? subset : nextSubset).next();
     }
 
-    /** The same list, or what is held of it where it names more than that and nobody has looked yet. */
-    EndpointList of(EndpointList list) {
-        if (list.part() != null || list.list().size() <= most) {
+    /** Returns the list, or what is kept of it where it names more than that and has not been sampled yet. */
+    EndpointList restrict(EndpointList list) {
+        if (list.sample() != null || list.entries().size() <= maxEndpoints) {
             return list;
         }
-        AdaptiveSample<EndpointList.Target> gathering = gather(list.all());
-        for (EndpointList.Target t : list.list()) {
-            if (gathering.wants(Subset.hash(t.server().id()))) {
-                gathering.add(t);
+        AdaptiveSample<EndpointList.Entry> sampling = beginSample(list.complete());
+        for (EndpointList.Entry entry : list.entries()) {
+            if (sampling.wants(Subset.hash(entry.endpoint().id()))) {
+                sampling.add(entry);
             } else {
-                gathering.pass();
+                sampling.pass();
             }
         }
-        List<EndpointList.Target> held = List.copyOf(gathering.end());
+        List<EndpointList.Entry> kept = List.copyOf(sampling.end());
         return new EndpointList(
-                list.rev(),
-                list.all(),
-                held,
-                list.toldAt(),
-                new EndpointList.Part(gathering.subset(), gathering.named()));
+                list.version(),
+                list.complete(),
+                kept,
+                list.notifiedAtMicros(),
+                new EndpointList.Sample(sampling.subset(), sampling.named()));
+    }
+
+    /** Keeps that part from here on, of a complete list that names so many. */
+    void keep(Subset next, long newListedCount) {
+        boolean changed = !next.equals(subset);
+        subset = next;
+        nextSubset = null;
+        listedCount = newListedCount;
+        if (changed) {
+            onChange.accept(this);
+        }
     }
 
-    /** Holds that part from here on, of a list that names so many; -1 where it isn't whole. */
-    void become(Subset next, long of) {
-        boolean other = !next.equals(subset);
+    /** Keeps that part from here on, of the list that was last complete and its changes since. */
+    void keep(Subset next) {
+        boolean changed = !next.equals(subset);
         subset = next;
-        sought = of < 0 ? sought : null;
-        named = of < 0 ? named : of;
-        if (other) {
-            changed.accept(this);
+        if (changed) {
+            onChange.accept(this);
         }
     }
 
-    /** What operators are told, where not all is held; null else. */
+    /** Returns what operators are told where only a part is kept; null where all of the list is. */
     public String summary() {
         return subset.level() == 0
                 ? null
-                : "holds one part in " + subset.parts() + " of a list of " + named + " upstreams, " + most + " at most";
+                : "holds one part in " + subset.parts() + " of a list of " + listedCount + " upstreams, " + maxEndpoints
+                        + " at most";
     }
 }
--- a/discovery/src/main/java/loadbalancer/discovery/ListReader.java
+++ b/discovery/src/main/java/loadbalancer/discovery/ListReader.java
@@ -19,35 +19,48 @@
 import loadbalancer.subset.Subset;
 
 /**
- * Reads lists from bytes that come in pieces, wherever these and the lists' lines end. What can't be JSON is found out
+ * Reads lists from bytes that arrive in pieces, wherever these and the lists' lines end. What cannot be JSON is found
  * at its first wrong byte, not only when the source falls silent. No list is ever in memory as a whole: each entry is
- * taken or passed over as it ends, so that the memory for a list doesn't grow with it.
+ * kept or passed over as it ends, so that the memory for a list does not grow with it. One reader per source; not
+ * thread-safe.
  */
 public final class ListReader {
-    private static final int MOST = 4 << 20; // bytes from one entry's end to the next
-    private static final long MOST_ALL = 1L << 29; // of one list: some 3 million entries
-    private static final String TARGETS = "targets";
+    /** Bytes from one entry's end to the next. */
+    private static final int MAX_ENTRY_BYTES = 4 << 20;
+    /** Bytes of one list: some 3 million entries. */
+    private static final long MAX_LIST_BYTES = 1L << 29;
+
+    private static final int MAX_NESTING = 16;
+    private static final int MAX_STRING_LENGTH = 1 << 16;
+    /** Containers that are open within the list of entries: the list's object and the array. */
+    private static final int ENTRY_NESTING = 2;
+
     private static final JsonFactory JSON = JsonFactory.builder()
             .streamReadConstraints(StreamReadConstraints.builder()
-                    .maxNestingDepth(16)
-                    .maxStringLength(1 << 16)
+                    .maxNestingDepth(MAX_NESTING)
+                    .maxStringLength(MAX_STRING_LENGTH)
                     .build())
             .build();
 
     private final JsonParser parser;
-    private final ByteArrayFeeder feeder;
-    private final Supplier<SettingsReader.Boot> boot;
-    private final EndpointSubset holding;
-    private final Deque<Object> open = new ArrayDeque<>(); // maps and lists that have begun, the innermost first
-    private final Deque<String> names = new ArrayDeque<>(); // of what comes next in each open map
-    private AdaptiveSample<EndpointList.Target> gathering; // null before the first entry of a list
-    private int length; // since an entry ended
-    private long all; // of the list that is coming in
-
-    /** Reads lists by the settings of the moment, what is held of them. */
-    ListReader(Supplier<SettingsReader.Boot> boot, EndpointSubset holding) {
-        this.boot = boot;
-        this.holding = holding;
+    private final ByteArrayFeeder feeder; // null where the parser has its source
+    private final Supplier<SettingsReader.Boot> settings;
+    private final EndpointSubset subset;
+    private final Deque<Object> openContainers = new ArrayDeque<>(); // maps and lists, the innermost first
+    private final Deque<String> fieldNames = new ArrayDeque<>(); // of what comes next in each open map
+    private AdaptiveSample<EndpointList.Entry> sampling; // null before the first entry of a list
+    private int bytesSinceEntry;
+    private long bytesOfList;
+
+    /**
+     * Creates a reader of lists that follow each other.
+     *
+     * @param settings the settings in force, by which names of zones and kinds become numbers
+     * @param subset which part of a list is kept
+     */
+    ListReader(Supplier<SettingsReader.Boot> settings, EndpointSubset subset) {
+        this.settings = settings;
+        this.subset = subset;
         try {
             parser = JSON.createNonBlockingByteArrayParser();
         } catch (IOException e) {
@@ -56,147 +69,165 @@
         feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
     }
 
-    private ListReader(JsonParser parser, SettingsReader.Boot boot, EndpointSubset holding) {
+    private ListReader(JsonParser parser, SettingsReader.Boot settings, EndpointSubset subset) {
         this.parser = parser;
         this.feeder = null;
-        this.boot = () -> boot;
-        this.holding = holding;
+        this.settings = () -> settings;
+        this.subset = subset;
     }
 
     /**
      * Reads the list whose first token is the parser's current one, and no further.
      *
-     * @throws IllegalArgumentException where it isn't a list
-     * @throws IOException where it can't be read, or isn't JSON
+     * @throws DiscoveryFormatException where it is not a list
+     * @throws IOException where it cannot be read, or is not JSON
      */
-    public static EndpointList one(JsonParser parser, SettingsReader.Boot boot, EndpointSubset holding)
+    public static EndpointList readOne(JsonParser parser, SettingsReader.Boot settings, EndpointSubset subset)
             throws IOException {
         if (parser.currentToken() != JsonToken.START_OBJECT) {
-            throw new IllegalArgumentException("no list of targets");
+            throw new DiscoveryFormatException("no list of targets");
         }
-        ListReader reader = new ListReader(parser, boot, holding);
+        ListReader reader = new ListReader(parser, settings, subset);
         EndpointList[] found = new EndpointList[1];
-        reader.take(JsonToken.START_OBJECT, t -> found[0] = t);
+        reader.accept(JsonToken.START_OBJECT, list -> found[0] = list);
         while (found[0] == null) {
             JsonToken token = parser.nextToken();
             if (token == null) {
-                throw new IllegalArgumentException("it breaks off");
+                throw new DiscoveryFormatException("it breaks off");
             }
-            reader.take(token, t -> found[0] = t);
+            reader.accept(token, list -> found[0] = list);
         }
         return found[0];
     }
 
-    /** Whether part of an object has come. */
-    boolean within() {
-        return !open.isEmpty();
+    /** Whether a list has begun and not ended. */
+    boolean isWithinList() {
+        return !openContainers.isEmpty();
     }
 
     /**
-     * Reads on; {@code whole} gets each list that ends here.
+     * Reads on.
      *
-     * @throws IllegalArgumentException where it isn't JSON, or isn't a list, or is longer than any list
+     * @param onList gets each list that ends here
+     * @throws DiscoveryFormatException where it is not JSON, or not a list, or is longer than any list
      */
-    void read(byte[] bytes, Consumer<EndpointList> whole) {
+    void read(byte[] bytes, Consumer<EndpointList> onList) {
         try {
-            length += bytes.length;
-            all += bytes.length;
+            bytesSinceEntry += bytes.length;
+            bytesOfList += bytes.length;
             feeder.feedInput(bytes, 0, bytes.length);
-            for (JsonToken t = parser.nextToken(); t != JsonToken.NOT_AVAILABLE; t = parser.nextToken()) {
-                take(t, whole);
+            JsonToken token = parser.nextToken();
+            while (token != JsonToken.NOT_AVAILABLE) {
+                accept(token, onList);
+                token = parser.nextToken();
             }
         } catch (IOException e) {
-            throw new IllegalArgumentException("not JSON");
+            throw new DiscoveryFormatException("not JSON", e);
         }
-        if (open.isEmpty()) {
-            length = 0;
-            all = 0;
-        } else if (length > MOST) {
-            throw new IllegalArgumentException("over " + MOST + " bytes without an upstream");
-        } else if (all > MOST_ALL) {
-            throw new IllegalArgumentException("a list of over " + MOST_ALL + " bytes");
+        checkLength();
+    }
+
+    private void checkLength() {
+        if (openContainers.isEmpty()) {
+            bytesSinceEntry = 0;
+            bytesOfList = 0;
+        } else if (bytesSinceEntry > MAX_ENTRY_BYTES) {
+            throw new DiscoveryFormatException("over " + MAX_ENTRY_BYTES + " bytes without an upstream");
+        } else if (bytesOfList > MAX_LIST_BYTES) {
+            throw new DiscoveryFormatException("a list of over " + MAX_LIST_BYTES + " bytes");
         }
     }
 
-    private void take(JsonToken token, Consumer<EndpointList> whole) throws IOException {
-        if (open.isEmpty() && token != JsonToken.START_OBJECT) {
-            throw new IllegalArgumentException("not an object: " + parser.getText());
+    private void accept(JsonToken token, Consumer<EndpointList> onList) throws IOException {
+        if (openContainers.isEmpty() && token != JsonToken.START_OBJECT) {
+            throw new DiscoveryFormatException("not an object: " + parser.getText());
         }
         switch (token) {
             case START_OBJECT -> {
-                open.push(new LinkedHashMap<String, Object>());
+                openContainers.push(new LinkedHashMap<String, Object>());
             }
             case START_ARRAY -> {
-                open.push(new ArrayList<>());
+                openContainers.push(new ArrayList<>());
             }
             case FIELD_NAME -> {
-                names.push(parser.currentName());
+                fieldNames.push(parser.currentName());
             }
             case END_OBJECT, END_ARRAY -> {
-                Object ended = open.pop();
-                if (open.isEmpty()) {
-                    list((Map<?, ?>) ended, whole);
-                } else if (open.size() == 2 && open.peek() instanceof List<?> && TARGETS.equals(names.peek())) {
-                    entry(ended);
-                } else {
-                    add(ended);
-                }
+                containerEnded(openContainers.pop(), onList);
             }
             case VALUE_STRING -> {
-                add(parser.getText());
+                addValue(parser.getText());
             }
             case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> {
-                add(parser.getNumberValue());
+                addValue(parser.getNumberValue());
             }
             case VALUE_TRUE, VALUE_FALSE -> {
-                add(token == JsonToken.VALUE_TRUE);
+                addValue(token == JsonToken.VALUE_TRUE);
             }
             default -> {
-                add(null);
+                addValue(null);
             }
         }
     }
 
+    private void containerEnded(Object container, Consumer<EndpointList> onList) {
+        if (openContainers.isEmpty()) {
+            listEnded((Map<?, ?>) container, onList);
+        } else if (openContainers.size() == ENTRY_NESTING
+                && openContainers.peek() instanceof List<?>
+                && DiscoveryFormat.ENTRIES.equals(fieldNames.peek())) {
+            entryEnded(container);
+        } else {
+            addValue(container);
+        }
+    }
+
     @SuppressWarnings("unchecked")
-    private void add(Object value) {
-        if (open.peek() instanceof List<?> list) {
+    private void addValue(Object value) {
+        if (openContainers.peek() instanceof List<?> list) {
             ((List<Object>) list).add(value);
         } else {
-            ((Map<String, Object>) open.peek()).put(names.pop(), value);
+            ((Map<String, Object>) openContainers.peek()).put(fieldNames.pop(), value);
         }
     }
 
-    private void entry(Object ended) {
-        length = 0;
-        if (gathering == null) {
-            gathering = holding.gather(((Map<?, ?>) open.peekLast()).get("all") == Boolean.TRUE);
+    private void entryEnded(Object entry) {
+        bytesSinceEntry = 0;
+        if (sampling == null) {
+            sampling = subset.beginSample(DiscoveryFormat.isComplete((Map<?, ?>) openContainers.peekLast()));
         }
-        if (gathering.wants(Subset.hash(EndpointList.uid(ended)))) {
-            gathering.add(EndpointList.entry((Map<?, ?>) ended, boot.get()));
+        if (sampling.wants(Subset.hash(DiscoveryFormat.id(entry)))) {
+            sampling.add(DiscoveryFormat.entry((Map<?, ?>) entry, settings.get()));
         } else {
-            EndpointList.state((Map<?, ?>) ended); // what is not held must still be an entry
-            gathering.pass();
+            DiscoveryFormat.state((Map<?, ?>) entry); // what is not kept must still be an entry
+            sampling.pass();
         }
     }
 
-    private void list(Map<?, ?> ended, Consumer<EndpointList> whole) {
-        AdaptiveSample<EndpointList.Target> g = gathering;
-        gathering = null;
-        boolean complete = ended.get("all") == Boolean.TRUE;
-        // What stands in it but an entry: a number, a word, a list.
-        if (!(ended.get(TARGETS) instanceof List<?> rest) || !rest.isEmpty()) {
-            throw new IllegalArgumentException(
-                    ended.get(TARGETS) instanceof List<?> ? "a target without uid" : "no list of targets");
-        }
-        if (g == null) {
-            g = holding.gather(complete);
+    private void listEnded(Map<?, ?> fields, Consumer<EndpointList> onList) {
+        boolean complete = DiscoveryFormat.isComplete(fields);
+        AdaptiveSample<EndpointList.Entry> sampled = sampling;
+        sampling = null;
+        checkNoOtherEntries(fields);
+        if (sampled == null) {
+            sampled = subset.beginSample(complete);
         }
-        List<EndpointList.Target> held = List.copyOf(g.end());
-        whole.accept(new EndpointList(
-                (long) EndpointList.number(ended.get("rev"), 0),
+        List<EndpointList.Entry> kept = List.copyOf(sampled.end());
+        onList.accept(new EndpointList(
+                DiscoveryFormat.version(fields),
                 complete,
-                held,
+                kept,
                 Long.MAX_VALUE,
-                new EndpointList.Part(g.subset(), g.named())));
+                new EndpointList.Sample(sampled.subset(), sampled.named())));
+    }
+
+    // Entries have been taken out as they ended: what is left in their array is none, such as a number or a string.
+    private static void checkNoOtherEntries(Map<?, ?> fields) {
+        if (!(fields.get(DiscoveryFormat.ENTRIES) instanceof List<?> others)) {
+            throw new DiscoveryFormatException("no list of targets");
+        }
+        if (!others.isEmpty()) {
+            throw new DiscoveryFormatException("a target without uid");
+        }
     }
 }
--- a/discovery/src/main/java/loadbalancer/discovery/Membership.java
+++ b/discovery/src/main/java/loadbalancer/discovery/Membership.java
@@ -11,252 +11,291 @@
 import java.util.function.LongSupplier;
 import java.util.stream.Collectors;
 import loadbalancer.drain.OperatorDrains;
+import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
 import loadbalancer.settings.SettingsReader;
 import loadbalancer.subset.Subset;
 
 /**
- * Which upstreams there are for this balancer: what discovery has told, and over it what operators have taken
- * out. All that the module and the connections hear of the list comes from here.
+ * Which endpoints there are for this balancer: what discovery has listed, and over it what operators have drained. All
+ * that the policy and the connections get of the list comes from here. Belongs to the event loop's thread.
  */
 public final class Membership {
-    private final Map<String, EndpointList.Target> told = new LinkedHashMap<>(); // as discovery lists them
-    private final EndpointSubset holding;
-    private final OperatorDrains takenOut;
-    private final LongSupplier clock;
-    private final BiConsumer<EndpointListKind, EndpointList> news;
-    private long rev;
-    private boolean held; // what is known is too old to go by
-    private Runnable wanting = () -> {};
+    private final Map<String, EndpointList.Entry> listed = new LinkedHashMap<>(); // by id, as discovery lists them
+    private final EndpointSubset subset;
+    private final OperatorDrains drains;
+    private final LongSupplier clockMicros;
+    private final BiConsumer<EndpointListKind, EndpointList> listener;
+    private long version;
+    private boolean heldBack; // what is listed is too old to be used
+    private Runnable onUpdate = () -> {};
 
     /**
-     * {@code news} gets each list and change as it holds here; null targets where discovery has failed.
+     * Begins without a list.
      *
-     * @param holding the bound of what is kept here, shared with what reads the lists
+     * @param subset the bound of what is kept here, shared with what reads the lists
+     * @param clockMicros the clock by which restored endpoints count as started
+     * @param listener gets each list and change as it holds for this balancer; null as the list where discovery is
+     *     unavailable
      */
     public Membership(
-            EndpointSubset holding,
-            OperatorDrains takenOut,
-            LongSupplier clock,
-            BiConsumer<EndpointListKind, EndpointList> news) {
-        this.holding = holding;
-        this.takenOut = takenOut;
-        this.clock = clock;
-        this.news = news;
+            EndpointSubset subset,
+            OperatorDrains drains,
+            LongSupplier clockMicros,
+            BiConsumer<EndpointListKind, EndpointList> listener) {
+        this.subset = subset;
+        this.drains = drains;
+        this.clockMicros = clockMicros;
+        this.listener = listener;
     }
 
-    /** What discovery tells; {@code all} is null where it has failed. */
-    public void listed(EndpointListKind kind, EndpointList all) {
-        if (all == null) {
-            news.accept(kind, null);
+    /** Takes a list or a change of discovery's; {@code received} is null where discovery is unavailable. */
+    public void update(EndpointListKind kind, EndpointList received) {
+        if (received == null) {
+            listener.accept(kind, null);
             return;
         }
-        EndpointList targets = holding.of(all);
-        if (targets.all()) {
-            told.clear();
+        EndpointList list = subset.restrict(received);
+        store(list);
+        List<EndpointList.Entry> changes = keepWithinBound(list);
+        if (heldBack) {
+            release(list.notifiedAtMicros());
+        } else {
+            publish(kind, list.complete(), changes, list.notifiedAtMicros());
+        }
+        onUpdate.run();
+    }
+
+    private void store(EndpointList list) {
+        if (list.complete()) {
+            listed.clear();
         }
-        rev = targets.rev();
-        for (EndpointList.Target t : targets.list()) {
-            if (t.server().state() == EndpointState.GONE) {
-                told.remove(t.server().id());
+        version = list.version();
+        for (EndpointList.Entry entry : list.entries()) {
+            if (entry.endpoint().state() == EndpointState.GONE) {
+                listed.remove(entry.endpoint().id());
             } else {
-                told.put(t.server().id(), t);
+                listed.put(entry.endpoint().id(), entry);
             }
         }
-        List<EndpointList.Target> passed = targets.list();
-        Subset part = targets.part() == null ? holding.subset() : targets.part().subset();
-        if (targets.all() && targets.part() != null) {
-            holding.become(part, targets.part().named());
-        } else if (!targets.all()) {
-            passed = within(part.level() > holding.subset().level() ? part : holding.subset(), passed);
-        }
-        if (held) {
-            release(targets.toldAt());
-        } else {
-            pass(kind, targets.all(), passed, targets.toldAt());
+    }
+
+    private List<EndpointList.Entry> keepWithinBound(EndpointList list) {
+        EndpointList.Sample sample = list.sample();
+        if (list.complete()) {
+            if (sample != null) {
+                subset.keep(sample.subset(), sample.listedCount());
+            }
+            return list.entries();
         }
-        wanting.run();
+        boolean narrower =
+                sample != null && sample.subset().level() > subset.subset().level();
+        return narrowToBound(narrower ? sample.subset() : subset.subset(), list.entries());
     }
 
-    // Changes may add up to more than may be held, though each of them is small. What is let go counts as gone here:
-    // nothing is sent to it any more.
-    private List<EndpointList.Target> within(Subset part, List<EndpointList.Target> changes) {
-        if (part.equals(holding.subset()) && told.size() <= holding.most()) {
+    // Changes may add up to more than may be kept, though each of them is small. What is no longer kept counts as gone
+    // here: nothing is sent to it any more.
+    private List<EndpointList.Entry> narrowToBound(Subset next, List<EndpointList.Entry> changes) {
+        if (next.equals(subset.subset()) && listed.size() <= subset.maxEndpoints()) {
             return changes;
         }
-        Map<String, EndpointList.Target> passed = new LinkedHashMap<>();
-        changes.forEach(t -> passed.put(t.server().id(), t));
-        holding.become(part, -1);
-        letGo(passed);
-        while (told.size() > holding.most() && holding.subset().level() < Subset.DEEPEST) {
-            holding.become(holding.subset().narrower(), -1);
-            letGo(passed);
+        Map<String, EndpointList.Entry> published = new LinkedHashMap<>();
+        changes.forEach(entry -> published.put(entry.endpoint().id(), entry));
+        subset.keep(next);
+        removeOthers(published);
+        while (listed.size() > subset.maxEndpoints() && subset.subset().level() < Subset.DEEPEST) {
+            subset.keep(subset.subset().narrower());
+            removeOthers(published);
         }
-        return List.copyOf(passed.values());
+        return List.copyOf(published.values());
     }
 
-    private void letGo(Map<String, EndpointList.Target> passed) {
-        for (Iterator<EndpointList.Target> all = told.values().iterator(); all.hasNext(); ) {
-            EndpointList.Target t = all.next();
-            if (!holding.holds(t.server().id())) {
-                all.remove();
-                passed.put(
-                        t.server().id(),
-                        new EndpointList.Target(t.server().withState(EndpointState.GONE), t.endpoint()));
+    private void removeOthers(Map<String, EndpointList.Entry> published) {
+        for (Iterator<EndpointList.Entry> entries = listed.values().iterator(); entries.hasNext(); ) {
+            EndpointList.Entry entry = entries.next();
+            if (!subset.contains(entry.endpoint().id())) {
+                entries.remove();
+                published.put(entry.endpoint().id(), gone(entry));
             }
         }
     }
 
-    /** Runs {@code then} after each list and change: see {@link #barren()}. */
-    public void onNews(Runnable then) {
-        wanting = then;
+    private static EndpointList.Entry gone(EndpointList.Entry entry) {
+        return new EndpointList.Entry(entry.endpoint().withState(EndpointState.GONE), entry.address());
+    }
+
+    /** Sets what runs after each list and change: see {@link #needsOtherSubset()}. */
+    public void onUpdate(Runnable then) {
+        onUpdate = then;
     }
 
-    /** Whether any upstream may be sent to. */
-    public boolean anyUp() {
-        return told.values().stream().anyMatch(this::usable);
+    /** Whether any endpoint may be sent to. */
+    public boolean hasUsableEndpoint() {
+        return listed.values().stream().anyMatch(this::isUsable);
     }
 
-    /** Whether only a part of the list is held, and nothing of it may be sent to. */
-    public boolean barren() {
-        return holding.subset().level() > 0 && !anyUp();
+    /** Whether only a part of the list is kept, and no endpoint of it may be sent to. */
+    public boolean needsOtherSubset() {
+        return subset.subset().level() > 0 && !hasUsableEndpoint();
     }
 
-    private boolean usable(EndpointList.Target t) {
-        return t.server().state() == EndpointState.UP
-                && !takenOut.holds(t.server().id());
+    /** Returns how many endpoints may be sent to. */
+    public int usableCount() {
+        int count = 0;
+        for (EndpointList.Entry entry : listed.values()) {
+            count += isUsable(entry) ? 1 : 0;
+        }
+        return count;
     }
 
-    /** What is held at most, and which part. */
-    public EndpointSubset holding() {
-        return holding;
+    private boolean isUsable(EndpointList.Entry entry) {
+        return entry.endpoint().state() == EndpointState.UP
+                && !drains.isDrained(entry.endpoint().id());
     }
 
-    private void pass(EndpointListKind kind, boolean all, Collection<EndpointList.Target> list, long toldAt) {
-        news.accept(
-                kind, new EndpointList(rev, all, list.stream().map(this::here).toList(), toldAt));
+    /** Returns how many endpoints are kept at most, and which part of a longer list. */
+    public EndpointSubset subset() {
+        return subset;
     }
 
     /**
-     * Begins with a list that is too old to go by: it is passed on with what discovery has to say of it, as one, or by
-     * {@link #release()}.
+     * Begins with a list that is too old to be used: it is published with what discovery has to say of it, as one, or
+     * by {@link #release()}.
      */
-    public void hold(EndpointList known) {
-        EndpointList old = holding.of(known);
-        rev = old.rev();
-        old.list().forEach(t -> told.put(t.server().id(), t));
-        if (old.part() != null) {
-            holding.become(old.part().subset(), old.part().named());
+    public void holdBack(EndpointList cached) {
+        EndpointList list = subset.restrict(cached);
+        version = list.version();
+        list.entries().forEach(entry -> listed.put(entry.endpoint().id(), entry));
+        if (list.sample() != null) {
+            subset.keep(list.sample().subset(), list.sample().listedCount());
         }
-        held = true;
+        heldBack = true;
     }
 
-    /** Goes by what is known, for want of anything newer. */
+    /** Uses the list that is held back, for want of a newer one. */
     public void release() {
-        if (held) {
+        if (heldBack) {
             release(Long.MAX_VALUE);
         }
     }
 
-    private void release(long toldAt) {
-        held = false;
-        pass(EndpointListKind.SNAPSHOT, true, told.values(), toldAt);
+    private void release(long notifiedAtMicros) {
+        heldBack = false;
+        publish(EndpointListKind.SNAPSHOT, true, listed.values(), notifiedAtMicros);
     }
 
-    /** How many upstreams may be sent to. */
-    public int up() {
-        int many = 0;
-        for (EndpointList.Target t : told.values()) {
-            many += usable(t) ? 1 : 0;
-        }
-        return many;
+    private void publish(
+            EndpointListKind kind, boolean complete, Collection<EndpointList.Entry> entries, long notifiedAtMicros) {
+        List<EndpointList.Entry> applied =
+                entries.stream().map(this::withDrains).toList();
+        listener.accept(kind, new EndpointList(version, complete, applied, notifiedAtMicros));
     }
 
-    /** All that discovery has told, whatever operators have taken out. */
-    public EndpointList told() {
-        return new EndpointList(rev, true, List.copyOf(told.values()));
+    private void publishOverride(List<EndpointList.Entry> entries) {
+        listener.accept(EndpointListKind.LOCAL_OVERRIDE, new EndpointList(version, false, entries));
+    }
+
+    private EndpointList.Entry withDrains(EndpointList.Entry entry) {
+        return new EndpointList.Entry(drains.apply(entry.endpoint()), entry.address());
+    }
+
+    /** Returns all that discovery has listed, whatever operators have drained. */
+    public EndpointList listed() {
+        return new EndpointList(version, true, List.copyOf(listed.values()));
     }
 
     /**
-     * Takes over what another process of this balancer knows: its taken-out set, and its list where that is
-     * the newer one. Discovery has told it to the balancer, if not to this process.
+     * Goes on from what another process of this balancer knows: from its drains, and from its list where that is the
+     * newer one, which discovery has sent to the balancer if not to this process.
      */
-    public void inherit(Set<String> out, Map<String, Long> back, EndpointList theirs) {
-        takenOut.become(out, back);
-        List<EndpointList.Target> now = new ArrayList<>();
-        if (theirs.rev() >= rev) {
-            Set<String> listed =
-                    theirs.list().stream().map(t -> t.server().id()).collect(Collectors.toSet());
-            for (EndpointList.Target t : told.values()) {
-                if (!listed.contains(t.server().id())) {
-                    now.add(new EndpointList.Target(t.server().withState(EndpointState.GONE), t.endpoint()));
-                }
-            }
-            told.clear();
-            theirs.list().stream()
-                    .filter(t -> holding.holds(t.server().id()))
-                    .forEach(t -> told.put(t.server().id(), t));
-            within(holding.subset(), List.of()); // the other may hold more: that process may have a larger heap
+    public void restoreState(Set<String> drained, Map<String, Long> restoredAtMicros, EndpointList otherList) {
+        drains.replaceWith(drained, restoredAtMicros);
+        List<EndpointList.Entry> changes = new ArrayList<>();
+        if (otherList.version() >= version) {
+            changes.addAll(replaceListed(otherList));
         }
-        told.values().forEach(t -> now.add(here(t)));
-        news.accept(EndpointListKind.LOCAL_OVERRIDE, new EndpointList(rev, false, now));
+        listed.values().forEach(entry -> changes.add(withDrains(entry)));
+        publishOverride(changes);
+    }
+
+    private List<EndpointList.Entry> replaceListed(EndpointList otherList) {
+        Set<String> otherIds =
+                otherList.entries().stream().map(entry -> entry.endpoint().id()).collect(Collectors.toSet());
+        List<EndpointList.Entry> removed = listed.values().stream()
+                .filter(entry -> !otherIds.contains(entry.endpoint().id()))
+                .map(Membership::gone)
+                .toList();
+        listed.clear();
+        otherList.entries().stream()
+                .filter(entry -> subset.contains(entry.endpoint().id()))
+                .forEach(entry -> listed.put(entry.endpoint().id(), entry));
+        narrowToBound(subset.subset(), List.of()); // the other process may have a larger heap, and keep more
+        return removed;
     }
 
-    /** The numbers of zones and kinds change with the settings; their names don't. */
+    /** Numbers zones and kinds by other settings: their numbers change with the settings, their names do not. */
     public void renumber(SettingsReader.Boot before, SettingsReader.Boot next) {
         if (before.zones().equals(next.zones()) && before.kinds().equals(next.kinds())) {
             return;
         }
-        EndpointList again = EndpointList.of(told().toJson(before), next);
-        again.list().forEach(t -> told.put(t.server().id(), t));
-        news.accept(
-                EndpointListKind.LOCAL_OVERRIDE,
-                new EndpointList(
-                        rev, false, again.list().stream().map(this::here).toList()));
+        listed.replaceAll(
+                (id, entry) -> new EndpointList.Entry(renumbered(entry.endpoint(), before, next), entry.address()));
+        publishOverride(listed.values().stream().map(this::withDrains).toList());
     }
 
-    /** Takes an upstream out; false where nobody knows it. */
-    public boolean setDown(String id) {
-        if (!knows(id)) {
+    private static Endpoint renumbered(Endpoint endpoint, SettingsReader.Boot before, SettingsReader.Boot next) {
+        return new Endpoint(
+                endpoint.id(),
+                endpoint.state(),
+                endpoint.startedAt(),
+                endpoint.weight(),
+                endpoint.cell(),
+                renumbered(endpoint.kind(), before.kinds(), next.kinds()),
+                renumbered(endpoint.zone(), before.zones(), next.zones()));
+    }
+
+    private static int renumbered(int number, List<String> before, List<String> next) {
+        return number < 0 ? number : next.indexOf(before.get(number));
+    }
+
+    /** Drains an endpoint administratively; false where nobody knows it. */
+    public boolean drain(String endpointId) {
+        if (!isKnown(endpointId)) {
             return false;
         }
-        if (takenOut.takeOut(id)) {
-            changed(id);
+        if (drains.drain(endpointId)) {
+            publishChange(endpointId);
         }
         return true;
     }
 
-    /** Puts an upstream back; false where nobody knows it. */
-    public boolean setUp(String id) {
-        if (!knows(id)) {
+    /** Restores an endpoint; false where nobody knows it. */
+    public boolean restore(String endpointId) {
+        if (!isKnown(endpointId)) {
             return false;
         }
-        if (takenOut.putBack(id, clock.getAsLong())) {
-            changed(id);
+        if (drains.restore(endpointId, clockMicros.getAsLong())) {
+            publishChange(endpointId);
         }
         return true;
     }
 
-    // One that is out stays known even while discovery lists it no more: it is being restarted. Of what belongs to
-    // another part of the list nobody here can say that there is no such upstream, and it may come to be held.
-    private boolean knows(String id) {
-        return told.containsKey(id) || takenOut.holds(id) || !holding.holds(id);
-    }
-
-    /** What operators have taken out. */
-    public OperatorDrains takenOut() {
-        return takenOut;
+    // A drained endpoint stays known even while discovery does not list it: it is being restarted. Of what belongs to
+    // another part of the list nobody here can say that there is no such endpoint, and it may come to be kept.
+    private boolean isKnown(String endpointId) {
+        return listed.containsKey(endpointId) || drains.isDrained(endpointId) || !subset.contains(endpointId);
     }
 
-    private void changed(String id) {
-        EndpointList.Target t = told.get(id);
-        if (t != null) {
-            news.accept(EndpointListKind.LOCAL_OVERRIDE, new EndpointList(rev, false, List.of(here(t))));
+    private void publishChange(String endpointId) {
+        EndpointList.Entry entry = listed.get(endpointId);
+        if (entry != null) {
+            publishOverride(List.of(withDrains(entry)));
         }
     }
 
-    private EndpointList.Target here(EndpointList.Target t) {
-        return new EndpointList.Target(takenOut.apply(t.server()), t.endpoint());
+    /** Returns what operators have drained and restored. */
+    public OperatorDrains drains() {
+        return drains;
     }
 }
--- a/discovery/src/main/java/loadbalancer/discovery/package-info.java
+++ b/discovery/src/main/java/loadbalancer/discovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The client of discovery, and the membership that comes of what it tells. Runs on the caller's event loop and by the
- * caller's clock, so that a real balancer and a hollow one (without listener and traffic) run the same code.
+ * The client of discovery, and the membership that its lists result in. Runs on the caller's event loop and by the
+ * caller's clock, so that a real balancer and a simulated one, without listener and traffic, run the same code.
  */
 package loadbalancer.discovery;
--- a/discovery/src/main/java/loadbalancer/drain/OperatorDrains.java
+++ b/discovery/src/main/java/loadbalancer/drain/OperatorDrains.java
@@ -8,67 +8,72 @@
 import loadbalancer.policy.EndpointState;
 
 /**
- * The upstreams that operators have taken out, and when those that came back did. A set, not a count: one
- * call back undoes any number of calls out. What it holds wins over whatever discovery lists.
+ * The endpoints that operators have drained administratively, and when those that they have restored were. A set, not a
+ * count: one call to restore undoes any number of calls to drain. It wins over whatever discovery lists.
+ *
+ * <p>Not thread-safe. Ids need not be of endpoints that are listed.
  */
 public final class OperatorDrains {
-    private static final int BACK_MOST = 1_024; // remembered; the oldest are long warm
+    /** Restored endpoints that are remembered; older ones have long passed their slow start. */
+    private static final int MAX_RESTORED = 1_024;
 
-    private final Set<String> out = new TreeSet<>();
-    private final Map<String, Long> back = new LinkedHashMap<>() {
-        private static final long serialVersionUID = 1L;
+    private final Set<String> drained = new TreeSet<>();
+    private final Map<String, Long> restoredAtMicros = new LinkedHashMap<>() { // in the order of time
+                private static final long serialVersionUID = 1L;
 
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-            return size() > BACK_MOST;
-        }
-    };
+                @Override
+                protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
+                    return size() > MAX_RESTORED;
+                }
+            };
 
-    /** False where it is out already. */
-    public boolean takeOut(String id) {
-        return out.add(id);
+    /** Drains an endpoint; false where it is drained already. */
+    public boolean drain(String endpointId) {
+        return drained.add(endpointId);
     }
 
-    /** Puts an upstream back, as freshly started at {@code now} (µs); false where it isn't out. */
-    public boolean putBack(String id, long now) {
-        boolean was = out.remove(id);
-        if (was) {
-            back.remove(id);
-            back.put(id, now);
+    /** Restores an endpoint, which counts as started at {@code nowMicros}; false where it is not drained. */
+    public boolean restore(String endpointId, long nowMicros) {
+        boolean wasDrained = drained.remove(endpointId);
+        if (wasDrained) {
+            restoredAtMicros.remove(endpointId); // put in again, it is the last in order
+            restoredAtMicros.put(endpointId, nowMicros);
         }
-        return was;
+        return wasDrained;
     }
 
-    public boolean holds(String id) {
-        return out.contains(id);
+    /** Whether an endpoint is drained. */
+    public boolean isDrained(String endpointId) {
+        return drained.contains(endpointId);
     }
 
-    /** The ids that are out. */
-    public Set<String> out() {
-        return Set.copyOf(out);
+    /** Returns the ids of drained endpoints. */
+    public Set<String> drained() {
+        return Set.copyOf(drained);
     }
 
-    /** When upstreams were put back, in µs. */
-    public Map<String, Long> back() {
-        return Map.copyOf(back);
+    /** Returns when endpoints were restored, by id, in µs. */
+    public Map<String, Long> restoredAtMicros() {
+        return Map.copyOf(restoredAtMicros);
     }
 
-    /** Takes over what another holds, in place of what this one does. */
-    public void become(Set<String> nowOut, Map<String, Long> nowBack) {
-        out.clear();
-        out.addAll(nowOut);
-        back.clear();
-        back.putAll(nowBack);
+    /** Goes on from what another instance holds, in place of what this one does. */
+    public void replaceWith(Set<String> newDrained, Map<String, Long> newRestoredAtMicros) {
+        drained.clear();
+        drained.addAll(newDrained);
+        restoredAtMicros.clear();
+        restoredAtMicros.putAll(newRestoredAtMicros);
     }
 
     /**
-     * What discovery lists, as it holds for this balancer. Operators restart an upstream while it is out, and
-     * discovery may tell of the new start later or never: one that was put back counts as started then.
+     * Returns an endpoint as discovery lists it, with what operators have called for. Operators restart an endpoint
+     * while it is drained, and discovery may list the new start later or never: a restored endpoint counts as started
+     * when it was restored.
      */
     public Endpoint apply(Endpoint listed) {
-        boolean draining = listed.state() == EndpointState.UP && out.contains(listed.id());
-        Endpoint server = draining ? listed.withState(EndpointState.DRAINING) : listed;
-        Long since = back.get(listed.id());
-        return since == null || since <= server.startedAt() ? server : server.withStartedAt(since);
+        boolean drains = listed.state() == EndpointState.UP && drained.contains(listed.id());
+        Endpoint endpoint = drains ? listed.withState(EndpointState.DRAINING) : listed;
+        Long restoredAt = restoredAtMicros.get(listed.id());
+        return restoredAt == null || restoredAt <= endpoint.startedAt() ? endpoint : endpoint.withStartedAt(restoredAt);
     }
 }
--- /dev/null
+++ b/discovery/src/main/java/loadbalancer/drain/package-info.java
@@ -0,0 +1,2 @@
+/** What operators have drained administratively. Pure: no clock, no sockets. */
+package loadbalancer.drain;
--- a/discovery/src/test/java/loadbalancer/discovery/ListReaderTest.java
+++ b/discovery/src/test/java/loadbalancer/discovery/ListReaderTest.java
@@ -19,30 +19,30 @@
 class ListReaderTest {
     @ParameterizedTest
     @ValueSource(ints = {1, 7, 100_000})
-    void aListThatFitsIsReadWholeWhereverItIsCut(int piece) {
+    void aListWithinTheBoundIsReadInFullWhereverItIsSplit(int piece) {
         EndpointList list = Lists.read(new EndpointSubset(100, 3), Lists.list(41, true, 0, 100, "in_service"), piece);
-        assertEquals(100, list.list().size());
-        assertEquals(41, list.rev());
-        assertTrue(list.all());
-        assertEquals(0, list.part().subset().level());
-        EndpointList.Target t = list.list().get(5);
-        assertEquals(new Endpoint("s-5", EndpointState.UP, 7_000, 1.5, 1, 1, 1), t.server());
-        assertEquals(1_005, t.endpoint().getPort());
+        assertEquals(100, list.entries().size());
+        assertEquals(41, list.version());
+        assertTrue(list.complete());
+        assertEquals(0, list.sample().subset().level());
+        EndpointList.Entry t = list.entries().get(5);
+        assertEquals(new Endpoint("s-5", EndpointState.UP, 7_000, 1.5, 1, 1, 1), t.endpoint());
+        assertEquals(1_005, t.address().getPort());
     }
 
     /** The memory that a list takes doesn't grow with it. */
     @Test
-    void ofALongListOnlyOnePartIsKept() {
-        EndpointSubset holding = new EndpointSubset(1_000, 3);
-        EndpointList list = Lists.read(holding, Lists.list(41, true, 0, 40_000, "in_service"), 9_973);
+    void ofALongListOneSubsetIsKept() {
+        EndpointSubset subset = new EndpointSubset(1_000, 3);
+        EndpointList list = Lists.read(subset, Lists.list(41, true, 0, 40_000, "in_service"), 9_973);
         assertTrue(
-                list.list().size() <= 1_000 && list.list().size() > 250,
-                "held " + list.list().size());
-        assertEquals(40_000, list.part().named());
-        assertTrue(list.list().stream().allMatch(t -> list.part()
+                list.entries().size() <= 1_000 && list.entries().size() > 250,
+                "held " + list.entries().size());
+        assertEquals(40_000, list.sample().listedCount());
+        assertTrue(list.entries().stream().allMatch(t -> list.sample()
                 .subset()
-                .holds(loadbalancer.subset.Subset.hash(t.server().id()))));
-        assertEquals(0, holding.subset().level(), "the reader decides nothing: whoever keeps the list does");
+                .holds(loadbalancer.subset.Subset.hash(t.endpoint().id()))));
+        assertEquals(0, subset.subset().level(), "the reader decides nothing: whoever keeps the list does");
     }
 
     @Test
@@ -50,9 +50,9 @@
         String text = "{\"targets\":[" + Lists.entry(1, "in_service") + "],\"x\":[[1],{\"targets\":[{}]}],"
                 + "\"all\":true,\"rev\":9}";
         EndpointList list = Lists.read(new EndpointSubset(5, 0), text, 3);
-        assertEquals(1, list.list().size());
-        assertTrue(list.all());
-        assertEquals(9, list.rev());
+        assertEquals(1, list.entries().size());
+        assertTrue(list.complete());
+        assertEquals(9, list.version());
     }
 
     @ParameterizedTest
@@ -69,7 +69,7 @@
                 "{\"targets\":[{\"uid\":\"a\",\"state\":\"in_service\",\"endpoint\":\"x\"}]} | not address:port: 'x'",
                 "{\"targets\":[nonsense]} | not JSON",
             })
-    void whatIsNoListIsNamed(String text, String complaint) {
+    void aFormatErrorSaysWhatIsWrong(String text, String complaint) {
         IllegalArgumentException e = assertThrows(
                 IllegalArgumentException.class, () -> Lists.read(new EndpointSubset(5, 0), text.strip(), 1_000));
         assertEquals(complaint.strip(), e.getMessage());
@@ -77,7 +77,7 @@
 
     /** Also of what is not held each entry must be one: half a list must not pass for a whole one. */
     @Test
-    void aBadEntryOutsideOfThePartIsABadEntry() {
+    void anInvalidEntryOutsideOfTheSubsetIsAFormatError() {
         String long200 = Lists.list(1, true, 0, 200, "in_service").strip();
         for (int i = 0; i < 200; i += 7) {
             String broken = long200.replace("\"uid\":\"s-" + i + "\"", "\"uid\":7");
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void whatNeverBecomesAListIsGivenUp() {
+    void aListWithoutAnEndIsAFormatError() {
         ListReader reader = new ListReader(Lists::boot, new EndpointSubset(5, 0));
         reader.read("{\"x\":[".getBytes(), t -> {});
         byte[] junk = "1,".repeat(1 << 18).getBytes();
@@ -103,7 +103,7 @@
     void aListMayBeLong() {
         EndpointList list =
                 Lists.read(new EndpointSubset(1_000_000, 0), Lists.list(1, true, 0, 50_000, "in_service"), 65_536);
-        assertEquals(50_000, list.list().size());
+        assertEquals(50_000, list.entries().size());
     }
 
     @Test
@@ -114,21 +114,21 @@
             while (p.nextToken() != JsonToken.START_OBJECT || !"known".equals(p.currentName())) {
                 assertTrue(p.currentToken() != null);
             }
-            EndpointList list = ListReader.one(p, Lists.boot(), new EndpointSubset(10, 0));
-            assertEquals(50, list.part().named());
-            assertTrue(list.list().size() <= 10);
+            EndpointList list = ListReader.readOne(p, Lists.boot(), new EndpointSubset(10, 0));
+            assertEquals(50, list.sample().listedCount());
+            assertTrue(list.entries().size() <= 10);
             assertEquals("b", p.nextFieldName());
         }
         try (JsonParser p = new JsonFactory().createParser("{\"rev\":1,\"targets\":[")) {
             p.nextToken();
-            assertThrows(IOException.class, () -> ListReader.one(p, Lists.boot(), new EndpointSubset(10, 0)));
+            assertThrows(IOException.class, () -> ListReader.readOne(p, Lists.boot(), new EndpointSubset(10, 0)));
         }
     }
 
     @Test
-    void aDeltaDoesNotCountAsAWholeList() {
+    void aDeltaIsNotACompleteList() {
         EndpointList list = Lists.read(new EndpointSubset(10, 0), Lists.list(3, false, 0, 50, "in_service"), 1_000);
-        assertTrue(!list.all() && list.list().size() <= 10);
+        assertTrue(!list.complete() && list.entries().size() <= 10);
         assertNull(Lists.read(new EndpointSubset(10, 0), "{\"rev\":1", 3));
     }
 }
--- a/discovery/src/test/java/loadbalancer/discovery/Lists.java
+++ b/discovery/src/test/java/loadbalancer/discovery/Lists.java
@@ -65,9 +65,9 @@
     }
 
     /** Reads one list in pieces of that size. */
-    static EndpointList read(EndpointSubset holding, String text, int piece) {
+    static EndpointList read(EndpointSubset subset, String text, int piece) {
         EndpointList[] found = new EndpointList[1];
-        ListReader reader = new ListReader(Lists::boot, holding);
+        ListReader reader = new ListReader(Lists::boot, subset);
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         for (int i = 0; i < bytes.length; i += piece) {
             reader.read(java.util.Arrays.copyOfRange(bytes, i, Math.min(bytes.length, i + piece)), t -> found[0] = t);
--- a/discovery/src/test/java/loadbalancer/discovery/MembershipTest.java
+++ b/discovery/src/test/java/loadbalancer/discovery/MembershipTest.java
@@ -24,11 +24,11 @@
 
 /** What is kept of lists and changes, within its bound. */
 class MembershipTest {
-    private static final int MOST = 20;
+    private static final int MAX_ENDPOINTS = 20;
 
-    private EndpointSubset holding;
+    private EndpointSubset subset;
     private Membership membership;
-    private final Map<String, EndpointState> module = new LinkedHashMap<>(); // as the module knows it
+    private final Map<String, EndpointState> policyView = new LinkedHashMap<>(); // as the policy knows it
     private final List<String> changes = new ArrayList<>();
 
     MembershipTest() {
@@ -36,185 +36,185 @@
     }
 
     private MembershipTest begin(int rank) {
-        holding = new EndpointSubset(MOST, rank);
-        membership = new Membership(holding, new OperatorDrains(), () -> 0, (kind, targets) -> {
-            if (targets.all()) {
-                module.clear();
+        subset = new EndpointSubset(MAX_ENDPOINTS, rank);
+        membership = new Membership(subset, new OperatorDrains(), () -> 0, (kind, targets) -> {
+            if (targets.complete()) {
+                policyView.clear();
             }
-            for (Endpoint s : targets.servers()) {
+            for (Endpoint s : targets.endpoints()) {
                 if (s.state() == EndpointState.GONE) {
-                    module.remove(s.id());
+                    policyView.remove(s.id());
                 } else {
-                    module.put(s.id(), s.state());
+                    policyView.put(s.id(), s.state());
                 }
             }
         });
-        holding.onChange(h -> changes.add(String.valueOf(h.summary())));
+        subset.onChange(h -> changes.add(String.valueOf(h.summary())));
         return this;
     }
 
-    private void told(String json) {
-        EndpointList t = Lists.read(holding, json, 10_000);
-        membership.listed(t.all() ? EndpointListKind.SNAPSHOT : EndpointListKind.DELTA, t);
+    private void update(String json) {
+        EndpointList t = Lists.read(subset, json, 10_000);
+        membership.update(t.complete() ? EndpointListKind.SNAPSHOT : EndpointListKind.DELTA, t);
     }
 
-    private void whole(int many) {
-        told(Lists.list(1, true, 0, many, "in_service"));
+    private void updateComplete(int many) {
+        update(Lists.list(1, true, 0, many, "in_service"));
     }
 
-    private Set<String> all(int from, int to) {
+    private Set<String> keptOf(int from, int to) {
         return IntStream.range(from, to)
                 .mapToObj(i -> "s-" + i)
-                .filter(holding::holds)
+                .filter(subset::contains)
                 .collect(Collectors.toCollection(TreeSet::new));
     }
 
     @Test
-    void aListThatFitsIsHeldWholeAndNothingIsSaid() {
-        whole(MOST);
-        assertEquals(MOST, module.size());
+    void aListWithinTheBoundIsKeptInFullWithoutANote() {
+        updateComplete(MAX_ENDPOINTS);
+        assertEquals(MAX_ENDPOINTS, policyView.size());
         assertTrue(changes.isEmpty());
-        assertNull(holding.summary());
+        assertNull(subset.summary());
     }
 
     @Test
-    void ofALongListOnePartIsHeldAndThatIsSaidOnce() {
-        whole(1_000);
-        whole(1_000);
-        assertTrue(module.size() <= MOST && !module.isEmpty(), "holds " + module.size());
-        assertEquals(all(0, 1_000), new TreeSet<>(module.keySet()));
+    void ofALongListOnePartIsKeptAndNotedOnce() {
+        updateComplete(1_000);
+        updateComplete(1_000);
+        assertTrue(policyView.size() <= MAX_ENDPOINTS && !policyView.isEmpty(), "holds " + policyView.size());
+        assertEquals(keptOf(0, 1_000), new TreeSet<>(policyView.keySet()));
         assertEquals(1, changes.size());
         assertTrue(changes.get(0).endsWith(" of a list of 1000 upstreams, 20 at most"), changes.get(0));
     }
 
     @Test
-    void aDrainOfWhatIsHeldBindsAndOneOfWhatIsNotIsPassedOver() {
-        whole(1_000);
-        int before = module.size();
-        String held = module.keySet().iterator().next();
-        told(Lists.list(2, false, 0, 1_000, "terminating"));
-        assertEquals(before, module.size());
-        assertTrue(module.values().stream().allMatch(s -> s == EndpointState.DRAINING));
-        assertTrue(module.containsKey(held));
+    void aDrainAppliesToWhatIsKeptAndToNothingElse() {
+        updateComplete(1_000);
+        int before = policyView.size();
+        String held = policyView.keySet().iterator().next();
+        update(Lists.list(2, false, 0, 1_000, "terminating"));
+        assertEquals(before, policyView.size());
+        assertTrue(policyView.values().stream().allMatch(s -> s == EndpointState.DRAINING));
+        assertTrue(policyView.containsKey(held));
     }
 
-    /** Each of them small, together too many: what is let go is gone for the module too. */
+    /** Each of them small, together too many: what is no longer kept is gone for the policy too. */
     @Test
-    void changesThatAddUpToTooManyNarrowThePart() {
-        whole(15);
+    void deltasThatAddUpToTooManyNarrowTheSubset() {
+        updateComplete(15);
         for (int i = 15; i < 600; i += 5) {
-            told(Lists.list(i, false, i, i + 5, "in_service"));
-            assertTrue(module.size() <= MOST, "holds " + module.size());
-            assertEquals(all(0, i + 5), new TreeSet<>(module.keySet()));
+            update(Lists.list(i, false, i, i + 5, "in_service"));
+            assertTrue(policyView.size() <= MAX_ENDPOINTS, "holds " + policyView.size());
+            assertEquals(keptOf(0, i + 5), new TreeSet<>(policyView.keySet()));
         }
-        assertTrue(holding.subset().level() >= 4, "level " + holding.subset().level());
+        assertTrue(subset.subset().level() >= 4, "level " + subset.subset().level());
     }
 
     @Test
-    void aShortListIsHeldWholeAgain() {
-        whole(1_000);
-        int level = holding.subset().level();
+    void aShortListIsKeptInFullAgain() {
+        updateComplete(1_000);
+        int level = subset.subset().level();
         for (int i = 0; i < level; i++) { // it widens by one step a list
-            whole(10);
+            updateComplete(10);
         }
-        assertEquals(10, module.size());
-        assertNull(holding.summary());
+        assertEquals(10, policyView.size());
+        assertNull(subset.summary());
     }
 
     @Test
-    void operatorsMayTakeOutWhatIsNotHeldAndItStaysOut() {
-        whole(1_000);
+    void operatorsMayDrainWhatIsNotKeptAndItStaysDrained() {
+        updateComplete(1_000);
         String other = IntStream.range(0, 1_000)
                 .mapToObj(i -> "s-" + i)
-                .filter(id -> !holding.holds(id))
+                .filter(id -> !subset.contains(id))
                 .findFirst()
                 .orElseThrow();
-        String held = module.keySet().iterator().next();
-        assertTrue(membership.setDown(other));
-        assertTrue(membership.setDown(held));
-        assertEquals(EndpointState.DRAINING, module.get(held));
-        while (!holding.holds(other)) {
-            holding.seekNext();
-            whole(1_000);
+        String held = policyView.keySet().iterator().next();
+        assertTrue(membership.drain(other));
+        assertTrue(membership.drain(held));
+        assertEquals(EndpointState.DRAINING, policyView.get(held));
+        while (!subset.contains(other)) {
+            subset.changeToNextSubset();
+            updateComplete(1_000);
         }
-        assertEquals(EndpointState.DRAINING, module.get(other));
-        assertTrue(membership.setUp(other));
-        assertEquals(EndpointState.UP, module.get(other));
+        assertEquals(EndpointState.DRAINING, policyView.get(other));
+        assertTrue(membership.restore(other));
+        assertEquals(EndpointState.UP, policyView.get(other));
     }
 
     @Test
-    void whereAllIsHeldNobodyKnowsAnUnknownId() {
-        whole(10);
-        assertFalse(membership.setDown("s-11"));
+    void whereAllIsKeptAnUnlistedIdIsUnknown() {
+        updateComplete(10);
+        assertFalse(membership.drain("s-11"));
     }
 
-    /** A balancer left with nothing of use goes on to another part, and until then keeps what binds. */
+    /** A balancer left without a usable endpoint changes to another subset, and until then applies drains. */
     @Test
-    void aBarrenPartIsLeftForTheNextWithTheNextWholeList() {
-        whole(1_000);
-        assertFalse(membership.barren());
-        Set<String> first = Set.copyOf(module.keySet());
-        told(Lists.list(2, false, 0, 1_000, "terminating"));
-        assertTrue(membership.barren());
-        holding.seekNext();
-        told(Lists.list(3, false, 0, 1_000, "terminating"));
-        assertEquals(first, module.keySet(), "drains of what is held still bind");
-        whole(1_000);
-        assertFalse(membership.barren());
-        assertTrue(module.keySet().stream().noneMatch(first::contains));
+    void aSubsetWithoutUsableEndpointsIsLeftWithTheNextCompleteList() {
+        updateComplete(1_000);
+        assertFalse(membership.needsOtherSubset());
+        Set<String> first = Set.copyOf(policyView.keySet());
+        update(Lists.list(2, false, 0, 1_000, "terminating"));
+        assertTrue(membership.needsOtherSubset());
+        subset.changeToNextSubset();
+        update(Lists.list(3, false, 0, 1_000, "terminating"));
+        assertEquals(first, policyView.keySet(), "drains of what is held still bind");
+        updateComplete(1_000);
+        assertFalse(membership.needsOtherSubset());
+        assertTrue(policyView.keySet().stream().noneMatch(first::contains));
     }
 
     @Test
-    void aListThatIsHeldBackIsBoundedToo() {
-        EndpointList known = Lists.read(holding, Lists.list(1, true, 0, 1_000, "in_service"), 10_000);
-        membership.listed(EndpointListKind.CACHED, new EndpointList(1, true, List.of()));
-        membership.hold(known);
-        assertTrue(module.isEmpty());
+    void aListThatIsHeldBackIsBounded() {
+        EndpointList known = Lists.read(subset, Lists.list(1, true, 0, 1_000, "in_service"), 10_000);
+        membership.update(EndpointListKind.CACHED, new EndpointList(1, true, List.of()));
+        membership.holdBack(known);
+        assertTrue(policyView.isEmpty());
         membership.release();
-        assertEquals(all(0, 1_000), new TreeSet<>(module.keySet()));
-        assertTrue(holding.summary().contains("1000"), holding.summary());
+        assertEquals(keptOf(0, 1_000), new TreeSet<>(policyView.keySet()));
+        assertTrue(subset.summary().contains("1000"), subset.summary());
     }
 
     /** A list that stands in a file, or comes from a caller that read it by itself. */
     @Test
-    void aListThatNobodyHasLookedAtIsBoundedToo() {
-        membership.listed(
+    void aListThatWasNotSampledIsBounded() {
+        membership.update(
                 EndpointListKind.SNAPSHOT,
                 new EndpointList(
                         9,
                         true,
                         IntStream.range(0, 500)
-                                .mapToObj(i -> new EndpointList.Target(
+                                .mapToObj(i -> new EndpointList.Entry(
                                         new Endpoint("s-" + i, EndpointState.UP, 0, 1, 0, 0, 0), null))
                                 .toList()));
-        assertEquals(all(0, 500), new TreeSet<>(module.keySet()));
-        assertTrue(module.size() <= MOST && holding.named() == 500, holding.summary());
+        assertEquals(keptOf(0, 500), new TreeSet<>(policyView.keySet()));
+        assertTrue(policyView.size() <= MAX_ENDPOINTS && subset.listedCount() == 500, subset.summary());
     }
 
     @Test
-    void whatAnotherProcessHeldIsTakenOverWithinTheBound() {
+    void theStateOfAnotherProcessIsRestoredWithinTheBound() {
         MembershipTest other = new MembershipTest().begin(4);
-        other.whole(15);
-        whole(1_000);
+        other.updateComplete(15);
+        updateComplete(1_000);
         EndpointList theirs = new EndpointList(
                 9,
                 true,
                 IntStream.range(0, 500)
                         .mapToObj(i ->
-                                new EndpointList.Target(new Endpoint("s-" + i, EndpointState.UP, 0, 1, 0, 0, 0), null))
+                                new EndpointList.Entry(new Endpoint("s-" + i, EndpointState.UP, 0, 1, 0, 0, 0), null))
                         .toList());
-        membership.inherit(Set.of(), Map.of(), theirs);
-        assertTrue(membership.told().list().size() <= MOST);
+        membership.restoreState(Set.of(), Map.of(), theirs);
+        assertTrue(membership.listed().entries().size() <= MAX_ENDPOINTS);
         assertEquals(
-                all(0, 500),
-                membership.told().list().stream()
-                        .map(t -> t.server().id())
+                keptOf(0, 500),
+                membership.listed().entries().stream()
+                        .map(t -> t.endpoint().id())
                         .collect(Collectors.toCollection(TreeSet::new)));
     }
 
-    /** Whatever comes, the module knows what a balancer would that had always held that part. */
+    /** Whatever comes, the policy knows what that of a balancer does that has always kept that subset. */
     @Property(tries = 60, seed = "6")
-    void theModuleKnowsAllOfThePartAndNothingElse(
+    void thePolicyGetsAllOfTheSubsetAndNothingElse(
             @ForAll java.util.Random random, @ForAll @IntRange(min = 0, max = 50) int rank) {
         MembershipTest t = new MembershipTest().begin(rank);
         Map<String, String> truth = new LinkedHashMap<>();
@@ -232,12 +232,12 @@
                 }
                 entries.add(Lists.entry(id, state));
             }
-            t.told("{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":["
+            t.update("{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":["
                     + String.join(",", all ? truth.values() : entries) + "]}");
             Set<String> expected =
-                    truth.keySet().stream().filter(t.holding::holds).collect(Collectors.toSet());
-            assertTrue(t.module.size() <= MOST);
-            assertEquals(expected, t.module.keySet());
+                    truth.keySet().stream().filter(t.subset::contains).collect(Collectors.toSet());
+            assertTrue(t.policyView.size() <= MAX_ENDPOINTS);
+            assertEquals(expected, t.policyView.keySet());
         }
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/FleetReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/FleetReader.java
@@ -77,7 +77,7 @@
                 f.time("idle", 10_000_000),
                 f.time("length", 20_000_000),
                 f.time("reach", 60_000_000),
-                count(f, "upstreams_most", EndpointSubset.most(RUN_HEAP)));
+                count(f, "upstreams_most", EndpointSubset.maxEndpointsForHeap(RUN_HEAP)));
         f.done();
         return fleet;
     }
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/HollowBalancer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/HollowBalancer.java
@@ -65,7 +65,7 @@
         this.policy = new JsqDasPolicy(boot.settings(), seed);
         EndpointSubset holding = new EndpointSubset(plan.upstreamsMost(), rank);
         this.client = new DiscoveryClient(
-                loop, discovery, boot, holding, known.rev(), this::now, this::heard, this::complain);
+                loop, discovery, boot, holding, known.version(), this::now, this::heard, this::complain);
         this.membership = new Membership(holding, new OperatorDrains(), this::now, this::news);
         holding.onChange(h -> hand(
                 now -> policy.setSlowStartFraction(Math.min(many, h.subset().parts()))));
@@ -75,10 +75,10 @@
     /** Begins, on the loop's thread. */
     void start() {
         if (plan.ask()) {
-            membership.listed(EndpointListKind.CACHED, known);
+            membership.update(EndpointListKind.CACHED, known);
         } else {
-            membership.listed(EndpointListKind.CACHED, new EndpointList(known.rev(), true, List.of()));
-            membership.hold(known);
+            membership.update(EndpointListKind.CACHED, new EndpointList(known.version(), true, List.of()));
+            membership.holdBack(known);
             loop.schedule(membership::release, LIST_MS, TimeUnit.MILLISECONDS);
         }
         client.start();
@@ -99,24 +99,24 @@
 
     /** All that it holds; on the loop's thread. */
     EndpointList held() {
-        return membership.told();
+        return membership.listed();
     }
 
     /** How many upstreams it may send to; on the loop's thread. */
     int up() {
-        return membership.up();
+        return membership.usableCount();
     }
 
     private void heard(EndpointListKind kind, EndpointList targets) {
         long before = rev;
-        membership.listed(kind, targets);
+        membership.update(kind, targets);
         if (targets == null) {
             tally.failed++;
             return;
         }
         listed = true;
-        rev = targets.rev();
-        tally.inForce(before, targets.rev());
+        rev = targets.version();
+        tally.inForce(before, targets.version());
     }
 
     private void complain(String line) {
@@ -126,11 +126,11 @@
 
     private void news(EndpointListKind kind, EndpointList targets) {
         if (kind == EndpointListKind.SNAPSHOT || kind == EndpointListKind.DELTA) {
-            tally.lists += targets.all() ? 1 : 0;
-            tally.changes += targets.all() || targets.list().isEmpty() ? 0 : 1;
-            tally.entries += targets.list().size();
+            tally.lists += targets.complete() ? 1 : 0;
+            tally.changes += targets.complete() || targets.entries().isEmpty() ? 0 : 1;
+            tally.entries += targets.entries().size();
         }
-        hand(now -> policy.endpoints(now, kind, targets == null ? List.of() : targets.servers(), this));
+        hand(now -> policy.endpoints(now, kind, targets == null ? List.of() : targets.endpoints(), this));
     }
 
     private void decide() {
@@ -188,7 +188,7 @@
 
     @Override
     public void fetchList() {
-        client.fetch();
+        client.poll();
     }
 
     @Override
