--- a/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
@@ -12,12 +12,16 @@
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
+import loadbalancer.policy.LearnedState;
 import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.LoadReport;
 import loadbalancer.policy.PolicySettings;
+import loadbalancer.router.LeaseEnd;
 import loadbalancer.router.RequestRouter;
-import loadbalancer.router.RequestRouter.End;
-import loadbalancer.routes.Route;
+import loadbalancer.router.RouteLease;
+import loadbalancer.router.RoutingDecision;
+import loadbalancer.router.RoutingRequest;
+import loadbalancer.routes.RouteRequest;
 import loadbalancer.simulator.engine.RandomStream;
 
 /**
@@ -31,10 +35,10 @@
     private record Wake(long at, String pool) {}
 
     private static final class Open {
-        final RequestRouter.RouteLease ticket;
+        final RouteLease ticket;
         int attempts;
 
-        Open(RequestRouter.RouteLease ticket) {
+        Open(RouteLease ticket) {
             this.ticket = ticket;
         }
     }
@@ -87,7 +91,7 @@
         @Override
         public void send(String request, String server, long timeout) {
             Open o = open.get(request);
-            if (o != null && o.attempts > 0 && !front.mayTryAgain(time, o.ticket)) {
+            if (o != null && o.attempts > 0 && !front.allowsRetry(time, o.ticket)) {
                 int denied = o.attempts++;
                 later.add(() -> modules.get(pool)
                         .outcome(time, request, denied, AttemptOutcome.NOT_SENT, 0, false, null, this));
@@ -102,13 +106,13 @@
         @Override
         public void reject(String request, long retryAfter) {
             Open o = open.get(request);
-            over(request, o != null && o.attempts > 0 ? End.FAILED : End.UNSENT);
+            over(request, o != null && o.attempts > 0 ? LeaseEnd.FAILED : LeaseEnd.NOT_SENT);
             out.reject(request, retryAfter);
         }
 
         @Override
         public void fail(String request) {
-            over(request, End.FAILED);
+            over(request, LeaseEnd.FAILED);
             out.fail(request);
         }
 
@@ -168,7 +172,7 @@
         return actions.computeIfAbsent(pool, ToWorld::new);
     }
 
-    private void over(String request, End end) {
+    private void over(String request, LeaseEnd end) {
         Open o = open.get(request);
         if (o != null) {
             front.ended(time, o.ticket, end);
@@ -212,7 +216,7 @@
         }
         own.forEach((pool, some) -> {
             if (kind != EndpointListKind.UNAVAILABLE) {
-                front.listed(now, pool, (int) states.get(pool).values().stream()
+                front.setEndpointsUp(now, pool, (int) states.get(pool).values().stream()
                         .filter(s -> s == EndpointState.UP)
                         .count());
             }
@@ -251,10 +255,10 @@
         double least = worths.stream().mapToDouble(w -> w).min().orElse(1);
         double most = worths.stream().mapToDouble(w -> w).max().orElse(1);
         double rank = most > least ? (worths.get(kind) - least) / (most - least) : 1;
-        RequestRouter.RoutingDecision v = front.arrive(
+        RoutingDecision v = front.route(
                 now,
-                new RequestRouter.Arrival(
-                        new Route.Request(
+                new RoutingRequest(
+                        new RouteRequest(
                                 "GET",
                                 ROOT,
                                 Map.of(),
@@ -264,12 +268,12 @@
                         rank,
                         clientRetry,
                         random.uniform()));
-        if (v.ticket() == null) {
-            to.reject(id, v.retryAfter());
+        if (v.lease() == null) {
+            to.reject(id, v.retryAfterMicros());
             return;
         }
-        open.put(id, new Open(v.ticket()));
-        String pool = v.ticket().pool();
+        open.put(id, new Open(v.lease()));
+        String pool = v.lease().pool();
         modules.get(pool).request(now, id, kind, tenant, key, timeLeft, work, clientRetry, actions(pool));
         settle();
     }
@@ -291,7 +295,7 @@
         }
         String pool = o.ticket.pool();
         if (outcome == AttemptOutcome.OK) {
-            over(id, End.SERVED);
+            over(id, LeaseEnd.SERVED);
         }
         modules.get(pool).outcome(now, id, attempt, outcome, latency, closed, load, actions(pool));
         settle();
@@ -312,7 +316,7 @@
         begin(now, to);
         Open o = open.get(id);
         if (o != null) {
-            over(id, End.GONE);
+            over(id, LeaseEnd.CLIENT_GONE);
             modules.get(o.ticket.pool()).clientGone(now, id, actions(o.ticket.pool()));
         }
         settle();
@@ -351,23 +355,16 @@
     }
 
     @Override
-    public Map<String, double[]> learnedState(long now) {
-        Map<String, double[]> all = new HashMap<>();
-        modules.forEach((pool, m) -> m.learnedState(now).forEach((k, v) -> all.put(pool + "\n" + k, v)));
-        return all;
+    public LearnedState learnedState(long now) {
+        Map<String, LearnedState> pools = new HashMap<>();
+        modules.forEach((pool, policy) -> pools.put(pool, policy.learnedState(now)));
+        return LearnedState.ofPools(pools);
     }
 
     @Override
-    public void restore(long now, Map<String, double[]> learnedState) {
-        modules.forEach((pool, m) -> {
-            Map<String, double[]> own = new HashMap<>();
-            learnedState.forEach((k, v) -> {
-                if (k.startsWith(pool + "\n")) {
-                    own.put(k.substring(pool.length() + 1), v);
-                }
-            });
-            m.restore(now, own);
-        });
+    public void restore(long now, LearnedState learnedState) {
+        modules.forEach(
+                (pool, policy) -> policy.restore(now, learnedState.pools().getOrDefault(pool, LearnedState.NONE)));
     }
 
     @Override
