--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/cli/CheckCommand.java
@@ -0,0 +1,26 @@
+package loadbalancer.cli;
+
+import java.io.IOException;
+import java.nio.file.Path;
+import loadbalancer.operator.OperatorConfig;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Parameters;
+
+/** Lists what is wrong with an operator file. */
+@Command(
+        name = "check",
+        description = "Lists all that is wrong with an operator file: FILE:LINE: what.",
+        mixinStandardHelpOptions = true)
+final class CheckCommand extends OperatorFileCommand {
+    @Parameters(paramLabel = "FILE")
+    private Path file;
+
+    @Override
+    public Integer call() throws IOException {
+        OperatorConfig operator = read(file);
+        operator.notes().forEach(out()::println);
+        out().println(file.getFileName() + ": sound; " + operator.pools().size() + " pools, "
+                + operator.routing().routes().size() + " routes");
+        return EXIT_OK;
+    }
+}
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/operator/DestinationReader.java
@@ -0,0 +1,97 @@
+package loadbalancer.operator;
+
+import java.util.ArrayList;
+import java.util.List;
+import loadbalancer.router.Destination;
+import loadbalancer.router.SpillTarget;
+import loadbalancer.toml.Section;
+import loadbalancer.toml.Section.Measure;
+
+/** Reads where a route's traffic goes: the keys {@code to} and {@code spill}. */
+final class DestinationReader {
+    private final NameRegistry pools;
+    private final List<String> notes;
+
+    /** Creates a reader; {@code pools} must hold all pools of the file, {@code notes} receives notes. */
+    DestinationReader(NameRegistry pools, List<String> notes) {
+        this.pools = pools;
+        this.notes = notes;
+    }
+
+    /** The destinations of a route; empty where that is a fault. */
+    List<Destination> read(Section route, String routeName) {
+        List<SpillTarget> targets = spillTargets(route);
+        if (!route.has("to")) {
+            route.fault("to", "route '" + routeName + "' has no 'to': a pool, or several with weights");
+        }
+        List<Destination> destinations = new ArrayList<>();
+        List<Object> items = route.items("to");
+        double weightSum = 0;
+        for (Object item : items) {
+            Destination destination = destination(item, targets);
+            checkDestination(route, destination, destinations, targets, items.size());
+            weightSum += destination.weight();
+            destinations.add(destination);
+        }
+        if (!destinations.isEmpty() && weightSum == 0) {
+            notes.add(route.place("to") + ": note: route '" + routeName + "' refuses all: its weights are 0");
+        } else if (route.holdsNothing("to")) {
+            route.fault("to", "route '" + routeName + "' leads to no pool");
+        }
+        return destinations;
+    }
+
+    private static Destination destination(Object item, List<SpillTarget> targets) {
+        String pool;
+        double weight = 1;
+        if (item instanceof Section section) {
+            pool = section.text("pool", null);
+            weight = section.number("weight", Measure.NUMBER, 1);
+            section.done();
+        } else {
+            pool = (String) item;
+        }
+        List<SpillTarget> otherPools =
+                targets.stream().filter(target -> !target.pool().equals(pool)).toList();
+        return new Destination(pool, weight, otherPools);
+    }
+
+    private void checkDestination(
+            Section route, Destination destination, List<Destination> earlier, List<SpillTarget> targets, int count) {
+        String pool = destination.pool();
+        pools.require(route, "to", pool);
+        if (earlier.stream().anyMatch(other -> other.pool().equals(pool))) {
+            route.fault("to", "pool '" + pool + "' is named twice");
+        }
+        if (count == 1 && targets.stream().anyMatch(target -> target.pool().equals(pool))) {
+            route.fault("spill", "traffic can't spill from pool '" + pool + "' into itself");
+        }
+    }
+
+    private List<SpillTarget> spillTargets(Section route) {
+        List<SpillTarget> targets = new ArrayList<>();
+        for (Object item : route.items("spill")) {
+            SpillTarget target = spillTarget(route, item);
+            pools.require(route, "spill", target.pool());
+            if (targets.stream().anyMatch(other -> other.pool().equals(target.pool()))) {
+                route.fault("spill", "pool '" + target.pool() + "' is named twice");
+            }
+            targets.add(target);
+        }
+        return targets;
+    }
+
+    private static SpillTarget spillTarget(Section route, Object item) {
+        if (!(item instanceof Section section)) {
+            return new SpillTarget((String) item, 1);
+        }
+        String pool = section.text("pool", null);
+        double maxShare = section.number("most", Measure.SHARE, 1);
+        if (maxShare <= 0) {
+            route.fault("spill", "'most' is 0: a pool that may take nothing is no way out");
+            maxShare = 1;
+        }
+        section.done();
+        return new SpillTarget(pool, maxShare);
+    }
+}
--- a/balancer/src/main/java/loadbalancer/operator/OperatorConfig.java
+++ b/balancer/src/main/java/loadbalancer/operator/OperatorConfig.java
@@ -4,31 +4,26 @@
 import loadbalancer.router.RoutingConfig;
 
 /**
- * All that an operator file sets.
+ * All that an operator file sets. Immutable.
  *
+ * @param routing what the router goes by
+ * @param pools in the order of the file, the site's pool among them
  * @param instances null where the file leaves it to the platform
- * @param notes what is possible but hardly meant, with file and line
+ * @param notes what is possible but hardly intended, each with file and line
  */
 public record OperatorConfig(
-        RoutingConfig front, List<PoolSpec> pools, Integer instances, LogPlan log, List<String> notes) {
+        RoutingConfig routing, List<PoolSpec> pools, Integer instances, LogSettings log, List<String> notes) {
+    /** Copies the lists. */
     public OperatorConfig {
         pools = List.copyOf(pools);
         notes = List.copyOf(notes);
     }
 
-    /** How logs are written; {@code queue}: lines that may wait before some are dropped. */
-    public record LogPlan(boolean json, int queue) {}
-
-    /** What the platform's own configuration says, as far as the file must fit it. */
-    public record Site(List<String> classes, List<String> tenants, int instances, long retryAfterMost) {
-        /** Where the platform's configuration isn't at hand: names can't be checked. */
-        public static Site unknown() {
-            return new Site(null, null, 1, 0);
-        }
-    }
-
     /** The pool of that name; null where there is none. */
     public PoolSpec pool(String name) {
-        return pools.stream().filter(p -> p.name().equals(name)).findFirst().orElse(null);
+        return pools.stream()
+                .filter(pool -> pool.name().equals(name))
+                .findFirst()
+                .orElse(null);
     }
 }
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/operator/PoolReader.java
@@ -0,0 +1,157 @@
+package loadbalancer.operator;
+
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.List;
+import loadbalancer.limits.ConcurrencyLimitConfig;
+import loadbalancer.limits.LimitAlgorithm;
+import loadbalancer.router.PoolConfig;
+import loadbalancer.settings.SocketAddresses;
+import loadbalancer.toml.Section;
+import loadbalancer.toml.Section.Measure;
+import loadbalancer.toml.Units;
+
+/** Reads the tables {@code [[pool]]}, and adds the site's pool where the file does not name it. */
+final class PoolReader {
+    private static final int DEFAULT_MAX_LIMIT = 10_000;
+    private static final int DEFAULT_INITIAL_LIMIT = 20;
+
+    private final NameRegistry names;
+    private final List<PoolSpec> specs = new ArrayList<>();
+    private final List<PoolConfig> configs = new ArrayList<>();
+
+    /** Creates a reader that registers the pools in {@code names}. */
+    PoolReader(NameRegistry names) {
+        this.names = names;
+    }
+
+    void read(Section root) {
+        for (Section section : root.tables("pool")) {
+            readPool(section);
+        }
+        if (!names.contains(PoolSpec.SITE)) {
+            names.registerImplicit(PoolSpec.SITE);
+            specs.add(PoolSpec.site());
+            configs.add(new PoolConfig(PoolSpec.SITE, null, 0));
+        }
+    }
+
+    /** What sets up the pools, in the order of the file. */
+    List<PoolSpec> specs() {
+        return specs;
+    }
+
+    /** What the router goes by, in the order of the file. */
+    List<PoolConfig> configs() {
+        return configs;
+    }
+
+    private void readPool(Section section) {
+        String name = names.register(section);
+        InetSocketAddress discovery =
+                section.has("discovery") ? address(section, "discovery", section.text("discovery", null)) : null;
+        List<InetSocketAddress> endpoints = endpoints(section);
+        checkSource(section, name);
+        int fullStrength = optionalCount(section, "full_strength");
+        int maxConnections = optionalCount(section, "connections");
+        Double maxBodyBytes = section.figure("memory", Units.SIZE);
+        ConcurrencyLimitConfig limit = section.has("limit") ? limit(section.table("limit")) : null;
+        PoolOverrides overrides = section.has("settings") ? overrides(section, name) : PoolOverrides.NONE;
+        section.done();
+        specs.add(new PoolSpec(
+                name,
+                discovery,
+                endpoints,
+                maxConnections,
+                maxBodyBytes == null ? 0 : maxBodyBytes.longValue(),
+                overrides));
+        configs.add(new PoolConfig(name, limit, fullStrength));
+    }
+
+    private static List<InetSocketAddress> endpoints(Section section) {
+        List<InetSocketAddress> endpoints = new ArrayList<>();
+        for (String text : section.texts("upstreams", List.of())) {
+            InetSocketAddress address = address(section, "upstreams", text);
+            if (address != null && endpoints.contains(address)) {
+                section.fault("upstreams", "upstream '" + text + "' is listed twice");
+            } else if (address != null) {
+                endpoints.add(address);
+            }
+        }
+        return endpoints;
+    }
+
+    private static InetSocketAddress address(Section section, String key, String text) {
+        try {
+            return SocketAddresses.address(text);
+        } catch (IllegalArgumentException e) {
+            section.fault(key, "'" + key + "': " + e.getMessage());
+            return null;
+        }
+    }
+
+    private static void checkSource(Section section, String name) {
+        boolean site = name.equals(PoolSpec.SITE);
+        boolean discovery = section.has("discovery");
+        boolean list = section.has("upstreams");
+        if (site && (discovery || list)) {
+            section.fault(
+                    discovery ? "discovery" : "upstreams",
+                    "pool 'site' has the platform's own list: give another pool a name of its own");
+        } else if (discovery && list) {
+            section.fault("upstreams", "pool '" + name + "' has both 'discovery' and 'upstreams': one is wanted");
+        } else if (!site && !discovery && !list) {
+            section.fault("name", "pool '" + name + "' has no list: 'discovery' or 'upstreams' is wanted");
+        }
+    }
+
+    private static int optionalCount(Section section, String key) {
+        return section.has(key) ? (int) section.number(key, Measure.COUNT) : 0;
+    }
+
+    private static PoolOverrides overrides(Section pool, String name) {
+        Section section = pool.table("settings");
+        if (name.equals(PoolSpec.SITE)) {
+            pool.fault("settings", "pool 'site' has the platform's own settings");
+        }
+        PoolOverrides overrides = new PoolOverrides(
+                section.has("max_attempts") ? (int) section.number("max_attempts", Measure.COUNT) : null,
+                TimeReader.positiveMicros(section, "connect_timeout"),
+                TimeReader.positiveMicros(section, "idle_close"),
+                section.has("probes") ? section.flag("probes", false) : null);
+        section.done();
+        return overrides;
+    }
+
+    private static ConcurrencyLimitConfig limit(Section section) {
+        LimitAlgorithm algorithm = section.word("kind", LimitAlgorithm.class, null);
+        if (!algorithm.name().equalsIgnoreCase(section.text("kind", ""))) {
+            return null; // a fault already, and which other keys are wanted depends on the kind
+        }
+        ConcurrencyLimitConfig limit =
+                algorithm == LimitAlgorithm.FIXED ? fixedLimit(section) : learningLimit(section, algorithm);
+        section.done();
+        return limit;
+    }
+
+    private static ConcurrencyLimitConfig fixedLimit(Section section) {
+        return ConcurrencyLimitConfig.fixed(Math.max(0, (int) section.number("most", Measure.NUMBER)));
+    }
+
+    private static ConcurrencyLimitConfig learningLimit(Section section, LimitAlgorithm algorithm) {
+        int min = (int) section.number("least", Measure.COUNT, 1);
+        int max = (int) section.number("most", Measure.COUNT, DEFAULT_MAX_LIMIT);
+        int defaultInitial = Math.max(min, Math.min(max, DEFAULT_INITIAL_LIMIT));
+        int initial = (int) section.number("start", Measure.COUNT, defaultInitial);
+        if (min > max) {
+            section.fault("least", "'least' is " + min + ", over 'most', which is " + max);
+            return null;
+        }
+        if (initial < min || initial > max) {
+            section.fault(
+                    "start", "'start' is " + initial + ", not between 'least' and 'most', " + min + " and " + max);
+            return null;
+        }
+        return new ConcurrencyLimitConfig(algorithm, initial, min, max);
+    }
+}
--- a/balancer/src/main/java/loadbalancer/operator/PoolSpec.java
+++ b/balancer/src/main/java/loadbalancer/operator/PoolSpec.java
@@ -2,36 +2,38 @@
 
 import java.net.InetSocketAddress;
 import java.util.List;
+import java.util.Objects;
 
 /**
- * A pool as the operator file sets it, beside what the front goes by.
+ * A pool as the operator file sets it, apart from what the router goes by.
  *
- * @param discovery where its list comes from; null: the list is {@code upstreams}, or the platform's for the site's
- * @param connections to its upstreams at the most; 0: its part of what there is
- * @param memory bytes of bodies held for it at the most; 0: its part of what there is
+ * @param discovery where its endpoint list comes from; null for a list in the file, and for the site's pool
+ * @param endpoints the list in the file; empty where discovery gives it, and for the site's pool
+ * @param maxConnections to its endpoints; 0: an equal part of what all pools have
+ * @param maxBodyBytes of request bodies held for it; 0: an equal part of what all pools have
  */
 public record PoolSpec(
         String name,
         InetSocketAddress discovery,
-        List<InetSocketAddress> upstreams,
-        int connections,
-        long memory,
-        Overrides settings) {
-    /** The pool that the platform's own discovery lists: it is there whether or not the file names it. */
+        List<InetSocketAddress> endpoints,
+        int maxConnections,
+        long maxBodyBytes,
+        PoolOverrides overrides) {
+    /** The pool that the platform's own discovery lists: it exists whether or not the file names it. */
     public static final String SITE = "site";
 
+    /** Copies the list. */
     public PoolSpec {
-        upstreams = List.copyOf(upstreams);
+        endpoints = List.copyOf(endpoints);
     }
 
-    /** Whether its list comes from the same place as that of another. */
-    public boolean sameSource(PoolSpec other) {
-        return java.util.Objects.equals(discovery, other.discovery) && upstreams.equals(other.upstreams);
+    /** The site's pool where the file does not name it. */
+    static PoolSpec site() {
+        return new PoolSpec(SITE, null, List.of(), 0, 0, PoolOverrides.NONE);
     }
 
-    /** Settings that differ from the platform's; null: as they are there. Times in µs. */
-    public record Overrides(Integer maxAttempts, Long connectTimeoutMicros, Long idleClose, Boolean probes) {
-        /** None. */
-        public static final Overrides NONE = new Overrides(null, null, null, null);
+    /** Whether its endpoint list comes from the same place as that of another. */
+    public boolean sameSource(PoolSpec other) {
+        return Objects.equals(discovery, other.discovery) && endpoints.equals(other.endpoints);
     }
 }
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/operator/RateReader.java
@@ -0,0 +1,41 @@
+package loadbalancer.operator;
+
+import loadbalancer.limits.RateLimit;
+import loadbalancer.toml.Section;
+import loadbalancer.toml.Section.Measure;
+import loadbalancer.toml.Units;
+
+/** Reads rates: {@code rate}, {@code burst} and {@code ceiling}. */
+final class RateReader {
+    private static final double MAX_PER_SECOND = 1e9;
+    private static final RateLimit PLACEHOLDER = new RateLimit(1, 1, 1); // for a rate that is at fault
+
+    private RateReader() {}
+
+    static RateLimit read(Section section) {
+        Double perSecond = section.figure("rate", Units.RATE);
+        if (perSecond == null && !section.has("rate")) {
+            section.fault("rate", "a limit without 'rate': such as \"200/s\"");
+        }
+        double defaultBurst = Math.ceil(perSecond == null ? 1 : Math.max(1, perSecond));
+        double burst = section.number("burst", Measure.COUNT, defaultBurst);
+        Double ceiling = section.has("ceiling") ? section.figure("ceiling", Units.RATE) : perSecond;
+        checkRange(section, perSecond, ceiling);
+        section.done();
+        if (perSecond == null || ceiling == null || ceiling < perSecond || burst < 1) {
+            return PLACEHOLDER;
+        }
+        return new RateLimit(perSecond, burst, ceiling);
+    }
+
+    private static void checkRange(Section section, Double perSecond, Double ceiling) {
+        if (perSecond != null && ceiling != null && ceiling < perSecond) {
+            section.fault(
+                    "ceiling",
+                    "'ceiling' is under 'rate', " + Units.RATE.write(ceiling) + " and " + Units.RATE.write(perSecond));
+        }
+        if (perSecond != null && perSecond > MAX_PER_SECOND) {
+            section.fault("rate", "'rate' is over " + Units.RATE.write(MAX_PER_SECOND));
+        }
+    }
+}
--- a/balancer/src/main/java/loadbalancer/operator/package-info.java
+++ b/balancer/src/main/java/loadbalancer/operator/package-info.java
@@ -1,2 +1,5 @@
-/** The operator file: routes, pools and limits, read strictly before any of it binds. */
+/**
+ * The operator file: reads routes, pools and limits strictly before any of it binds, and describes it to operators.
+ * Only this package knows the file's keys. Not loaded by a balancer that has no operator file.
+ */
 package loadbalancer.operator;
--- a/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
@@ -485,7 +485,7 @@
         }
         next.notes().forEach(log::accept);
         if (logs) {
-            Slf4jProvider.sink().configure(next.log().json(), next.log().queue());
+            Slf4jProvider.sink().configure(next.log().json(), next.log().queueLines());
         }
         loop.submit(() -> {
                     if (gateway == null) {
@@ -502,13 +502,13 @@
                     gateway.configure(next);
                     log.event(
                             "operator file taken over: " + next.pools().size() + " pools, "
-                                    + next.front().routes().size() + " routes",
+                                    + next.routing().routes().size() + " routes",
                             "operator_file",
                             "taken",
                             "pools",
                             next.pools().size(),
                             "routes",
-                            next.front().routes().size());
+                            next.routing().routes().size());
                 })
                 .syncUninterruptibly();
         return true;
--- a/balancer/src/main/java/loadbalancer/process/OperatorFileLoader.java
+++ b/balancer/src/main/java/loadbalancer/process/OperatorFileLoader.java
@@ -5,6 +5,7 @@
 import java.util.Map;
 import loadbalancer.operator.OperatorConfig;
 import loadbalancer.operator.OperatorReader;
+import loadbalancer.operator.SiteConfig;
 import loadbalancer.settings.SettingsReader;
 import loadbalancer.toml.Faults;
 
@@ -22,8 +23,8 @@
         }
     }
 
-    private static OperatorConfig.Site site(SettingsReader.Boot boot) {
-        return new OperatorConfig.Site(
+    private static SiteConfig site(SettingsReader.Boot boot) {
+        return new SiteConfig(
                 boot.classes(),
                 boot.tenants().isEmpty() ? null : boot.tenants(),
                 boot.settings().balancers(),
@@ -35,7 +36,7 @@
      *
      * @throws IllegalArgumentException for a configuration that can't be used, in one line
      */
-    public static OperatorConfig.Site site(Path config) {
+    public static SiteConfig site(Path config) {
         try {
             return site(BalancerConfig.read(Map.of(
                             "ROUTER_CONFIG",
--- a/balancer/src/main/java/loadbalancer/routing/PoolLimits.java
+++ b/balancer/src/main/java/loadbalancer/routing/PoolLimits.java
@@ -17,9 +17,9 @@
      */
     static PoolLimits of(PoolSpec spec, int poolCount, PoolLimits allPools) {
         int connections =
-                spec.connections() > 0 ? spec.connections() : Math.max(1, allPools.maxConnections / poolCount);
-        long bodyBytes = spec.memory() > 0
-                ? spec.memory()
+                spec.maxConnections() > 0 ? spec.maxConnections() : Math.max(1, allPools.maxConnections / poolCount);
+        long bodyBytes = spec.maxBodyBytes() > 0
+                ? spec.maxBodyBytes()
                 : Math.max(RequestValidator.BODY_MOST, allPools.maxBodyBytes / poolCount);
         return new PoolLimits(connections, bodyBytes);
     }
--- a/balancer/src/main/java/loadbalancer/routing/PoolSettings.java
+++ b/balancer/src/main/java/loadbalancer/routing/PoolSettings.java
@@ -1,5 +1,6 @@
 package loadbalancer.routing;
 
+import loadbalancer.operator.PoolOverrides;
 import loadbalancer.operator.PoolSpec;
 import loadbalancer.policy.DiscoveryMode;
 import loadbalancer.policy.PolicySettings;
@@ -12,7 +13,7 @@
 
     /** The platform's settings with the pool's overrides applied. */
     static SettingsReader.Boot derive(SettingsReader.Boot site, PoolSpec spec) {
-        Long idleCloseMicros = spec.settings().idleClose();
+        Long idleCloseMicros = spec.overrides().idleCloseMicros();
         return new SettingsReader.Boot(
                 policySettings(site.settings(), spec),
                 site.loadFields(),
@@ -39,12 +40,12 @@
                 discovery,
                 site.loadReporting(),
                 site.keyAffinity(),
-                limits(site.limits(), spec.settings()),
+                limits(site.limits(), spec.overrides()),
                 site.bounds(),
                 site.tickMicros());
     }
 
-    private static SiteLimits limits(SiteLimits site, PoolSpec.Overrides overrides) {
+    private static SiteLimits limits(SiteLimits site, PoolOverrides overrides) {
         return new SiteLimits(
                 overrides.maxAttempts() == null ? site.maxAttempts() : overrides.maxAttempts(),
                 site.hedgingAllowed(),
--- a/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
@@ -83,7 +83,7 @@
         boolean first = operator == null;
         operator = next;
         configurePools(next.pools());
-        replaceRouter(new RequestRouter(next.front()));
+        replaceRouter(new RequestRouter(next.routing()));
         ranks = PriorityRanks.of(boot.settings().classes());
         updatePoolSizes();
         if (first) {
@@ -164,7 +164,7 @@
         if (!memory.tryReserve(bodyBytes)) {
             rejections.increment(RejectionReason.POOL_LIMIT);
             router.ended(site.dispatcher().now(), lease, LeaseEnd.NOT_SENT);
-            reply.refuse(operator.front().retryAfter().minMicros());
+            reply.refuse(operator.routing().retryAfter().minMicros());
             return NOTHING_TO_CANCEL;
         }
         RoutedReply routedReply = new RoutedReply(reply, lease, memory, bodyBytes, replies);
--- a/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
+++ b/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
@@ -83,7 +83,7 @@
 
     private EndpointList staticList() {
         List<EndpointList.Target> endpoints = new ArrayList<>();
-        for (InetSocketAddress address : spec.upstreams()) {
+        for (InetSocketAddress address : spec.endpoints()) {
             String id = spec.name() + "/" + address.getAddress().getHostAddress() + ":" + address.getPort();
             Endpoint endpoint = new Endpoint(
                     id, EndpointState.UP, 0, 1, -1, -1, boot.settings().zone());
--- a/balancer/src/test/java/loadbalancer/operator/OperatorReaderTest.java
+++ b/balancer/src/test/java/loadbalancer/operator/OperatorReaderTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class OperatorReaderTest {
-    static final OperatorConfig.Site SITE =
-            new OperatorConfig.Site(List.of("read", "book"), List.of("shyamal-travels", "teesta-line"), 3, 1_500_000);
+    static final SiteConfig SITE =
+            new SiteConfig(List.of("read", "book"), List.of("shyamal-travels", "teesta-line"), 3, 1_500_000);
 
     static final String SOUND =
             """
@@ -122,17 +122,17 @@
                 List.of("agents", "new", "site"),
                 o.pools().stream().map(PoolSpec::name).toList());
         assertEquals(
-                new PoolSpec.Overrides(2, 80_000L, 20_000_000L, false),
-                o.pool("agents").settings());
-        assertEquals(512 * 1024, o.pool("agents").memory());
-        assertEquals(8, o.front().pools().get(1).fullStrength());
-        assertEquals(3, o.front().instances(), "as the platform says");
-        assertEquals(1_500_000, o.front().retryAfter().maxMicros(), "and the settings' bound");
-        assertEquals(1, o.front().quotas().others().perSecond(), 1e-9);
-        assertEquals(800_000, o.front().routes().get(0).deadlineMicros());
+                new PoolOverrides(2, 80_000L, 20_000_000L, false),
+                o.pool("agents").overrides());
+        assertEquals(512 * 1024, o.pool("agents").maxBodyBytes());
+        assertEquals(8, o.routing().pools().get(1).fullStrength());
+        assertEquals(3, o.routing().instances(), "as the platform says");
+        assertEquals(1_500_000, o.routing().retryAfter().maxMicros(), "and the settings' bound");
+        assertEquals(1, o.routing().quotas().others().perSecond(), 1e-9);
+        assertEquals(800_000, o.routing().routes().get(0).deadlineMicros());
         assertEquals(
                 0.5,
-                o.front()
+                o.routing()
                         .routes()
                         .get(0)
                         .destinations()
@@ -162,7 +162,7 @@
     void whatChangesIsSaidInWords() throws IOException {
         Path file = folder.resolve("operator.toml");
         OperatorConfig before = OperatorReader.read(Files.writeString(file, SOUND), SITE);
-        assertEquals(List.of(), ConfigVocabulary.changes(before, before));
+        assertEquals(List.of(), ConfigDiff.between(before, before));
         List<String> expected = new ArrayList<>(List.of(
                 "pool agents: limit: gradient from 16, 4 to 200 -> 30 at once",
                 "pool fresh: new, upstreams 127.0.0.1:9009, limit none",
@@ -186,6 +186,6 @@
                                 .replace("\"800ms\"", "\"1s\"")
                                 .replace("\"100/s\"", "\"120/s\"")),
                 SITE);
-        assertEquals(expected, ConfigVocabulary.changes(before, next));
+        assertEquals(expected, ConfigDiff.between(before, next));
     }
 }
