--- a/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
@@ -14,11 +14,13 @@
 import loadbalancer.dispatch.InboundRequest;
 import loadbalancer.dispatch.RequestDispatcher;
 import loadbalancer.dispatch.RequestHandler;
+import loadbalancer.handover.HandoverDocument;
+import loadbalancer.handover.HandoverFormatException;
+import loadbalancer.handover.HandoverState;
 import loadbalancer.http.RequestValidator;
 import loadbalancer.logs.Log;
 import loadbalancer.operator.OperatorConfig;
 import loadbalancer.operator.PoolSpec;
-import loadbalancer.process.HandoverState;
 import loadbalancer.router.LeaseEnd;
 import loadbalancer.router.RejectionReason;
 import loadbalancer.router.RequestRouter;
@@ -228,21 +230,25 @@
         return pools.anyKnows(pool -> pool.membership().setUp(id));
     }
 
-    /** The states of the pools beside the site's, by name, as the handover message to a successor has them. */
-    public Map<String, Object> handoverState() {
-        Map<String, Object> states = new LinkedHashMap<>();
+    /** The states of the pools beside the site's, by name, as a successor starts from them. */
+    public Map<String, HandoverState> handoverState() {
+        Map<String, HandoverState> states = new LinkedHashMap<>();
         pools.pools().forEach(pool -> states.put(pool.name(), pool.handoverState()));
         return states;
     }
 
-    /** Goes on from a predecessor's {@link #handoverState}; pools that this process doesn't have are skipped. */
-    public void restore(Map<?, ?> states) {
-        states.forEach((name, state) -> {
-            UpstreamPool pool = pools.get(String.valueOf(name));
-            if (pool != null && state instanceof Map<?, ?> document) {
-                pool.restore(HandoverState.of(document, pool.boot()));
+    /**
+     * Goes on from a predecessor's {@link #handoverState}; pools that this process doesn't have are skipped.
+     *
+     * @throws HandoverFormatException where the state of a pool cannot be read; the pools before it are restored
+     */
+    public void restore(HandoverDocument document) throws HandoverFormatException {
+        for (String name : document.poolNames()) {
+            UpstreamPool pool = pools.get(name);
+            if (pool != null) {
+                document.pool(name, pool.boot()).ifPresent(pool::restore);
             }
-        });
+        }
         updatePoolSizes();
     }
 
--- a/balancer/src/test/java/loadbalancer/process/LongListTest.java
+++ b/balancer/src/test/java/loadbalancer/process/LongListTest.java
@@ -72,7 +72,7 @@
         at = node.start();
     }
 
-    private String persisted() throws InterruptedException {
+    private String cached() throws InterruptedException {
         String event = module.next();
         while (!event.startsWith("CACHED")) { // the share of a cold budget comes before it
             event = module.next();
@@ -92,7 +92,7 @@
     @Test
     void aStartWithALongListServesWithAPartOfItAndSaysSo() throws IOException, InterruptedException {
         startBounded(longList(41, true, "in_service"));
-        String event = persisted();
+        String event = cached();
         assertTrue(entries(event) > 0 && entries(event) <= MOST, event);
         InetSocketAddress operators = node.listenForOperators();
         assertTrue(node.awaitReady(20_000));
@@ -123,7 +123,7 @@
     @Test
     void aLongListOverAWatchIsHeldInPartAndItsDrainsBind() throws IOException, InterruptedException {
         startBounded(list(41, true, "in_service"));
-        assertEquals("CACHED [s1=UP]", persisted());
+        assertEquals("CACHED [s1=UP]", cached());
         onLoop(() -> module.actions.watch(true));
         FakeUpstream.Got watch = discovery.next();
         watch.raw(OPEN);
@@ -139,7 +139,7 @@
     @Test
     void aBalancerWithNothingOfUseAsksForAnotherPart() throws IOException, InterruptedException {
         startBounded(longList(41, true, "in_service"));
-        String first = persisted();
+        String first = cached();
         onLoop(() -> module.actions.watch(true));
         FakeUpstream.Got watch = discovery.next();
         watch.raw(OPEN);
