--- a/balancer/src/main/java/loadbalancer/logs/AsyncLogWriter.java
+++ b/balancer/src/main/java/loadbalancer/logs/AsyncLogWriter.java
@@ -1,14 +1,9 @@
 package loadbalancer.logs;
 
-import com.fasterxml.jackson.jr.ob.JSON;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
-import java.time.Instant;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
-import java.util.Map;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
@@ -18,22 +13,21 @@
 
 /**
  * Writes lines from a thread of its own. A reader of the log that stops reading blocks that thread alone: callers
- * never wait, what doesn't fit the queue is dropped, and how many were is said as soon as lines are written again.
+ * never wait, lines that don't fit the queue are dropped, and how many were is logged as soon as lines are written
+ * again. Any thread may call it.
  */
 public final class AsyncLogWriter {
-    private static final int QUEUE = 1024;
-
-    private record Line(long at, Level level, String text, List<KeyValuePair> fields, Throwable thrown) {}
+    private static final int DEFAULT_MAX_QUEUED_LINES = 1024;
 
     private final OutputStream out;
     private final String prefix;
-    private final LinkedBlockingQueue<Line> queue = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<LogLine> queue = new LinkedBlockingQueue<>();
     private final AtomicInteger waiting = new AtomicInteger();
     private final AtomicLong dropped = new AtomicLong();
-    private volatile int most = QUEUE;
+    private volatile int maxQueuedLines = DEFAULT_MAX_QUEUED_LINES;
     private volatile boolean json;
-    private long said; // of what was dropped, the writer's
-    private Thread writer;
+    private long droppedReported; // by the writer thread, which alone uses it
+    private Thread writer; // guarded by this
 
     /** Writes to {@code out}; each line of text begins with {@code prefix}. */
     public AsyncLogWriter(OutputStream out, String prefix) {
@@ -42,9 +36,9 @@
     }
 
     /** From here on lines are JSON or text, and so many may wait. */
-    public void configure(boolean asJson, int queueMost) {
+    public void configure(boolean asJson, int queuedLines) {
         json = asJson;
-        most = queueMost;
+        maxQueuedLines = queuedLines;
     }
 
     /** Lines that were dropped so far. */
@@ -52,39 +46,31 @@
         return dropped.get();
     }
 
-    void add(Level level, String text, List<KeyValuePair> fields, Throwable thrown) {
-        if (waiting.incrementAndGet() > most) {
+    void add(Level level, String message, List<KeyValuePair> fields, Throwable thrown) {
+        if (waiting.incrementAndGet() > maxQueuedLines) {
             waiting.decrementAndGet();
             dropped.incrementAndGet();
             return;
         }
-        queue.add(new Line(System.currentTimeMillis(), level, text, fields, thrown));
-        begin();
+        queue.add(new LogLine(System.currentTimeMillis(), level, message, fields, thrown));
+        startWriter();
     }
 
-    private synchronized void begin() {
+    private synchronized void startWriter() {
         if (writer == null) {
-            writer = new Thread(this::write, "log");
+            writer = new Thread(this::writeLines, "log");
             writer.setDaemon(true);
             writer.start();
         }
     }
 
-    private void write() {
+    private void writeLines() {
         try {
             while (true) {
-                Line line = queue.take();
-                put(line);
+                write(queue.take());
                 waiting.decrementAndGet();
-                long lost = dropped.get() - said;
-                if (lost > 0 && queue.isEmpty()) {
-                    said += lost;
-                    put(new Line(
-                            System.currentTimeMillis(),
-                            Level.WARN,
-                            "log lines dropped: " + lost,
-                            List.of(new KeyValuePair("dropped", lost)),
-                            null));
+                if (queue.isEmpty()) {
+                    reportDropped();
                 }
             }
         } catch (InterruptedException e) {
@@ -92,36 +78,34 @@
         }
     }
 
-    private void put(Line line) {
-        try {
-            out.write((json ? json(line) : prefix + line.text + (line.thrown == null ? "" : ": " + line.thrown))
-                    .concat("\n")
-                    .getBytes(StandardCharsets.UTF_8));
-            out.flush();
-        } catch (IOException e) {
-            dropped.incrementAndGet(); // whoever read it has gone
+    private void reportDropped() {
+        long unreported = dropped.get() - droppedReported;
+        if (unreported > 0) {
+            droppedReported += unreported;
+            write(new LogLine(
+                    System.currentTimeMillis(),
+                    Level.WARN,
+                    "log lines dropped: " + unreported,
+                    List.of(new KeyValuePair("dropped", unreported)),
+                    null));
         }
     }
 
-    private static String json(Line line) throws IOException {
-        Map<String, Object> all = new LinkedHashMap<>();
-        all.put("at", Instant.ofEpochMilli(line.at).toString());
-        all.put("level", line.level.name().toLowerCase(Locale.ROOT));
-        all.put("message", line.text);
-        for (KeyValuePair f : line.fields) {
-            all.put(f.key, f.value instanceof Number || f.value instanceof Boolean ? f.value : String.valueOf(f.value));
-        }
-        if (line.thrown != null) {
-            all.put("thrown", String.valueOf(line.thrown));
+    private void write(LogLine line) {
+        try {
+            String text = json ? line.toJson() : line.toText(prefix);
+            out.write(text.concat("\n").getBytes(StandardCharsets.UTF_8));
+            out.flush();
+        } catch (IOException e) {
+            dropped.incrementAndGet(); // the reader of the log has gone
         }
-        return JSON.std.asString(all);
     }
 
-    /** Waits until what has been said is written, at most so long. */
-    public void drain(long millis) {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+    /** Waits until the lines logged so far are written, at most that long. */
+    public void drain(long timeoutMillis) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
         try {
-            while (waiting.get() > 0 && System.nanoTime() < until) {
+            while (waiting.get() > 0 && System.nanoTime() < deadlineNanos) {
                 TimeUnit.MILLISECONDS.sleep(1);
             }
         } catch (InterruptedException e) {
--- a/balancer/src/main/java/loadbalancer/logs/Log.java
+++ b/balancer/src/main/java/loadbalancer/logs/Log.java
@@ -4,23 +4,34 @@
 import org.slf4j.event.Level;
 import org.slf4j.spi.LoggingEventBuilder;
 
-/** Where a part of the balancer says what operators should know: a line that reads by itself, and its figures. */
+/**
+ * Where a part of the balancer logs what operators should know: a line that reads by itself, and its figures as fields
+ * for machines. Any thread may call it; it never blocks.
+ */
 @FunctionalInterface
 public interface Log {
-    /** Says a line. */
+    /** Logs a line. */
     void accept(String line);
 
-    /** Says a line that reads by itself, with what it is about as names and values in turn, for machines. */
+    /**
+     * Logs a line with fields.
+     *
+     * @param fields names and values in turn
+     */
     default void event(String line, Object... fields) {
         accept(line);
     }
 
-    /** The same for what somebody should look at. */
+    /**
+     * Logs a line that an operator should look at.
+     *
+     * @param fields names and values in turn
+     */
     default void warn(String line, Object... fields) {
         accept(line);
     }
 
-    /** Says all to that logger. */
+    /** Logs to an SLF4J logger, with the fields as its key-value pairs. */
     static Log to(Logger logger) {
         return new Log() {
             @Override
@@ -30,15 +41,15 @@
 
             @Override
             public void event(String line, Object... fields) {
-                say(Level.INFO, line, fields);
+                log(Level.INFO, line, fields);
             }
 
             @Override
             public void warn(String line, Object... fields) {
-                say(Level.WARN, line, fields);
+                log(Level.WARN, line, fields);
             }
 
-            private void say(Level level, String line, Object... fields) {
+            private void log(Level level, String line, Object... fields) {
                 LoggingEventBuilder event = logger.atLevel(level);
                 for (int i = 0; i + 1 < fields.length; i += 2) {
                     event = event.addKeyValue(String.valueOf(fields[i]), fields[i + 1]);
--- a/balancer/src/main/java/loadbalancer/logs/Slf4jProvider.java
+++ b/balancer/src/main/java/loadbalancer/logs/Slf4jProvider.java
@@ -16,34 +16,37 @@
 import org.slf4j.spi.SLF4JServiceProvider;
 
 /**
- * What SLF4J logs through here: every logger writes to one {@link AsyncLogWriter} on the process's standard error.
- * Chosen over
- * Logback by measured start time, see docs/design/routes-and-limits.md.
+ * The SLF4J provider of the balancer: every logger writes information and what is more severe to one
+ * {@link AsyncLogWriter} on the process's standard error. Why no logging framework stands here: see
+ * docs/design/routes-and-limits.md.
  */
 public final class Slf4jProvider implements SLF4JServiceProvider {
-    private static final AsyncLogWriter SINK = new AsyncLogWriter(System.err, "load-balancer: ");
+    private static final String SLF4J_API_VERSION = "2.0.99";
+    private static final AsyncLogWriter WRITER = new AsyncLogWriter(System.err, "load-balancer: ");
+
     private final IMarkerFactory markers = new BasicMarkerFactory();
     private final MDCAdapter context = new NOPMDCAdapter();
 
-    /** The sink of all loggers. */
-    public static AsyncLogWriter sink() {
-        return SINK;
+    /** The writer of all loggers. */
+    public static AsyncLogWriter writer() {
+        return WRITER;
     }
 
-    /** Makes SLF4J use this provider without a search through the class path; call before the first logger. */
+    /** Makes SLF4J use this provider without a search through the class path; to be called before the first logger. */
     public static void install() {
         System.setProperty("slf4j.provider", Slf4jProvider.class.getName());
-        System.setProperty("slf4j.internal.verbosity", "WARN"); // it would say on the log that it obeys
+        // At its default SLF4J writes a line about the provider on standard error.
+        System.setProperty("slf4j.internal.verbosity", "WARN");
     }
 
-    /** A logger that writes there: information and what is worse. */
-    public static Logger logger(String name, AsyncLogWriter sink) {
-        return new SinkLogger(name, sink);
+    /** A logger that writes there. */
+    public static Logger logger(String name, AsyncLogWriter writer) {
+        return new WriterLogger(name, writer);
     }
 
     @Override
     public ILoggerFactory getLoggerFactory() {
-        return name -> logger(name, SINK);
+        return name -> logger(name, WRITER);
     }
 
     @Override
@@ -58,46 +61,42 @@
 
     @Override
     public String getRequestedApiVersion() {
-        return "2.0.99";
+        return SLF4J_API_VERSION;
     }
 
     @Override
     public void initialize() {
-        // nothing to look for
+        // all fields are set by the constructor
     }
 
-    private static final class SinkLogger extends LegacyAbstractLogger implements LoggingEventAware {
+    private static final class WriterLogger extends LegacyAbstractLogger implements LoggingEventAware {
         private static final long serialVersionUID = 1L;
-        private final transient AsyncLogWriter sink;
+        private final transient AsyncLogWriter writer;
 
-        SinkLogger(String name, AsyncLogWriter sink) {
+        WriterLogger(String name, AsyncLogWriter writer) {
             this.name = name;
-            this.sink = sink;
+            this.writer = writer;
         }
 
         @Override
-        public void log(LoggingEvent e) {
-            String text = e.getArgumentArray() == null
-                    ? e.getMessage()
-                    : MessageFormatter.arrayFormat(e.getMessage(), e.getArgumentArray())
-                            .getMessage();
-            sink.add(
-                    e.getLevel(),
-                    text,
-                    e.getKeyValuePairs() == null ? List.of() : List.copyOf(e.getKeyValuePairs()),
-                    e.getThrowable());
+        public void log(LoggingEvent event) {
+            writer.add(
+                    event.getLevel(),
+                    format(event.getMessage(), event.getArgumentArray()),
+                    event.getKeyValuePairs() == null ? List.of() : List.copyOf(event.getKeyValuePairs()),
+                    event.getThrowable());
         }
 
         @Override
         protected void handleNormalizedLoggingCall(
                 Level level, Marker marker, String pattern, Object[] arguments, Throwable thrown) {
-            sink.add(
-                    level,
-                    arguments == null
-                            ? pattern
-                            : MessageFormatter.arrayFormat(pattern, arguments).getMessage(),
-                    List.of(),
-                    thrown);
+            writer.add(level, format(pattern, arguments), List.of(), thrown);
+        }
+
+        private static String format(String pattern, Object[] arguments) {
+            return arguments == null
+                    ? pattern
+                    : MessageFormatter.arrayFormat(pattern, arguments).getMessage();
         }
 
         @Override
--- a/balancer/src/main/java/loadbalancer/process/Reconfiguration.java
+++ b/balancer/src/main/java/loadbalancer/process/Reconfiguration.java
@@ -121,7 +121,7 @@
         }
         next.notes().forEach(log::accept);
         if (configuresLog) {
-            Slf4jProvider.sink().configure(next.log().json(), next.log().queueLines());
+            Slf4jProvider.writer().configure(next.log().json(), next.log().queueLines());
         }
         parts.loop.submit(() -> apply(next)).syncUninterruptibly();
         return true;
--- a/balancer/src/main/java/loadbalancer/process/ServeCommand.java
+++ b/balancer/src/main/java/loadbalancer/process/ServeCommand.java
@@ -43,7 +43,7 @@
         Slf4jProvider.install();
         Log log = Log.to(LoggerFactory.getLogger("load-balancer"));
         int exitCode = new ServeCommand(environment, log).run(reloadSignal);
-        Slf4jProvider.sink().drain(ERROR_LINE_TIMEOUT_MILLIS);
+        Slf4jProvider.writer().drain(ERROR_LINE_TIMEOUT_MILLIS);
         return exitCode;
     }
 
@@ -112,7 +112,7 @@
 
     private static void stop(BalancerProcess process) {
         process.stop();
-        Slf4jProvider.sink().drain(LAST_LINES_TIMEOUT_MILLIS);
+        Slf4jProvider.writer().drain(LAST_LINES_TIMEOUT_MILLIS);
         // Without this the exit code would be that of the signal, not that of an orderly end.
         Runtime.getRuntime().halt(EXIT_OK);
     }
--- a/balancer/src/test/java/loadbalancer/logs/LoggingTest.java
+++ b/balancer/src/test/java/loadbalancer/logs/LoggingTest.java
@@ -47,18 +47,18 @@
         AsyncLogWriter sink = new AsyncLogWriter(
                 new OutputStream() {
                     @Override
-                    public void write(int b) {
-                        written.write(b);
+                    public void write(int value) {
+                        written.write(value);
                     }
 
                     @Override
-                    public void write(byte[] b, int off, int len) {
+                    public void write(byte[] bytes, int offset, int length) {
                         try {
                             reads.await();
                         } catch (InterruptedException e) {
                             Thread.currentThread().interrupt();
                         }
-                        written.write(b, off, len);
+                        written.write(bytes, offset, length);
                     }
                 },
                 "");
