--- a/balancer/src/main/java/loadbalancer/process/Reconfiguration.java
+++ b/balancer/src/main/java/loadbalancer/process/Reconfiguration.java
@@ -121,7 +121,7 @@
         }
         next.notes().forEach(log::accept);
         if (configuresLog) {
-            Slf4jProvider.sink().configure(next.log().json(), next.log().queue());
+            Slf4jProvider.writer().configure(next.log().json(), next.log().queueLines());
         }
         parts.loop.submit(() -> apply(next)).syncUninterruptibly();
         return true;
@@ -135,7 +135,7 @@
         }
         parts.pools.gateway().configure(next);
         int pools = next.pools().size();
-        int routes = next.front().routes().size();
+        int routes = next.routing().routes().size();
         log.event(
                 "operator file applied: " + pools + " pools, " + routes + " routes",
                 "operator_file",
