--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/dispatch/PolicyActions.java
@@ -0,0 +1,141 @@
+package loadbalancer.dispatch;
+
+import io.netty.channel.EventLoop;
+import java.util.concurrent.TimeUnit;
+import loadbalancer.discovery.DiscoveryClient;
+import loadbalancer.logs.Log;
+import loadbalancer.policy.LoadBalancingPolicy;
+import loadbalancer.policy.LoadReporting;
+import loadbalancer.settings.SettingsReader;
+import loadbalancer.upstream.UpstreamConnectionPool;
+
+/**
+ * Carries out what the policy asks for. Called by the policy while it handles an event, on the event loop's thread;
+ * actions for requests that are no longer open are legal and ignored.
+ */
+final class PolicyActions implements LoadBalancingPolicy.Actions {
+    private final EventLoop loop;
+    private final MonotonicClock clock;
+    private final OpenRequests openRequests;
+    private final PolicyEventQueue events;
+    private final LoadBalancingPolicy policy;
+    private final Log log;
+    private final AttemptRunner attempts;
+    private SettingsReader.Boot siteSettings;
+    private UpstreamConnectionPool connections;
+    private DiscoveryClient discovery; // null where there is none
+
+    PolicyActions(
+            EventLoop loop,
+            MonotonicClock clock,
+            OpenRequests openRequests,
+            PolicyEventQueue events,
+            LoadBalancingPolicy policy,
+            SettingsReader.Boot siteSettings,
+            Log log) {
+        this.loop = loop;
+        this.clock = clock;
+        this.openRequests = openRequests;
+        this.events = events;
+        this.policy = policy;
+        this.siteSettings = siteSettings;
+        this.log = log;
+        this.attempts = new AttemptRunner(loop, clock, openRequests, events, policy, this);
+    }
+
+    AttemptRunner attempts() {
+        return attempts;
+    }
+
+    void attach(UpstreamConnectionPool pool, DiscoveryClient client) {
+        connections = pool;
+        discovery = client;
+        attempts.attach(pool);
+    }
+
+    void reconfigure(SettingsReader.Boot next) {
+        siteSettings = next;
+    }
+
+    @Override
+    public void send(String request, String server, long timeout) {
+        OpenRequest openRequest = openRequests.find(request);
+        if (openRequest != null) {
+            attempts.start(openRequest, server, timeout);
+        }
+    }
+
+    @Override
+    public void refuse(String request, long retryAfter) {
+        OpenRequest openRequest = openRequests.find(request);
+        if (openRequest != null && !openRequest.closed) {
+            openRequests.close(openRequest);
+            openRequest.responder.reject(retryAfter);
+            openRequests.removeIfDone(openRequest);
+        }
+    }
+
+    @Override
+    public void fail(String request) {
+        OpenRequest openRequest = openRequests.find(request);
+        if (openRequest != null && !openRequest.closed) {
+            openRequests.close(openRequest);
+            openRequest.responder.fail();
+            openRequests.removeIfDone(openRequest);
+        }
+    }
+
+    @Override
+    public void cancel(String request, int attempt) {
+        OpenRequest openRequest = openRequests.find(request);
+        if (openRequest != null) {
+            attempts.cancel(openRequest, attempt);
+        }
+    }
+
+    @Override
+    public void probe(String server) {
+        long sentAtMicros = clock.nowMicros();
+        boolean loadReport = siteSettings.settings().reports() != LoadReporting.NONE;
+        connections.probe(
+                server,
+                loadReport,
+                (outcome, response, load) -> events.submit(
+                        nowMicros -> policy.probed(nowMicros, server, outcome, nowMicros - sentAtMicros, load, this)));
+    }
+
+    @Override
+    public void watch(boolean on) {
+        if (discovery != null) {
+            discovery.watch(on);
+        }
+    }
+
+    @Override
+    public void fetchList() {
+        if (discovery != null) {
+            discovery.fetch();
+        }
+    }
+
+    @Override
+    public void closeIdle(String server) {
+        connections.closeIdle(server);
+    }
+
+    /** Real balancers exchange no messages. */
+    @Override
+    public void sendToPeer(int peer, byte[] data) {
+        throw new UnsupportedOperationException("messages between balancers");
+    }
+
+    @Override
+    public void wakeAfter(long delay) {
+        loop.schedule(() -> events.submit(nowMicros -> policy.wake(nowMicros, this)), delay, TimeUnit.MICROSECONDS);
+    }
+
+    @Override
+    public void log(String line) {
+        log.accept(line);
+    }
+}
--- a/balancer/src/main/java/loadbalancer/dispatch/RequestHandler.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/RequestHandler.java
@@ -1,10 +1,17 @@
 package loadbalancer.dispatch;
 
-/** Where clients' requests are handed over, for one final answer each. */
+import loadbalancer.transport.InboundRequest;
+
+/** Takes clients' requests and gives each one final response. Called on the event loop's thread alone. */
 public interface RequestHandler {
-    /** Whether a request by that name of its client's is open, or an attempt of it. */
-    boolean holds(String id);
+    /** Returns whether a request with that id of its client's, or an attempt of it, is open. */
+    boolean isOpen(String requestId);
 
-    /** Takes a request; returns what to run if the client leaves before its answer. */
-    Runnable take(InboundRequest order, RequestDispatcher.Reply reply);
+    /**
+     * Takes a request.
+     *
+     * @param responder gets the one final response, possibly before this method returns
+     * @return to be run if the client leaves before its response
+     */
+    Runnable handle(InboundRequest request, ClientResponder responder);
 }
--- a/balancer/src/main/java/loadbalancer/http/ClientConnection.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientConnection.java
@@ -7,427 +7,368 @@
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.ChannelOutboundBuffer;
 import io.netty.channel.socket.DuplexChannel;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
-import io.netty.handler.codec.http.DefaultHttpContent;
-import io.netty.handler.codec.http.DefaultHttpResponse;
-import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpHeaderValues;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponseEncoder;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
-import io.netty.handler.codec.http.LastHttpContent;
-import io.netty.util.ReferenceCountUtil;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
-import java.util.concurrent.TimeUnit;
-import loadbalancer.upstream.ResponseReader;
+import loadbalancer.transport.BodyMemoryBudget;
+import loadbalancer.transport.BodyStream;
+import loadbalancer.transport.UpstreamResponse;
 
 /**
- * One connection of a client: its requests one after the other, each one's answer in turn, and how long it
- * may take over anything.
+ * One connection of a client: serves its requests one after the other, each one's response in turn, and limits how long
+ * the client may take over anything. Last in its pipeline, behind {@link RequestReader}; not sharable. Belongs to the
+ * event loop's thread.
  */
-public final class ClientConnection extends ChannelInboundHandlerAdapter implements RequestReader.Taker {
-    // A client is owed an error or a close within 3 s: the look at all clients comes on top of these.
-    private static final long RECEIVE = TimeUnit.MILLISECONDS.toNanos(2_400); // a whole request
-    private static final long SILENT = TimeUnit.MILLISECONDS.toNanos(2_200); // before the first one
-    private static final long REST = TimeUnit.MILLISECONDS.toNanos(5_000); // between two
-    private static final long LINGER = TimeUnit.MILLISECONDS.toNanos(1_000); // after the last answer
-    private static final long UNREAD = TimeUnit.MILLISECONDS.toNanos(20_000); // answers that don't move
-    private static final long PER_BYTE = TimeUnit.SECONDS.toNanos(1) / 32_000; // more time for what has come
-    private static final int LINGER_BYTES = 64 * 1024;
-    private static final int AHEAD_MOST = 16; // requests that may be sent ahead
-
-    /** {@code sentAt}: the latest that its client can have sent the last byte that was read, by System.nanoTime. */
-    private record Taken(HttpRequest head, byte[] body, BodyStream rest, long sentAt) {}
-
-    private final ClientListener server;
+final class ClientConnection extends ChannelInboundHandlerAdapter implements RequestReader.Listener {
+    /** What is being done about responses. */
+    private enum ResponseState {
+        /** No request is being served. */
+        IDLE,
+        /** The next request, or the refusal of one, is to be served by a task on the event loop. */
+        SCHEDULED,
+        /** A request is being served. */
+        SERVING,
+        /** The last response has been written; nothing more is served. */
+        ENDING
+    }
+
+    static final String STOPPING = "stopping: trying again is harmless";
+    private static final byte[] NO_BODY = new byte[0];
+
+    private final ClientRequestHandler requestHandler;
+    private final BodyMemoryBudget memory;
     private final Channel channel;
-    private final RequestReader requests;
-    private final RequestDecoder decoder = new RequestDecoder();
-    private final ArrayDeque<Taken> ahead = new ArrayDeque<>();
-    private RequestValidator.Problem problem; // the last answer to give, when its turn comes
-    private BodyStream answering; // what flows of the request that is being answered
-    private Runnable gone; // set while the module owes an answer here
-    private int charged; // bytes of the request that is being answered
-    private boolean serving; // a request is being answered, or about to be
-    private boolean called; // the first one ahead is about to be
-    private boolean receiving; // part of a request has come in
-    private boolean asked; // a whole request has come in at some time
-    private boolean ending; // the last answer has been written
-    private long since = System.nanoTime(); // the beginning of the receipt, the rest or the ending
-    private long unreadSince = since;
-    private long unreadBytes;
-    private long received; // bytes of the request that is coming in
-    private long readAt;
-    private BodyStream upload; // of a body that is being passed on
-    private BodyStream download; // of an answer that is being passed on
-
-    public ClientConnection(ClientListener server, Channel channel) {
-        this.server = server;
+    private final RequestReader reader;
+    private final ClientRequestDecoder decoder = new ClientRequestDecoder();
+    private final ResponseWriter writer;
+    private final ClientTimeouts timeouts = new ClientTimeouts();
+    private final PipelinedRequests waiting;
+    private ResponseState state = ResponseState.IDLE;
+    private RequestValidator.Problem refusal; // the last response, when its turn comes
+    private boolean receiving; // part of a request has arrived
+    private boolean hasRequested; // a whole request has arrived, or one was refused
+    private BodyStream servedBody; // of the request that is being served, where it is streamed
+    private int reservedBytes; // for the body of the request that is being served
+    private Runnable departureListener; // set while a response is owed
+    private BodyStream upload; // of the request that is arriving, where it is streamed
+    private BodyStream download; // of a response that is being forwarded
+
+    /** Creates a connection and adds its handlers to the pipeline of {@code channel}. */
+    ClientConnection(ClientRequestHandler requestHandler, BodyMemoryBudget memory, Channel channel) {
+        this.requestHandler = requestHandler;
+        this.memory = memory;
         this.channel = channel;
-        this.requests = new RequestReader(this, server.room());
-        channel.pipeline().addLast(new Mark(), decoder, new HttpResponseEncoder(), requests, this);
+        this.reader = new RequestReader(this, memory);
+        this.writer = new ResponseWriter(channel);
+        this.waiting = new PipelinedRequests(memory);
+        channel.pipeline().addLast(new ReadActivityHandler(this), decoder, new HttpResponseEncoder(), reader, this);
     }
 
-    public boolean asked() {
-        return asked;
+    // ---- what the connection is doing
+
+    boolean hasRequested() {
+        return hasRequested;
     }
 
-    /** How long it has been at rest, in ns: nothing is being answered, and nothing has begun to come in. */
-    public long restedFor(long now) {
-        return serving || receiving || ending || !ahead.isEmpty() ? -1 : now - since;
+    boolean isStreaming() {
+        return download != null;
     }
 
-    /** For how long nothing more has come of a request that is not whole, in ns. */
-    public long stuckFor(long now) {
-        return receiving
-                        && !serving
-                        && !ending
-                        && upload == null
-                        && channel.config().isAutoRead()
-                ? now - readAt
-                : 0;
+    boolean isEnding() {
+        return state == ResponseState.ENDING;
     }
 
-    public void close() {
-        channel.close();
+    /** Returns for how long no request has been arriving, waiting or being served; -1 where one is. */
+    long idleNanos(long nowNanos) {
+        return state != ResponseState.IDLE || receiving || !waiting.isEmpty() ? -1 : timeouts.phaseNanos(nowNanos);
+    }
+
+    /** Returns for how long nothing more has arrived of a request that is not whole; 0 where none is arriving. */
+    long stuckNanos(long nowNanos) {
+        boolean arriving = receiving
+                && state == ResponseState.IDLE
+                && upload == null
+                && channel.config().isAutoRead();
+        return arriving ? timeouts.sinceLastReadNanos(nowNanos) : 0;
+    }
+
+    /** Returns whether a response is being waited for here, or has yet to leave. */
+    boolean hasPendingResponse() {
+        ChannelOutboundBuffer outbound = channel.unsafe().outboundBuffer();
+        boolean serving = state == ResponseState.SCHEDULED || state == ResponseState.SERVING;
+        return serving || outbound != null && outbound.totalPendingWriteBytes() > 0;
     }
 
-    /** Whether an answer is being waited for here, or has yet to leave. */
-    public boolean owes() {
-        ChannelOutboundBuffer leaving = channel.unsafe().outboundBuffer();
-        return serving && !ending || leaving != null && leaving.totalPendingWriteBytes() > 0;
+    // ---- ends
+
+    void close() {
+        channel.close();
     }
 
     /** Refuses a request that is not whole: it may become so just as the process ends, and would be lost. */
-    public void giveUpPart() {
-        if (receiving && !serving && upload == null) {
-            bad(HttpResponseStatus.SERVICE_UNAVAILABLE, "stopping: trying again is harmless");
+    void refuseIncomplete() {
+        if (receiving && state == ResponseState.IDLE && upload == null) {
+            onInvalidRequest(HttpResponseStatus.SERVICE_UNAVAILABLE, STOPPING);
         }
     }
 
-    /** Ends what takes too long. Guards against peers that say nothing, or a byte now and then. */
-    public void look(long now) {
-        if (ending) {
-            if (now - since > LINGER) {
+    /** Ends what takes too long. */
+    void checkTimeouts(long nowNanos) {
+        if (state == ResponseState.ENDING) {
+            if (timeouts.isLingerOver(nowNanos)) {
                 close();
             }
-        } else if (upload != null && now - since - upload.pausedFor() > RECEIVE + received * PER_BYTE) {
+        } else if (upload != null && timeouts.isReceiptOverdue(nowNanos, upload.pausedNanos())) {
             if (channel.config().isAutoRead()) {
                 close();
             }
         } else if (upload == null
                 && receiving
                 && channel.config().isAutoRead()
-                && now - since > RECEIVE + received * PER_BYTE) {
-            bad(HttpResponseStatus.REQUEST_TIMEOUT, "too slow");
-        } else if (download != null && download.silentFor(now) > UNREAD) {
+                && timeouts.isReceiptOverdue(nowNanos, 0)) {
+            onInvalidRequest(HttpResponseStatus.REQUEST_TIMEOUT, "too slow");
+        } else if (download != null && timeouts.isStalledTooLong(download.stalledNanos(nowNanos))) {
             close();
-        } else if (restedFor(now) > (asked ? REST : SILENT)) {
+        } else if (timeouts.isIdleTooLong(idleNanos(nowNanos), hasRequested)) {
             close();
         }
-        long unread = channel.bytesBeforeWritable();
-        if (unread == 0 || unread != unreadBytes) {
-            unreadBytes = unread;
-            unreadSince = now; // some has left, if not all
-        } else if (now - unreadSince > UNREAD) {
+        if (timeouts.isWriteStalled(nowNanos, channel.bytesBeforeWritable())) {
             close();
         }
     }
 
-    public void closed() {
-        requests.drop();
-        server.room().give(charged);
-        charged = 0;
-        dropAhead();
-        if (answering != null && !answering.taken()) {
-            answering.discard();
+    /** The channel has closed: releases all that was kept for it. */
+    void onClosed() {
+        reader.close();
+        releaseServedMemory();
+        waiting.clear();
+        if (servedBody != null && !servedBody.isConsumed()) {
+            servedBody.discard();
         }
         if (download != null) {
             download.discard();
             download.source().close();
         }
-        Runnable left = gone;
-        gone = null;
-        if (left != null) {
-            left.run();
+        Runnable listener = departureListener;
+        departureListener = null;
+        if (listener != null) {
+            listener.run();
         }
     }
 
-    // ---------------------------------------------------------------- what comes in
+    @Override
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+        close();
+    }
+
+    // ---- requests
+
+    /** Some bytes have arrived; called before they are decoded. */
+    void onRead(int bytes) {
+        if (!receiving && state != ResponseState.ENDING) {
+            receiving = true;
+            timeouts.startReceipt();
+        }
+        timeouts.onRead(bytes);
+    }
 
     @Override
-    public void begun(HttpRequest head) {
-        if (HttpUtil.is100ContinueExpected(head) && !serving) {
+    public void onHead(HttpRequest head) {
+        if (HttpUtil.is100ContinueExpected(head) && state == ResponseState.IDLE) {
             channel.writeAndFlush(new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
     }
 
     @Override
-    public void flowing(HttpRequest head, BodyStream body) {
-        asked = true;
+    public void onStreamedRequest(HttpRequest head, BodyStream body) {
+        hasRequested = true;
         upload = body;
-        ahead.add(new Taken(head, new byte[0], body, sentAt()));
-        nextIfRoom();
+        waiting.addStreamed(new PipelinedRequests.Entry(head, NO_BODY, body, latestSentAtNanos()));
+        serveNextIfWritable();
     }
 
     @Override
-    public void flown() {
+    public void onStreamedRequestComplete() {
         upload = null;
         receiving = false;
-        since = System.nanoTime();
+        timeouts.startPhase();
     }
 
     @Override
-    public void whole(HttpRequest head, byte[] body) {
+    public void onRequest(HttpRequest head, byte[] body) {
         receiving = false;
-        asked = true;
-        server.room().take(body.length);
-        // Whoever sends that many ahead is refused and still read: with reading turned off nobody would notice that
-        // the client leaves, and what waits here would be sent on for nobody.
-        if (ahead.size() - (called ? 1 : 0) >= AHEAD_MOST) {
-            server.room().give(body.length);
-            bad(HttpResponseStatus.BAD_REQUEST, "too many requests sent ahead");
+        hasRequested = true;
+        // A client that pipelines too much is refused and still read: with reading turned off nobody would notice that
+        // it leaves, and what waits here would be forwarded for nobody.
+        if (waiting.isFull(state == ResponseState.SCHEDULED ? 1 : 0)) {
+            onInvalidRequest(HttpResponseStatus.BAD_REQUEST, "too many requests sent ahead");
         } else {
-            ahead.add(new Taken(head, body, null, sentAt()));
-            nextIfRoom();
+            waiting.add(new PipelinedRequests.Entry(head, body, null, latestSentAtNanos()));
+            serveNextIfWritable();
         }
     }
 
-    private void nextIfRoom() {
-        if (channel.isWritable()) {
-            next();
-        }
+    private long latestSentAtNanos() {
+        return System.nanoTime() - 1000 * requestHandler.unreadMicros();
     }
 
     @Override
-    public void bad(HttpResponseStatus status, String why) {
+    public void onInvalidRequest(HttpResponseStatus status, String reason) {
         receiving = false;
-        if (problem == null) {
-            readNoMore(status, why);
-            if (!serving && ahead.isEmpty()) {
-                plain(status, why, false);
+        if (refusal == null) {
+            refuseFurther(status, reason);
+            if (state == ResponseState.IDLE && waiting.isEmpty()) {
+                writeText(status, reason, false);
             }
         }
     }
 
     /** Refuses the request that is being served, and with it all that its client sent behind it. */
-    public void refuse(HttpResponseStatus status, String why) {
-        dropAhead();
-        if (problem == null) {
-            readNoMore(status, why);
-        }
-        plain(status, why, false);
-    }
-
-    private void dropAhead() {
-        while (!ahead.isEmpty()) {
-            Taken dropped = ahead.poll();
-            server.room().give(dropped.body().length);
-            if (dropped.rest() != null) {
-                dropped.rest().discard();
-            }
+    void refuse(HttpResponseStatus status, String reason) {
+        waiting.clear();
+        if (refusal == null) {
+            refuseFurther(status, reason);
         }
+        writeText(status, reason, false);
     }
 
-    // Guards against hundreds of requests sent at once behind a bad one: they are not even looked at.
-    private void readNoMore(HttpResponseStatus status, String why) {
-        asked = true;
-        requests.drop();
-        problem = new RequestValidator.Problem(status, why);
-        channel.pipeline().replace(decoder, null, new Drain());
+    // What follows is not even decoded: there may be hundreds of requests behind an invalid one.
+    private void refuseFurther(HttpResponseStatus status, String reason) {
+        hasRequested = true;
+        reader.close();
+        refusal = new RequestValidator.Problem(status, reason);
+        channel.pipeline().replace(decoder, null, new DiscardingHandler(this));
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
         if (download != null) {
-            download.roomChanged();
+            download.writabilityChanged();
         }
-        nextIfRoom();
-    }
-
-    @Override
-    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        close();
+        serveNextIfWritable();
     }
 
-    // ---------------------------------------------------------------- what goes out
-
-    private void serve(Taken request) {
-        serving = true;
-        charged = request.body().length;
-        answering = request.rest();
-        long waited = (System.nanoTime() - request.sentAt()) / 1000;
-        server.serve(this, request.head(), request.body(), request.rest(), waited);
-    }
-
-    private long sentAt() {
-        return System.nanoTime() - 1000 * server.unread();
+    private void serveNextIfWritable() {
+        if (channel.isWritable()) {
+            scheduleNext();
+        }
     }
 
-    /** The module owes an answer from here on; {@code left} runs if the client leaves before it. */
-    public void owed(Runnable left) {
-        gone = left;
+    // In a task, and not from within: many requests that get their responses at once would fill the stack, and keep all
+    // others
+    // waiting. Also, by then the end of the connection has been read where it came right behind the request, so that
+    // nothing is forwarded for a client that left while its request waited to be read.
+    private void scheduleNext() {
+        if (state == ResponseState.IDLE && (refusal != null || !waiting.isEmpty())) {
+            state = ResponseState.SCHEDULED;
+            channel.eventLoop().execute(this::serveNext);
+        }
     }
 
-    public void plain(HttpResponseStatus status, String text, boolean keep) {
-        ByteBuf body = Unpooled.copiedBuffer(text + "\n", StandardCharsets.UTF_8);
-        write(status, body, "text/plain", null, null, keep);
-    }
-
-    /** Passes on an answer that has begun, as it comes. */
-    public void stream(ResponseReader.Answer answer, boolean keep, boolean chunks) {
-        settle();
-        BodyStream rest = answer.rest();
-        boolean framed = rest.length() >= 0 || chunks;
-        boolean stay = keep && framed && !server.isStopping();
-        DefaultHttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-        if (answer.type() != null) {
-            response.headers().set(HttpHeaderNames.CONTENT_TYPE, answer.type());
-        }
-        if (rest.length() >= 0) {
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, rest.length());
-        } else if (chunks) {
-            HttpUtil.setTransferEncodingChunked(response, true);
+    private void serveNext() {
+        state = ResponseState.SERVING;
+        PipelinedRequests.Entry next = waiting.poll();
+        if (!channel.isActive()) {
+            return;
         }
-        if (!stay) {
-            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+        if (next != null) {
+            serve(next);
+        } else if (refusal != null) {
+            writeText(refusal.status(), refusal.reason(), false);
         }
-        channel.write(response);
-        download = rest;
-        rest.to(new BodyStream.Sink() {
-            @Override
-            public void more(ByteBuf bytes) {
-                channel.writeAndFlush(new DefaultHttpContent(bytes));
-            }
-
-            @Override
-            public void whole() {
-                download = null;
-                written(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), stay);
-            }
-
-            @Override
-            public void broken() {
-                download = null;
-                // A reset where nothing else tells that it isn't whole.
-                channel.config().setOption(ChannelOption.SO_LINGER, framed ? -1 : 0);
-                channel.flush();
-                close();
-            }
+    }
 
-            @Override
-            public boolean hasRoom() {
-                return channel.isWritable();
-            }
-        });
+    private void serve(PipelinedRequests.Entry request) {
+        reservedBytes = request.body().length;
+        servedBody = request.bodyRemainder();
+        long waitedMicros = (System.nanoTime() - request.sentAtNanos()) / 1000;
+        requestHandler.handle(this, request.head(), request.body(), request.bodyRemainder(), waitedMicros);
     }
 
-    public boolean isStreaming() {
-        return download != null;
+    // ---- responses
+
+    /** A response is owed from here on; {@code listener} runs if the client leaves before it. */
+    void whenDeparted(Runnable listener) {
+        departureListener = listener;
     }
 
-    // The request has its answer: what it held is free, and what still comes of it is not wanted.
-    private void settle() {
-        gone = null;
-        server.room().give(charged);
-        charged = 0;
-        if (answering != null) {
-            answering.discard();
-            answering = null;
+    /** Writes a response of one line of text to the request that is being served. */
+    void writeText(HttpResponseStatus status, String text, boolean keepAlive) {
+        ByteBuf body = Unpooled.copiedBuffer(text + "\n", StandardCharsets.UTF_8);
+        write(status, body, "text/plain", null, null, keepAlive);
+    }
+
+    /**
+     * Writes the response to the request that is being served.
+     *
+     * @param contentType may be null
+     * @param extraName a further header, which is left out where {@code extraValue} is null
+     * @param keepAlive whether the client lets its connection be kept open
+     */
+    void write(
+            HttpResponseStatus status,
+            ByteBuf body,
+            String contentType,
+            String extraName,
+            String extraValue,
+            boolean keepAlive) {
+        releaseRequest();
+        boolean stays = keepAlive && !requestHandler.isStopping();
+        onResponseWritten(writer.write(status, body, contentType, extraName, extraValue, stays), stays);
+    }
+
+    /** Forwards a response that has begun, as it arrives; {@code chunked}: its client understands chunks. */
+    void stream(UpstreamResponse response, boolean keepAlive, boolean chunked) {
+        releaseRequest();
+        BodyStream body = response.bodyRemainder();
+        boolean delimited = body.lengthBytes() >= 0 || chunked;
+        boolean stays = keepAlive && delimited && !requestHandler.isStopping();
+        writer.writeHead(response, chunked, stays);
+        download = body;
+        body.forwardTo(new ResponseBodyWriter(this, channel, delimited, stays));
+    }
+
+    void onStreamEnded() {
+        download = null;
+    }
+
+    // The request has its response: its memory is free, and what still arrives of it is not wanted.
+    private void releaseRequest() {
+        departureListener = null;
+        releaseServedMemory();
+        if (servedBody != null) {
+            servedBody.discard();
+            servedBody = null;
         }
     }
 
-    /** Writes the answer to the request that is being served; one that can't be kept open ends it. */
-    public void write(HttpResponseStatus status, ByteBuf body, String type, String header, String value, boolean keep) {
-        settle();
-        boolean stay = keep && !server.isStopping();
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
-        if (type != null) {
-            response.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
-        }
-        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
-        if (value != null) {
-            response.headers().set(header, value);
-        }
-        if (!stay) {
-            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-        }
-        written(channel.writeAndFlush(response), stay);
+    private void releaseServedMemory() {
+        memory.release(reservedBytes);
+        reservedBytes = 0;
     }
 
-    private void written(ChannelFuture written, boolean stay) {
+    /** The last byte of a response has been given to the channel. */
+    void onResponseWritten(ChannelFuture written, boolean stays) {
         if (upload == null) {
-            since = System.nanoTime();
+            timeouts.startPhase();
         }
-        if (stay) {
-            serving = false;
-            next();
-        } else if (problem == null && upload == null) {
-            ending = true;
+        if (stays) {
+            state = ResponseState.IDLE;
+            scheduleNext();
+        } else if (refusal == null && upload == null) {
+            state = ResponseState.ENDING;
             written.addListener(ChannelFutureListener.CLOSE);
         } else {
-            // Closed at once, with bytes unread, the connection would be reset before the answer is read.
-            ending = true;
+            // Closed at once, with bytes unread, the connection would be reset before the response is read.
+            state = ResponseState.ENDING;
             written.addListener(done -> ((DuplexChannel) channel).shutdownOutput());
         }
     }
-
-    // Later, and not from within: a long line of requests that are answered at once would fill the stack, and
-    // keep all others waiting. Also, by then the end of the connection has been read where it came right behind the
-    // request, so that nothing is sent on for a client that left while its request waited to be read.
-    private void next() {
-        if (!serving && !ending && (problem != null || !ahead.isEmpty())) {
-            serving = true;
-            called = true;
-            channel.eventLoop().execute(() -> {
-                called = false;
-                Taken next = ahead.poll();
-                if (!channel.isActive()) {
-                    return;
-                }
-                if (next != null) {
-                    serve(next);
-                } else if (problem != null) {
-                    plain(problem.status(), problem.text(), false);
-                }
-            });
-        }
-    }
-
-    /** Notes that a request has begun to come in: its connection is not at rest, and its time runs. */
-    private final class Mark extends ChannelInboundHandlerAdapter {
-        @Override
-        public void channelRead(ChannelHandlerContext context, Object part) {
-            if (!receiving && !ending) {
-                receiving = true;
-                received = 0;
-                since = System.nanoTime();
-            }
-            readAt = System.nanoTime();
-            received += part instanceof ByteBuf some ? some.readableBytes() : 0;
-            context.fireChannelRead(part);
-        }
-    }
-
-    /** Takes what a refused client still sends, for a while, and keeps none of it. */
-    private final class Drain extends ChannelInboundHandlerAdapter {
-        private long bytes;
-
-        @Override
-        public void channelRead(ChannelHandlerContext context, Object part) {
-            bytes += part instanceof ByteBuf some ? some.readableBytes() : 0;
-            ReferenceCountUtil.release(part);
-            if (ending && bytes > LINGER_BYTES) {
-                close();
-            }
-        }
-    }
 }
--- a/balancer/src/main/java/loadbalancer/http/ClientListener.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientListener.java
@@ -1,7 +1,6 @@
 package loadbalancer.http;
 
 import io.netty.bootstrap.ServerBootstrap;
-import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelInitializer;
@@ -9,108 +8,85 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.socket.nio.NioServerDomainSocketChannel;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
-import io.netty.handler.codec.http.HttpMethod;
-import io.netty.handler.codec.http.HttpRequest;
-import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.UnixDomainSocketAddress;
 import java.nio.channels.ServerSocketChannel;
-import java.nio.charset.StandardCharsets;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Locale;
-import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import loadbalancer.dispatch.InboundRequest;
-import loadbalancer.dispatch.RequestDispatcher;
 import loadbalancer.dispatch.RequestHandler;
-import loadbalancer.process.DescriptorBudget;
-import loadbalancer.process.WarmUp;
 import loadbalancer.settings.SettingsReader;
-import loadbalancer.upstream.ResponseReader;
+import loadbalancer.transport.BodyMemoryBudget;
+import loadbalancer.transport.ChannelBufferSettings;
 
-/** The side to the clients: takes connections, hands requests over, and words each one's final answer. */
+/**
+ * Listens for clients and accepts their connections while there is capacity, from its start to its orderly stop. All
+ * methods are for the event loop's thread, but for {@link #listen} and {@link #listenForWarmUp}.
+ */
 public final class ClientListener {
+    /** The memory that the bodies of all clients' requests may take together. */
+    public static final long MAX_BODY_MEMORY_BYTES = 6 << 20;
+
     private static final int BACKLOG = 1024;
-    private static final long LOOK_MS = 200; // between looks at what takes too long
-    // After a stop: what comes later might still be unanswered when the process is killed.
-    private static final long LATE = TimeUnit.MILLISECONDS.toNanos(650);
-    private static final long FRESH = TimeUnit.MILLISECONDS.toNanos(100);
-    private static final long STUCK = TimeUnit.MILLISECONDS.toNanos(700);
-    private static final long LONG_REST = TimeUnit.SECONDS.toNanos(1);
-    public static final long ROOM = 6 << 20; // bytes of bodies of clients held together
+    private static final long TIMEOUT_CHECK_MILLIS = 200;
 
     private final EventLoop loop;
-    private SettingsReader.Boot boot;
-    private RequestHandler desk;
-    private final DescriptorBudget descriptors;
-    private final BooleanSupplier shedIdleUpstream;
-    private final LongSupplier unread;
-    private final BodyMemoryBudget room = new BodyMemoryBudget(ROOM);
-    private final Set<ClientConnection> clients = new LinkedHashSet<>(); // the oldest first
+    private final ServingState servingState = new ServingState();
+    private final ClientRequestHandler requestHandler;
+    private final ClientConnections connections;
     private Channel listener;
-    private boolean shared; // the listener is the platform's: never closed here
+    private boolean inherited; // the platform holds the listener: it is never closed here
     private boolean accepting;
-    private boolean ready;
-    private Supplier<String> note = () -> null;
-    private long stoppedAt;
-    private boolean stopping;
-    private boolean makingRoom;
-    private WarmUp rehearsal; // while it is on
 
+    /**
+     * Creates a listener that does not listen yet.
+     *
+     * @param requestHandler gets the clients' requests
+     * @param closeIdleUpstream closes an idle connection to an upstream; false where there is none
+     * @param unreadMicros for how long what is being read now may have lain unread
+     */
     public ClientListener(
             EventLoop loop,
-            SettingsReader.Boot boot,
-            RequestHandler desk,
-            DescriptorBudget descriptors,
-            BooleanSupplier shedIdleUpstream,
-            LongSupplier unread) {
-        this.unread = unread;
+            SettingsReader.Boot siteSettings,
+            RequestHandler requestHandler,
+            ClientConnectionBudget budget,
+            BooleanSupplier closeIdleUpstream,
+            LongSupplier unreadMicros) {
         this.loop = loop;
-        this.boot = boot;
-        this.desk = desk;
-        this.descriptors = descriptors;
-        this.shedIdleUpstream = shedIdleUpstream;
+        this.requestHandler = new ClientRequestHandler(servingState, siteSettings, requestHandler, unreadMicros);
+        this.connections = new ClientConnections(
+                this.requestHandler,
+                new BodyMemoryBudget(MAX_BODY_MEMORY_BYTES),
+                budget,
+                closeIdleUpstream,
+                this::updateAutoRead);
     }
 
+    // ---- start
+
     /**
-     * Listens; called from another thread than the loop's, and returns the address in use.
+     * Listens, and returns the address in use. Not for the event loop's thread.
      *
-     * @param inherited the socket to take connections from, or null to bind one
-     * @param accept whether to take connections at once, not only from {@link #accept} on
+     * @param inheritedListener the socket to accept connections from, or null to bind one
+     * @param accept whether to accept connections at once, not only from {@link #startAccepting} on
+     * @throws IOException if interrupted; what binding fails with is thrown as it is
      */
-    public InetSocketAddress listen(InetSocketAddress at, ServerSocketChannel inherited, boolean accept)
+    public InetSocketAddress listen(InetSocketAddress address, ServerSocketChannel inheritedListener, boolean accept)
             throws IOException {
-        shared = inherited != null;
+        inherited = inheritedListener != null;
         accepting = accept;
         try {
-            ServerBootstrap server = server().channelFactory(() ->
-                            inherited == null ? new NioServerSocketChannel() : new NioServerSocketChannel(inherited))
-                    .childOption(ChannelOption.TCP_NODELAY, true)
-                    // Known before it listens: on a slow machine a connection came in before bind had returned
-                    // to the starting thread, found no listener, and was dropped unanswered.
-                    .handler(new ChannelInitializer<Channel>() {
-                        @Override
-                        protected void initChannel(Channel channel) {
-                            listener = channel;
-                        }
-                    })
-                    .childOption(ChannelOption.RCVBUF_ALLOCATOR, ReadBufferSettings.allocator())
-                    .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, ReadBufferSettings.WAITING)
-                    .option(ChannelOption.AUTO_READ, accept);
-            ChannelFuture listening = inherited != null
+            ServerBootstrap server = clientBootstrap(inheritedListener, accept);
+            ChannelFuture listening = inherited
                     ? server.register()
                     : server.option(ChannelOption.SO_BACKLOG, BACKLOG)
                             .option(ChannelOption.SO_REUSEADDR, true)
-                            .bind(at);
+                            .bind(address);
             Channel bound = listening.sync().channel();
-            loop.scheduleWithFixedDelay(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+            loop.scheduleWithFixedDelay(
+                    connections::checkTimeouts, TIMEOUT_CHECK_MILLIS, TIMEOUT_CHECK_MILLIS, TimeUnit.MILLISECONDS);
             return (InetSocketAddress) bound.localAddress();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -118,11 +94,34 @@
         }
     }
 
-    /** Listens for a rehearsal's own connections; what it returns is closed when that is over. */
-    public Channel listenAside(UnixDomainSocketAddress at) throws IOException {
+    private ServerBootstrap clientBootstrap(ServerSocketChannel inheritedListener, boolean accept) {
+        return bootstrap()
+                .channelFactory(() -> inheritedListener == null
+                        ? new NioServerSocketChannel()
+                        : new NioServerSocketChannel(inheritedListener))
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                // Set before it listens: a connection may be accepted before bind has returned to the starting thread.
+                .handler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        listener = channel;
+                    }
+                })
+                .childOption(ChannelOption.RCVBUF_ALLOCATOR, ChannelBufferSettings.receiveBufferAllocator())
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, ChannelBufferSettings.WRITE_WATER_MARK)
+                .option(ChannelOption.AUTO_READ, accept);
+    }
+
+    /**
+     * Listens for the connections of the warm-up; the caller closes the channel. Not for the event loop's thread.
+     *
+     * @throws IOException if interrupted
+     */
+    public Channel listenForWarmUp(UnixDomainSocketAddress address) throws IOException {
         try {
-            return server().channel(NioServerDomainSocketChannel.class)
-                    .bind(at)
+            return bootstrap()
+                    .channel(NioServerDomainSocketChannel.class)
+                    .bind(address)
                     .sync()
                     .channel();
         } catch (InterruptedException e) {
@@ -131,274 +130,102 @@
         }
     }
 
-    private ServerBootstrap server() {
+    private ServerBootstrap bootstrap() {
         return new ServerBootstrap().group(loop, loop).childHandler(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
-                opened(channel);
+                connections.add(channel);
             }
         });
     }
 
-    /** Reads requests by new settings from here on. */
-    public void reconfigure(SettingsReader.Boot next) {
-        boot = next;
+    /** Accepts connections from here on. */
+    public void startAccepting() {
+        accepting = !servingState.isStopping() || !inherited;
+        connections.ensureCapacity();
     }
 
-    /** Hands requests over there from here on. */
-    public void to(RequestHandler other) {
-        desk = other;
+    private void updateAutoRead() {
+        if (listener != null && listener.isOpen()) {
+            listener.config().setAutoRead(accepting && connections.hasCapacity());
+        }
     }
 
-    /** For how long what is read now may have lain unread, in µs. */
-    public long unread() {
-        return unread.getAsLong();
-    }
+    // ---- requests
 
-    /** Takes connections from here on. */
-    public void accept() {
-        accepting = !stopping || !shared;
-        makeRoom();
+    /** Reads requests by new settings from here on. */
+    public void reconfigure(SettingsReader.Boot next) {
+        requestHandler.reconfigure(next);
     }
 
-    /** What {@code /-/ready} says beside that it is. */
-    public void note(Supplier<String> of) {
-        note = of;
+    /** Hands requests over to {@code next} from here on. */
+    public void setRequestHandler(RequestHandler next) {
+        requestHandler.setRequestHandler(next);
     }
 
-    public void ready() {
-        ready = !stopping;
+    /** Serves the requests of a warm-up as well, or of none where {@code traffic} is null. */
+    public void setWarmUp(WarmUpTraffic traffic) {
+        requestHandler.setWarmUp(traffic);
     }
 
-    /** Serves a rehearsal's requests as well; null when it is over. */
-    public void rehearse(WarmUp with) {
-        rehearsal = with;
+    /** Says from here on that the process is ready, unless it is stopping. */
+    public void markReady() {
+        servingState.markReady();
     }
 
-    /** From here on answers end their connections; new ones are still taken. */
-    public void stopping() {
-        ready = false;
-        stopping = true;
-        stoppedAt = System.nanoTime();
-        if (shared) {
-            accepting = false; // whoever comes now is the other process's
-            listener.config().setAutoRead(false);
-        }
+    /** Says what {@code note} returns, where that is not null, beside that the process is ready. */
+    public void setReadinessNote(Supplier<String> note) {
+        servingState.setReadinessNote(note);
     }
 
-    /** Whether an answer is being passed on. */
-    public boolean isStreaming() {
-        return clients.stream().anyMatch(ClientConnection::isStreaming);
+    /**
+     * Closes the connection that is needed least, to an upstream or of a client; returns false where all are in use.
+     */
+    public boolean closeLeastNeeded() {
+        return connections.closeLeastNeeded(true);
     }
 
-    /** Whether all connections have ended. */
-    public boolean isEmpty() {
-        return clients.isEmpty();
-    }
+    // ---- stop
 
-    /** Whether a client has yet to get an answer, or all of one. */
-    public boolean owe() {
-        return clients.stream().anyMatch(ClientConnection::owes);
+    /**
+     * Ends each connection with its next response from here on; new connections are accepted where nobody else does.
+     */
+    public void startStopping() {
+        servingState.startStopping();
+        if (inherited) {
+            accepting = false; // new connections are those of the process that listens on the same socket
+            listener.config().setAutoRead(false);
+        }
     }
 
+    /** Returns whether {@link #startStopping} has been called. */
     public boolean isStopping() {
-        return stopping;
-    }
-
-    public BodyMemoryBudget room() {
-        return room;
+        return servingState.isStopping();
     }
 
-    /** Takes no more connections, drops those that hold no request, and refuses what is not whole. */
+    /** Accepts no more connections, closes the idle ones, and refuses requests that are not whole. */
     public void close() {
-        if (listener != null && !shared) {
+        if (listener != null && !inherited) {
             listener.close();
         }
-        long now = System.nanoTime();
-        List.copyOf(clients).stream().filter(c -> c.restedFor(now) >= 0).forEach(ClientConnection::close);
-        if (!shared) {
-            List.copyOf(clients).forEach(ClientConnection::giveUpPart);
+        connections.closeIdle();
+        if (!inherited) {
+            connections.refuseIncomplete();
         }
     }
 
-    // ---------------------------------------------------------------- connections
-
-    private void opened(Channel channel) {
-        ClientConnection client = new ClientConnection(this, channel);
-        descriptors.clientOpened();
-        makeRoom();
-        clients.add(client);
-        channel.closeFuture().addListener(closed -> {
-            descriptors.clientClosed();
-            clients.remove(client);
-            client.closed();
-            makeRoom();
-        });
-    }
-
-    private void look() {
-        long now = System.nanoTime();
-        List.copyOf(clients).forEach(c -> c.look(now));
-        makeRoom();
-    }
-
-    // Makes room before an accept can fail. Guards against the end of the descriptors, and against clients
-    // that take them all and leave none for the upstreams: at last new connections wait in the backlog.
-    private void makeRoom() {
-        if (makingRoom) {
-            return; // what it closes tells of its end here
-        }
-        makingRoom = true;
-        boolean room = true;
-        while (descriptors.crowded() && room) {
-            room = shed(descriptors.full());
-        }
-        makingRoom = false;
-        if (listener != null && listener.isOpen()) {
-            listener.config().setAutoRead(accepting && !descriptors.crowded());
-        }
-    }
-
-    /** Closes what is needed least, to an upstream or of a client; false where all are in use. */
-    public boolean shed() {
-        return shed(true);
-    }
-
-    // Clients that have never asked go first: a few hundred of them, opened at once, shut everybody else out,
-    // and had the connections to the upstreams closed one by one. Then go clients that have long been at
-    // rest, and at last those that have stopped in the middle of a request. One that has only just come is
-    // left alone: its request is on the way, as a rule. Where clients alone are too many, a connection to an
-    // upstream is no help: all of them were closed in vain, and each request paid for a new one.
-    private boolean shed(boolean upstreamsToo) {
-        long now = System.nanoTime();
-        ClientConnection longest = null;
-        ClientConnection stuck = null;
-        long most = FRESH;
-        long silent = STUCK;
-        for (ClientConnection client : clients) {
-            long rest = client.restedFor(now);
-            if (rest > FRESH && !client.asked()) {
-                client.close();
-                return true;
-            }
-            if (rest > most) {
-                most = rest;
-                longest = client;
-            }
-            if (client.stuckFor(now) > silent) {
-                silent = client.stuckFor(now);
-                stuck = client;
-            }
-        }
-        if (upstreamsToo && most < LONG_REST && shedIdleUpstream.getAsBoolean()) {
-            return true;
-        }
-        ClientConnection least = longest != null ? longest : stuck;
-        if (least != null) {
-            least.close();
-        }
-        return least != null;
+    /** Returns whether a response is being streamed to a client. */
+    public boolean isStreaming() {
+        return connections.hasStreaming();
     }
 
-    // ---------------------------------------------------------------- requests
-
-    public void serve(ClientConnection client, HttpRequest request, byte[] body, BodyStream rest, long waited) {
-        boolean keep = HttpUtil.isKeepAlive(request);
-        String path = request.uri();
-        boolean rehearsing = rehearsal != null && rehearsal.knows(request.headers());
-        if (rehearsing && path.equals(WarmUp.HOP)) {
-            boolean declined = rehearsal.declines();
-            client.write(
-                    declined ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK,
-                    Unpooled.wrappedBuffer(new byte[256]),
-                    null,
-                    declined ? "Srv-Declined" : "Srv-Load",
-                    declined ? "1" : "TEXT eps=0.1, latency_ms=14.5, inflight=2",
-                    keep);
-        } else if (path.startsWith("/-/") && !(rehearsing && path.equals(WarmUp.PATH))) {
-            boolean asked = path.equals("/-/ready") && request.method().equals(HttpMethod.GET);
-            HttpResponseStatus status = !asked
-                    ? HttpResponseStatus.NOT_FOUND
-                    : ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
-            String more = note.get();
-            client.plain(
-                    status,
-                    !asked ? "not found" : !ready ? "not ready" : more == null ? "ready" : "ready; " + more,
-                    keep);
-        } else {
-            if (stopping && System.nanoTime() - stoppedAt > LATE) {
-                client.refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "stopping: trying again is harmless");
-                return;
-            }
-            InboundRequest order;
-            try {
-                order = RequestValidator.order(request, body, rest, boot);
-                // The client's time runs from its last byte on, not from when somebody here had time to look at it.
-                order = rest == null ? order.within(Math.max(0, order.timeLeft() - waited)) : order;
-            } catch (IllegalArgumentException e) {
-                client.refuse(HttpResponseStatus.BAD_REQUEST, e.getMessage());
-                return;
-            }
-            RequestHandler to = path.equals(WarmUp.PATH) ? rehearsal.dispatcher() : desk;
-            if (to.holds(order.id())) {
-                // An upstream could not tell the two apart, and might answer one with the other's.
-                client.refuse(HttpResponseStatus.CONFLICT, "a request with this Req-Id is open");
-                return;
-            }
-            Answer answer = new Answer(client, keep, request.protocolVersion().equals(HttpVersion.HTTP_1_1));
-            Runnable leave = to.take(path.equals(WarmUp.PATH) ? order.to(WarmUp.HOP) : order, answer);
-            if (!answer.given) {
-                client.owed(leave);
-            }
-        }
+    /** Returns whether all connections have ended. */
+    public boolean isEmpty() {
+        return connections.isEmpty();
     }
 
-    /** The final answer to one request; the dispatcher gives it once. */
-    private static final class Answer implements RequestDispatcher.Reply {
-        private final ClientConnection client;
-        private final boolean keep;
-        private final boolean chunks; // its client understands them
-        private boolean given;
-
-        public Answer(ClientConnection client, boolean keep, boolean chunks) {
-            this.chunks = chunks;
-            this.client = client;
-            this.keep = keep;
-        }
-
-        @Override
-        public void serve(ResponseReader.Answer answer) {
-            given = true;
-            if (answer.rest() != null) {
-                client.stream(answer, keep, chunks);
-                return;
-            }
-            client.write(HttpResponseStatus.OK, Unpooled.wrappedBuffer(answer.body()), answer.type(), null, null, keep);
-        }
-
-        @Override
-        public void refuse(long retryAfter) {
-            given = true;
-            String seconds = retryAfter <= 0 ? null : String.format(Locale.ROOT, "%.3f", retryAfter / 1e6);
-            client.write(
-                    HttpResponseStatus.SERVICE_UNAVAILABLE,
-                    Unpooled.copiedBuffer("refused: trying again is harmless\n", StandardCharsets.UTF_8),
-                    "text/plain",
-                    "Retry-After",
-                    seconds,
-                    keep);
-        }
-
-        @Override
-        public void reject(HttpResponseStatus status, String why) {
-            given = true;
-            client.plain(status, why, keep);
-        }
-
-        @Override
-        public void fail() {
-            given = true;
-            client.plain(HttpResponseStatus.BAD_GATEWAY, "failed", keep);
-        }
+    /** Returns whether a client has yet to get a response, or all of one. */
+    public boolean hasPendingResponses() {
+        return connections.hasPendingResponses();
     }
 }
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/http/ClientRequestHandler.java
@@ -0,0 +1,150 @@
+package loadbalancer.http;
+
+import io.netty.buffer.Unpooled;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.HttpVersion;
+import java.util.concurrent.TimeUnit;
+import java.util.function.LongSupplier;
+import loadbalancer.dispatch.RequestHandler;
+import loadbalancer.settings.SettingsReader;
+import loadbalancer.transport.BodyStream;
+import loadbalancer.transport.HeaderNames;
+import loadbalancer.transport.InboundRequest;
+
+/**
+ * Serves the requests of all client connections: readiness checks and warm-up requests itself, all others through a
+ * {@link RequestHandler}. Belongs to the event loop's thread.
+ */
+final class ClientRequestHandler {
+    private static final String OWN_PATHS = "/-/";
+    private static final String READINESS_PATH = "/-/ready";
+    private static final int WARM_UP_BODY_BYTES = 256;
+    private static final String WARM_UP_LOAD_REPORT = "TEXT eps=0.1, latency_ms=14.5, inflight=2";
+    /** What arrives later after the stop might still be unanswered when the process is killed. */
+    private static final long MAX_STOPPING_NANOS = TimeUnit.MILLISECONDS.toNanos(650);
+
+    private final ServingState servingState;
+    private final LongSupplier unreadMicros;
+    private SettingsReader.Boot siteSettings;
+    private RequestHandler requestHandler;
+    private WarmUpTraffic warmUp; // null where none is running
+
+    ClientRequestHandler(
+            ServingState servingState,
+            SettingsReader.Boot siteSettings,
+            RequestHandler requestHandler,
+            LongSupplier unreadMicros) {
+        this.servingState = servingState;
+        this.siteSettings = siteSettings;
+        this.requestHandler = requestHandler;
+        this.unreadMicros = unreadMicros;
+    }
+
+    void reconfigure(SettingsReader.Boot next) {
+        siteSettings = next;
+    }
+
+    void setRequestHandler(RequestHandler next) {
+        requestHandler = next;
+    }
+
+    void setWarmUp(WarmUpTraffic traffic) {
+        warmUp = traffic;
+    }
+
+    boolean isStopping() {
+        return servingState.isStopping();
+    }
+
+    /** Returns for how long what is being read now may have lain unread. */
+    long unreadMicros() {
+        return unreadMicros.getAsLong();
+    }
+
+    /**
+     * Serves a request; its response is written to {@code client} now or later.
+     *
+     * @param body the whole body, or none of it where {@code bodyRemainder} is not null
+     * @param waitedMicros for how long the request may have waited since its client sent its last byte
+     */
+    void handle(ClientConnection client, HttpRequest head, byte[] body, BodyStream bodyRemainder, long waitedMicros) {
+        String path = head.uri();
+        boolean warmUpRequest = warmUp != null && warmUp.matches(head.headers());
+        if (warmUpRequest && path.equals(WarmUpTraffic.UPSTREAM_PATH)) {
+            respondAsUpstream(client, head);
+        } else if (warmUpRequest && path.equals(WarmUpTraffic.CLIENT_PATH)) {
+            dispatch(client, head, body, bodyRemainder, waitedMicros, true);
+        } else if (path.startsWith(OWN_PATHS)) {
+            respondToCheck(client, head);
+        } else {
+            dispatch(client, head, body, bodyRemainder, waitedMicros, false);
+        }
+    }
+
+    private void respondAsUpstream(ClientConnection client, HttpRequest head) {
+        boolean declined = warmUp.declines();
+        client.write(
+                declined ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK,
+                Unpooled.wrappedBuffer(new byte[WARM_UP_BODY_BYTES]),
+                null,
+                declined ? HeaderNames.DECLINED : HeaderNames.LOAD_REPORT,
+                declined ? "1" : WARM_UP_LOAD_REPORT,
+                HttpUtil.isKeepAlive(head));
+    }
+
+    private void respondToCheck(ClientConnection client, HttpRequest head) {
+        boolean keepAlive = HttpUtil.isKeepAlive(head);
+        if (!head.uri().equals(READINESS_PATH) || !head.method().equals(HttpMethod.GET)) {
+            client.writeText(HttpResponseStatus.NOT_FOUND, "not found", keepAlive);
+        } else if (!servingState.isReady()) {
+            client.writeText(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready", keepAlive);
+        } else {
+            String note = servingState.readinessNote();
+            client.writeText(HttpResponseStatus.OK, note == null ? "ready" : "ready; " + note, keepAlive);
+        }
+    }
+
+    private void dispatch(
+            ClientConnection client,
+            HttpRequest head,
+            byte[] body,
+            BodyStream bodyRemainder,
+            long waitedMicros,
+            boolean warmUpRequest) {
+        if (servingState.isStopping() && servingState.stoppingNanos() > MAX_STOPPING_NANOS) {
+            client.refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, ClientConnection.STOPPING);
+            return;
+        }
+        InboundRequest request;
+        try {
+            request = parse(head, body, bodyRemainder, waitedMicros);
+        } catch (IllegalArgumentException e) {
+            client.refuse(HttpResponseStatus.BAD_REQUEST, e.getMessage());
+            return;
+        }
+        RequestHandler handler = warmUpRequest ? warmUp.requestHandler() : requestHandler;
+        if (handler.isOpen(request.id())) {
+            // An upstream could not distinguish the two, and might send the response to one for the other.
+            client.refuse(HttpResponseStatus.CONFLICT, "a request with this Req-Id is open");
+            return;
+        }
+        HttpClientResponder responder = new HttpClientResponder(
+                client, HttpUtil.isKeepAlive(head), head.protocolVersion().equals(HttpVersion.HTTP_1_1));
+        Runnable departureListener =
+                handler.handle(warmUpRequest ? request.withUri(WarmUpTraffic.UPSTREAM_PATH) : request, responder);
+        if (!responder.hasResponded()) {
+            client.whenDeparted(departureListener);
+        }
+    }
+
+    // A client's time runs from its last byte, not from when this process came to read it.
+    private InboundRequest parse(HttpRequest head, byte[] body, BodyStream bodyRemainder, long waitedMicros) {
+        InboundRequest request = InboundRequestParser.parse(head, body, bodyRemainder, siteSettings);
+        return bodyRemainder == null
+                ? request.withTimeLeft(Math.max(0, request.timeLeftMicros() - waitedMicros))
+                : request;
+    }
+}
--- a/balancer/src/main/java/loadbalancer/http/RequestReader.java
+++ b/balancer/src/main/java/loadbalancer/http/RequestReader.java
@@ -1,8 +1,6 @@
 package loadbalancer.http;
 
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.ByteBufUtil;
-import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.codec.http.HttpContent;
@@ -11,145 +9,152 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
-import java.util.Arrays;
+import loadbalancer.transport.BodyBuffer;
+import loadbalancer.transport.BodyLimits;
+import loadbalancer.transport.BodyMemoryBudget;
+import loadbalancer.transport.BodyStream;
 
 /**
- * Puts a client's requests together, each whole and copied off the socket's buffers. What is too long, or
- * framed in a way that others may read otherwise, is refused as soon as that shows, and none of it is kept.
+ * Puts a client's requests together, each whole and copied off the socket's buffers; a body that is too large for that
+ * is streamed. What is too long, or framed in a way that others may read differently, is refused as soon as that shows,
+ * and none of it is kept. Stands behind {@link ClientRequestDecoder} in a client's pipeline; one object for each
+ * connection, not sharable.
  */
-public final class RequestReader extends SimpleChannelInboundHandler<HttpObject> {
-    /** Whom it tells. After {@link #bad} nothing more comes. */
-    public interface Taker {
-        /** A head has come that can be read; its body is to follow. */
-        void begun(HttpRequest head);
+final class RequestReader extends SimpleChannelInboundHandler<HttpObject> {
+    /** Gets what is read, on the event loop's thread. Nothing follows {@link #onInvalidRequest}. */
+    interface Listener {
+        /** A valid head has arrived; its body is to follow. */
+        void onHead(HttpRequest head);
 
-        void whole(HttpRequest head, byte[] body);
+        /** A request has arrived whole. */
+        void onRequest(HttpRequest head, byte[] body);
 
-        /** A request whose body is too large to be held; the rest of it flows. */
-        void flowing(HttpRequest head, BodyStream body);
+        /** A request has begun whose body is too large to be buffered; the rest of it is streamed. */
+        void onStreamedRequest(HttpRequest head, BodyStream body);
 
-        /** The last byte of what flows has come. */
-        void flown();
+        /** The last byte of a streamed request has arrived. */
+        void onStreamedRequestComplete();
 
-        void bad(HttpResponseStatus status, String why);
+        /** A request can't be taken, for that reason. */
+        void onInvalidRequest(HttpResponseStatus status, String reason);
     }
 
-    private final Taker taker;
-    private final BodyMemoryBudget room;
-    private HttpRequest head;
-    private byte[] body;
-    private int length;
-    private BodyStream flow; // of a body that is being passed on
-    private long flowed;
-    private boolean over;
-
-    public RequestReader(Taker taker, BodyMemoryBudget room) {
-        this.taker = taker;
-        this.room = room;
+    private final Listener listener;
+    private final BodyMemoryBudget memory;
+    private final BodyBuffer body = new BodyBuffer();
+    private HttpRequest head; // of a request whose body is being buffered
+    private BodyStream stream; // of a request whose body is being streamed
+    private long streamedBytes;
+    private boolean closed;
+
+    RequestReader(Listener listener, BodyMemoryBudget memory) {
+        this.listener = listener;
+        this.memory = memory;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-        if (over) {
+        if (closed) {
             return;
         }
         if (!part.decoderResult().isSuccess()) {
             refuse(HttpResponseStatus.BAD_REQUEST, "malformed request");
         } else if (part instanceof HttpRequest request) {
-            RequestValidator.Problem problem = RequestValidator.framing(request);
-            if (problem != null) {
-                refuse(problem.status(), problem.text());
-                return;
-            }
-            head = request;
-            body = new byte[0];
-            length = 0;
-            taker.begun(request);
+            readHead(request);
         }
-        if (!over && part instanceof HttpContent content) {
-            if (flow == null && head != null) {
-                add(context, content.content());
-            } else if (flow != null) {
-                flow(content.content());
-                if (!over && part instanceof LastHttpContent) {
-                    BodyStream all = flow;
-                    flow = null;
-                    all.end();
-                    taker.flown();
-                }
-                return;
-            }
-            if (!over && head != null && part instanceof LastHttpContent) {
-                HttpRequest request = head;
-                head = null;
-                byte[] all = body.length == length ? body : Arrays.copyOf(body, length);
-                room.give(length);
-                taker.whole(request, all);
+        if (!closed && part instanceof HttpContent content) {
+            boolean last = part instanceof LastHttpContent;
+            if (stream != null) {
+                readStreamed(content.content(), last);
+            } else if (head != null) {
+                readBuffered(context, content.content(), last);
             }
         }
     }
 
-    private void flow(ByteBuf more) {
-        flowed += more.readableBytes();
-        if (flowed > RequestValidator.FLOW_MOST) {
-            refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too large");
-        } else if (more.isReadable()) {
-            flow.add(more.retain());
+    private void readHead(HttpRequest request) {
+        RequestValidator.Problem problem = RequestValidator.findFramingProblem(request);
+        if (problem != null) {
+            refuse(problem.status(), problem.reason());
+            return;
         }
+        head = request;
+        body.clear();
+        listener.onHead(request);
     }
 
-    private void begin(ChannelHandlerContext context, ByteBuf more) {
-        HttpRequest request = head;
-        head = null;
-        room.give(length);
-        flow = new BodyStream(context.channel(), HttpUtil.getContentLength(request, -1L), room);
-        flowed = length;
-        flow.add(Unpooled.wrappedBuffer(body, 0, length));
-        flow(more);
-        body = null;
-        taker.flowing(request, flow);
+    private void readBuffered(ChannelHandlerContext context, ByteBuf more, boolean last) {
+        buffer(context, more);
+        if (last && !closed && head != null) {
+            HttpRequest request = head;
+            head = null;
+            memory.release(body.lengthBytes());
+            listener.onRequest(request, body.takeArray());
+        }
     }
 
-    private void add(ChannelHandlerContext context, ByteBuf more) {
-        int bytes = more.readableBytes();
-        if (bytes == 0) {
+    private void buffer(ChannelHandlerContext context, ByteBuf more) {
+        int count = more.readableBytes();
+        if (count == 0) {
             return;
         }
-        if (length + bytes > RequestValidator.BODY_MOST) {
-            begin(context, more);
+        if (!body.fits(count)) {
+            startStreaming(context, more);
             return;
         }
-        if (!room.take(bytes)) {
+        if (!memory.tryReserve(count)) {
             refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for bodies: trying again is harmless");
             return;
         }
-        if (length == 0) {
-            body = ByteBufUtil.getBytes(more);
-        } else {
-            if (length + bytes > body.length) {
-                body = Arrays.copyOf(body, Math.min(RequestValidator.BODY_MOST, 2 * (length + bytes)));
-            }
-            more.readBytes(body, length, bytes);
+        body.append(more);
+    }
+
+    private void startStreaming(ChannelHandlerContext context, ByteBuf more) {
+        HttpRequest request = head;
+        head = null;
+        memory.release(body.lengthBytes());
+        stream = new BodyStream(context.channel(), HttpUtil.getContentLength(request, -1L), memory);
+        streamedBytes = body.lengthBytes();
+        stream.write(body.takeByteBuf());
+        writeToStream(more);
+        listener.onStreamedRequest(request, stream);
+    }
+
+    private void readStreamed(ByteBuf more, boolean last) {
+        writeToStream(more);
+        if (!closed && last) {
+            BodyStream ending = stream;
+            stream = null;
+            ending.complete();
+            listener.onStreamedRequestComplete();
+        }
+    }
+
+    private void writeToStream(ByteBuf more) {
+        streamedBytes += more.readableBytes();
+        if (streamedBytes > BodyLimits.MAX_STREAMED_BYTES) {
+            refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too large");
+        } else if (more.isReadable()) {
+            stream.write(more.retain());
         }
-        length += bytes;
     }
 
-    private void refuse(HttpResponseStatus status, String why) {
-        drop();
-        taker.bad(status, why);
+    private void refuse(HttpResponseStatus status, String reason) {
+        close();
+        listener.onInvalidRequest(status, reason);
     }
 
     /** Keeps nothing, now and from here on. */
-    public void drop() {
-        over = true;
-        if (flow != null) {
-            flow.breakOff();
-            flow = null;
+    void close() {
+        closed = true;
+        if (stream != null) {
+            stream.abort();
+            stream = null;
         }
         if (head != null) {
-            room.give(length);
+            memory.release(body.lengthBytes());
         }
         head = null;
-        body = null;
+        body.clear();
     }
 }
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/http/ResponseWriter.java
@@ -0,0 +1,73 @@
+package loadbalancer.http;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.handler.codec.http.DefaultFullHttpResponse;
+import io.netty.handler.codec.http.DefaultHttpResponse;
+import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpHeaderValues;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.HttpVersion;
+import loadbalancer.transport.UpstreamResponse;
+
+/** Words responses as HTTP messages and writes them to one client. Belongs to the event loop's thread. */
+final class ResponseWriter {
+    private final Channel channel;
+
+    ResponseWriter(Channel channel) {
+        this.channel = channel;
+    }
+
+    /**
+     * Writes and flushes a response.
+     *
+     * @param contentType may be null
+     * @param extraName a further header, which is left out where {@code extraValue} is null
+     */
+    ChannelFuture write(
+            HttpResponseStatus status,
+            ByteBuf body,
+            String contentType,
+            String extraName,
+            String extraValue,
+            boolean keepAlive) {
+        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
+        setContentType(response, contentType);
+        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
+        if (extraValue != null) {
+            response.headers().set(extraName, extraValue);
+        }
+        setConnection(response, keepAlive);
+        return channel.writeAndFlush(response);
+    }
+
+    /** Writes, and does not flush, the head of a streamed response. */
+    void writeHead(UpstreamResponse upstreamResponse, boolean chunked, boolean keepAlive) {
+        DefaultHttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+        setContentType(response, upstreamResponse.contentType());
+        long lengthBytes = upstreamResponse.bodyRemainder().lengthBytes();
+        if (lengthBytes >= 0) {
+            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, lengthBytes);
+        } else if (chunked) {
+            HttpUtil.setTransferEncodingChunked(response, true);
+        }
+        setConnection(response, keepAlive);
+        channel.write(response);
+    }
+
+    private static void setContentType(HttpResponse response, String contentType) {
+        if (contentType != null) {
+            response.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType);
+        }
+    }
+
+    private static void setConnection(HttpResponse response, boolean keepAlive) {
+        if (!keepAlive) {
+            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+        }
+    }
+}
--- a/balancer/src/main/java/loadbalancer/http/UnreadTimeEstimator.java
+++ b/balancer/src/main/java/loadbalancer/http/UnreadTimeEstimator.java
@@ -6,21 +6,22 @@
 import java.util.function.LongSupplier;
 
 /**
- * How long what is read now may have lain unread: the loop asks the system for what has come once a round, and what it
- * reads in a round had not come by the round before. A client's time runs from when it sent, so where rounds are long,
- * as on a slow core right after a start, that is less than what its request says. One loop's, and on its thread.
+ * Estimates for how long what is read now may have lain unread: the loop asks the system for what has arrived once a
+ * round, and what it reads in a round had not arrived by the round before. A client's time runs from when it sent, so
+ * where rounds are long its deadline is nearer than its request says. Belongs to one event loop and its thread.
  */
 public final class UnreadTimeEstimator implements SelectStrategyFactory, SelectStrategy {
-    private final LongSupplier nanos;
-    private long before; // when it was last known that nothing had come, a round ago
-    private long polled; // the same for this round
-    private boolean waited; // this round began with nothing to read
-    private boolean read; // something has been read in this round
+    private final LongSupplier nanoClock;
+    private long previousPollNanos; // nothing of what this round reads had arrived by then
+    private long pollNanos;
+    private boolean selected; // this round began with nothing to read, and waited
+    private boolean readInRound;
 
-    public UnreadTimeEstimator(LongSupplier nanos) {
-        this.nanos = nanos;
-        before = nanos.getAsLong();
-        polled = before;
+    /** Creates an estimator; {@code nanoClock} gives nanoseconds. */
+    public UnreadTimeEstimator(LongSupplier nanoClock) {
+        this.nanoClock = nanoClock;
+        previousPollNanos = nanoClock.getAsLong();
+        pollNanos = previousPollNanos;
     }
 
     @Override
@@ -29,22 +30,22 @@
     }
 
     @Override
-    public int calculateStrategy(IntSupplier poll, boolean hasTasks) throws Exception {
-        int ready = poll.get();
-        before = polled;
-        polled = nanos.getAsLong();
-        waited = ready == 0;
-        read = false;
+    public int calculateStrategy(IntSupplier selectNow, boolean hasTasks) throws Exception {
+        int ready = selectNow.get();
+        previousPollNanos = pollNanos;
+        pollNanos = nanoClock.getAsLong();
+        selected = ready == 0;
+        readInRound = false;
         return ready > 0 || hasTasks ? ready : SelectStrategy.SELECT;
     }
 
-    /** The longest that what is being read now may have lain unread, in µs. */
-    public long unread() {
-        long now = nanos.getAsLong();
-        if (waited && !read) {
-            read = true; // it has come just now, and has ended the wait
-            polled = now;
+    /** Returns the longest that what is being read now may have lain unread, in microseconds. */
+    public long unreadMicros() {
+        long nowNanos = nanoClock.getAsLong();
+        if (selected && !readInRound) {
+            readInRound = true; // it has arrived just now, and has ended the wait
+            pollNanos = nowNanos;
         }
-        return (now - (waited ? polled : before)) / 1000;
+        return (nowNanos - (selected ? pollNanos : previousPollNanos)) / 1000;
     }
 }
--- a/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
@@ -113,7 +113,7 @@
         descriptors = new DescriptorBudget(config.sockets());
         LoadBalancingPolicy policy = module.apply(config.boot().settings(), config.seed());
         dispatcher = new RequestDispatcher(loop, config.boot(), policy, log);
-        upstreams = new UpstreamConnectionPool(loop, config.boot(), descriptors, dispatcher::now);
+        upstreams = new UpstreamConnectionPool(loop, config.boot(), descriptors, dispatcher::nowMicros);
         EndpointSubset holding =
                 new EndpointSubset(config.upstreams(), config.boot().settings().rank());
         discovery = new DiscoveryClient(
@@ -122,16 +122,17 @@
                 config.boot(),
                 holding,
                 config.known().rev(),
-                dispatcher::now,
+                dispatcher::nowMicros,
                 this::listed,
                 log::accept);
-        clients = new ClientListener(loop, config.boot(), dispatcher, descriptors, upstreams::shedIdle, polls::unread);
-        upstreams.shedBy(clients::shed);
+        clients = new ClientListener(
+                loop, config.boot(), dispatcher, descriptors, upstreams::closeLongestIdle, polls::unreadMicros);
+        upstreams.setReclaimer(clients::closeLeastNeeded);
         dispatcher.attach(upstreams, discovery);
-        membership = new Membership(holding, new OperatorDrains(), dispatcher::now, dispatcher::listed);
-        holding.onChange(h -> dispatcher.holdsPart(h));
+        membership = new Membership(holding, new OperatorDrains(), dispatcher::nowMicros, dispatcher::updateEndpoints);
+        holding.onChange(dispatcher::updateSubset);
         new PartialListRetry(loop, membership, discovery, config.seed());
-        clients.note(holding::summary);
+        clients.setReadinessNote(holding::summary);
         admin = new AdminListener(loop, onCall);
         link = new HandoverLink(loop, platform.folder(), succession, log::accept);
         this.module = module;
@@ -345,7 +346,7 @@
         if (via != null) {
             Files.deleteIfExists(via.getPath());
         }
-        Channel own = via == null ? null : clients.listenAside(via);
+        Channel own = via == null ? null : clients.listenForWarmUp(via);
         loop.execute(() -> {
             begin();
             discovery.start();
@@ -354,13 +355,13 @@
                 return;
             }
             WarmUp rehearsal = new WarmUp(loop, config, via, () -> {
-                clients.rehearse(null);
+                clients.setWarmUp(null);
                 if (own != null) {
                     own.close();
                 }
                 takeOver();
             });
-            clients.rehearse(rehearsal);
+            clients.setWarmUp(rehearsal);
             rehearsal.start(at);
         });
         return at;
@@ -396,7 +397,7 @@
     }
 
     private void share(double part) {
-        dispatcher.share(part);
+        dispatcher.setSlowStartFraction(part);
         if (gateway != null) {
             gateway.share(part);
         }
@@ -489,14 +490,20 @@
         loop.submit(() -> {
                     if (gateway == null) {
                         UpstreamPool.Ground ground = new UpstreamPool.Ground(
-                                loop, module, config.seed(), config.upstreams(), descriptors, clients::shed, log);
+                                loop,
+                                module,
+                                config.seed(),
+                                config.upstreams(),
+                                descriptors,
+                                clients::closeLeastNeeded,
+                                log);
                         gateway = new RoutingGateway(
                                 new RoutingGateway.Site(dispatcher, membership),
                                 ground,
                                 config.boot(),
                                 descriptors.forUpstreams(),
-                                ClientListener.ROOM);
-                        clients.to(gateway);
+                                ClientListener.MAX_BODY_MEMORY_BYTES);
+                        clients.setRequestHandler(gateway);
                     }
                     gateway.operate(next);
                     log.event(
@@ -529,8 +536,8 @@
 
     private void readyIfSo() {
         if (hasList && rehearsed && readied.getCount() > 0) {
-            clients.accept();
-            clients.ready();
+            clients.startAccepting();
+            clients.markReady();
             readied.countDown();
             link.sendToPeer(Map.of("serving", true));
             link.offer();
@@ -540,7 +547,7 @@
     /** Ends in order, as after SIGTERM, and returns when all that was taken has been answered. */
     public void stop() {
         loop.execute(() -> {
-            clients.stopping();
+            clients.startStopping();
         });
         loop.schedule(
                 () -> {
@@ -565,7 +572,7 @@
     // end. Where none does, each moment until the exit is one in which nobody serves: only answers are waited for.
     // What has been taken is answered in any case.
     private void endWhenEmpty() {
-        boolean waits = platform.listener() == null ? clients.owe() : !clients.isEmpty();
+        boolean waits = platform.listener() == null ? clients.hasPendingResponses() : !clients.isEmpty();
         if (waits && patient || clients.isStreaming()) {
             loop.schedule(this::endWhenEmpty, FLUSH_MS, TimeUnit.MILLISECONDS);
             return;
@@ -583,7 +590,7 @@
     private void left() {
         loop.schedule(
                 () -> {
-                    if (clients.owe() && patient) {
+                    if (clients.hasPendingResponses() && patient) {
                         endWhenEmpty();
                         return;
                     }
--- a/balancer/src/main/java/loadbalancer/process/DescriptorBudget.java
+++ b/balancer/src/main/java/loadbalancer/process/DescriptorBudget.java
@@ -1,5 +1,6 @@
 package loadbalancer.process;
 
+import loadbalancer.http.ClientConnectionBudget;
 import loadbalancer.upstream.ConnectionBudget;
 
 /**
@@ -7,7 +8,7 @@
  * that fail for want of descriptors: a reserve stays for what is not counted here (jars, the selector,
  * discovery, the listener), and a part for the upstreams, whatever clients open.
  */
-public final class DescriptorBudget implements ConnectionBudget {
+public final class DescriptorBudget implements ConnectionBudget, ClientConnectionBudget {
     private static final int RESERVE = 64;
     private static final double OWN_LEAST = 0.4;
     private static final double CLIENTS_SHARE = 0.65;
@@ -51,11 +52,13 @@
         open--;
     }
 
+    @Override
     public void clientOpened() {
         open++;
         clients++;
     }
 
+    @Override
     public void clientClosed() {
         open--;
         clients--;
@@ -66,8 +69,8 @@
         return open >= most;
     }
 
-    /** Whether no further client should be let in. */
-    public boolean crowded() {
+    @Override
+    public boolean fullForClients() {
         return clients >= clientsMost || full();
     }
 }
--- a/balancer/src/main/java/loadbalancer/process/WarmUp.java
+++ b/balancer/src/main/java/loadbalancer/process/WarmUp.java
@@ -11,8 +11,9 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.discovery.EndpointList;
-import loadbalancer.dispatch.InboundRequest;
 import loadbalancer.dispatch.RequestDispatcher;
+import loadbalancer.dispatch.RequestHandler;
+import loadbalancer.http.WarmUpTraffic;
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
@@ -20,6 +21,8 @@
 import loadbalancer.policy.JsqDasPolicy;
 import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.settings.SettingsReader;
+import loadbalancer.transport.HeaderNames;
+import loadbalancer.transport.InboundRequest;
 import loadbalancer.upstream.UpstreamConnectionPool;
 
 /**
@@ -28,11 +31,7 @@
  * requests, fell behind at once under a full load, and answered some after their deadlines. It has a module,
  * a dispatcher and connections of its own, which end with it, so that the real ones learn nothing from it.
  */
-public final class WarmUp {
-    /** The path of its requests, and the one on which they come back to this node as an upstream. */
-    public static final String PATH = "/-/rehearsal";
-
-    public static final String HOP = "/-/rehearsed";
+public final class WarmUp implements WarmUpTraffic {
     private static final String TOKEN = "Rehearsal"; // a header with what no stranger knows
 
     // The more balancers there are, the fewer requests each has to be ready for at once; and the more of them
@@ -73,17 +72,18 @@
         LoadBalancingPolicy policy = new JsqDasPolicy(boot.settings(), config.seed());
         dispatcher = new RequestDispatcher(loop, boot, policy, line -> {});
         DescriptorBudget descriptors = new DescriptorBudget(config.sockets());
-        back = new UpstreamConnectionPool(loop, boot, descriptors, dispatcher::now, via);
-        front = new UpstreamConnectionPool(loop, boot, descriptors, dispatcher::now, via);
+        back = new UpstreamConnectionPool(loop, boot, descriptors, dispatcher::nowMicros, via);
+        front = new UpstreamConnectionPool(loop, boot, descriptors, dispatcher::nowMicros, via);
         dispatcher.attach(back, null);
     }
 
-    public RequestDispatcher dispatcher() {
+    @Override
+    public RequestHandler requestHandler() {
         return dispatcher;
     }
 
-    /** Whether a request is one of its own. */
-    public boolean knows(HttpHeaders headers) {
+    @Override
+    public boolean matches(HttpHeaders headers) {
         return token.equals(headers.get(TOKEN));
     }
 
@@ -101,15 +101,15 @@
             targets.add(new EndpointList.Target(server, self));
         }
         EndpointList all = new EndpointList(0, true, targets);
-        front.listed(all, dispatcher.now());
-        dispatcher.listed(EndpointListKind.CACHED, all);
+        front.updateEndpoints(all, dispatcher.nowMicros());
+        dispatcher.updateEndpoints(EndpointListKind.CACHED, all);
         loop.schedule(this::end, MOST_MS, TimeUnit.MILLISECONDS);
         for (int i = 0; i < AT_ONCE; i++) {
             next();
         }
     }
 
-    /** As an upstream: whether the request that has come back is turned away. */
+    @Override
     public boolean declines() {
         hops++;
         return begun > requests / 2 && hops % DECLINED == 0;
@@ -123,16 +123,16 @@
         Idempotency effect = boot.settings().classes().get(number).effect();
         HttpHeaders headers = new DefaultHttpHeaders()
                 .set(TOKEN, token)
-                .set("Req-Id", "rehearsal-" + begun)
-                .set("Req-Kind", boot.classes().get(number))
-                .set("Req-Cost", Integer.toString(begun));
+                .set(HeaderNames.REQUEST_ID, "rehearsal-" + begun)
+                .set(HeaderNames.REQUEST_CLASS, boot.classes().get(number))
+                .set(HeaderNames.WORK_ESTIMATE_MICROS, Integer.toString(begun));
         if (effect == Idempotency.IDEMPOTENT_WITH_KEY) {
-            headers.set("Idempotency-Key", "rehearsal-" + begun);
+            headers.set(HeaderNames.IDEMPOTENCY_KEY, "rehearsal-" + begun);
         }
         HttpMethod method = effect == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
         byte[] body = new byte[effect == Idempotency.IDEMPOTENT ? 0 : 200];
         InboundRequest order = new InboundRequest(
-                "rehearsal-" + begun, method, PATH, headers, body, null, number, 0, null, WAIT, -1, false);
+                "rehearsal-" + begun, method, CLIENT_PATH, headers, body, null, number, 0, null, WAIT, -1, false);
         front.send("rehearsal-0", order, WAIT, (outcome, answer, load) -> {
             ended++;
             if (ended >= requests) {
--- a/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
@@ -15,10 +15,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 import loadbalancer.discovery.Membership;
-import loadbalancer.dispatch.InboundRequest;
+import loadbalancer.dispatch.ClientResponder;
 import loadbalancer.dispatch.RequestDispatcher;
 import loadbalancer.dispatch.RequestHandler;
-import loadbalancer.http.RequestValidator;
 import loadbalancer.logs.Log;
 import loadbalancer.operator.OperatorConfig;
 import loadbalancer.operator.PoolSpec;
@@ -28,7 +27,10 @@
 import loadbalancer.routes.PathTemplate;
 import loadbalancer.routes.Route;
 import loadbalancer.settings.SettingsReader;
-import loadbalancer.upstream.ResponseReader;
+import loadbalancer.transport.BodyLimits;
+import loadbalancer.transport.HeaderNames;
+import loadbalancer.transport.InboundRequest;
+import loadbalancer.transport.UpstreamResponse;
 
 /**
  * The front on sockets: hands each request to the dispatcher of the pool that {@link RequestRouter} names, and
@@ -89,7 +91,7 @@
         for (PoolSpec spec : next.pools()) {
             named.add(spec.name());
             int most = spec.connections() > 0 ? spec.connections() : Math.max(1, connections / parts);
-            long bytes = spec.memory() > 0 ? spec.memory() : Math.max(RequestValidator.BODY_MOST, memory / parts);
+            long bytes = spec.memory() > 0 ? spec.memory() : Math.max(BodyLimits.MAX_BUFFERED_BYTES, memory / parts);
             if (spec.name().equals(PoolSpec.SITE)) {
                 siteBudget.set(Integer.MAX_VALUE, bytes);
                 continue;
@@ -106,7 +108,7 @@
                         ground, spec, boot, new PoolConnectionBudget(ground.connections(), most, bytes));
                 pools.put(spec.name(), fresh);
                 fresh.start();
-                fresh.dispatcher().share(shared);
+                fresh.dispatcher().setSlowStartFraction(shared);
             }
         }
         for (UpstreamPool pool : List.copyOf(pools.values())) {
@@ -165,7 +167,7 @@
 
     /** Tells the front how many upstreams each pool has. */
     public void look() {
-        long now = site.dispatcher.now();
+        long now = site.dispatcher.nowMicros();
         front.listed(now, PoolSpec.SITE, site.membership.up());
         pools.values().forEach(p -> front.listed(now, p.name(), p.membership().up()));
     }
@@ -173,17 +175,17 @@
     // ---- requests
 
     @Override
-    public boolean holds(String id) {
-        if (site.dispatcher.holds(id)) {
+    public boolean isOpen(String requestId) {
+        if (site.dispatcher.isOpen(requestId)) {
             return true;
         }
         for (UpstreamPool p : pools.values()) {
-            if (p.dispatcher().holds(id)) {
+            if (p.dispatcher().isOpen(requestId)) {
                 return true;
             }
         }
         for (UpstreamPool p : draining) {
-            if (p.dispatcher().holds(id)) {
+            if (p.dispatcher().isOpen(requestId)) {
                 return true;
             }
         }
@@ -191,15 +193,15 @@
     }
 
     @Override
-    public Runnable take(InboundRequest order, RequestDispatcher.Reply reply) {
-        long now = site.dispatcher.now();
+    public Runnable handle(InboundRequest order, ClientResponder reply) {
+        long now = site.dispatcher.nowMicros();
         RequestRouter.RoutingDecision v = front.arrive(now, arrival(order));
         if (v.ticket() == null) {
             count(v.reason());
             switch (v.answer()) {
-                case NOT_FOUND -> reply.reject(HttpResponseStatus.NOT_FOUND, "no route");
-                case BAD_PATH -> reply.reject(HttpResponseStatus.BAD_REQUEST, "a path that can't be routed");
-                default -> reply.refuse(v.retryAfter());
+                case NOT_FOUND -> reply.rejectWith(HttpResponseStatus.NOT_FOUND, "no route");
+                case BAD_PATH -> reply.rejectWith(HttpResponseStatus.BAD_REQUEST, "a path that can't be routed");
+                default -> reply.reject(v.retryAfter());
             }
             return NOTHING;
         }
@@ -208,13 +210,13 @@
         if (!budget.hold(order.body().length)) {
             count(RequestRouter.Reason.POOL_LIMIT);
             front.ended(now, v.ticket(), RequestRouter.End.UNSENT);
-            reply.refuse(operator.front().retryAfter().least());
+            reply.reject(operator.front().retryAfter().least());
             return NOTHING;
         }
         long most = v.ticket().deadline();
-        InboundRequest sent = most > 0 && most < order.timeLeft() ? order.within(most) : order;
+        InboundRequest sent = most > 0 && most < order.timeLeftMicros() ? order.withTimeLeft(most) : order;
         Through through = new Through(reply, v.ticket(), budget, order.body().length);
-        Runnable leave = (pool == null ? site.dispatcher : pool.dispatcher()).take(sent, through);
+        Runnable leave = (pool == null ? site.dispatcher : pool.dispatcher()).handle(sent, through);
         return () -> {
             through.over(RequestRouter.End.GONE);
             leave.run();
@@ -232,7 +234,7 @@
                 }
             }
         }
-        String tenant = order.headers().get(RequestValidator.TENANT);
+        String tenant = order.headers().get(HeaderNames.TENANT);
         Route.Request request = new Route.Request(
                 order.method().name(),
                 PathTemplate.split(order.uri()),
@@ -253,19 +255,15 @@
     }
 
     /** The way of a request's one final answer back through the front, which hears how it ended. */
-    private final class Through implements RequestDispatcher.Reply {
-        private final RequestDispatcher.Reply reply;
+    private final class Through implements ClientResponder {
+        private final ClientResponder reply;
         private final RequestRouter.RouteLease ticket;
         private final PoolConnectionBudget budget;
         private final long held;
         private boolean sent;
         private boolean over;
 
-        public Through(
-                RequestDispatcher.Reply reply,
-                RequestRouter.RouteLease ticket,
-                PoolConnectionBudget budget,
-                long held) {
+        public Through(ClientResponder reply, RequestRouter.RouteLease ticket, PoolConnectionBudget budget, long held) {
             this.reply = reply;
             this.ticket = ticket;
             this.budget = budget;
@@ -276,26 +274,26 @@
             if (!over) {
                 over = true;
                 budget.release(held);
-                front.ended(site.dispatcher.now(), ticket, end);
+                front.ended(site.dispatcher.nowMicros(), ticket, end);
             }
         }
 
         @Override
-        public boolean maySend(int attempt) {
+        public boolean mayAttempt(int attemptNumber) {
             sent = true;
-            return attempt == 0 || front.mayTryAgain(site.dispatcher.now(), ticket);
+            return attemptNumber == 0 || front.mayTryAgain(site.dispatcher.nowMicros(), ticket);
         }
 
         @Override
-        public void serve(ResponseReader.Answer answer) {
+        public void respond(UpstreamResponse response) {
             over(RequestRouter.End.SERVED);
-            reply.serve(answer);
+            reply.respond(response);
         }
 
         @Override
-        public void refuse(long retryAfter) {
+        public void reject(long retryAfterMicros) {
             over(sent ? RequestRouter.End.FAILED : RequestRouter.End.UNSENT);
-            reply.refuse(retryAfter);
+            reply.reject(retryAfterMicros);
         }
 
         @Override
@@ -346,7 +344,7 @@
     /** This process may use that part of what the balancer may send to cold upstreams, in each pool. */
     public void share(double part) {
         shared = part;
-        pools.values().forEach(p -> p.dispatcher().share(part));
+        pools.values().forEach(p -> p.dispatcher().setSlowStartFraction(part));
     }
 
     /** Pools that take nothing more and still have requests open. */
--- a/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
+++ b/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
@@ -57,12 +57,12 @@
         Log log = line -> ground.log.accept("pool " + spec.name() + ": " + line);
         long seed = ground.seed ^ loadbalancer.routes.Split.hash(spec.name());
         dispatcher = new RequestDispatcher(ground.loop, boot, ground.module.apply(boot.settings(), seed), log);
-        upstreams = new UpstreamConnectionPool(ground.loop, boot, budget, dispatcher::now);
-        upstreams.shedBy(() -> upstreams.shedIdle() || ground.shedClients.getAsBoolean());
+        upstreams = new UpstreamConnectionPool(ground.loop, boot, budget, dispatcher::nowMicros);
+        upstreams.setReclaimer(() -> upstreams.closeLongestIdle() || ground.shedClients.getAsBoolean());
         EndpointSubset holding =
                 new EndpointSubset(ground.upstreams, boot.settings().rank());
-        membership = new Membership(holding, new OperatorDrains(), dispatcher::now, dispatcher::listed);
-        holding.onChange(dispatcher::holdsPart);
+        membership = new Membership(holding, new OperatorDrains(), dispatcher::nowMicros, dispatcher::updateEndpoints);
+        holding.onChange(dispatcher::updateSubset);
         discovery = spec.discovery() == null
                 ? null
                 : new DiscoveryClient(
@@ -71,7 +71,7 @@
                         boot,
                         holding,
                         0,
-                        dispatcher::now,
+                        dispatcher::nowMicros,
                         membership::listed,
                         log::accept);
         if (discovery != null) {
--- a/balancer/src/main/java/loadbalancer/upstream/ConnectionBudget.java
+++ b/balancer/src/main/java/loadbalancer/upstream/ConnectionBudget.java
@@ -1,11 +1,13 @@
 package loadbalancer.upstream;
 
-/** What connections to upstreams are counted against. */
+/** What connections to upstreams are counted against. Called on the event loop's thread alone. */
 public interface ConnectionBudget {
+    /** A connection is about to be opened. */
     void opened();
 
+    /** A connection that was counted has ended. */
     void closed();
 
-    /** Whether no further connection may be opened. */
+    /** Returns whether no further connection may be opened. */
     boolean full();
 }
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/upstream/RequestMessages.java
@@ -0,0 +1,67 @@
+package loadbalancer.upstream;
+
+import io.netty.buffer.Unpooled;
+import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.EmptyHttpHeaders;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.HttpVersion;
+import java.net.InetSocketAddress;
+import loadbalancer.transport.BodyStream;
+import loadbalancer.transport.HeaderNames;
+import loadbalancer.transport.InboundRequest;
+
+/** Words requests as HTTP messages to upstreams. */
+final class RequestMessages {
+    private static final String LOAD_PATH = "/-/load";
+    private static final String HEALTH_PATH = "/-/healthy";
+
+    private RequestMessages() {}
+
+    /** Returns a probe, of the load report or of the health alone. */
+    static InboundRequest probe(boolean loadReport) {
+        return new InboundRequest(
+                "",
+                HttpMethod.GET,
+                loadReport ? LOAD_PATH : HEALTH_PATH,
+                EmptyHttpHeaders.INSTANCE,
+                new byte[0],
+                null,
+                -1,
+                0,
+                null,
+                0,
+                -1,
+                false);
+    }
+
+    /** Returns the message for {@code call}; where its body is streamed the message holds the head alone. */
+    static FullHttpRequest create(UpstreamCall call, InetSocketAddress address) {
+        InboundRequest request = call.request();
+        FullHttpRequest message = new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1, request.method(), request.uri(), Unpooled.wrappedBuffer(request.body()));
+        message.headers().add(request.headers());
+        if (!message.headers().contains(HttpHeaderNames.HOST)) {
+            message.headers()
+                    .set(HttpHeaderNames.HOST, address.getAddress().getHostAddress() + ":" + address.getPort());
+        }
+        if (!call.isProbe()) {
+            message.headers().set(HeaderNames.DEADLINE_MILLIS, Long.toString(call.timeLeftMillis()));
+        }
+        setFraming(message, request);
+        return message;
+    }
+
+    private static void setFraming(FullHttpRequest message, InboundRequest request) {
+        BodyStream remainder = request.bodyRemainder();
+        if (remainder != null && remainder.lengthBytes() >= 0) {
+            HttpUtil.setContentLength(message, remainder.lengthBytes());
+        } else if (remainder != null) {
+            HttpUtil.setTransferEncodingChunked(message, true);
+        } else if (request.body().length > 0 || !request.method().equals(HttpMethod.GET)) {
+            HttpUtil.setContentLength(message, request.body().length);
+        }
+    }
+}
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamConnector.java
@@ -0,0 +1,118 @@
+package loadbalancer.upstream;
+
+import io.netty.bootstrap.Bootstrap;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.EventLoop;
+import io.netty.channel.socket.nio.NioDomainSocketChannel;
+import io.netty.channel.socket.nio.NioSocketChannel;
+import java.net.UnixDomainSocketAddress;
+import java.util.function.BooleanSupplier;
+import java.util.function.LongSupplier;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.settings.SettingsReader;
+import loadbalancer.transport.ChannelBufferSettings;
+
+/**
+ * Opens connections within the budget, and knows the time-outs that hold for them. Belongs to the event loop's thread.
+ */
+final class UpstreamConnector {
+    private static final int DEFAULT_CONNECT_TIMEOUT_MILLIS = 1_000;
+    /** Connections are closed after this fraction of the time after which upstreams close an idle one. */
+    private static final double IDLE_TIMEOUT_FRACTION = 0.5;
+
+    private final EventLoop loop;
+    private final ConnectionBudget budget;
+    private final LongSupplier clock;
+    private final UnixDomainSocketAddress fixedAddress; // null: each endpoint's own
+    private final Bootstrap bootstrap;
+    private BooleanSupplier reclaimer;
+    private SettingsReader.Boot siteSettings;
+    private long idleTimeoutMicros;
+
+    UpstreamConnector(
+            EventLoop loop,
+            SettingsReader.Boot siteSettings,
+            ConnectionBudget budget,
+            LongSupplier clock,
+            UnixDomainSocketAddress fixedAddress) {
+        this.loop = loop;
+        this.budget = budget;
+        this.clock = clock;
+        this.fixedAddress = fixedAddress;
+        reconfigure(siteSettings);
+        bootstrap = (fixedAddress != null
+                        ? new Bootstrap().channel(NioDomainSocketChannel.class)
+                        : new Bootstrap().channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true))
+                .option(ChannelOption.RCVBUF_ALLOCATOR, ChannelBufferSettings.receiveBufferAllocator())
+                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, ChannelBufferSettings.WRITE_WATER_MARK)
+                .group(loop);
+    }
+
+    void reconfigure(SettingsReader.Boot next) {
+        siteSettings = next;
+        idleTimeoutMicros = next.idleClose() > 0 ? (long) (next.idleClose() * IDLE_TIMEOUT_FRACTION) : Long.MAX_VALUE;
+    }
+
+    /** {@code next} closes a connection that is in no use where the budget is spent; false where it can't. */
+    void setReclaimer(BooleanSupplier next) {
+        reclaimer = next;
+    }
+
+    EventLoop loop() {
+        return loop;
+    }
+
+    long nowMicros() {
+        return clock.getAsLong();
+    }
+
+    /** Returns how long a connection may be idle and still be used. */
+    long idleTimeoutMicros() {
+        return idleTimeoutMicros;
+    }
+
+    /** Returns how long opening a connection may take; a probe gets as long for all of it. */
+    int connectTimeoutMillis() {
+        long limitMicros = siteSettings.settings().limits().connectTimeoutMicros();
+        return limitMicros > 0
+                ? (int) Math.max(1, Math.min(Integer.MAX_VALUE, limitMicros / 1000))
+                : DEFAULT_CONNECT_TIMEOUT_MILLIS;
+    }
+
+    /** Opens a connection for {@code call}, which ends at once where none can be opened. */
+    void connect(UpstreamEndpoint endpoint, UpstreamCall call) {
+        if (budget.full() && !reclaimer.getAsBoolean()) {
+            call.end(AttemptOutcome.CONNECT_FAILED, null, null);
+            return;
+        }
+        UpstreamConnection connection = new UpstreamConnection(this, endpoint, call);
+        budget.opened();
+        ChannelFuture connected = bootstrap
+                .clone()
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMillis())
+                .handler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        connection.initialize(channel.pipeline());
+                    }
+                })
+                .connect(fixedAddress != null ? fixedAddress : endpoint.address());
+        if (!connected.channel().isRegistered()) {
+            // The system has no descriptor left, whatever the budget says. Such a channel has no event loop, so its
+            // close future never completes.
+            connection.setChannel(connected.channel());
+            budget.closed();
+            call.end(AttemptOutcome.CONNECT_FAILED, null, null);
+            return;
+        }
+        connection.opened(connected);
+    }
+
+    /** A connection that was opened has ended. */
+    void connectionClosed() {
+        budget.closed();
+    }
+}
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamResponseDecoder.java
@@ -0,0 +1,53 @@
+package loadbalancer.upstream;
+
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.handler.codec.http.HttpDecoderConfig;
+import io.netty.handler.codec.http.HttpMessage;
+import io.netty.handler.codec.http.HttpResponseDecoder;
+import io.netty.util.AsciiString;
+import io.netty.util.ReferenceCountUtil;
+
+/**
+ * Decodes responses strictly: what two readers could understand differently is an error. Stands directly before
+ * {@link ResponseReader} in the pipeline of a connection to an upstream. One object for each connection, not sharable.
+ */
+final class UpstreamResponseDecoder extends HttpResponseDecoder {
+    private static final int MAX_HEADER_BYTES = 8 * 1024;
+
+    private final ResponseReader reader;
+
+    UpstreamResponseDecoder(ResponseReader reader) {
+        super(new HttpDecoderConfig().setMaxHeaderSize(MAX_HEADER_BYTES));
+        this.reader = reader;
+    }
+
+    /** Returns whether bytes have been read that belong to no response yet. */
+    boolean hasUndecodedBytes() {
+        return actualReadableBytes() > 0;
+    }
+
+    @Override
+    public void channelRead(ChannelHandlerContext context, Object part) throws Exception {
+        if (reader.expectsData()) {
+            super.channelRead(context, part);
+        } else {
+            ReferenceCountUtil.release(part);
+            reader.onUnexpectedData();
+        }
+    }
+
+    // By itself the decoder drops the length and goes on.
+    @Override
+    protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
+        throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
+    }
+
+    // By itself the decoder takes the first word of a line without a colon for a name.
+    @Override
+    protected AsciiString splitHeaderName(byte[] line, int start, int size) {
+        if (start + size >= line.length || line[start + size] != ':') {
+            throw new IllegalArgumentException("a header without a colon");
+        }
+        return super.splitHeaderName(line, start, size);
+    }
+}
--- a/balancer/src/test/java/loadbalancer/DirectionsTest.java
+++ b/balancer/src/test/java/loadbalancer/DirectionsTest.java
@@ -1,6 +1,7 @@
 package loadbalancer;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
 
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
@@ -22,6 +23,7 @@
                 .dependOnClassesThat()
                 .resideInAnyPackage(
                         "loadbalancer.http..",
+                        "loadbalancer.transport..",
                         "loadbalancer.upstream..",
                         "loadbalancer.dispatch..",
                         "loadbalancer.routing..",
@@ -60,10 +62,34 @@
                 .dependOnClassesThat()
                 .resideInAnyPackage(
                         "loadbalancer.http..",
+                        "loadbalancer.transport..",
                         "loadbalancer.upstream..",
                         "loadbalancer.dispatch..",
                         "loadbalancer.routing..",
                         "loadbalancer.process..")
                 .check(ALL);
     }
+
+    @Test
+    void clientsSideDispatchAndUpstreamsDependOnEachOtherInOneDirection() {
+        layeredArchitecture()
+                .consideringOnlyDependenciesInLayers()
+                .layer("process")
+                .definedBy("loadbalancer.process..")
+                .layer("http")
+                .definedBy("loadbalancer.http..")
+                .layer("dispatch")
+                .definedBy("loadbalancer.dispatch..")
+                .layer("upstream")
+                .definedBy("loadbalancer.upstream..")
+                .layer("transport")
+                .definedBy("loadbalancer.transport..")
+                .whereLayer("http")
+                .mayOnlyBeAccessedByLayers("process")
+                .whereLayer("dispatch")
+                .mayOnlyBeAccessedByLayers("process", "http")
+                .whereLayer("upstream")
+                .mayOnlyBeAccessedByLayers("process", "dispatch")
+                .check(ALL);
+    }
 }
--- a/balancer/src/test/java/loadbalancer/http/UnreadTimeEstimatorTest.java
+++ b/balancer/src/test/java/loadbalancer/http/UnreadTimeEstimatorTest.java
@@ -22,9 +22,9 @@
         msAt(10);
         assertEquals(SelectStrategy.SELECT, round(0, false));
         msAt(500);
-        assertEquals(0, polls.unread());
+        assertEquals(0, polls.unreadMicros());
         msAt(503); // the next of the same round waited for the first to be seen to
-        assertEquals(3_000, polls.unread());
+        assertEquals(3_000, polls.unreadMicros());
     }
 
     /** A round took 300 ms: what lies there after it may have come right after it began. */
@@ -34,12 +34,12 @@
         round(0, true); // tasks alone, which take long
         msAt(310);
         assertEquals(1, round(1, true));
-        assertEquals(300_000, polls.unread());
+        assertEquals(300_000, polls.unreadMicros());
         msAt(320);
-        assertEquals(310_000, polls.unread());
+        assertEquals(310_000, polls.unreadMicros());
         round(1, false);
         msAt(325);
-        assertEquals(15_000, polls.unread());
+        assertEquals(15_000, polls.unreadMicros());
     }
 
     @Test
--- a/balancer/src/test/java/loadbalancer/process/AnswersTest.java
+++ b/balancer/src/test/java/loadbalancer/process/AnswersTest.java
@@ -124,7 +124,7 @@
             assertEquals("gone", module.next());
         }
         synchronized (log) {
-            assertTrue(log.contains("last-resort answers: 1"), log.toString());
+            assertTrue(log.contains("last-resort responses: 1"), log.toString());
         }
     }
 
--- a/balancer/src/test/java/loadbalancer/process/ClientsTest.java
+++ b/balancer/src/test/java/loadbalancer/process/ClientsTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
-import loadbalancer.http.BodyMemoryBudget;
+import loadbalancer.transport.BodyMemoryBudget;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -312,10 +312,10 @@
     @Test
     void bodiesAreRefusedWhereTogetherTheyTakeTooMuch() {
         BodyMemoryBudget room = new BodyMemoryBudget(10);
-        assertTrue(room.take(6));
-        assertFalse(room.take(5));
-        assertTrue(room.take(4));
-        room.give(6);
-        assertTrue(room.take(5));
+        assertTrue(room.tryReserve(6));
+        assertFalse(room.tryReserve(5));
+        assertTrue(room.tryReserve(4));
+        room.release(6);
+        assertTrue(room.tryReserve(5));
     }
 }
--- a/simulator/src/test/java/loadbalancer/simulator/LayersTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/LayersTest.java
@@ -36,6 +36,7 @@
                 .dependOnClassesThat()
                 .resideInAnyPackage(
                         "loadbalancer.http..",
+                        "loadbalancer.transport..",
                         "loadbalancer.upstream..",
                         "loadbalancer.dispatch..",
                         "loadbalancer.routing..",
