--- a/balancer/src/main/java/loadbalancer/dispatch/PolicyActions.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/PolicyActions.java
@@ -66,7 +66,7 @@
     }
 
     @Override
-    public void refuse(String request, long retryAfter) {
+    public void reject(String request, long retryAfter) {
         OpenRequest openRequest = openRequests.find(request);
         if (openRequest != null && !openRequest.closed) {
             openRequests.close(openRequest);
@@ -96,7 +96,7 @@
     @Override
     public void probe(String server) {
         long sentAtMicros = clock.nowMicros();
-        boolean loadReport = siteSettings.settings().reports() != LoadReporting.NONE;
+        boolean loadReport = siteSettings.settings().loadReporting() != LoadReporting.NONE;
         connections.probe(
                 server,
                 loadReport,
--- a/balancer/src/main/java/loadbalancer/dispatch/RequestDispatcher.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/RequestDispatcher.java
@@ -9,6 +9,7 @@
 import loadbalancer.discovery.EndpointSubset;
 import loadbalancer.logs.Log;
 import loadbalancer.policy.EndpointListKind;
+import loadbalancer.policy.LearnedStateCodec;
 import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.settings.SettingsReader;
 import loadbalancer.transport.InboundRequest;
@@ -165,12 +166,12 @@
 
     /** Returns what the policy has learned, for a process that replaces this one. */
     public Map<String, double[]> learnedState() {
-        return policy.learnedState(nowMicros());
+        return LearnedStateCodec.encode(policy.learnedState(nowMicros()));
     }
 
     /** Gives the policy what that of another process has learned. */
     public void restore(Map<String, double[]> learnedState) {
-        events.submit(nowMicros -> policy.restore(nowMicros, learnedState));
+        events.submit(nowMicros -> policy.restore(nowMicros, LearnedStateCodec.decode(learnedState)));
     }
 
     /** This process may use that fraction of what the balancer may send to endpoints in slow start. */
--- a/balancer/src/main/java/loadbalancer/http/InboundRequestParser.java
+++ b/balancer/src/main/java/loadbalancer/http/InboundRequestParser.java
@@ -47,7 +47,7 @@
         if (requestClass < 0) {
             throw new InvalidRequestException("unknown " + HeaderNames.REQUEST_CLASS);
         }
-        requireMethod(head, siteSettings.settings().classes().get(requestClass).effect());
+        requireMethod(head, siteSettings.settings().classes().get(requestClass).idempotency());
         long timeLeftMillis = number(headers.get(HeaderNames.DEADLINE_MILLIS), -1);
         if (timeLeftMillis <= 0 || timeLeftMillis > MAX_DEADLINE_MILLIS) {
             throw new InvalidRequestException("no or bad " + HeaderNames.DEADLINE_MILLIS);
--- a/balancer/src/main/java/loadbalancer/process/WarmUp.java
+++ b/balancer/src/main/java/loadbalancer/process/WarmUp.java
@@ -120,7 +120,7 @@
             return;
         }
         int number = begun++ % boot.classes().size();
-        Idempotency effect = boot.settings().classes().get(number).effect();
+        Idempotency effect = boot.settings().classes().get(number).idempotency();
         HttpHeaders headers = new DefaultHttpHeaders()
                 .set(TOKEN, token)
                 .set(HeaderNames.REQUEST_ID, "rehearsal-" + begun)
--- a/core/src/main/java/loadbalancer/policy/ClientRetryAge.java
+++ b/core/src/main/java/loadbalancer/policy/ClientRetryAge.java
@@ -23,7 +23,7 @@
 
     /** Takes a request that arrives, and returns the µs since the client's first attempt, 0 where it shows none. */
     long elapsedMicros(int classIndex, long timeLeftMicros, boolean clientRetry) {
-        long deadlineMicros = settings.current().classes().get(classIndex).deadline();
+        long deadlineMicros = settings.current().classes().get(classIndex).deadlineMicros();
         if (!clientRetry) {
             firstAttemptMicros[classIndex] = Math.max(firstAttemptMicros[classIndex], timeLeftMicros);
             return 0;
@@ -48,9 +48,9 @@
         return learned;
     }
 
-    /** Takes over what a predecessor has learned; passed over where it has another number of classes. */
+    /** Takes over what a predecessor has learned; passed over where it is null or of another number of classes. */
     void restore(double[] learned) {
-        if (learned.length != firstAttemptMicros.length) {
+        if (learned == null || learned.length != firstAttemptMicros.length) {
             return;
         }
         for (int i = 0; i < learned.length; i++) {
--- a/core/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
+++ b/core/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
@@ -49,14 +49,14 @@
             }
             for (int i = 0; i < k.ended.size(); i++) {
                 boolean mayHaveRun = k.ended.get(i) == null || !k.ended.get(i).neverRan();
-                if (mayHaveRun && k.kind.effect() == Idempotency.NON_IDEMPOTENT) {
+                if (mayHaveRun && k.kind.idempotency() == Idempotency.NON_IDEMPOTENT) {
                     return "an unsafe effect may happen twice";
                 }
                 boolean outside = k.kind.scope() == KeyScope.CELL
                                 && k.servers.get(i).cell() != to.cell()
                         || k.kind.scope() == KeyScope.ZONE && k.servers.get(i).zone() != to.zone();
                 if (mayHaveRun
-                        && k.kind.effect() == Idempotency.IDEMPOTENT_WITH_KEY
+                        && k.kind.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                         && (outside || now - k.at.get(i) >= k.kind.keyRetentionMicros())) {
                     return "a keyed request left its group or window";
                 }
@@ -77,8 +77,8 @@
                 return "answered too late";
             }
             boolean mayHaveRun = k.ended.stream().anyMatch(o -> o == null || !o.neverRan());
-            boolean harmless = k.kind.effect() == Idempotency.IDEMPOTENT
-                    || k.kind.effect() == Idempotency.IDEMPOTENT_WITH_KEY && k.kind.scope() == KeyScope.ALL;
+            boolean harmless = k.kind.idempotency() == Idempotency.IDEMPOTENT
+                    || k.kind.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && k.kind.scope() == KeyScope.ALL;
             return how.equals("refused") && mayHaveRun && !harmless ? "refused though it may have run" : null;
         }
 
@@ -165,7 +165,7 @@
                         random.nextInt(3) > 0 ? AttemptOutcome.OK : all[random.nextInt(all.length - 1)]);
             } else if (what < 84) {
                 String id = "s" + random.nextInt(8);
-                servers.computeIfPresent(id, (i, s) -> s.in(EndpointState.values()[random.nextInt(3)]));
+                servers.computeIfPresent(id, (i, s) -> s.withState(EndpointState.values()[random.nextInt(3)]));
                 harness.list(EndpointListKind.DELTA, List.of(servers.get(id)));
             } else {
                 harness.pass(random.nextLong(20_000));
@@ -189,15 +189,15 @@
     }
 
     private static void end(Harness harness, Checker checker, Harness.Sent s, AttemptOutcome outcome) {
-        checker.requests.get(s.request).ended.set(s.number, outcome);
+        checker.requests.get(s.request).ended.set(s.attempt, outcome);
         harness.end(s, outcome);
     }
 
     private static int sends(Harness harness, Checker checker, Map<String, Endpoint> servers, int from) {
         for (int i = from; i < harness.sends.size(); i++) {
             Harness.Sent s = harness.sends.get(i);
-            Endpoint to = servers.get(s.server);
-            assertNull(checker.sent(s.request, to, to.state() == EndpointState.UP, s.at), s.request);
+            Endpoint to = servers.get(s.endpoint);
+            assertNull(checker.sent(s.request, to, to.state() == EndpointState.UP, s.sentAt), s.request);
         }
         return harness.sends.size();
     }
@@ -220,14 +220,14 @@
             }
             harness.pass(10_000 + random.nextLong(20_000));
             harness.sends.stream()
-                    .filter(s -> !s.ended && harness.now - s.at >= 30_000)
+                    .filter(s -> !s.ended && harness.now - s.sentAt >= 30_000)
                     .toList()
                     .forEach(s -> harness.end(s, AttemptOutcome.OK));
             started = i < 500 ? harness.now : started;
         }
         List<Long> sends = harness.sends.stream()
-                .filter(s -> s.server.equals("cold"))
-                .map(s -> s.at)
+                .filter(s -> s.endpoint.equals("cold"))
+                .map(s -> s.sentAt)
                 .toList();
         assertTrue(sends.size() > 20, "it is used: " + sends.size());
         assertNull(cold(sends, started, 40, settings.bounds()));
--- a/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
@@ -96,7 +96,7 @@
             endpoints.put(s.id(), s);
             effective.add(
                     operatorDrained.containsKey(s.id()) && s.state() == EndpointState.UP
-                            ? s.in(EndpointState.DRAINING)
+                            ? s.withState(EndpointState.DRAINING)
                             : s);
         }
         if (kind != EndpointListKind.UNAVAILABLE) {
@@ -116,7 +116,7 @@
         } else {
             operatorDrained.remove(id);
         }
-        Endpoint effective = out ? s.in(EndpointState.DRAINING) : s.startedAt(now);
+        Endpoint effective = out ? s.withState(EndpointState.DRAINING) : s.withStartedAt(now);
         world.observer.endpointsNotified(this, EndpointListKind.LOCAL_OVERRIDE, List.of(effective), now);
         policy.endpoints(now, EndpointListKind.LOCAL_OVERRIDE, List.of(effective), this);
     }
@@ -278,7 +278,7 @@
     }
 
     @Override
-    public void refuse(String request, long retryAfter) {
+    public void reject(String request, long retryAfter) {
         close(request, Clients.End.REFUSED, retryAfter);
     }
 
