--- a/balancer/src/main/java/loadbalancer/process/BalancerPools.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerPools.java
@@ -46,7 +46,7 @@
 
     /** Sets the fraction of the balancer's slow-start budget that this process may use, 0 to 1. */
     void setSlowStartShare(double fraction) {
-        dispatcher.share(fraction);
+        dispatcher.setSlowStartFraction(fraction);
         if (gateway != null) {
             gateway.setSlowStartShare(fraction);
         }
--- a/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
@@ -100,7 +100,7 @@
         LoadBalancingPolicy policy = policies.apply(config.boot().settings(), config.seed());
         RequestDispatcher dispatcher = new RequestDispatcher(loop, config.boot(), policy, log);
         UpstreamConnectionPool upstreams =
-                new UpstreamConnectionPool(loop, config.boot(), descriptors, dispatcher::now);
+                new UpstreamConnectionPool(loop, config.boot(), descriptors, dispatcher::nowMicros);
         EndpointSubset subset =
                 new EndpointSubset(config.upstreams(), config.boot().settings().rank());
         discovery = new DiscoveryClient(
@@ -109,17 +109,17 @@
                 config.boot(),
                 subset,
                 config.known().version(),
-                dispatcher::now,
+                dispatcher::nowMicros,
                 this::endpointsListed,
                 log::accept);
         clients = new ClientListener(
-                loop, config.boot(), dispatcher, descriptors, upstreams::shedIdle, unreadTime::unread);
-        upstreams.shedBy(clients::shed);
+                loop, config.boot(), dispatcher, descriptors, upstreams::closeLongestIdle, unreadTime::unreadMicros);
+        upstreams.setReclaimer(clients::closeLeastNeeded);
         dispatcher.attach(upstreams, discovery);
-        membership = new Membership(subset, new OperatorDrains(), dispatcher::now, dispatcher::listed);
-        subset.onChange(held -> dispatcher.holdsPart(held));
+        membership = new Membership(subset, new OperatorDrains(), dispatcher::nowMicros, dispatcher::updateEndpoints);
+        subset.onChange(held -> dispatcher.updateSubset(held));
         new PartialListRetry(loop, membership, discovery, config.seed());
-        clients.note(subset::summary);
+        clients.setReadinessNote(subset::summary);
         pools = new BalancerPools(membership, dispatcher);
         reconfiguration = new Reconfiguration(
                 config,
@@ -156,7 +156,7 @@
         if (warmUpAddress != null) {
             Files.deleteIfExists(warmUpAddress.getPath());
         }
-        Channel warmUpListener = warmUpAddress == null ? null : clients.listenAside(warmUpAddress);
+        Channel warmUpListener = warmUpAddress == null ? null : clients.listenForWarmUp(warmUpAddress);
         loop.execute(() -> {
             applyKnownList();
             discovery.start();
@@ -211,13 +211,13 @@
 
     private void warmUp(InetSocketAddress address, UnixDomainSocketAddress warmUpAddress, Channel warmUpListener) {
         WarmUp warmUp = new WarmUp(loop, config(), warmUpAddress, () -> {
-            clients.rehearse(null);
+            clients.setWarmUp(null);
             if (warmUpListener != null) {
                 warmUpListener.close();
             }
             restoreFromPredecessor();
         });
-        clients.rehearse(warmUp);
+        clients.setWarmUp(warmUp);
         warmUp.start(address);
     }
 
@@ -232,8 +232,8 @@
     }
 
     private void serveClients() {
-        clients.accept();
-        clients.ready();
+        clients.startAccepting();
+        clients.markReady();
         handover.announceServing();
     }
 
--- a/balancer/src/main/java/loadbalancer/process/Reconfiguration.java
+++ b/balancer/src/main/java/loadbalancer/process/Reconfiguration.java
@@ -131,7 +131,7 @@
         if (parts.pools.gateway() == null) {
             RoutingGateway gateway = createGateway();
             parts.pools.attach(gateway);
-            parts.clients.to(gateway);
+            parts.clients.setRequestHandler(gateway);
         }
         parts.pools.gateway().configure(next);
         int pools = next.pools().size();
@@ -153,13 +153,13 @@
                 config.seed(),
                 config.upstreams(),
                 parts.descriptors,
-                parts.clients::shed,
+                parts.clients::closeLeastNeeded,
                 log);
         return new RoutingGateway(
                 new SitePool(parts.dispatcher, parts.membership),
                 environment,
                 config.boot(),
                 parts.descriptors.forUpstreams(),
-                ClientListener.ROOM);
+                ClientListener.MAX_BODY_MEMORY_BYTES);
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/PoolLimits.java
+++ b/balancer/src/main/java/loadbalancer/routing/PoolLimits.java
@@ -1,7 +1,7 @@
 package loadbalancer.routing;
 
-import loadbalancer.http.RequestValidator;
 import loadbalancer.operator.PoolSpec;
+import loadbalancer.transport.BodyLimits;
 
 /**
  * How much of the process's resources one pool may use.
@@ -20,7 +20,7 @@
                 spec.maxConnections() > 0 ? spec.maxConnections() : Math.max(1, allPools.maxConnections / poolCount);
         long bodyBytes = spec.maxBodyBytes() > 0
                 ? spec.maxBodyBytes()
-                : Math.max(RequestValidator.BODY_MOST, allPools.maxBodyBytes / poolCount);
+                : Math.max(BodyLimits.MAX_BUFFERED_BYTES, allPools.maxBodyBytes / poolCount);
         return new PoolLimits(connections, bodyBytes);
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/PoolRegistry.java
+++ b/balancer/src/main/java/loadbalancer/routing/PoolRegistry.java
@@ -41,7 +41,7 @@
         UpstreamPool created = new UpstreamPool(environment, spec, site, limits);
         pools.put(spec.name(), created);
         created.start();
-        created.dispatcher().share(slowStartShare);
+        created.dispatcher().setSlowStartFraction(slowStartShare);
     }
 
     /** Drains every pool whose name is not among these. */
@@ -78,7 +78,7 @@
     /** Sets the fraction of the balancer's slow-start traffic that this process may send, in each pool. */
     void setSlowStartShare(double fraction) {
         slowStartShare = fraction;
-        pools.values().forEach(pool -> pool.dispatcher().share(fraction));
+        pools.values().forEach(pool -> pool.dispatcher().setSlowStartFraction(fraction));
     }
 
     /** The pool of that name; null where there is none, or where it drains. */
@@ -103,7 +103,7 @@
 
     private static boolean anyHolds(Collection<UpstreamPool> pools, String id) {
         for (UpstreamPool pool : pools) {
-            if (pool.dispatcher().holds(id)) {
+            if (pool.dispatcher().isOpen(id)) {
                 return true;
             }
         }
--- a/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
@@ -11,13 +11,12 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
-import loadbalancer.dispatch.InboundRequest;
+import loadbalancer.dispatch.ClientResponder;
 import loadbalancer.dispatch.RequestDispatcher;
 import loadbalancer.dispatch.RequestHandler;
 import loadbalancer.handover.HandoverDocument;
 import loadbalancer.handover.HandoverFormatException;
 import loadbalancer.handover.HandoverState;
-import loadbalancer.http.RequestValidator;
 import loadbalancer.logs.Log;
 import loadbalancer.operator.OperatorConfig;
 import loadbalancer.operator.PoolSpec;
@@ -30,6 +29,8 @@
 import loadbalancer.routes.PathTemplate;
 import loadbalancer.routes.RouteRequest;
 import loadbalancer.settings.SettingsReader;
+import loadbalancer.transport.HeaderNames;
+import loadbalancer.transport.InboundRequest;
 
 /**
  * Stands between the clients' side and the pools: hands each request to the dispatcher of the pool that
@@ -128,7 +129,7 @@
 
     /** Passes on to the router how many endpoints of each pool may be sent to. */
     public void updatePoolSizes() {
-        long now = site.dispatcher().now();
+        long now = site.dispatcher().nowMicros();
         router.setEndpointsUp(now, PoolSpec.SITE, site.membership().usableCount());
         pools.pools()
                 .forEach(pool -> router.setEndpointsUp(
@@ -136,13 +137,13 @@
     }
 
     @Override
-    public boolean holds(String id) {
-        return site.dispatcher().holds(id) || pools.holds(id);
+    public boolean isOpen(String requestId) {
+        return site.dispatcher().isOpen(requestId) || pools.holds(requestId);
     }
 
     @Override
-    public Runnable take(InboundRequest request, RequestDispatcher.Reply reply) {
-        RoutingDecision decision = router.route(site.dispatcher().now(), routingRequest(request));
+    public Runnable handle(InboundRequest request, ClientResponder reply) {
+        RoutingDecision decision = router.route(site.dispatcher().nowMicros(), routingRequest(request));
         if (decision.lease() == null) {
             reject(decision, reply);
             return NOTHING_TO_CANCEL;
@@ -150,28 +151,28 @@
         return dispatch(request, decision.lease(), reply);
     }
 
-    private void reject(RoutingDecision decision, RequestDispatcher.Reply reply) {
+    private void reject(RoutingDecision decision, ClientResponder reply) {
         rejections.increment(decision.reason());
         switch (decision.outcome()) {
-            case NOT_FOUND -> reply.reject(HttpResponseStatus.NOT_FOUND, "no route");
-            case BAD_PATH -> reply.reject(HttpResponseStatus.BAD_REQUEST, "a path that can't be routed");
-            default -> reply.refuse(decision.retryAfterMicros());
+            case NOT_FOUND -> reply.rejectWith(HttpResponseStatus.NOT_FOUND, "no route");
+            case BAD_PATH -> reply.rejectWith(HttpResponseStatus.BAD_REQUEST, "a path that can't be routed");
+            default -> reply.reject(decision.retryAfterMicros());
         }
     }
 
-    private Runnable dispatch(InboundRequest request, RouteLease lease, RequestDispatcher.Reply reply) {
+    private Runnable dispatch(InboundRequest request, RouteLease lease, ClientResponder reply) {
         UpstreamPool pool = pools.get(lease.pool());
         PoolMemoryBudget memory = pool == null ? siteMemory : pool.memory();
         long bodyBytes = request.body().length;
         if (!memory.tryReserve(bodyBytes)) {
             rejections.increment(RejectionReason.POOL_LIMIT);
-            router.ended(site.dispatcher().now(), lease, LeaseEnd.NOT_SENT);
-            reply.refuse(operator.routing().retryAfter().minMicros());
+            router.ended(site.dispatcher().nowMicros(), lease, LeaseEnd.NOT_SENT);
+            reply.reject(operator.routing().retryAfter().minMicros());
             return NOTHING_TO_CANCEL;
         }
         RoutedReply routedReply = new RoutedReply(reply, lease, memory, bodyBytes, replies);
         RequestDispatcher dispatcher = pool == null ? site.dispatcher() : pool.dispatcher();
-        Runnable cancel = dispatcher.take(withinDeadline(request, lease.deadlineMicros()), routedReply);
+        Runnable cancel = dispatcher.handle(withinDeadline(request, lease.deadlineMicros()), routedReply);
         return () -> {
             routedReply.clientGone();
             cancel.run();
@@ -179,7 +180,9 @@
     }
 
     private static InboundRequest withinDeadline(InboundRequest request, long deadlineMicros) {
-        return deadlineMicros > 0 && deadlineMicros < request.timeLeft() ? request.within(deadlineMicros) : request;
+        return deadlineMicros > 0 && deadlineMicros < request.timeLeftMicros()
+                ? request.withTimeLeft(deadlineMicros)
+                : request;
     }
 
     private RoutingRequest routingRequest(InboundRequest request) {
@@ -187,7 +190,7 @@
                 request.method().name(),
                 PathTemplate.split(request.uri()),
                 routedHeaders(request),
-                request.headers().get(RequestValidator.TENANT),
+                request.headers().get(HeaderNames.TENANT),
                 boot.classes().get(request.requestClass()));
         return new RoutingRequest(
                 attributes, request.key(), ranks[request.requestClass()], request.clientRetry(), random.nextDouble());
@@ -211,12 +214,12 @@
     private final class RouterFeedback implements RoutedReply.Listener {
         @Override
         public boolean allowsRetry(RouteLease lease) {
-            return router.allowsRetry(site.dispatcher().now(), lease);
+            return router.allowsRetry(site.dispatcher().nowMicros(), lease);
         }
 
         @Override
         public void ended(RouteLease lease, LeaseEnd end) {
-            router.ended(site.dispatcher().now(), lease, end);
+            router.ended(site.dispatcher().nowMicros(), lease, end);
         }
     }
 
--- a/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
+++ b/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
@@ -50,13 +50,13 @@
         long seed = environment.seed() ^ TrafficSplit.hash(spec.name());
         dispatcher = new RequestDispatcher(
                 environment.loop(), boot, environment.policyFactory().apply(boot.settings(), seed), log);
-        upstreams = new UpstreamConnectionPool(environment.loop(), boot, connections, dispatcher::now);
-        upstreams.shedBy(
-                () -> upstreams.shedIdle() || environment.shedClientConnection().getAsBoolean());
+        upstreams = new UpstreamConnectionPool(environment.loop(), boot, connections, dispatcher::nowMicros);
+        upstreams.setReclaimer(() -> upstreams.closeLongestIdle()
+                || environment.shedClientConnection().getAsBoolean());
         EndpointSubset subset =
                 new EndpointSubset(environment.maxEndpoints(), boot.settings().rank());
-        membership = new Membership(subset, new OperatorDrains(), dispatcher::now, dispatcher::listed);
-        subset.onChange(dispatcher::holdsPart);
+        membership = new Membership(subset, new OperatorDrains(), dispatcher::nowMicros, dispatcher::updateEndpoints);
+        subset.onChange(dispatcher::updateSubset);
         discovery = spec.discovery() == null ? null : discoveryClient(spec.discovery(), subset, log);
         if (discovery != null) {
             new PartialListRetry(environment.loop(), membership, discovery, seed);
@@ -66,7 +66,7 @@
 
     private DiscoveryClient discoveryClient(InetSocketAddress address, EndpointSubset subset, Log log) {
         return new DiscoveryClient(
-                environment.loop(), address, boot, subset, 0, dispatcher::now, membership::update, log::accept);
+                environment.loop(), address, boot, subset, 0, dispatcher::nowMicros, membership::update, log::accept);
     }
 
     /** Begins to learn its endpoint list. */
