--- a/core/src/test/java/loadbalancer/policy/PolicyPackagesTest.java
+++ b/core/src/test/java/loadbalancer/policy/PolicyPackagesTest.java
@@ -31,15 +31,22 @@
             .importPackages("loadbalancer");
 
     @Test
-    void allThatTheBalancersDecisionsRestOnLiesInThePackagesOfTheDeployFile() throws IOException {
-        Set<String> named = namedPackages();
-        Set<String> outside = new TreeSet<>();
+    void theDeployFileNamesTheSourceOfEachClassThatDecides() throws IOException {
+        Set<String> named = namedFiles();
+        Set<String> packages = namedPackages();
+        Set<String> missing = new TreeSet<>();
         for (JavaClass decides : reachableFrom(CORE.get(JsqDasPolicy.class))) {
-            if (!named.contains(decides.getPackageName())) {
-                outside.add(decides.getName());
+            if (!named.contains(sourceFile(decides))) {
+                missing.add(decides.getName());
+            }
+        }
+        for (JavaClass inPackage : CORE) {
+            if (packages.contains(inPackage.getPackageName()) && !named.contains(sourceFile(inPackage))) {
+                missing.add(inPackage.getName());
             }
         }
-        assertEquals(Set.of(), outside, "classes that decide outside of " + named);
+        missing.removeIf(name -> name.endsWith("package-info"));
+        assertEquals(Set.of(), missing, "classes that decide and that `policy` does not name");
     }
 
     @Test
@@ -71,32 +78,44 @@
                 .check(CORE);
     }
 
-    // Folders of the deploy file's key `policy`, as packages; each of them must be there.
-    private static Set<String> namedPackages() throws IOException {
+    // Files of the deploy file's key `policy`; each of them must be there.
+    private static Set<String> namedFiles() throws IOException {
         Path root = Path.of("").toAbsolutePath().getParent();
         Matcher key = Pattern.compile("(?m)^policy = \\[(.*?)]")
                 .matcher(Files.readString(root.resolve("deploy/balancer.toml")));
         assertTrue(key.find(), "the deploy file names no policy");
-        Set<String> packages = new TreeSet<>();
+        Set<String> files = new TreeSet<>();
         Matcher entry = Pattern.compile("\"([^\"]+)\"").matcher(key.group(1));
         while (entry.find()) {
-            String folder = entry.group(1);
+            String file = entry.group(1);
             assertTrue(
-                    folder.startsWith(SOURCES) && Files.isDirectory(root.resolve(folder)),
-                    "no folder of core: " + folder);
-            packages.add(folder.substring(SOURCES.length()).replace('/', '.'));
+                    file.startsWith(SOURCES) && Files.isRegularFile(root.resolve(file)), "no source of core: " + file);
+            files.add(file);
+        }
+        assertFalse(files.isEmpty());
+        return files;
+    }
+
+    private static Set<String> namedPackages() throws IOException {
+        Set<String> packages = new TreeSet<>();
+        for (String file : namedFiles()) {
+            packages.add(file.substring(SOURCES.length(), file.lastIndexOf('/')).replace('/', '.'));
         }
-        assertFalse(packages.isEmpty());
         return packages;
     }
 
+    private static String sourceFile(JavaClass javaClass) {
+        String outermost = javaClass.getName().replaceFirst("\\$.*", "");
+        return SOURCES + outermost.replace('.', '/') + ".java";
+    }
+
     private static Set<JavaClass> reachableFrom(JavaClass start) {
         Set<JavaClass> found = new HashSet<>();
         Deque<JavaClass> next = new ArrayDeque<>(Set.of(start));
         while (!next.isEmpty()) {
-            JavaClass c = next.pop();
-            if (c.getName().startsWith("loadbalancer.") && found.add(c)) {
-                c.getDirectDependenciesFromSelf().stream()
+            JavaClass reached = next.pop();
+            if (reached.getName().startsWith("loadbalancer.") && found.add(reached)) {
+                reached.getDirectDependenciesFromSelf().stream()
                         .map(Dependency::getTargetClass)
                         .forEach(next::push);
             }
