--- a/balancer/src/test/java/loadbalancer/http/UnreadTimeEstimatorTest.java
+++ b/balancer/src/test/java/loadbalancer/http/UnreadTimeEstimatorTest.java
@@ -6,44 +6,44 @@
 import org.junit.jupiter.api.Test;
 
 class UnreadTimeEstimatorTest {
-    private long now;
-    private final UnreadTimeEstimator polls = new UnreadTimeEstimator(() -> now);
+    private long nowNanos;
+    private final UnreadTimeEstimator estimator = new UnreadTimeEstimator(() -> nowNanos);
 
     private int round(int ready, boolean tasks) throws Exception {
-        return polls.calculateStrategy(() -> ready, tasks);
+        return estimator.calculateStrategy(() -> ready, tasks);
     }
 
-    private void msAt(long ms) {
-        now = ms * 1_000_000;
+    private void setMillis(long millis) {
+        nowNanos = millis * 1_000_000;
     }
 
     @Test
-    void whatEndsAWaitHasOnlyJustCome() throws Exception {
-        msAt(10);
+    void dataThatEndsASelectHasJustArrived() throws Exception {
+        setMillis(10);
         assertEquals(SelectStrategy.SELECT, round(0, false));
-        msAt(500);
-        assertEquals(0, polls.unreadMicros());
-        msAt(503); // the next of the same round waited for the first to be seen to
-        assertEquals(3_000, polls.unreadMicros());
+        setMillis(500);
+        assertEquals(0, estimator.unreadMicros());
+        setMillis(503); // the next of the same round waited for the first to be seen to
+        assertEquals(3_000, estimator.unreadMicros());
     }
 
-    /** A round took 300 ms: what lies there after it may have come right after it began. */
+    /** A round takes 300 ms: what is read after it may have arrived right after it began. */
     @Test
-    void whatCameDuringALongRoundMayBeAsOldAsTheRound() throws Exception {
-        msAt(10);
+    void dataMayBeAsOldAsTheRoundBefore() throws Exception {
+        setMillis(10);
         round(0, true); // tasks alone, which take long
-        msAt(310);
+        setMillis(310);
         assertEquals(1, round(1, true));
-        assertEquals(300_000, polls.unreadMicros());
-        msAt(320);
-        assertEquals(310_000, polls.unreadMicros());
+        assertEquals(300_000, estimator.unreadMicros());
+        setMillis(320);
+        assertEquals(310_000, estimator.unreadMicros());
         round(1, false);
-        msAt(325);
-        assertEquals(15_000, polls.unreadMicros());
+        setMillis(325);
+        assertEquals(15_000, estimator.unreadMicros());
     }
 
     @Test
-    void tasksAreNotKeptWaiting() throws Exception {
+    void tasksDontWaitForASelect() throws Exception {
         assertEquals(0, round(0, true));
         assertEquals(SelectStrategy.SELECT, round(0, false));
         assertEquals(2, round(2, false));
--- a/balancer/src/test/java/loadbalancer/process/ClientsTest.java
+++ b/balancer/src/test/java/loadbalancer/process/ClientsTest.java
@@ -1,7 +1,6 @@
 package loadbalancer.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,7 +11,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
-import loadbalancer.transport.BodyMemoryBudget;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -308,14 +306,4 @@
             }
         }
     }
-
-    @Test
-    void bodiesAreRefusedWhereTogetherTheyTakeTooMuch() {
-        BodyMemoryBudget room = new BodyMemoryBudget(10);
-        assertTrue(room.tryReserve(6));
-        assertFalse(room.tryReserve(5));
-        assertTrue(room.tryReserve(4));
-        room.release(6);
-        assertTrue(room.tryReserve(5));
-    }
 }
--- a/balancer/src/test/java/loadbalancer/upstream/ResponseReaderTest.java
+++ b/balancer/src/test/java/loadbalancer/upstream/ResponseReaderTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What upstreams may answer, spoilt or with more than belongs to it. */
+/** Responses that can't be read, don't end, or have more behind them than belongs to them. */
 class ResponseReaderTest extends BalancerFixture {
-    /** The request has run, perhaps; the client gets a failure, and the connection is of no further use. */
+    /** The request may have run: the client gets a failure, and the connection is not used again. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -31,12 +31,12 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nand so on",
                 "HTTP/1.1 101 Switching Protocols\r\n\r\n",
             })
-    void aSpoiltAnswerIsAFailedAttemptThatMayHaveRun(String answer) throws IOException, InterruptedException {
+    void unreadableResponseIsReset(String response) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT);
             FakeUpstream.Got got = upstream.next();
-            got.raw(answer);
+            got.raw(response);
             assertEquals("RESET", module.next());
             assertEquals(502, client.status());
             client.send(IDEMPOTENT);
@@ -49,7 +49,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n", "X-Pad: pppppppppppppppp\r\n"})
-    void whatDoesNotEndIsCutOff(String endless) throws IOException, InterruptedException {
+    void endlessHeadIsReset(String endless) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT);
@@ -60,10 +60,10 @@
         }
     }
 
-    /** The copy came in one read with the answer, and the next request was served with it. */
+    /** The duplicate arrives in one read with the response: the next request must not be served with it. */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst", "HTTP/1.1 20", "\u0007noise"})
-    void whatComesBehindAnAnswerIsNobodysAnswer(String behind) throws IOException, InterruptedException {
+    void dataBehindAResponseBelongsToNoRequest(String behind) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT + IDEMPOTENT.replace("r1", "r2"));
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void noiseOnAConnectionAtRestEndsIt() throws IOException, InterruptedException {
+    void dataOnAnIdleConnectionClosesIt() throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT);
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void hintsAheadAndOddReportsSpoilNothing() throws IOException, InterruptedException {
+    void informationalResponsesAndUnreadableLoadReportsAreSkipped() throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT);
--- a/balancer/src/test/java/loadbalancer/upstream/UpstreamConnectionPoolTest.java
+++ b/balancer/src/test/java/loadbalancer/upstream/UpstreamConnectionPoolTest.java
@@ -23,12 +23,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Connections to upstreams: their rest, their drains and their probes. */
+/** Connections to upstreams: idle time-outs, drains and probes. */
 class UpstreamConnectionPoolTest extends BalancerFixture {
     private final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
 
     @Test
-    void idleConnectionsAreClosedWellBeforeTheUpstreamWould() throws IOException, InterruptedException {
+    void idleConnectionsAreClosedBeforeTheUpstreamWouldCloseThem() throws IOException, InterruptedException {
         start(Map.of("IdleClose", 400_000), 1024);
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT);
@@ -41,33 +41,33 @@
 
     @Test
     @Timeout(60)
-    void nothingIsSentToAnUpstreamThatHasGone() throws IOException, InterruptedException {
+    void nothingIsSentAfterTheDrainGracePeriod() throws IOException, InterruptedException {
         start(Map.of(), 1024);
         onLoop(() -> module.actions.fetchList());
         discovery.next().answer(200, "", "{\"rev\":50,\"all\":true,\"targets\":[]}");
         assertEquals("SNAPSHOT []", module.next());
-        // The grace is over at last; the module of this test goes on sending all the same.
+        // The grace period ends at last; the policy of this test goes on sending all the same.
         try (Client client = new Client(at)) {
-            String told = "OK closed";
-            while (told.startsWith("OK")) {
+            String outcome = "OK closed";
+            while (outcome.startsWith("OK")) {
                 client.send(IDEMPOTENT);
-                told = module.told.poll(10, TimeUnit.MILLISECONDS);
-                while (told == null) {
+                outcome = module.told.poll(10, TimeUnit.MILLISECONDS);
+                while (outcome == null) {
                     if (!upstream.isEmpty()) {
                         upstream.next().answer(200, "", "ok");
                     }
-                    told = module.told.poll(10, TimeUnit.MILLISECONDS);
+                    outcome = module.told.poll(10, TimeUnit.MILLISECONDS);
                 }
                 client.status();
             }
-            assertEquals("NOT_SENT", told);
+            assertEquals("NOT_SENT", outcome);
         }
     }
 
-    /** Its connections come up only once the test accepts: its queue of waiting connections is full. */
+    /** Connections are established only once the test accepts: the listener's backlog is full. */
     @Test
     @Timeout(60)
-    void anAttemptThatStillWaitsForItsConnectionIsNotSentAfterTheGrace() throws IOException, InterruptedException {
+    void attemptThatWaitsForItsConnectionIsNotSentAfterTheDrainGracePeriod() throws IOException, InterruptedException {
         List<Socket> fillers = new ArrayList<>();
         List<Client> clients = new ArrayList<>();
         try (ServerSocket slow = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -81,33 +81,18 @@
             onLoop(() -> module.actions.fetchList());
             discovery.next().answer(200, "", "{\"rev\":50,\"all\":true,\"targets\":[]}");
             assertEquals("SNAPSHOT []", module.next());
-            String told = null;
-            while (told == null) { // until new attempts show that the grace is over
+            String outcome = null;
+            while (outcome == null) { // until new attempts show that the grace period is over
                 clients.add(new Client(at).send(IDEMPOTENT.replace("r1", "r" + clients.size())));
-                told = module.told.poll(100, TimeUnit.MILLISECONDS);
+                outcome = module.told.poll(100, TimeUnit.MILLISECONDS);
             }
-            assertEquals("NOT_SENT", told);
-            Thread accepting = new Thread(() -> {
-                try {
-                    while (true) {
-                        accepted.add(slow.accept());
-                    }
-                } catch (IOException e) {
-                    Thread.currentThread().interrupt();
-                }
-            });
-            accepting.start();
+            assertEquals("NOT_SENT", outcome);
+            acceptAll(slow);
             for (int i = 1; i < clients.size(); i++) {
                 assertEquals("NOT_SENT", module.next());
             }
-            Socket taken;
-            int ports = 0;
-            for (int i = 0; i < fillers.size(); i++) {
-                taken = accepted.poll(20, TimeUnit.SECONDS);
-                ports += taken == null ? 0 : 1;
-            }
-            assertEquals(fillers.size(), ports);
-            taken = accepted.poll(20, TimeUnit.SECONDS);
+            assertFillersAreAccepted(fillers.size());
+            Socket taken = accepted.poll(20, TimeUnit.SECONDS);
             taken.setSoTimeout(20_000);
             assertEquals(-1, taken.getInputStream().read(), "nothing was written");
         } finally {
@@ -120,10 +105,31 @@
         }
     }
 
-    /** Also where the module cancels nothing, as it must not everywhere. */
+    private void acceptAll(ServerSocket listener) {
+        Thread accepting = new Thread(() -> {
+            try {
+                while (true) {
+                    accepted.add(listener.accept());
+                }
+            } catch (IOException e) {
+                Thread.currentThread().interrupt();
+            }
+        });
+        accepting.start();
+    }
+
+    private void assertFillersAreAccepted(int fillers) throws InterruptedException {
+        int ports = 0;
+        for (int i = 0; i < fillers; i++) {
+            ports += accepted.poll(20, TimeUnit.SECONDS) == null ? 0 : 1;
+        }
+        assertEquals(fillers, ports);
+    }
+
+    /** Also where the policy cancels nothing, as it may not everywhere. */
     @Test
     @Timeout(60)
-    void whatWaitsForItsConnectionIsGivenUpOnceItsClientHasLeft() throws IOException, InterruptedException {
+    void attemptThatWaitsForItsConnectionIsCancelledOnceItsClientHasLeft() throws IOException, InterruptedException {
         List<Socket> fillers = new ArrayList<>();
         module.cancels = false;
         try (ServerSocket slow = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -133,7 +139,7 @@
             endpoint = "127.0.0.1:" + slow.getLocalPort();
             start(Map.of("DialTimeout", 30_000_000), 1024);
             try (Client client = new Client(at)) {
-                client.send(IDEMPOTENT.replace("20000", "500000")); // its time is not what ends it
+                client.send(IDEMPOTENT.replace("20000", "500000")); // its deadline is not what ends it
                 assertEquals("0 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
             }
             assertEquals("gone", module.next());
@@ -145,9 +151,9 @@
         }
     }
 
-    /** It comes when the connection has been given to the next request: it must not be taken for its answer. */
+    /** It arrives when the next request has the connection: it must not be taken for the response to that one. */
     @Test
-    void aSecondAnswerThatComesLateIsNobodysAnswer() throws IOException, InterruptedException {
+    void lateDuplicateResponseBelongsToNoRequest() throws IOException, InterruptedException {
         start();
         CountDownLatch answered = new CountDownLatch(1);
         CountDownLatch held = new CountDownLatch(1);
@@ -155,7 +161,7 @@
                 Client next = new Client(at)) {
             client.send(IDEMPOTENT);
             FakeUpstream.Got got = upstream.next();
-            module.server = null; // the next one is held, and sent once the first is served
+            module.server = null; // the next one is queued, and sent once the first is served
             next.send(IDEMPOTENT.replace("r1", "r2"));
             assertEquals("0 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
             assertEquals("0 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
@@ -196,7 +202,7 @@
     }
 
     @Test
-    void probesTellTheLoad() throws IOException, InterruptedException {
+    void probeReturnsTheLoadReport() throws IOException, InterruptedException {
         start();
         onLoop(() -> module.actions.probe("s1"));
         FakeUpstream.Got got = upstream.next();
