--- a/balancer/src/main/java/loadbalancer/dispatch/PolicyActions.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/PolicyActions.java
@@ -114,7 +114,7 @@
     @Override
     public void fetchList() {
         if (discovery != null) {
-            discovery.fetch();
+            discovery.poll();
         }
     }
 
--- a/balancer/src/main/java/loadbalancer/dispatch/RequestDispatcher.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/RequestDispatcher.java
@@ -145,7 +145,7 @@
             connections.updateEndpoints(endpoints, nowMicros());
         }
         events.submit(nowMicros ->
-                policy.endpoints(nowMicros, kind, endpoints == null ? List.of() : endpoints.servers(), actions));
+                policy.endpoints(nowMicros, kind, endpoints == null ? List.of() : endpoints.endpoints(), actions));
     }
 
     /** Takes new settings for requests that arrive from here on; classes and tenants are matched by name. */
--- a/balancer/src/main/java/loadbalancer/dispatch/SlowStartQuota.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/SlowStartQuota.java
@@ -40,9 +40,9 @@
                 "parts",
                 parts,
                 "listed",
-                subset.named(),
+                subset.listedCount(),
                 "most",
-                subset.most());
+                subset.maxEndpoints());
     }
 
     private static String describe(String summary, long parts, int balancers) {
--- a/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
@@ -86,7 +86,7 @@
         boolean first = operator == null;
         operator = next;
         configurePools(next.pools());
-        replaceRouter(new RequestRouter(next.front()));
+        replaceRouter(new RequestRouter(next.routing()));
         ranks = PriorityRanks.of(boot.settings().classes());
         updatePoolSizes();
         if (first) {
@@ -130,10 +130,10 @@
     /** Passes on to the router how many endpoints of each pool may be sent to. */
     public void updatePoolSizes() {
         long now = site.dispatcher().nowMicros();
-        router.setEndpointsUp(now, PoolSpec.SITE, site.membership().up());
+        router.setEndpointsUp(now, PoolSpec.SITE, site.membership().usableCount());
         pools.pools()
                 .forEach(pool -> router.setEndpointsUp(
-                        now, pool.name(), pool.membership().up()));
+                        now, pool.name(), pool.membership().usableCount()));
     }
 
     @Override
@@ -167,7 +167,7 @@
         if (!memory.tryReserve(bodyBytes)) {
             rejections.increment(RejectionReason.POOL_LIMIT);
             router.ended(site.dispatcher().nowMicros(), lease, LeaseEnd.NOT_SENT);
-            reply.reject(operator.front().retryAfter().minMicros());
+            reply.reject(operator.routing().retryAfter().minMicros());
             return NOTHING_TO_CANCEL;
         }
         RoutedReply routedReply = new RoutedReply(reply, lease, memory, bodyBytes, replies);
@@ -225,12 +225,12 @@
 
     /** Drains an endpoint in every pool but the site's; false where none has it. */
     public boolean drainEndpoint(String id) {
-        return pools.anyKnows(pool -> pool.membership().setDown(id));
+        return pools.anyKnows(pool -> pool.membership().drain(id));
     }
 
     /** Restores an endpoint that {@link #drainEndpoint} has drained; false where no pool has it. */
     public boolean restoreEndpoint(String id) {
-        return pools.anyKnows(pool -> pool.membership().setUp(id));
+        return pools.anyKnows(pool -> pool.membership().restore(id));
     }
 
     /** The states of the pools beside the site's, by name, as a successor starts from them. */
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamConnectionPool.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamConnectionPool.java
@@ -74,22 +74,22 @@
      * Takes a change of the list: its drains count from its notification, or from {@code atMicros} if that is earlier.
      */
     public void updateEndpoints(EndpointList list, long atMicros) {
-        long notifiedMicros = Math.min(atMicros, list.toldAt());
+        long notifiedMicros = Math.min(atMicros, list.notifiedAtMicros());
         Set<String> listed = new HashSet<>();
-        for (EndpointList.Target target : list.list()) {
-            String id = target.server().id();
+        for (EndpointList.Entry target : list.entries()) {
+            String id = target.endpoint().id();
             listed.add(id);
             UpstreamEndpoint endpoint = endpoints.computeIfAbsent(id, UpstreamEndpoint::new);
-            if (target.endpoint() != null && !target.endpoint().equals(endpoint.address())) {
-                endpoint.moveTo(target.endpoint());
+            if (target.address() != null && !target.address().equals(endpoint.address())) {
+                endpoint.moveTo(target.address());
             }
-            if (target.server().state() == EndpointState.UP) {
+            if (target.endpoint().state() == EndpointState.UP) {
                 endpoint.endDrain();
             } else {
                 endpoint.drainBy(drainDeadlineMicros(notifiedMicros));
             }
         }
-        if (list.all()) {
+        if (list.complete()) {
             endpoints.values().stream()
                     .filter(endpoint -> !listed.contains(endpoint.id()))
                     .forEach(endpoint -> endpoint.drainBy(drainDeadlineMicros(notifiedMicros)));
