--- a/core/src/main/java/loadbalancer/policy/EndpointListKind.java
+++ b/core/src/main/java/loadbalancer/policy/EndpointListKind.java
@@ -11,5 +11,15 @@
     /** Nothing: discovery could not be reached or did not answer. */
     UNAVAILABLE,
     /** Changes that this balancer's operators made, which say nothing about discovery. */
-    LOCAL_OVERRIDE
+    LOCAL_OVERRIDE;
+
+    /** Whether endpoints that the list lacks have gone. */
+    public boolean isComplete() {
+        return this == CACHED || this == SNAPSHOT;
+    }
+
+    /** Whether the list shows that discovery can be reached. */
+    public boolean isAnswerOfDiscovery() {
+        return this == SNAPSHOT || this == DELTA;
+    }
 }
--- a/core/src/main/java/loadbalancer/policy/JsqDasPolicy.java
+++ b/core/src/main/java/loadbalancer/policy/JsqDasPolicy.java
@@ -48,27 +48,28 @@
             wakeBy(now, components.settings.tickMicros(), actions);
         }
         if (kind == EndpointListKind.UNAVAILABLE) {
-            int failures = components.polls.pollFailed(
-                    now, components.settings.current().bounds().pollIntervalMicros());
-            components.log.log(now, () -> "discovery failed " + failures + " times, polling again", actions);
+            pollFailed(now, actions);
             return;
         }
-        boolean complete = kind == EndpointListKind.CACHED || kind == EndpointListKind.SNAPSHOT;
-        if (kind == EndpointListKind.CACHED) {
-            if (components.settings.current().discovery() == DiscoveryMode.POLL) {
-                poll(now, actions);
-            }
-        } else if (kind != EndpointListKind.LOCAL_OVERRIDE) {
+        if (kind == EndpointListKind.CACHED && components.settings.current().discovery() == DiscoveryMode.POLL) {
+            poll(now, actions);
+        } else if (kind.isAnswerOfDiscovery()) {
             components.polls.answered();
         }
-        if (!complete && list.isEmpty()) {
+        if (!kind.isComplete() && list.isEmpty()) {
             return; // changes of endpoints that are outside of this balancer's part of the list, or none
         }
-        components.endpoints.update(now, complete, list);
+        components.endpoints.update(now, kind.isComplete(), list);
         components.selector.updateTopFraction(components.endpoints.listed());
         dispatcher.drainQueue(now, actions);
     }
 
+    private void pollFailed(long now, Actions actions) {
+        long pollIntervalMicros = components.settings.current().bounds().pollIntervalMicros();
+        int failures = components.polls.pollFailed(now, pollIntervalMicros);
+        components.log.log(now, () -> "discovery failed " + failures + " times, polling again", actions);
+    }
+
     private void poll(long now, Actions actions) {
         components.polls.polled(now, components.settings.current().bounds().pollIntervalMicros());
         actions.watch(true);
@@ -90,11 +91,9 @@
             components.traffic.recordArrival();
             components.quotas.recordArrival(tenant);
         }
-        RequestState request = arrived(now, id, requestClass, tenant, key, timeLeftMicros, work, clientRetry);
+        RequestState request =
+                components.requestFactory.create(now, id, requestClass, tenant, key, timeLeftMicros, work, clientRetry);
         components.openRequests.add(request);
-        if (work > 0) {
-            request.relativeSize = components.latencies.recordWork(requestClass, work);
-        }
         wakeBy(now, components.settings.tickMicros(), actions);
         components.retryBudget.deposit();
         if (!components.admission.admits(components.settings.tiers().tierOf(request))) {
@@ -108,31 +107,6 @@
         dispatcher.sendOrQueue(request, now, actions);
     }
 
-    private RequestState arrived(
-            long now,
-            String id,
-            int classIndex,
-            int tenant,
-            String key,
-            long timeLeftMicros,
-            long work,
-            boolean clientRetry) {
-        RequestClass requestClass = components.settings.current().classes().get(classIndex);
-        long objectiveMicros = requestClass.latencyObjectiveMicros()
-                + (work > 0 ? (long) (requestClass.objectiveStretch() * work) : 0);
-        long elapsedMicros = components.clientRetryAge.elapsedMicros(classIndex, timeLeftMicros, clientRetry);
-        return new RequestState(
-                id,
-                classIndex,
-                requestClass,
-                key == null ? 0 : Hashing.hash(key),
-                now,
-                timeLeftMicros,
-                now + objectiveMicros - elapsedMicros,
-                components.quotas.isOverQuota(tenant, now),
-                components.settings.current().limits().maxAttempts());
-    }
-
     private String sheddingLine() {
         return String.format(
                 Locale.ROOT,
--- a/core/src/main/java/loadbalancer/policy/PolicyComponents.java
+++ b/core/src/main/java/loadbalancer/policy/PolicyComponents.java
@@ -33,6 +33,7 @@
     final RequestQueue queue;
     final OutcomeRecorder outcomes;
     final OpenRequests openRequests;
+    final RequestFactory requestFactory;
     final PollSchedule polls;
 
     PolicyComponents(PolicySettings initialSettings, long seed) {
@@ -58,6 +59,7 @@
         outcomes = new OutcomeRecorder(latencies, ranking, queueLengths, outliers, admission, log);
         RetryAfterAdvice retryAfter = new RetryAfterAdvice(settings, new SplittableRandom(~seed));
         openRequests = new OpenRequests(settings, admission, sequencer, retryAfter);
+        requestFactory = new RequestFactory(settings, clientRetryAge, quotas, latencies);
         polls = new PollSchedule(random);
     }
 }
