--- a/core/src/main/java/loadbalancer/policy/AdmissionController.java
+++ b/core/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -132,7 +132,7 @@
         completed++;
     }
 
-    /** Takes the latency of an attempt that succeeded, in multiples of the latency objective. */
+    /** Records the latency of an attempt that succeeded, in multiples of the latency objective. */
     void latency(double objectiveMultiple) {
         scoreSum += Math.min(MAX_SCORE, objectiveMultiple);
         scored++;
@@ -144,7 +144,7 @@
     }
 
     /**
-     * Lets time pass and sets the level anew.
+     * Decays the counts and computes the shed level.
      *
      * @param elapsedMicros time since the last call
      * @param arrivalsPerSecond mean over a longer time
@@ -217,7 +217,7 @@
         return new LearnedState.Admission(arrivals.clone(), completed, scored, scoreSum, lowTierLevel, level);
     }
 
-    /** Takes over what a predecessor has learned; passed over where it is null or of another number of tiers. */
+    /** Restores what a predecessor has learned; ignored where it is null or of another number of tiers. */
     void restore(LearnedState.Admission learned) {
         int tiers = arrivals.length;
         if (learned == null || learned.arrivals().length != tiers) {
--- a/core/src/main/java/loadbalancer/policy/ClientRetryAge.java
+++ b/core/src/main/java/loadbalancer/policy/ClientRetryAge.java
@@ -21,7 +21,7 @@
         this.firstAttemptMicros = new long[settings.current().classes().size()];
     }
 
-    /** Takes a request that arrives, and returns the µs since the client's first attempt, 0 where it shows none. */
+    /** Records a request that arrives and returns the time since the client's first attempt in µs, 0 if unknown. */
     long elapsedMicros(int classIndex, long timeLeftMicros, boolean clientRetry) {
         long deadlineMicros = settings.current().classes().get(classIndex).deadlineMicros();
         if (!clientRetry) {
@@ -48,7 +48,7 @@
         return learned;
     }
 
-    /** Takes over what a predecessor has learned; passed over where it is null or of another number of classes. */
+    /** Restores what a predecessor has learned; ignored where it is null or of another number of classes. */
     void restore(double[] learned) {
         if (learned == null || learned.length != firstAttemptMicros.length) {
             return;
--- a/core/src/main/java/loadbalancer/policy/DecayScale.java
+++ b/core/src/main/java/loadbalancer/policy/DecayScale.java
@@ -21,7 +21,7 @@
         return unit;
     }
 
-    /** Lets time pass, and returns the part of each count that is left after it. */
+    /** Advances the time; returns the fraction of each count that remains after it. */
     double advance(long elapsedMicros) {
         double retained = Math.exp(-elapsedMicros / COUNT_DECAY_MICROS);
         unit /= Math.max(retained, 1 / MAX_UNIT);
--- a/core/src/main/java/loadbalancer/policy/EndpointTable.java
+++ b/core/src/main/java/loadbalancer/policy/EndpointTable.java
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Takes a list.
+     * Updates the table from a list.
      *
      * @param complete whether endpoints that are not in the list have gone
      */
--- a/core/src/main/java/loadbalancer/policy/KeySequencer.java
+++ b/core/src/main/java/loadbalancer/policy/KeySequencer.java
@@ -29,7 +29,7 @@
                         && (now >= sequence.pausedUntil || !request.attempts.isEmpty());
     }
 
-    /** Takes the outcome of an attempt. */
+    /** Records the outcome of an attempt. */
     void attemptEnded(AttemptState attempt, AttemptOutcome outcome, long now) {
         KeySequence sequence = attempt.request.sequence;
         boolean mayStillRun = attempt.mayHaveRun && outcome != AttemptOutcome.OK && outcome != AttemptOutcome.ERROR;
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Takes a request that is over out of its sequence, if it is in one. */
+    /** Removes a request that is over from its sequence, if it is in one. */
     void remove(RequestState request) {
         if (request.sequence != null) {
             request.sequence.requests.remove(request);
--- a/core/src/main/java/loadbalancer/policy/LatencyTracker.java
+++ b/core/src/main/java/loadbalancer/policy/LatencyTracker.java
@@ -54,18 +54,18 @@
         return shortestExpectedMicros;
     }
 
-    /** Takes the shortest of the expected latencies anew. */
+    /** Computes the shortest of the expected latencies. */
     void refreshShortest() {
         shortestExpectedMicros = Arrays.stream(expectedMicros).min().getAsDouble();
     }
 
-    /** Takes the latency of an answer. */
+    /** Records the latency of an answer. */
     void recordLatency(int classIndex, long latencyMicros) {
         expectedMicros[classIndex] += SMOOTHING * (latencyMicros - expectedMicros[classIndex]);
     }
 
     /**
-     * Takes the hint of a request.
+     * Records the hint of a request.
      *
      * @param work above 0, in any unit that is the same for all requests of the class
      * @return expected latency of the request in multiples of its class's
@@ -87,7 +87,7 @@
         return new LearnedState.Latencies(expectedMicros.clone(), meanWork.clone());
     }
 
-    /** Takes over what a predecessor has learned; figures of another number of classes are passed over. */
+    /** Restores what a predecessor has learned; figures of another number of classes are ignored. */
     void restore(LearnedState.Latencies learned) {
         expectedMicros = LearnedState.ifFits(learned.expectedMicros(), expectedMicros);
         meanWork = LearnedState.ifFits(learned.meanWork(), meanWork);
--- a/core/src/main/java/loadbalancer/policy/LearnedStateCodec.java
+++ b/core/src/main/java/loadbalancer/policy/LearnedStateCodec.java
@@ -9,7 +9,7 @@
 /**
  * Writes and reads {@link LearnedState} as named arrays of figures: the form in which a process hands it to its
  * successor. Names and positions are a format between releases, which must not change; a name that is not known, or an
- * array that has another length than this release writes, is passed over.
+ * array that has another length than this release writes, is ignored.
  *
  * <p>What the policies of several pools have learned is not written: each pool has a document of its own.
  */
--- a/core/src/main/java/loadbalancer/policy/LearnedStateTransfer.java
+++ b/core/src/main/java/loadbalancer/policy/LearnedStateTransfer.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Collects what the parts of a policy have learned, and spreads over them what a predecessor's have. */
+/** Collects what the parts of a policy have learned, and restores it in the parts of a successor. */
 final class LearnedStateTransfer {
     private final PolicyComponents components;
 
@@ -31,7 +31,7 @@
                 Map.of());
     }
 
-    /** Hands each part what a predecessor's has learned; endpoints that aren't known here are passed over. */
+    /** Hands each part what a predecessor's has learned; endpoints that aren't known here are ignored. */
     void restore(LearnedState learned, long now) {
         components.latencies.restore(learned.latencies());
         components.clientRetryAge.restore(learned.firstAttemptMicros());
--- a/core/src/main/java/loadbalancer/policy/LoadBalancingPolicy.java
+++ b/core/src/main/java/loadbalancer/policy/LoadBalancingPolicy.java
@@ -75,7 +75,7 @@
     default void peerMessage(long now, int from, byte[] data, Actions actions) {}
 
     /**
-     * Takes new settings, for requests that come from here on. What has been learned stays.
+     * Applies new settings to requests that come from here on. What has been learned stays.
      *
      * @param formerClasses for each class of the new settings its index in the former ones, or -1
      * @param formerTenants the same for tenants
--- a/core/src/main/java/loadbalancer/policy/OutcomeRecorder.java
+++ b/core/src/main/java/loadbalancer/policy/OutcomeRecorder.java
@@ -30,7 +30,7 @@
         this.log = log;
     }
 
-    /** Takes the outcome of an attempt that took so many µs. */
+    /** Records the outcome of an attempt and the time that it took. */
     void record(
             AttemptState attempt,
             AttemptOutcome outcome,
--- a/core/src/main/java/loadbalancer/policy/OutlierDetector.java
+++ b/core/src/main/java/loadbalancer/policy/OutlierDetector.java
@@ -82,7 +82,7 @@
         return now - oldest.sentAt > patienceMicros && now - stats.lastSuccessAt > patienceMicros;
     }
 
-    /** Takes anew whether most endpoints look unhealthy. */
+    /** Determines whether most endpoints look unhealthy. */
     void refresh(long now) {
         long unhealthy = endpoints.listed().stream()
                 .filter(stats -> looksUnhealthy(stats, now))
@@ -90,7 +90,7 @@
         panic = 2 * unhealthy > endpoints.listed().size();
     }
 
-    /** Takes a success; true where it ends the endpoint's probation. */
+    /** Records a success; returns whether it ends the endpoint's probation. */
     boolean recordSuccess(EndpointStats stats, long now) {
         stats.successCount += scale.unit();
         stats.lastSuccessAt = now;
@@ -102,21 +102,21 @@
         return recovered;
     }
 
-    /** Takes a failure that nothing but the endpoint explains; returns the µs of the ejection that follows, or 0. */
+    /** Records a failure of the endpoint; returns the duration of the ejection that follows in µs, or 0. */
     long recordFailure(EndpointStats stats, long now) {
         return recordFailure(stats, 1, now);
     }
 
-    /** Takes a time-out, which the load may have caused; returns the µs of the ejection that follows, or 0. */
+    /** Records a timeout, which load may have caused; returns the duration of the ejection that follows in µs, or 0. */
     long recordTimeout(EndpointStats stats, long now) {
         return recordFailure(stats, LOAD_FAILURE_WEIGHT, now);
     }
 
     /**
-     * Takes a rejection by the endpoint, which is a failure where it has not answered for long: a hung endpoint fills
+     * Records a rejection by the endpoint, which is a failure where it has not answered for long: a hung endpoint fills
      * up and then only rejects.
      *
-     * @return µs of the ejection that follows, or 0
+     * @return duration of the ejection that follows in µs, or 0
      */
     long recordRejection(EndpointStats stats, long now) {
         boolean silent = now - stats.lastSuccessAt > SATURATED_SILENCE_MICROS;
--- a/core/src/main/java/loadbalancer/policy/PollSchedule.java
+++ b/core/src/main/java/loadbalancer/policy/PollSchedule.java
@@ -27,12 +27,12 @@
         return now >= dueAt;
     }
 
-    /** Takes that the balancer subscribes: due again well within the interval, unless something answers. */
+    /** Records that the balancer subscribes: due again well within the interval, unless something answers. */
     void polled(long now, long pollIntervalMicros) {
         dueAt = now + pollIntervalMicros / 2 + random.nextLong(1 + pollIntervalMicros / 8);
     }
 
-    /** Takes a call that failed; returns how many have failed in a row. */
+    /** Records a call that failed; returns how many have failed in a row. */
     int pollFailed(long now, long pollIntervalMicros) {
         long maxBackoff = Math.min(pollIntervalMicros / 2, MAX_BACKOFF_MICROS);
         long backoff = Math.min(maxBackoff, INITIAL_BACKOFF_MICROS << Math.min(MAX_DOUBLINGS, failures++));
@@ -40,7 +40,7 @@
         return failures;
     }
 
-    /** Takes an answer of discovery: nothing is due. */
+    /** Records an answer of discovery: nothing is due. */
     void answered() {
         failures = 0;
         dueAt = Long.MAX_VALUE;
--- a/core/src/main/java/loadbalancer/policy/QueueLengthEstimator.java
+++ b/core/src/main/java/loadbalancer/policy/QueueLengthEstimator.java
@@ -73,14 +73,14 @@
         return 1 + (stats.slowness - 1) * Math.exp(-(now - stats.slownessAt) / DecayScale.COUNT_DECAY_MICROS);
     }
 
-    /** Takes the latency of an answer, in multiples of the expected one, into the endpoint's slowness. */
+    /** Records the latency of an answer, in multiples of the expected one, in the endpoint's slowness. */
     void recordLatencyRatio(EndpointStats stats, double latencyRatio, long now) {
         double former = slowness(stats, now);
         stats.slowness = former + SLOWNESS_SMOOTHING * (Math.min(MAX_LATENCY_RATIO, latencyRatio) - former);
         stats.slownessAt = now;
     }
 
-    /** Takes a load report; what is missing, negative or impossible is ignored. */
+    /** Records a load report; figures that are missing, negative or impossible are ignored. */
     void recordReport(EndpointStats stats, LoadReport report, long now) {
         if (report != null && report.inFlight() >= 0 && report.inFlight() < MAX_REPORTED_IN_FLIGHT) {
             stats.reportedInFlight = report.inFlight();
@@ -105,7 +105,7 @@
         attemptsInFlight--;
     }
 
-    /** Takes the attempts in flight into their mean. */
+    /** Updates the moving mean of the attempts in flight. */
     void advance(long elapsedMicros) {
         meanAttemptsInFlight +=
                 (1 - Math.exp(-elapsedMicros / IN_FLIGHT_SMOOTHING_MICROS)) * (attemptsInFlight - meanAttemptsInFlight);
--- a/core/src/main/java/loadbalancer/policy/RequestQueue.java
+++ b/core/src/main/java/loadbalancer/policy/RequestQueue.java
@@ -52,7 +52,7 @@
         queue.add(index, request);
     }
 
-    /** Takes the request off the queue, if it is there. */
+    /** Removes the request from the queue, if it is there. */
     void dequeue(RequestState request) {
         if (request.queued) {
             request.queued = false;
--- a/core/src/main/java/loadbalancer/policy/RetryBudget.java
+++ b/core/src/main/java/loadbalancer/policy/RetryBudget.java
@@ -24,7 +24,7 @@
         return tokens;
     }
 
-    /** Takes over what a predecessor had left. */
+    /** Restores what a predecessor had left. */
     void restore(double formerTokens) {
         tokens = Math.min(MAX_TOKENS, formerTokens);
     }
--- a/core/src/main/java/loadbalancer/policy/RetrySafetyRule.java
+++ b/core/src/main/java/loadbalancer/policy/RetrySafetyRule.java
@@ -40,7 +40,7 @@
         };
     }
 
-    /** Whether a client that is told so may send the request again without harm. */
+    /** Whether the client may send the request again without harm. */
     static boolean clientMayRetry(RequestState request) {
         RequestClass requestClass = request.requestClass;
         return firstThatMayHaveRun(request) == null
--- a/core/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/core/src/main/java/loadbalancer/policy/SlowStart.java
@@ -83,7 +83,7 @@
         return Math.max(least, warmAnswersPerSecondAndWeight * endpoint.weight());
     }
 
-    /** Takes the rate of answers of warm endpoints anew. */
+    /** Computes the rate of answers of warm endpoints. */
     void refresh(List<EndpointStats> listed, long now) {
         double answers = 0;
         double weight = 0;
--- a/core/src/main/java/loadbalancer/policy/StatisticsUpdater.java
+++ b/core/src/main/java/loadbalancer/policy/StatisticsUpdater.java
@@ -1,7 +1,7 @@
 package loadbalancer.policy;
 
 /**
- * Lets time pass for everything that a policy counts: decays counts, takes rates anew, and forgets what no longer
+ * Advances the time of everything that a policy counts: decays counts, computes rates, and forgets what no longer
  * matters. What needs a look at all endpoints is done at an interval, as work for each wake must not grow with the
  * list.
  */
@@ -26,7 +26,7 @@
         updatedAt = now;
     }
 
-    /** Lets the time since the last call pass. */
+    /** Advances the time by what has passed since the last call. */
     void advance(long now) {
         long elapsedMicros = now - updatedAt;
         updatedAt = now;
--- a/core/src/main/java/loadbalancer/policy/TenantQuotas.java
+++ b/core/src/main/java/loadbalancer/policy/TenantQuotas.java
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Lets the buckets fill from now on. */
+    /** Starts to fill the buckets. */
     void start(long now) {
         Arrays.fill(tokensAt, now);
     }
@@ -117,7 +117,7 @@
         return new LearnedState.Tenants(demand.clone(), tokens.clone());
     }
 
-    /** Takes over what a predecessor has learned; figures of another number of tenants are passed over. */
+    /** Restores what a predecessor has learned; figures of another number of tenants are ignored. */
     void restore(LearnedState.Tenants learned) {
         demand = LearnedState.ifFits(learned.demand(), demand);
         tokens = LearnedState.ifFits(learned.quotaTokens(), tokens);
--- a/core/src/main/java/loadbalancer/policy/TrafficCounts.java
+++ b/core/src/main/java/loadbalancer/policy/TrafficCounts.java
@@ -35,7 +35,7 @@
         return arrivals / DecayScale.COUNT_DECAY_MICROS * MICROS_PER_SECOND;
     }
 
-    /** Takes over the counts of a predecessor. */
+    /** Restores the counts of a predecessor. */
     void restore(double formerArrivals, double formerRejectedAttempts) {
         arrivals = formerArrivals;
         rejectedAttempts = formerRejectedAttempts;
--- a/core/src/test/java/loadbalancer/policy/CandidateSelectorTest.java
+++ b/core/src/test/java/loadbalancer/policy/CandidateSelectorTest.java
@@ -27,7 +27,7 @@
         long good = harness.sends.stream()
                 .filter(s -> s.sentAt >= from && !used.contains(s.endpoint))
                 .count();
-        assertTrue(good >= 70, "others have taken over: " + good + " of 80");
+        assertTrue(good >= 70, "others are used: " + good + " of 80");
     }
 
     @Test
@@ -38,9 +38,9 @@
         assertTrue(kept >= before.size() - 1, kept + " of " + before.size() + " kept");
     }
 
-    private static List<String> used(int servers, long seed) {
+    private static List<String> used(int endpoints, long seed) {
         Harness harness =
-                new Harness(Harness.settings(IDEMPOTENT), seed).list(EndpointListKind.CACHED, Harness.fleet(servers));
+                new Harness(Harness.settings(IDEMPOTENT), seed).list(EndpointListKind.CACHED, Harness.fleet(endpoints));
         for (int i = 0; i < 40; i++) {
             harness.request("r" + i, 0);
         }
--- a/core/src/test/java/loadbalancer/policy/Example.java
+++ b/core/src/test/java/loadbalancer/policy/Example.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The README's example: a caller that embeds the module. */
+/** The README's example: a caller that embeds the policy. */
 final class Example {
     private Example() {}
 
@@ -40,15 +40,15 @@
         return done;
     }
 
-    /** Carries out what the module asks for; here it only writes sends down. */
+    /** Carries out what the policy asks for; here it only records sends. */
     private record Sink(List<String> done) implements LoadBalancingPolicy.Actions {
         @Override
-        public void send(String request, String server, long timeout) {
-            done.add("send " + request + " to " + server);
+        public void send(String request, String endpoint, long timeoutMicros) {
+            done.add("send " + request + " to " + endpoint);
         }
 
         @Override
-        public void reject(String request, long retryAfter) {}
+        public void reject(String request, long retryAfterMicros) {}
 
         @Override
         public void fail(String request) {}
@@ -57,7 +57,7 @@
         public void cancel(String request, int attempt) {}
 
         @Override
-        public void probe(String server) {}
+        public void probe(String endpoint) {}
 
         @Override
         public void watch(boolean on) {}
@@ -66,13 +66,13 @@
         public void fetchList() {}
 
         @Override
-        public void closeIdle(String server) {}
+        public void closeIdle(String endpoint) {}
 
         @Override
         public void sendToPeer(int peer, byte[] data) {}
 
         @Override
-        public void wakeAfter(long delay) {}
+        public void wakeAfter(long delayMicros) {}
 
         @Override
         public void log(String line) {}
--- a/core/src/test/java/loadbalancer/policy/FleetSlowStartTest.java
+++ b/core/src/test/java/loadbalancer/policy/FleetSlowStartTest.java
@@ -84,14 +84,14 @@
     }
 
     private Endpoint join(String id, long startedAt, double perSecond) {
-        Endpoint server = new Endpoint(id, EndpointState.UP, startedAt, 1, 0, 0, 0);
-        standIns.put(id, new StandInEndpoint(server, perSecond));
-        return server;
+        Endpoint endpoint = new Endpoint(id, EndpointState.UP, startedAt, 1, 0, 0, 0);
+        standIns.put(id, new StandInEndpoint(endpoint, perSecond));
+        return endpoint;
     }
 
-    private void notifyBalancers(EndpointListKind kind, List<Endpoint> servers) {
+    private void notifyBalancers(EndpointListKind kind, List<Endpoint> endpoints) {
         for (Harness balancer : fleet) {
-            balancer.list(kind, servers);
+            balancer.list(kind, endpoints);
         }
     }
 
@@ -129,7 +129,7 @@
         now += STEP;
     }
 
-    /** What a window held beyond its allowance, at its worst; at most 0 where the standIn stays up. */
+    /** By how many requests the worst window exceeds its allowance; at most 0 where the endpoint stays up. */
     private static double excess(List<Long> arrivals, StandInEndpoint standIn, SafetyBounds bounds) {
         double worst = Double.NEGATIVE_INFINITY;
         for (int from = 0, to = 0;
@@ -160,7 +160,7 @@
     }
 
     /**
-     * {@code JOIN}: one in five is new; {@code BACK}: half of them are lost and come back cold, in four steps;
+     * {@code JOIN}: one in five is new; {@code BACK}: half of them are lost and come back in slow start, in four steps;
      * {@code RESTART}: the same, and all balancers have just started and know nothing. Half as much traffic again
      * comes with it. One balancer gets a fifth of the traffic, others less than the mean.
      */
--- a/core/src/test/java/loadbalancer/policy/HedgingPolicyTest.java
+++ b/core/src/test/java/loadbalancer/policy/HedgingPolicyTest.java
@@ -20,8 +20,8 @@
             harness.serve(60, 20_000, Map.of());
             Harness.Sent silent = harness.request("silent", 0);
             harness.pass(Harness.LATENCY_OBJECTIVE - 5_000);
-            int copies = harness.sentFor("silent").size() - 1;
-            assertEquals(kind == IDEMPOTENT ? 1 : 0, copies, "copies of " + kind.idempotency());
+            int hedgedAttempts = harness.sentFor("silent").size() - 1;
+            assertEquals(kind == IDEMPOTENT ? 1 : 0, hedgedAttempts, "hedged attempts of " + kind.idempotency());
             assertTrue(harness.sentFor("silent").stream().skip(1).noneMatch(s -> s.endpoint.equals(silent.endpoint)));
         }
     }
@@ -34,15 +34,17 @@
             harness.request("burst" + i, 0);
         }
         harness.pass(Harness.LATENCY_OBJECTIVE);
-        long copies = harness.sends.stream()
+        long hedgedAttempts = harness.sends.stream()
                 .filter(s -> s.request.startsWith("burst") && s.attempt > 0)
                 .count();
-        assertTrue(copies > 0 && copies <= 10, "a budget of ten at most, not one for each of 60: " + copies);
+        assertTrue(
+                hedgedAttempts > 0 && hedgedAttempts <= 10,
+                "a budget of ten at most, not one for each of 60: " + hedgedAttempts);
         Harness full = Harness.withFleet(6, IDEMPOTENT);
         full.serve(60, 20_000, Map.of());
-        List<Harness.Sent> turned =
+        List<Harness.Sent> rejected =
                 IntStream.range(0, 8).mapToObj(i -> full.request("full" + i, 0)).toList();
-        turned.forEach(s -> full.end(s, AttemptOutcome.FULL));
+        rejected.forEach(s -> full.end(s, AttemptOutcome.FULL));
         full.request("wait", 0);
         full.pass(Harness.LATENCY_OBJECTIVE);
         assertEquals(1, full.sentFor("wait").size());
--- a/core/src/test/java/loadbalancer/policy/JsqDasPolicyTest.java
+++ b/core/src/test/java/loadbalancer/policy/JsqDasPolicyTest.java
@@ -80,7 +80,7 @@
     /** Settings unlike any deployment: sensible behaviour, every request answered. */
     @ParameterizedTest
     @CsvSource({
-        // servers, balancers, aim, deadline, attempts, copies, rate a second, latency
+        // endpoints, balancers, latency objective, deadline, attempts, hedging, rate per second, latency
         "1, 1, 600000, 1200000, 3, true, 20, 20000",
         "60, 12, 600000, 1200000, 3, true, 200, 40000",
         "5, 2, 4000, 10000, 3, true, 500, 1000",
@@ -88,18 +88,18 @@
         "6, 1, 600000, 1200000, 1, false, 50, 30000",
     })
     void oddSettingsAreServed(
-            int servers,
+            int endpoints,
             int balancers,
             long latencyObjectiveMicros,
             long deadline,
             int attempts,
-            boolean copies,
+            boolean hedging,
             int rate,
             long latency) {
         for (Idempotency effect : Idempotency.values()) {
             RequestClass kind =
                     new RequestClass(effect, KeyScope.CELL, deadline, latencyObjectiveMicros, deadline, 0, 1, 0, false);
-            PolicySettings base = Harness.settings(balancers, copies, DiscoveryMode.PUSH, List.of(), kind);
+            PolicySettings base = Harness.settings(balancers, hedging, DiscoveryMode.PUSH, List.of(), kind);
             Harness harness = new Harness(
                     new PolicySettings(
                             balancers,
@@ -114,11 +114,11 @@
                             base.discovery(),
                             LoadReporting.NONE,
                             false,
-                            new SiteLimits(attempts, copies, false, false, 1000, 0),
+                            new SiteLimits(attempts, hedging, false, false, 1000, 0),
                             base.bounds(),
                             1_000),
                     9);
-            harness.list(EndpointListKind.CACHED, Harness.fleet(servers));
+            harness.list(EndpointListKind.CACHED, Harness.fleet(endpoints));
             for (int i = 0; i < 400; i++) {
                 harness.request("r" + i, 0, 0, deadline);
                 harness.pass(1_000_000 / rate);
@@ -173,7 +173,7 @@
                 "recovered ",
                 "discovery failed ",
                 " times, polling again")) {
-            assertTrue(rules.contains(line), "the module writes: " + line);
+            assertTrue(rules.contains(line), "the policy writes: " + line);
             assertTrue(page.contains(line.strip()), "the README names: " + line);
         }
     }
--- a/core/src/test/java/loadbalancer/policy/JsqDasSelectorTest.java
+++ b/core/src/test/java/loadbalancer/policy/JsqDasSelectorTest.java
@@ -17,7 +17,7 @@
     private static final PolicySettings IDEMPOTENT =
             Harness.settings(Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL));
 
-    /** Six servers, as many as a subset holds, three of them of a heavier kind, so that p is one half. */
+    /** Six endpoints, as many as a subset has, three of them of a kind of greater weight, so that p is one half. */
     private static Harness halves(long seed) {
         List<Endpoint> list = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
@@ -28,7 +28,6 @@
 
     @Test
     void withoutAccomplishmentEachBalancerRanksInAnOrderOfItsOwn() {
-        // Ranked by listed weight, all balancers sent their first requests to the same half of the servers.
         Map<String, Integer> first = new HashMap<>();
         for (int seed = 0; seed < 2000; seed++) {
             first.merge(halves(seed).request("r", 0).endpoint, 1, Integer::sum);
@@ -71,7 +70,7 @@
 
     @Test
     void theShortestSampledQueueWins() {
-        // Every server of the top set is given work; then the empty ones of the rest must win.
+        // Every endpoint of the top group is given work; then the empty ones of the rest must win.
         for (int seed = 0; seed < 50; seed++) {
             Harness harness = halves(seed);
             Set<String> busy = new HashSet<>();
@@ -120,7 +119,7 @@
         harness.end(bad, AttemptOutcome.ERROR); // the retry goes elsewhere
         assertEquals(2, harness.sentFor("bad").size());
         assertTrue(!harness.sentFor("bad").get(1).endpoint.equals(bad.endpoint));
-        for (int i = 0; i < 2; i++) { // two other servers are empty: the failed one's slot still counts
+        for (int i = 0; i < 2; i++) { // two other endpoints are empty: the failed one's slot still counts
             assertTrue(!harness.request("n" + i, 0).endpoint.equals(bad.endpoint));
         }
     }
--- a/core/src/test/java/loadbalancer/policy/KeyAffinityTest.java
+++ b/core/src/test/java/loadbalancer/policy/KeyAffinityTest.java
@@ -24,8 +24,8 @@
                     .forEach(x -> harness.end(x, AttemptOutcome.OK));
             assertTrue(sent != null);
         }
-        long hot = servers(harness, 0, 2);
-        long cold = servers(harness, 3, 150); // of the odd ones: the even ones are for the hot key
+        long hot = endpointsOf(harness, 0, 2);
+        long cold = endpointsOf(harness, 3, 150); // of the odd ones: the even ones are for the hot key
         assertTrue(hot >= 8 && cold <= 3, "hot on " + hot + ", cold on " + cold);
     }
 
@@ -40,8 +40,8 @@
             harness.end(sent, AttemptOutcome.OK);
             harness.pass(40_000);
         }
-        long hot = servers(harness, 0, 12);
-        assertTrue(hot >= 9, "a key of a twelfth of the traffic on " + hot + " of 60 servers");
+        long hot = endpointsOf(harness, 0, 12);
+        assertTrue(hot >= 9, "a key of a twelfth of the traffic on " + hot + " of 60 endpoints");
     }
 
     @Test
@@ -56,10 +56,10 @@
             harness.end(sent, AttemptOutcome.OK);
             used.add(sent.endpoint);
         }
-        assertTrue(used.size() <= 3, "one key went to " + used.size() + " servers");
+        assertTrue(used.size() <= 3, "one key went to " + used.size() + " endpoints");
     }
 
-    private static long servers(Harness harness, int first, int step) {
+    private static long endpointsOf(Harness harness, int first, int step) {
         return harness.sends.stream()
                 .filter(x -> Integer.parseInt(x.request.substring(1)) % step == first)
                 .map(x -> x.endpoint)
--- a/core/src/test/java/loadbalancer/policy/OrderAndPlacementTest.java
+++ b/core/src/test/java/loadbalancer/policy/OrderAndPlacementTest.java
@@ -46,7 +46,7 @@
         Harness.Sent first = harness.keyed("a", 0, "k");
         assertNull(harness.keyed("b", 1, "k"), "all ordered classes share their keys");
         assertNull(harness.keyed("c", 0, "k"));
-        assertTrue(harness.keyed("other", 0, "l") != null, "another key is not held up");
+        assertTrue(harness.keyed("other", 0, "l") != null, "another key is not delayed");
         assertTrue(harness.request("none", 0) != null, "nor is a request without a key");
         harness.pass(30_000);
         harness.end(first, AttemptOutcome.OK);
@@ -119,10 +119,10 @@
         harness.pass(Harness.DEADLINE);
         harness.sends.stream()
                 .filter(s -> s.request.startsWith("z"))
-                .forEach(s -> assertEquals(1, s.endpoint.charAt(1) % 2, "retries and copies too"));
+                .forEach(s -> assertEquals(1, s.endpoint.charAt(1) % 2, "retries and hedged attempts too"));
         harness.sends.stream()
                 .filter(s -> s.request.startsWith("k"))
-                .forEach(s -> assertEquals(0, s.endpoint.charAt(1) % 2, "retries and copies too"));
+                .forEach(s -> assertEquals(0, s.endpoint.charAt(1) % 2, "retries and hedged attempts too"));
     }
 
     @Test
@@ -140,6 +140,6 @@
         harness.list(EndpointListKind.DELTA, List.of(new Endpoint("own", EndpointState.GONE, 0, 1, 0, 0, 7)));
         harness.request("bound3", 1);
         harness.pass(Harness.DEADLINE);
-        assertEquals("refused", harness.finals.get("bound3"), "held, then answered in time");
+        assertEquals("refused", harness.finals.get("bound3"), "queued, then answered in time");
     }
 }
--- a/core/src/test/java/loadbalancer/policy/PollScheduleTest.java
+++ b/core/src/test/java/loadbalancer/policy/PollScheduleTest.java
@@ -10,9 +10,9 @@
 
 /** When discovery is asked again after calls that failed: by the standing terms, however often it has failed. */
 class PollScheduleTest {
-    private static final long TOLD = 6_000_000; // after discovery can be reached again
+    private static final long NOTIFIED_WITHIN = 6_000_000; // after discovery can be reached again
     private static final long WAITING = 2_000_000; // that a call takes which fails by waiting
-    private static final long TRY = 2_750_000; // what Staleness leaves for a failed try when a watch falls silent
+    private static final long SILENT_WATCH_SLACK = 2_750_000; // left for a failed poll when a watch falls silent
     private static final long MARGIN = 500_000;
     private static final int CALLS = 12;
     private static final int SEEDS = 200;
@@ -45,18 +45,20 @@
             long[] pauses = pauses(seed);
             for (int i = 1; i < CALLS; i++) {
                 long second = pauses[i - 1] + WAITING + pauses[i];
-                assertTrue(second <= TOLD, "the second try begins " + second + " us after failure " + i);
+                assertTrue(second <= NOTIFIED_WITHIN, "the second poll begins " + second + " us after failure " + i);
             }
         }
     }
 
-    /** Staleness gives a silent watch up so early that one failed try fits in before the grace is over. */
+    /** A silent watch is given up so early that one failed poll fits in before the notification is late. */
     @Test
     void afterASilentWatchASecondPollFitsIntoTheNotificationTime() {
         for (long seed = 0; seed < SEEDS; seed++) {
             long[] pauses = pauses(seed);
             long second = pauses[0] + WAITING + pauses[1];
-            assertTrue(second <= TRY + MARGIN, "the second try begins " + second + " us after the silence was noticed");
+            assertTrue(
+                    second <= SILENT_WATCH_SLACK + MARGIN,
+                    "the second poll begins " + second + " us after the silence was noticed");
         }
     }
 
--- a/core/src/test/java/loadbalancer/policy/PurityTest.java
+++ b/core/src/test/java/loadbalancer/policy/PurityTest.java
@@ -10,7 +10,7 @@
 import com.tngtech.archunit.library.dependencies.SlicesRuleDefinition;
 import org.junit.jupiter.api.Test;
 
-/** The modules that decide touch neither sockets, files, threads nor clocks, and know no other module. */
+/** The packages that decide use neither sockets, files, threads nor clocks, and depend on no other module. */
 class PurityTest {
     private static final JavaClasses CORE = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
--- a/core/src/test/java/loadbalancer/policy/ReconfigureTest.java
+++ b/core/src/test/java/loadbalancer/policy/ReconfigureTest.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What a module has learnt: over a change of settings, and in a successor. */
+/** What a policy has learned: over a change of settings, and in a successor. */
 class ReconfigureTest {
     private static final int[] NONE = {};
     private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
@@ -32,7 +32,7 @@
         Harness next = new Harness(Harness.settings(IDEMPOTENT), 2).list(EndpointListKind.CACHED, Harness.fleet(3));
         Map<String, double[]> learnedState = learnedState(harness);
         learnedState.put("usual", new double[] {1234});
-        learnedState.put("work", new double[] {1, 2, 3}); // of another number of classes: passed over
+        learnedState.put("work", new double[] {1, 2, 3}); // of another number of classes: ignored
         next.policy.restore(next.now, LearnedStateCodec.decode(learnedState));
         assertEquals(1234, learnedState(next).get("usual")[0]);
         assertEquals(1, learnedState(next).get("work").length);
