--- a/balancer/src/main/java/loadbalancer/cli/Commands.java
+++ b/balancer/src/main/java/loadbalancer/cli/Commands.java
@@ -1,7 +1,7 @@
 package loadbalancer.cli;
 
 import java.io.PrintWriter;
-import loadbalancer.toml.Faults;
+import loadbalancer.toml.ConfigException;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
@@ -41,7 +41,7 @@
     }
 
     private static int report(Exception exception, PrintWriter err) {
-        if (exception instanceof Faults faults) {
+        if (exception instanceof ConfigException faults) {
             faults.lines().forEach(err::println);
         } else {
             err.println(exception.getMessage());
--- a/balancer/src/main/java/loadbalancer/operator/DestinationReader.java
+++ b/balancer/src/main/java/loadbalancer/operator/DestinationReader.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import loadbalancer.router.Destination;
 import loadbalancer.router.SpillTarget;
+import loadbalancer.toml.Measure;
 import loadbalancer.toml.Section;
-import loadbalancer.toml.Section.Measure;
 
 /** Reads where a route's traffic goes: the keys {@code to} and {@code spill}. */
 final class DestinationReader {
@@ -34,8 +34,8 @@
             destinations.add(destination);
         }
         if (!destinations.isEmpty() && weightSum == 0) {
-            notes.add(route.place("to") + ": note: route '" + routeName + "' refuses all: its weights are 0");
-        } else if (route.holdsNothing("to")) {
+            notes.add(route.location("to") + ": note: route '" + routeName + "' refuses all: its weights are 0");
+        } else if (route.isEmptyList("to")) {
             route.fault("to", "route '" + routeName + "' leads to no pool");
         }
         return destinations;
@@ -47,7 +47,7 @@
         if (item instanceof Section section) {
             pool = section.text("pool", null);
             weight = section.number("weight", Measure.NUMBER, 1);
-            section.done();
+            section.rejectUnknownKeys();
         } else {
             pool = (String) item;
         }
@@ -91,7 +91,7 @@
             route.fault("spill", "'most' is 0: a pool that may take nothing is no way out");
             maxShare = 1;
         }
-        section.done();
+        section.rejectUnknownKeys();
         return new SpillTarget(pool, maxShare);
     }
 }
--- a/balancer/src/main/java/loadbalancer/operator/NameRegistry.java
+++ b/balancer/src/main/java/loadbalancer/operator/NameRegistry.java
@@ -6,6 +6,7 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 import loadbalancer.toml.Section;
+import loadbalancer.toml.Suggestion;
 
 /** The names that a file gives to its pools or to its routes, and where it gives them. */
 final class NameRegistry {
@@ -27,7 +28,7 @@
         } else if (locations.containsKey(name)) {
             section.fault("name", "two " + kind + "s are called '" + name + "', the other at " + locations.get(name));
         } else if (!name.isEmpty()) {
-            locations.put(name, section.place("name"));
+            locations.put(name, section.location("name"));
         }
         return name;
     }
@@ -58,7 +59,7 @@
     /** Notes a fault where a name that isn't empty is none of the existing ones. */
     static void require(Section section, String key, String kind, String name, Collection<String> existing) {
         if (!name.isEmpty() && !existing.contains(name)) {
-            section.fault(key, "no " + kind + " '" + name + "'" + Section.meant(name, existing));
+            section.fault(key, "no " + kind + " '" + name + "'" + Suggestion.didYouMean(name, existing));
         }
     }
 }
--- a/balancer/src/main/java/loadbalancer/operator/OperatorReader.java
+++ b/balancer/src/main/java/loadbalancer/operator/OperatorReader.java
@@ -8,9 +8,10 @@
 import loadbalancer.router.RetryAfterBounds;
 import loadbalancer.router.RouteConfig;
 import loadbalancer.router.RoutingConfig;
+import loadbalancer.toml.Measure;
 import loadbalancer.toml.Section;
-import loadbalancer.toml.Section.Measure;
 import loadbalancer.toml.Source;
+import loadbalancer.toml.Suggestion;
 import loadbalancer.toml.Units;
 
 /**
@@ -36,7 +37,7 @@
     /**
      * Reads {@code file}.
      *
-     * @throws loadbalancer.toml.Faults with all that is wrong with it, one line each: {@code FILE:LINE: what}
+     * @throws loadbalancer.toml.ConfigException with all that is wrong with it, one line each: {@code FILE:LINE: what}
      * @throws IOException where the file can't be read
      */
     public static OperatorConfig read(Path file, SiteConfig site) throws IOException {
@@ -44,7 +45,7 @@
         try {
             return new OperatorReader(site).read(source);
         } catch (IllegalArgumentException e) {
-            source.check(); // the faults noted so far explain it better than what they have led to
+            source.throwIfFaulty(); // the faults noted so far explain it better than what they have led to
             throw e;
         }
     }
@@ -60,11 +61,11 @@
         int instances = (int) front.number("instances", Measure.COUNT, site.instances());
         double reservedFraction = reservedFraction(front);
         RetryAfterBounds retryAfter = retryAfter(front);
-        front.done();
+        front.rejectUnknownKeys();
         QuotaConfig quotas = new QuotaReader(site, routes, notes).read(root);
         LogSettings log = log(root);
-        root.done();
-        source.check();
+        root.rejectUnknownKeys();
+        source.throwIfFaulty();
         RoutingConfig routing = new RoutingConfig(
                 poolReader.configs(), routeConfigs, unmatchedPool, quotas, instances, reservedFraction, retryAfter);
         return new OperatorConfig(routing, poolReader.specs(), hasInstances ? instances : null, log, notes);
@@ -111,7 +112,7 @@
     }
 
     private static Double time(Section section, String key, double fallbackMicros) {
-        return section.has(key) ? section.figure(key, Units.TIME) : Double.valueOf(fallbackMicros);
+        return section.has(key) ? section.quantity(key, Units.TIME) : Double.valueOf(fallbackMicros);
     }
 
     private static LogSettings log(Section root) {
@@ -121,10 +122,10 @@
             section.fault(
                     "format",
                     "'format' is \"" + format + "\"; there are " + String.join(", ", LOG_FORMATS)
-                            + Section.meant(format, LOG_FORMATS));
+                            + Suggestion.didYouMean(format, LOG_FORMATS));
         }
         int queueLines = (int) section.number("queue", Measure.COUNT, DEFAULT_LOG_QUEUE_LINES);
-        section.done();
+        section.rejectUnknownKeys();
         return new LogSettings(format.equals("json"), queueLines);
     }
 }
--- a/balancer/src/main/java/loadbalancer/operator/PoolReader.java
+++ b/balancer/src/main/java/loadbalancer/operator/PoolReader.java
@@ -7,8 +7,8 @@
 import loadbalancer.limits.LimitAlgorithm;
 import loadbalancer.router.PoolConfig;
 import loadbalancer.settings.SocketAddresses;
+import loadbalancer.toml.Measure;
 import loadbalancer.toml.Section;
-import loadbalancer.toml.Section.Measure;
 import loadbalancer.toml.Units;
 
 /** Reads the tables {@code [[pool]]}, and adds the site's pool where the file does not name it. */
@@ -54,10 +54,10 @@
         checkSource(section, name);
         int fullStrength = optionalCount(section, "full_strength");
         int maxConnections = optionalCount(section, "connections");
-        Double maxBodyBytes = section.figure("memory", Units.SIZE);
+        Double maxBodyBytes = section.quantity("memory", Units.SIZE);
         ConcurrencyLimitConfig limit = section.has("limit") ? limit(section.table("limit")) : null;
         PoolOverrides overrides = section.has("settings") ? overrides(section, name) : PoolOverrides.NONE;
-        section.done();
+        section.rejectUnknownKeys();
         specs.add(new PoolSpec(
                 name,
                 discovery,
@@ -119,7 +119,7 @@
                 TimeReader.positiveMicros(section, "connect_timeout"),
                 TimeReader.positiveMicros(section, "idle_close"),
                 section.has("probes") ? section.flag("probes", false) : null);
-        section.done();
+        section.rejectUnknownKeys();
         return overrides;
     }
 
@@ -130,7 +130,7 @@
         }
         ConcurrencyLimitConfig limit =
                 algorithm == LimitAlgorithm.FIXED ? fixedLimit(section) : learningLimit(section, algorithm);
-        section.done();
+        section.rejectUnknownKeys();
         return limit;
     }
 
--- a/balancer/src/main/java/loadbalancer/operator/QuotaReader.java
+++ b/balancer/src/main/java/loadbalancer/operator/QuotaReader.java
@@ -41,7 +41,7 @@
         sum += others == null ? 0 : others.perSecond();
         RateLimit whole = RateReader.read(section);
         if (sum > whole.perSecond() * (1 + ROUNDING_TOLERANCE)) {
-            notes.add(section.place("") + ": note: the tenants' rates add up to " + Units.RATE.write(sum)
+            notes.add(section.location("") + ": note: the tenants' rates add up to " + Units.RATE.write(sum)
                     + ", over the site's " + Units.RATE.write(whole.perSecond()) + ": all of them at once get more");
         }
         return new QuotaConfig(whole, tenants, others);
--- a/balancer/src/main/java/loadbalancer/operator/RateReader.java
+++ b/balancer/src/main/java/loadbalancer/operator/RateReader.java
@@ -1,8 +1,8 @@
 package loadbalancer.operator;
 
 import loadbalancer.limits.RateLimit;
+import loadbalancer.toml.Measure;
 import loadbalancer.toml.Section;
-import loadbalancer.toml.Section.Measure;
 import loadbalancer.toml.Units;
 
 /** Reads rates: {@code rate}, {@code burst} and {@code ceiling}. */
@@ -13,15 +13,15 @@
     private RateReader() {}
 
     static RateLimit read(Section section) {
-        Double perSecond = section.figure("rate", Units.RATE);
+        Double perSecond = section.quantity("rate", Units.RATE);
         if (perSecond == null && !section.has("rate")) {
             section.fault("rate", "a limit without 'rate': such as \"200/s\"");
         }
         double defaultBurst = Math.ceil(perSecond == null ? 1 : Math.max(1, perSecond));
         double burst = section.number("burst", Measure.COUNT, defaultBurst);
-        Double ceiling = section.has("ceiling") ? section.figure("ceiling", Units.RATE) : perSecond;
+        Double ceiling = section.has("ceiling") ? section.quantity("ceiling", Units.RATE) : perSecond;
         checkRange(section, perSecond, ceiling);
-        section.done();
+        section.rejectUnknownKeys();
         if (perSecond == null || ceiling == null || ceiling < perSecond || burst < 1) {
             return PLACEHOLDER;
         }
--- a/balancer/src/main/java/loadbalancer/operator/RouteReader.java
+++ b/balancer/src/main/java/loadbalancer/operator/RouteReader.java
@@ -12,8 +12,8 @@
 import loadbalancer.router.RouteConfig;
 import loadbalancer.routes.PathTemplate;
 import loadbalancer.routes.Route;
+import loadbalancer.toml.Measure;
 import loadbalancer.toml.Section;
-import loadbalancer.toml.Section.Measure;
 import loadbalancer.toml.Units;
 
 /** Reads the tables {@code [[route]]}; where their traffic goes is read by {@link DestinationReader}. */
@@ -66,7 +66,7 @@
         RetryBudgetConfig retryBudget = section.has("retries") ? retryBudget(section.table("retries")) : null;
         RateLimit rate = section.has("rate") ? RateReader.read(section.table("rate")) : null;
         Long deadlineMicros = TimeReader.positiveMicros(section, "deadline");
-        section.done();
+        section.rejectUnknownKeys();
         if (path == null || routeDestinations.isEmpty() || spareFactor < 1 || returnPerSecond <= 0) {
             return null;
         }
@@ -132,13 +132,14 @@
 
     private static RetryBudgetConfig retryBudget(Section section) {
         double ratio = section.number("share", Measure.SHARE, DEFAULT_RETRY_RATIO);
-        Double minPerSecond =
-                section.has("least") ? section.figure("least", Units.RATE) : Double.valueOf(DEFAULT_RETRIES_PER_SECOND);
+        Double minPerSecond = section.has("least")
+                ? section.quantity("least", Units.RATE)
+                : Double.valueOf(DEFAULT_RETRIES_PER_SECOND);
         Long windowMicros = section.has("window")
                 ? TimeReader.positiveMicros(section, "window")
                 : Long.valueOf(DEFAULT_RETRY_WINDOW_MICROS);
         boolean countClientRetries = section.flag("count_clients", false);
-        section.done();
+        section.rejectUnknownKeys();
         return minPerSecond == null || windowMicros == null
                 ? null
                 : new RetryBudgetConfig(ratio, minPerSecond, windowMicros, countClientRetries);
--- a/balancer/src/main/java/loadbalancer/operator/TimeReader.java
+++ b/balancer/src/main/java/loadbalancer/operator/TimeReader.java
@@ -9,7 +9,7 @@
 
     /** The time at a key in microseconds; null where it is missing or at fault. */
     static Long positiveMicros(Section section, String key) {
-        Double micros = section.figure(key, Units.TIME);
+        Double micros = section.quantity(key, Units.TIME);
         if (micros == null) {
             return null;
         }
--- a/balancer/src/main/java/loadbalancer/process/OperatorFileLoader.java
+++ b/balancer/src/main/java/loadbalancer/process/OperatorFileLoader.java
@@ -7,7 +7,7 @@
 import loadbalancer.operator.OperatorReader;
 import loadbalancer.operator.SiteConfig;
 import loadbalancer.settings.SettingsReader;
-import loadbalancer.toml.Faults;
+import loadbalancer.toml.ConfigException;
 
 /** Reads the operator file against the platform's configuration. Loaded only where there is such a file. */
 public final class OperatorFileLoader {
@@ -16,7 +16,7 @@
     public static OperatorConfig read(Path file, SettingsReader.Boot boot) {
         try {
             return OperatorReader.read(file, site(boot));
-        } catch (Faults e) {
+        } catch (ConfigException e) {
             throw new BalancerConfig.Bad("operator file: " + String.join("; ", e.lines()));
         } catch (IOException e) {
             throw new BalancerConfig.Bad("operator file: can't read " + file + ": " + e.getMessage());
--- a/balancer/src/test/java/loadbalancer/operator/OperatorReaderTest.java
+++ b/balancer/src/test/java/loadbalancer/operator/OperatorReaderTest.java
@@ -9,7 +9,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.toml.Faults;
+import loadbalancer.toml.ConfigException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -74,7 +74,7 @@
         try {
             OperatorReader.read(file, SITE);
             return List.of();
-        } catch (Faults e) {
+        } catch (ConfigException e) {
             return e.lines().stream()
                     .map(l -> l.replace(folder.toString() + "/", ""))
                     .toList();
--- a/simulator/src/main/java/loadbalancer/simulator/cli/ListCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/ListCommand.java
@@ -11,7 +11,7 @@
 import loadbalancer.simulator.rules.Score;
 import loadbalancer.simulator.variants.Variants;
 import loadbalancer.simulator.world.Timeline;
-import loadbalancer.toml.Faults;
+import loadbalancer.toml.ConfigException;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
@@ -38,7 +38,7 @@
                     Experiment e = ExperimentReader.read(f);
                     figures = Score.names(e.plan());
                     System.out.printf("%-40s %s%n", f, e.question());
-                } catch (Faults faults) {
+                } catch (ConfigException faults) {
                     sound = false;
                     System.out.println(faults.getMessage());
                 }
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/Expectation.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/Expectation.java
@@ -4,7 +4,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import loadbalancer.simulator.stats.Interval;
-import loadbalancer.toml.Section;
+import loadbalancer.toml.Suggestion;
 
 /**
  * What an experiment is expected to show: {@code figure}, {@code figure[variant]}, {@code max(figure, variant)},
@@ -35,14 +35,14 @@
         String figure = m.group(1) == null ? m.group(5) : m.group(2);
         String variant = m.group(1) == null ? m.group(6) : m.group(3);
         if (!figures.contains(figure)) {
-            throw new IllegalArgumentException(
-                    "expectation \"" + text + "\": no figure '" + figure + "'" + Section.meant(figure, figures));
+            throw new IllegalArgumentException("expectation \"" + text + "\": no figure '" + figure + "'"
+                    + Suggestion.didYouMean(figure, figures));
         }
         String first = variant == null ? variants.get(0) : variant;
         for (String v : new String[] {first, m.group(4)}) {
             if (v != null && !variants.contains(v)) {
                 throw new IllegalArgumentException(
-                        "expectation \"" + text + "\": no variant '" + v + "'" + Section.meant(v, variants));
+                        "expectation \"" + text + "\": no variant '" + v + "'" + Suggestion.didYouMean(v, variants));
             }
         }
         if (function.equals("diff") && m.group(4) == null) {
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/ExperimentReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/ExperimentReader.java
@@ -17,10 +17,11 @@
 import loadbalancer.simulator.world.Range;
 import loadbalancer.simulator.world.Timeline;
 import loadbalancer.simulator.world.WorldPlan;
-import loadbalancer.toml.Faults;
+import loadbalancer.toml.ConfigException;
+import loadbalancer.toml.Measure;
 import loadbalancer.toml.Section;
-import loadbalancer.toml.Section.Measure;
 import loadbalancer.toml.Source;
+import loadbalancer.toml.Suggestion;
 
 /** Reads experiments, strictly: every fault is named, with file and line, before anything runs. */
 public final class ExperimentReader {
@@ -32,7 +33,7 @@
     /**
      * Reads the experiment in {@code file} with all that it includes.
      *
-     * @throws Faults with all that is wrong with it
+     * @throws ConfigException with all that is wrong with it
      */
     public static Experiment read(Path file) throws IOException {
         Source source = Source.read(file);
@@ -43,12 +44,12 @@
         long firstSeed = Math.round(head.number("first_seed", Measure.NUMBER, 1));
         int seeds = (int) head.number("seeds", Measure.COUNT, 5);
         List<String> expected = head.texts("expect", List.of());
-        head.done();
+        head.rejectUnknownKeys();
         WorldPlan plan = plan(root);
         RoutingSpec front = root.has("front") ? RoutingReader.read(root.table("front"), plan) : null;
         List<Variant> variants = variants(root, plan, front);
-        root.done();
-        source.check();
+        root.rejectUnknownKeys();
+        source.throwIfFaulty();
         List<String> figures = Score.names(plan);
         List<String> names = variants.stream().map(Variant::name).toList();
         List<Expectation> expectations = new ArrayList<>();
@@ -59,7 +60,7 @@
                 source.fault("experiment.expect", wrong.getMessage());
             }
         }
-        source.check();
+        source.throwIfFaulty();
         return new Experiment(name, question, plan, firstSeed, seeds, variants, expectations);
     }
 
@@ -83,7 +84,7 @@
                 s.fault(
                         "policy",
                         "no policy '" + policy + "'; there are " + String.join(", ", Variants.names())
-                                + Section.meant(policy, Variants.names()));
+                                + Suggestion.didYouMean(policy, Variants.names()));
             }
             if (!names.add(name)) {
                 s.fault("name", "two variants are called '" + name + "'");
@@ -96,7 +97,7 @@
             double share = s.number("fast_share", Measure.SHARE, Math.min(1, fast));
             RoutingSpec.Use use = RoutingReader.use(s, front);
             boolean calm = s.flag("calm", false);
-            s.done();
+            s.rejectUnknownKeys();
             all.add(new Variant(name, policy, new Choosers.Figures(Math.max(1, d), Math.min(a, d), share), use, calm));
         }
         if (all.isEmpty()) {
@@ -119,7 +120,7 @@
         if (zones.isEmpty()) {
             w.fault("zones", "'zones' is empty: one at least is wanted");
         }
-        w.done();
+        w.rejectUnknownKeys();
         Section l = root.table("load");
         WorldPlan.Load load = new WorldPlan.Load(
                 range(l, "level", Measure.NUMBER),
@@ -129,7 +130,7 @@
                 range(l, "keys", Measure.NUMBER, NONE),
                 range(l, "key_zipf", Measure.NUMBER, NONE),
                 range(l, "quota", Measure.NUMBER, ONE));
-        l.done();
+        l.rejectUnknownKeys();
         Section n = root.table("network");
         WorldPlan.Network network = new WorldPlan.Network(
                 range(n, "same", Measure.TIME),
@@ -137,7 +138,7 @@
                 range(n, "client", Measure.TIME, Range.of(500)),
                 range(n, "jitter", Measure.SHARE, NONE),
                 n.number("loss", Measure.SHARE, 0));
-        n.done();
+        n.rejectUnknownKeys();
         Section c = root.table("clients");
         WorldPlan.Clients clients = new WorldPlan.Clients(
                 range(c, "retries", Measure.NUMBER, NONE),
@@ -147,7 +148,7 @@
                 range(c, "impatient", Measure.SHARE, NONE),
                 range(c, "notice", Measure.TIME, Range.of(2_000_000)),
                 c.flag("marks_retry", false));
-        c.done();
+        c.rejectUnknownKeys();
         Section d = root.table("discovery");
         String mode = d.text("mode", "push");
         if (!Set.of("ask", "push").contains(mode)) {
@@ -163,7 +164,7 @@
                 range(d, "capacity", Measure.NUMBER, Range.of(1000)),
                 range(d, "call_lines", Measure.COUNT, Range.of(1000)),
                 d.time("timeout", 2_000_000));
-        d.done();
+        d.rejectUnknownKeys();
         Section r = root.table("rules");
         WorldPlan.Rules rules = new WorldPlan.Rules(
                 r.time("answer_slack", 20_000),
@@ -176,7 +177,7 @@
                 r.flag("cancel", true),
                 r.flag("probes", true),
                 r.time("max_retry_after", 1_500_000));
-        r.done();
+        r.rejectUnknownKeys();
         Section g = root.table("goal");
         WorldPlan.Goal goal = new WorldPlan.Goal(
                 g.number("whole", Measure.SHARE, 1),
@@ -187,7 +188,7 @@
         if (Math.abs(sum - 1) > 1e-6) {
             g.fault("whole", "the weights of [goal] add up to " + sum + ", not to 1");
         }
-        g.done();
+        g.rejectUnknownKeys();
         Section p = root.table("prices");
         WorldPlan.Prices prices = new WorldPlan.Prices(
                 p.number("cross_zone", Measure.SHARE, 0),
@@ -195,7 +196,7 @@
                 p.number("probe", Measure.SHARE, 0),
                 p.number("late_fail", Measure.SHARE, 0),
                 p.number("handshake", Measure.SHARE, 0));
-        p.done();
+        p.rejectUnknownKeys();
         List<WorldPlan.Kind> kinds = kinds(root);
         return new WorldPlan(
                 length,
@@ -231,7 +232,7 @@
                 range(f, "key_gain", Measure.SHARE, NONE),
                 range(f, "key_memory", Measure.TIME, NONE),
                 range(f, "keys_per_core", Measure.NUMBER, NONE));
-        f.done();
+        f.rejectUnknownKeys();
         return fleet;
     }
 
@@ -254,7 +255,7 @@
                     range(k, "errors", Measure.SHARE, NONE),
                     k.number("cancel_drops", Measure.SHARE, 0),
                     k.text("pool", WorldPlan.Kind.SITE)));
-            k.done();
+            k.rejectUnknownKeys();
         }
         if (all.isEmpty()) {
             root.fault("kind", "no [[kind]] of upstream: one at least is wanted");
@@ -282,7 +283,7 @@
                     k.number("worth", Measure.NUMBER, 1),
                     k.number("late_worth", Measure.SHARE, 0),
                     k.word("effect", ProtocolNames.IDEMPOTENCY, Idempotency.IDEMPOTENT)));
-            k.done();
+            k.rejectUnknownKeys();
         }
         if (all.isEmpty()) {
             root.fault("class", "no [[class]] of requests: one at least is wanted");
@@ -295,7 +296,7 @@
         for (Section t : root.tables("tenant")) {
             all.add(new WorldPlan.Tenant(
                     t.text("name", null), t.number("share", Measure.SHARE), range(t, "usage", Measure.NUMBER, ONE)));
-            t.done();
+            t.rejectUnknownKeys();
         }
         return all;
     }
@@ -313,7 +314,7 @@
                         "no trouble '" + kind + "'; there are "
                                 + String.join(
                                         ", ", kinds.keySet().stream().sorted().toList())
-                                + Section.meant(kind, kinds.keySet()));
+                                + Suggestion.didYouMean(kind, kinds.keySet()));
             }
             WorldPlan.Fault fault = new WorldPlan.Fault(
                     kind,
@@ -324,10 +325,12 @@
                     range(t, "extra", Measure.SIGNED, NONE),
                     t.has("of") ? t.text("of", null) : null);
             if (fault.pool() != null && !pools.contains(fault.pool())) {
-                t.fault("of", "no [[kind]] is of pool '" + fault.pool() + "'" + Section.meant(fault.pool(), pools));
+                t.fault(
+                        "of",
+                        "no [[kind]] is of pool '" + fault.pool() + "'" + Suggestion.didYouMean(fault.pool(), pools));
             }
             all.add(fault);
-            t.done();
+            t.rejectUnknownKeys();
         }
         return all;
     }
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/RoutingReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/RoutingReader.java
@@ -7,8 +7,9 @@
 import loadbalancer.limits.LimitAlgorithm;
 import loadbalancer.simulator.variants.RoutingSpec;
 import loadbalancer.simulator.world.WorldPlan;
+import loadbalancer.toml.Measure;
 import loadbalancer.toml.Section;
-import loadbalancer.toml.Section.Measure;
+import loadbalancer.toml.Suggestion;
 
 /** Reads the front of an experiment, and how each variant uses it. */
 final class RoutingReader {
@@ -26,7 +27,7 @@
         for (Section p : f.tables("pool")) {
             String name = p.text("name", null);
             if (!pools.contains(name)) {
-                p.fault("name", "no [[kind]] is of pool '" + name + "'" + Section.meant(name, pools));
+                p.fault("name", "no [[kind]] is of pool '" + name + "'" + Suggestion.didYouMean(name, pools));
             }
             LimitAlgorithm limit = p.has("limit") ? p.word("limit", LimitAlgorithm.class, null) : null;
             own.add(new RoutingSpec.Pool(
@@ -36,7 +37,7 @@
                     p.number("least", Measure.NUMBER, 1),
                     p.number("most", Measure.NUMBER, 100),
                     (int) p.number("full_strength", Measure.NUMBER, 0)));
-            p.done();
+            p.rejectUnknownKeys();
         }
         Set<String> named = new HashSet<>();
         own.forEach(p -> named.add(p.name()));
@@ -59,7 +60,7 @@
                 f.number("tenant_ceiling", Measure.NUMBER, CEILING),
                 f.number("site_rate", Measure.NUMBER, 1),
                 f.number("reserve", Measure.SHARE, 0));
-        f.done();
+        f.rejectUnknownKeys();
         return spec;
     }
 
@@ -71,7 +72,7 @@
         all.addAll(spill);
         for (String p : all) {
             if (!pools.contains(p)) {
-                r.fault("to", "no pool '" + p + "'" + Section.meant(p, pools));
+                r.fault("to", "no pool '" + p + "'" + Suggestion.didYouMean(p, pools));
             }
         }
         if (to.isEmpty()) {
@@ -80,7 +81,7 @@
         List<String> only = r.texts("classes", List.of());
         for (String c : only) {
             if (!classes.contains(c)) {
-                r.fault("classes", "no class '" + c + "'" + Section.meant(c, classes));
+                r.fault("classes", "no class '" + c + "'" + Suggestion.didYouMean(c, classes));
             }
         }
         List<Double> weights = new ArrayList<>();
@@ -104,7 +105,7 @@
                 (int) r.number("steps", Measure.NUMBER, 0),
                 r.time("steps_from", 0),
                 Math.max(1, r.time("steps_length", 1_000_000)));
-        r.done();
+        r.rejectUnknownKeys();
         return way;
     }
 
@@ -137,7 +138,8 @@
                 variant.fault(
                         "without",
                         "no part '" + w + "'; there are "
-                                + String.join(", ", PARTS.stream().sorted().toList()) + Section.meant(w, PARTS));
+                                + String.join(", ", PARTS.stream().sorted().toList())
+                                + Suggestion.didYouMean(w, PARTS));
             }
         }
         LimitAlgorithm limit = variant.has("limit") ? variant.word("limit", LimitAlgorithm.class, null) : null;
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/FleetReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/FleetReader.java
@@ -7,10 +7,11 @@
 import java.util.List;
 import java.util.Set;
 import loadbalancer.discovery.EndpointSubset;
-import loadbalancer.toml.Faults;
+import loadbalancer.toml.ConfigException;
+import loadbalancer.toml.Measure;
 import loadbalancer.toml.Section;
-import loadbalancer.toml.Section.Measure;
 import loadbalancer.toml.Source;
+import loadbalancer.toml.Suggestion;
 
 /** Reads the files of scale runs, strictly: every fault is named, with file and line, before anything runs. */
 public final class FleetReader {
@@ -24,7 +25,7 @@
     /**
      * Reads the file with all that it includes.
      *
-     * @throws Faults with all that is wrong with it
+     * @throws ConfigException with all that is wrong with it
      * @throws IOException where it can't be read
      */
     public static FleetPlan read(Path file) throws IOException {
@@ -34,24 +35,24 @@
         String name = head.text("name", file.getFileName().toString().replace(".toml", ""));
         String question = head.text("question", "");
         long seed = whole(head, "seed", 1);
-        head.done();
+        head.rejectUnknownKeys();
         FleetPlan.Fleet fleet = fleet(root.table("fleet"));
         Churn.Rates churn = churn(root.table("churn"));
         Section d = root.table("discovery");
         FleetPlan.Discovery discovery =
                 new FleetPlan.Discovery(d.time("call_time", 0), d.time("call_timeout", 2_000_000), (int)
                         d.number("kept", Measure.COUNT, 1_000));
-        d.done();
+        d.rejectUnknownKeys();
         FleetPlan.Restart restart = null;
         if (root.has("restart")) {
             Section r = root.table("restart");
             restart = new FleetPlan.Restart(r.flag("known", false));
-            r.done();
+            r.rejectUnknownKeys();
         }
         FleetPlan.Outage outage = root.has("outage") ? outage(root.table("outage")) : null;
         List<FleetPlan.Sweep> sweeps = sweeps(root);
-        root.done();
-        source.check();
+        root.rejectUnknownKeys();
+        source.throwIfFaulty();
         return new FleetPlan(name, question, seed, fleet, churn, discovery, restart, outage, sweeps);
     }
 
@@ -78,7 +79,7 @@
                 f.time("length", 20_000_000),
                 f.time("reach", 60_000_000),
                 count(f, "upstreams_most", EndpointSubset.most(RUN_HEAP)));
-        f.done();
+        f.rejectUnknownKeys();
         return fleet;
     }
 
@@ -91,14 +92,14 @@
                 c.number("speed", Measure.NUMBER, 1),
                 c.time("drain", 2_000_000),
                 c.time("gone", 1_000_000));
-        c.done();
+        c.rejectUnknownKeys();
         return rates;
     }
 
     private static FleetPlan.Outage outage(Section o) {
         FleetPlan.Outage outage = new FleetPlan.Outage(
                 o.word("kind", FleetPlan.Kind.class, null), o.time("length", 10_000_000), o.time("call_time", 100_000));
-        o.done();
+        o.rejectUnknownKeys();
         return outage;
     }
 
@@ -123,13 +124,13 @@
                 a.fault(
                         "name",
                         "no axis '" + name + "'; there are " + String.join(", ", Axes.names())
-                                + Section.meant(name, Axes.names()));
+                                + Suggestion.didYouMean(name, Axes.names()));
             }
             if (!names.add(String.valueOf(name))) {
                 a.fault("name", "the axis '" + name + "' is there already");
             }
             all.add(new FleetPlan.Sweep(String.valueOf(name), sizes(a)));
-            a.done();
+            a.rejectUnknownKeys();
         }
         if (all.isEmpty()) {
             root.fault("axis", "no [[axis]]: one at least is wanted, with its name and sizes");
--- a/simulator/src/test/java/loadbalancer/simulator/experiment/ExperimentReaderTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/experiment/ExperimentReaderTest.java
@@ -7,7 +7,7 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import loadbalancer.toml.Faults;
+import loadbalancer.toml.ConfigException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -79,8 +79,8 @@
             })
     void eachFaultIsNamedWithItsFileAndLine(String was, String is, String complaint) throws IOException {
         Path bad = file("bad.toml", SOUND.replace(was, is));
-        String said =
-                assertThrows(Faults.class, () -> ExperimentReader.read(bad)).getMessage();
+        String said = assertThrows(ConfigException.class, () -> ExperimentReader.read(bad))
+                .getMessage();
         assertTrue(said.contains(complaint), said);
     }
 
@@ -89,7 +89,7 @@
         Path bad = file("bad.toml", SOUND.replace("level = 0.5", "level = -1").replace("size = 3", "sise = 3"));
         assertEquals(
                 2,
-                assertThrows(Faults.class, () -> ExperimentReader.read(bad))
+                assertThrows(ConfigException.class, () -> ExperimentReader.read(bad))
                         .lines()
                         .size());
     }
@@ -102,8 +102,8 @@
         assertEquals(9_000_000, e.plan().length());
         assertEquals(0.25, e.plan().load().level().from());
         file("base.toml", SOUND.replace("level = 0.5", "level = true"));
-        String said =
-                assertThrows(Faults.class, () -> ExperimentReader.read(over)).getMessage();
+        String said = assertThrows(ConfigException.class, () -> ExperimentReader.read(over))
+                .getMessage();
         assertTrue(said.startsWith("base.toml:9: 'level' is true"), said);
     }
 
@@ -111,7 +111,8 @@
     void anIncludeThatLoopsIsCaught() throws IOException {
         file("a.toml", "include = \"b.toml\"\n");
         Path b = file("b.toml", "include = \"a.toml\"\n");
-        String said = assertThrows(Faults.class, () -> ExperimentReader.read(b)).getMessage();
+        String said = assertThrows(ConfigException.class, () -> ExperimentReader.read(b))
+                .getMessage();
         assertTrue(said.contains("loops"), said);
     }
 
@@ -147,7 +148,7 @@
         Path file = Files.writeString(folder.resolve("e.toml"), sound);
         assertEquals("fronted", ExperimentReader.read(file).variants().get(0).name());
         Files.writeString(file, sound.replace(from, to));
-        Faults faults = assertThrows(Faults.class, () -> ExperimentReader.read(file));
+        ConfigException faults = assertThrows(ConfigException.class, () -> ExperimentReader.read(file));
         assertTrue(
                 faults.lines().stream().anyMatch(l -> l.endsWith(fault)),
                 faults.lines().toString());
--- a/simulator/src/test/java/loadbalancer/simulator/fleet/FleetReaderTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/fleet/FleetReaderTest.java
@@ -10,7 +10,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.stream.Stream;
-import loadbalancer.toml.Faults;
+import loadbalancer.toml.ConfigException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -26,7 +26,7 @@
 
     private List<String> faults(String... lines) throws IOException {
         Path file = file(lines);
-        return assertThrows(Faults.class, () -> FleetReader.read(file)).lines();
+        return assertThrows(ConfigException.class, () -> FleetReader.read(file)).lines();
     }
 
     @ParameterizedTest
--- a/toml/src/main/java/loadbalancer/toml/Faults.java
+++ b/toml/src/main/java/loadbalancer/toml/ConfigException.java
@@ -2,12 +2,13 @@
 
 import java.util.List;
 
-/** An experiment that can't be used: every fault in a line of its own, with file, line and what is wrong. */
-public final class Faults extends IllegalArgumentException {
+/** A file that can't be used: every fault in a line of its own, with file, line and what is wrong. */
+public final class ConfigException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
+
     private final transient List<String> lines;
 
-    Faults(List<String> lines) {
+    ConfigException(List<String> lines) {
         super(String.join(System.lineSeparator(), lines));
         this.lines = List.copyOf(lines);
     }
--- a/toml/src/main/java/loadbalancer/toml/Source.java
+++ b/toml/src/main/java/loadbalancer/toml/Source.java
@@ -8,148 +8,119 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import java.util.regex.Matcher;
-import java.util.regex.Pattern;
 
 /**
- * The text of a file with all that it includes, as one tree, and where each key of it stands. The TOML
- * library keeps no places, so they are found by a scan for table heads and keys at line starts.
+ * A TOML file with all that it includes, as one tree, and the faults that are found in it. The key {@code include} at
+ * the root names a file whose keys this one adds to or replaces.
  */
 public final class Source {
-    private static final Pattern HEAD = Pattern.compile("^\\s*\\[(\\[?)\\s*([^\\]]+?)\\s*\\]\\]?\\s*(#.*)?$");
-    private static final Pattern KEY = Pattern.compile("^\\s*([A-Za-z0-9_.\"-]+)\\s*=");
     private static final String INCLUDE = "include";
+    private static final int LINE_PART = 1; // of FILE:LINE: what
 
-    private final Map<String, String> places = new HashMap<>();
-    private final Map<String, Integer> order = new HashMap<>();
+    private final KeyLocations locations;
     private final List<String> faults = new ArrayList<>();
-    private final Path file;
     private ObjectNode tree;
 
     private Source(Path file) {
-        this.file = file;
+        this.locations = new KeyLocations(file);
     }
 
     /**
      * Reads a file.
      *
-     * @throws Faults where it, or what it includes, can't be read as TOML
+     * @throws ConfigException where it, or what it includes, can't be read as TOML
+     * @throws IOException where reading fails
      */
     public static Source read(Path file) throws IOException {
-        Source s = new Source(file);
-        s.tree = s.load(file, new ArrayList<>());
-        return s;
+        Source source = new Source(file);
+        source.tree = source.load(file, new ArrayList<>());
+        return source;
     }
 
-    /** All of it; the root of every section. */
+    /** The whole tree; the root of every section. */
     public ObjectNode tree() {
         return tree;
     }
 
-    private ObjectNode load(Path from, List<Path> chain) throws IOException {
-        Path path = from.toAbsolutePath().normalize();
-        if (chain.contains(path)) {
-            throw new Faults(List.of(chain.get(chain.size() - 1).getFileName() + ":1: include of " + from.getFileName()
+    private ObjectNode load(Path file, List<Path> includingFiles) throws IOException {
+        Path path = file.toAbsolutePath().normalize();
+        if (includingFiles.contains(path)) {
+            Path last = includingFiles.get(includingFiles.size() - 1).getFileName();
+            throw new ConfigException(List.of(last + ":1: include of " + file.getFileName()
                     + " loops: a file that is being read includes itself"));
         }
-        if (!Files.isReadable(from)) {
-            throw new Faults(List.of(from + ":1: no such file can be read"));
+        if (!Files.isReadable(file)) {
+            throw new ConfigException(List.of(file + ":1: no such file can be read"));
         }
-        chain.add(path);
-        ObjectNode own;
+        includingFiles.add(path);
+        ObjectNode own = parse(file);
+        JsonNode include = own.remove(INCLUDE);
+        ObjectNode base = include == null ? null : load(file.resolveSibling(include.asText()), includingFiles);
+        locations.scan(file); // after what it includes, whose locations it replaces
+        includingFiles.remove(path);
+        return base == null ? own : merge(base, own);
+    }
+
+    private static ObjectNode parse(Path file) throws IOException {
         try {
-            JsonNode read = new TomlMapper().readTree(Files.readString(from));
-            own = read instanceof ObjectNode o ? o : new TomlMapper().createObjectNode();
+            JsonNode root = new TomlMapper().readTree(Files.readString(file));
+            return root instanceof ObjectNode table ? table : new TomlMapper().createObjectNode();
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 1 : e.getLocation().getLineNr();
-            throw new Faults(List.of(from.getFileName() + ":" + line + ": " + plain(e.getOriginalMessage())));
-        }
-        JsonNode include = own.remove(INCLUDE);
-        if (include != null) {
-            ObjectNode base = load(from.resolveSibling(include.asText()), chain);
-            scan(from);
-            chain.remove(path);
-            return merged(base, own);
+            throw new ConfigException(
+                    List.of(file.getFileName() + ":" + line + ": " + explain(e.getOriginalMessage())));
         }
-        scan(from);
-        chain.remove(path);
-        return own;
     }
 
-    private static String plain(String message) {
-        return switch (message) {
+    private static String explain(String libraryMessage) {
+        return switch (libraryMessage) {
             case "Unknown token" -> "neither a number, true or false, nor a text, which stands in quotes";
             case "Table redefined" -> "this table is there already";
             case "Duplicate key" -> "this key is there already";
             case "Premature end of file" -> "the file ends before what was begun: a bracket or a quote is missing";
-            default -> message;
+            default -> libraryMessage;
         };
     }
 
-    // Tables are merged key by key, all else is replaced: troubles of the file stand for those of what it includes.
-    private static ObjectNode merged(ObjectNode base, ObjectNode over) {
-        for (Map.Entry<String, JsonNode> e : List.copyOf(over.properties())) {
-            if (e.getValue() instanceof ObjectNode own && base.get(e.getKey()) instanceof ObjectNode former) {
-                merged(former, own);
+    /** Merges tables key by key; any other value of {@code overriding} replaces the one in {@code base}. */
+    private static ObjectNode merge(ObjectNode base, ObjectNode overriding) {
+        for (Map.Entry<String, JsonNode> entry : List.copyOf(overriding.properties())) {
+            if (entry.getValue() instanceof ObjectNode own && base.get(entry.getKey()) instanceof ObjectNode included) {
+                merge(included, own);
             } else {
-                base.set(e.getKey(), e.getValue());
+                base.set(entry.getKey(), entry.getValue());
             }
         }
         return base;
     }
 
-    private void scan(Path from) throws IOException {
-        Map<String, Integer> counts = new LinkedHashMap<>();
-        String table = "";
-        int number = 0;
-        for (String line : Files.readAllLines(from)) {
-            number++;
-            Matcher head = HEAD.matcher(line);
-            Matcher key = KEY.matcher(line);
-            if (head.matches()) {
-                table = head.group(2);
-                if (!head.group(1).isEmpty()) {
-                    table += "[" + (counts.merge(table, 1, Integer::sum) - 1) + "]";
-                }
-                places.put(table, from.getFileName() + ":" + number);
-                order.put(table, number);
-            } else if (key.find()) {
-                String path = (table.isEmpty() ? "" : table + ".") + key.group(1);
-                places.put(path, from.getFileName() + ":" + number);
-                order.put(path, number);
-            }
-        }
-    }
-
     /** Notes a fault at a key, or at the table that should hold it. */
     public void fault(String path, String what) {
-        faults.add(place(path) + ": " + what);
+        faults.add(location(path) + ": " + what);
     }
 
     /** Where a key stands, or the table that should hold it: {@code FILE:LINE}. */
-    public String place(String path) {
-        String at = path;
-        while (!at.isEmpty() && !places.containsKey(at)) {
-            int cut = at.endsWith("]") ? at.lastIndexOf('[') : at.lastIndexOf('.');
-            at = cut < 0 ? "" : at.substring(0, cut);
-        }
-        return places.getOrDefault(at, file.getFileName() + ":1");
+    public String location(String path) {
+        return locations.location(path);
     }
 
-    /** Ends the reading: all faults at once, in the order of their lines. */
-    public void check() {
-        if (!faults.isEmpty()) {
-            TreeMap<Integer, List<String>> sorted = new TreeMap<>();
-            for (String f : faults) {
-                sorted.computeIfAbsent(Integer.valueOf(f.split(":")[1]), n -> new ArrayList<>())
-                        .add(f);
-            }
-            throw new Faults(sorted.values().stream().flatMap(List::stream).toList());
+    /**
+     * Ends the reading.
+     *
+     * @throws ConfigException with all faults at once, in the order of their lines, where there are any
+     */
+    public void throwIfFaulty() {
+        if (faults.isEmpty()) {
+            return;
+        }
+        TreeMap<Integer, List<String>> byLine = new TreeMap<>();
+        for (String fault : faults) {
+            byLine.computeIfAbsent(Integer.valueOf(fault.split(":")[LINE_PART]), line -> new ArrayList<>())
+                    .add(fault);
         }
+        throw new ConfigException(byLine.values().stream().flatMap(List::stream).toList());
     }
 }
--- a/toml/src/main/java/loadbalancer/toml/package-info.java
+++ b/toml/src/main/java/loadbalancer/toml/package-info.java
@@ -1,2 +1,5 @@
-/** Reads TOML files strictly: every fault is named, with file, line and what was meant, before anything binds. */
+/**
+ * Strict reading of TOML files: every fault is noted with file, line and what was expected, and all of them are
+ * reported together before anything of the file is used. Not thread-safe.
+ */
 package loadbalancer.toml;
