--- a/balancer/src/main/java/loadbalancer/Main.java
+++ b/balancer/src/main/java/loadbalancer/Main.java
@@ -15,25 +15,43 @@
 import loadbalancer.wire.SimulatorWireAdapter;
 import loadbalancer.wire.WireException;
 
-/** Starts a real balancer, the adapter on standard input and output, or a tool. */
+/** The program's entry: a balancer, the simulator's wire on standard input and output, or a tool. */
 public final class Main {
+    private static final String SERVE = "serve";
+    private static final String WIRE_HOST = "wirehost";
+    private static final int BUFFER_BYTES = 1 << 16;
+    private static final int EXIT_WIRE_FAILED = 1;
+
     private Main() {}
 
+    /**
+     * Runs the command that the arguments name. The two that a platform starts are told apart here, so that a start
+     * does not load the tools' option parser.
+     */
     public static void main(String[] args) {
-        if (args.length == 1 && args[0].equals("serve")) {
-            System.exit(ServeCommand.run(System.getenv()));
-        }
-        if (args.length != 1 || !args[0].equals("wirehost")) {
-            System.exit(Commands.run(args));
+        String command = args.length == 1 ? args[0] : "";
+        switch (command) {
+            case SERVE -> {
+                System.exit(ServeCommand.run(System.getenv()));
+            }
+            case WIRE_HOST -> {
+                hostOnWire();
+            }
+            default -> {
+                System.exit(Commands.run(args));
+            }
         }
+    }
+
+    private static void hostOnWire() {
         try (BufferedReader in = new BufferedReader(
                         new InputStreamReader(new FileInputStream(FileDescriptor.in), StandardCharsets.UTF_8),
-                        1 << 16);
-                OutputStream out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16)) {
+                        BUFFER_BYTES);
+                OutputStream out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), BUFFER_BYTES)) {
             new SimulatorWireAdapter(JsqDasPolicy::new, in, out).run();
         } catch (WireException | IOException e) {
             System.err.println("load-balancer: " + e.getMessage());
-            System.exit(1);
+            System.exit(EXIT_WIRE_FAILED);
         }
     }
 }
--- a/balancer/src/main/java/loadbalancer/admin/AdminListener.java
+++ b/balancer/src/main/java/loadbalancer/admin/AdminListener.java
@@ -22,31 +22,40 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The operators' listener: a connection carries one line, gets one line and is closed. Guards against callers
- * that say nothing or half a call: they are few at a time, none stays for long, and a new caller takes the
- * place of the one that has been silent for longest.
+ * The operators' listener: a connection carries one line, gets one line and is closed. Callers that send nothing, or
+ * half a line, cannot fill it: they are few at a time, none stays for long, and a new caller takes the place of the one
+ * that has been open for longest. Belongs to the event loop's thread, save {@link #listen}.
  */
 public final class AdminListener {
-    /** Callers held at a time; with the listener they fit into the descriptors kept free of clients. */
-    public static final int CALLERS_MOST = 16;
+    /** Callers at a time; with the listener they fit into the descriptors kept free of clients. */
+    public static final int MAX_CALLERS = 16;
+
+    private static final int MAX_LINE_BYTES = 512;
+    /** For the line to come. */
+    private static final long LINE_TIMEOUT_MILLIS = 3_000;
+    /** For the caller to read the response. */
+    private static final long CLOSE_DELAY_MILLIS = 1_000;
 
-    private static final int LINE_MOST = 512; // bytes
-    private static final long CALL_MS = 3_000; // for the line to come
-    private static final long LEAVE_MS = 1_000; // for the caller to read its answer
     private static final int BACKLOG = 256;
 
     private final EventLoop loop;
-    private final Operations operations;
+    private final OperatorActions actions;
     private final Set<Caller> callers = new LinkedHashSet<>(); // the oldest first
     private Channel listener;
 
-    public AdminListener(EventLoop loop, Operations operations) {
+    /** Creates a listener that is not open, for what carries out the commands. */
+    public AdminListener(EventLoop loop, OperatorActions actions) {
         this.loop = loop;
-        this.operations = operations;
+        this.actions = actions;
     }
 
-    /** Listens; not for the loop's thread. Returns the address in use. */
-    public InetSocketAddress listen(InetSocketAddress at) throws IOException {
+    /**
+     * Opens the listener. Blocks: not for the event loop's thread.
+     *
+     * @return the address in use
+     * @throws IOException where the address cannot be bound
+     */
+    public InetSocketAddress listen(InetSocketAddress address) throws IOException {
         try {
             listener = new ServerBootstrap()
                     .group(loop, loop)
@@ -57,10 +66,10 @@
                     .childHandler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel channel) {
-                            opened(channel);
+                            accepted(channel);
                         }
                     })
-                    .bind(at)
+                    .bind(address)
                     .sync()
                     .channel();
             return (InetSocketAddress) listener.localAddress();
@@ -70,15 +79,15 @@
         }
     }
 
-    /** Takes no more calls; those that have been answered still leave. */
+    /** Accepts no more callers; those that have their response still get it in full. */
     public void close() {
         if (listener != null) {
             listener.close();
         }
     }
 
-    private void opened(Channel channel) {
-        if (callers.size() >= CALLERS_MOST) {
+    private void accepted(Channel channel) {
+        if (callers.size() >= MAX_CALLERS) {
             callers.iterator().next().channel.close();
         }
         Caller caller = new Caller(channel);
@@ -86,15 +95,16 @@
         channel.closeFuture().addListener(closed -> callers.remove(caller));
         channel.pipeline()
                 .addLast(
-                        new LineBasedFrameDecoder(LINE_MOST, true, true),
+                        new LineBasedFrameDecoder(MAX_LINE_BYTES, true, true),
                         new StringDecoder(StandardCharsets.UTF_8),
                         caller);
-        loop.schedule(() -> caller.answer("NAK no whole line came"), CALL_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> caller.respond("NAK no whole line came"), LINE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
+    /** One connection of an operator. */
     private final class Caller extends SimpleChannelInboundHandler<String> {
         private final Channel channel;
-        private boolean answered;
+        private boolean responded;
 
         Caller(Channel channel) {
             this.channel = channel;
@@ -102,30 +112,30 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, String line) {
-            if (!answered) {
-                answer(Call.answer(line, operations));
+            if (!responded) {
+                respond(OperatorCommand.execute(line, actions));
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (cause instanceof TooLongFrameException) {
-                answer("NAK the line is longer than " + LINE_MOST + " bytes");
+                respond("NAK the line is longer than " + MAX_LINE_BYTES + " bytes");
             } else {
                 channel.close();
             }
         }
 
-        // Closed at once, with bytes unread, the connection would be reset before the answer is read.
-        private void answer(String line) {
-            if (answered || !channel.isActive()) {
+        // Closed at once, with bytes unread, the connection would be reset before the response is read.
+        private void respond(String line) {
+            if (responded || !channel.isActive()) {
                 return;
             }
-            answered = true;
+            responded = true;
             channel.writeAndFlush(Unpooled.copiedBuffer(line + "\n", StandardCharsets.UTF_8))
                     .addListener(ChannelFutureListener.CLOSE_ON_FAILURE)
                     .addListener(written -> ((DuplexChannel) channel).shutdownOutput());
-            loop.schedule(() -> channel.close(), LEAVE_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> channel.close(), CLOSE_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 }
--- /dev/null
+++ b/balancer/src/main/java/loadbalancer/admin/package-info.java
@@ -0,0 +1,2 @@
+/** The operators' listener: one-line commands over TCP and their one-line responses. On the event loop's thread. */
+package loadbalancer.admin;
--- a/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
@@ -16,7 +16,7 @@
 import java.util.function.BiFunction;
 import java.util.function.Supplier;
 import loadbalancer.admin.AdminListener;
-import loadbalancer.admin.Operations;
+import loadbalancer.admin.OperatorActions;
 import loadbalancer.discovery.DiscoveryClient;
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.discovery.EndpointSubset;
@@ -96,19 +96,19 @@
         this.platform = platform;
         this.warmsUp = warmsUp;
         this.log = log;
-        DescriptorBudget descriptors = new DescriptorBudget(config.sockets());
+        DescriptorBudget descriptors = new DescriptorBudget(config.maxDescriptors());
         LoadBalancingPolicy policy = policies.apply(config.boot().settings(), config.seed());
         RequestDispatcher dispatcher = new RequestDispatcher(loop, config.boot(), policy, log);
         UpstreamConnectionPool upstreams =
                 new UpstreamConnectionPool(loop, config.boot(), descriptors, dispatcher::now);
-        EndpointSubset subset =
-                new EndpointSubset(config.upstreams(), config.boot().settings().rank());
+        EndpointSubset subset = new EndpointSubset(
+                config.maxEndpoints(), config.boot().settings().rank());
         discovery = new DiscoveryClient(
                 loop,
                 config.discovery(),
                 config.boot(),
                 subset,
-                config.known().version(),
+                config.knownList().version(),
                 dispatcher::now,
                 this::endpointsListed,
                 log::accept);
@@ -183,7 +183,7 @@
     // process is ready: what comes meanwhile is queued in the policy, or rejected in time, as where no endpoint is
     // free.
     private void applyKnownList() {
-        EndpointList known = config().known();
+        EndpointList known = config().knownList();
         if (config().boot().settings().discovery() == DiscoveryMode.POLL) {
             endpointsListed(EndpointListKind.CACHED, known);
             return;
@@ -289,8 +289,8 @@
         return reconfiguration.config();
     }
 
-    /** Returns what operators may call, on the event loop's thread. */
-    public Operations operations() {
+    /** Returns what operators may do, for the event loop's thread. */
+    public OperatorActions operatorActions() {
         return operatorCalls;
     }
 
--- a/balancer/src/main/java/loadbalancer/process/ClassArchiveTraining.java
+++ b/balancer/src/main/java/loadbalancer/process/ClassArchiveTraining.java
@@ -8,10 +8,14 @@
 import loadbalancer.policy.JsqDasPolicy;
 
 /**
- * Starts a balancer, lets it rehearse and ends it: the build does so once, for the JVM to archive the classes
- * that a start loads. Guards against slow restarts: half of the time until it listened went into those.
+ * Starts a balancer, lets it warm up and stops it. The build runs this once, so that the JVM archives the classes that
+ * a start loads: loading them anew is about half of the time of a start.
  */
 public final class ClassArchiveTraining {
+    private static final long READY_TIMEOUT_MILLIS = TimeUnit.SECONDS.toMillis(30);
+    private static final int EXIT_READY = 0;
+    private static final int EXIT_NOT_READY = 1;
+
     private static final String CONFIG =
             """
         {"name": "dry", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "1", "settings": {
@@ -29,23 +33,24 @@
 
     private ClassArchiveTraining() {}
 
+    /** Runs the training; the exit code is 0 where the balancer became ready. */
     public static void main(String[] args) throws IOException, InterruptedException {
-        ReloadSignal hangup = ReloadSignal.take();
-        if (hangup != null) {
-            hangup.onEach(() -> {});
-        }
-        Path file = Files.createTempFile("dry-run", ".json"); // read as a start reads it
-        BalancerConfig config;
+        ReloadSignal.take().onEach(() -> {}); // for the classes that it loads
+        BalancerProcess process = new BalancerProcess(readConfig(), JsqDasPolicy::new, true, line -> {});
+        process.start();
+        boolean ready = process.awaitReady(READY_TIMEOUT_MILLIS);
+        process.stop();
+        System.exit(ready ? EXIT_READY : EXIT_NOT_READY);
+    }
+
+    // From a file, for the classes that this loads.
+    private static BalancerConfig readConfig() throws IOException {
+        Path file = Files.createTempFile("class-archive-training", ".json");
         try {
             Files.writeString(file, CONFIG);
-            config = BalancerConfig.read(Map.of("ROUTER_CONFIG", file.toString()));
+            return BalancerConfigReader.read(Map.of(BalancerConfigReader.FILE_VARIABLE, file.toString()));
         } finally {
             Files.delete(file);
         }
-        BalancerProcess node = new BalancerProcess(config, JsqDasPolicy::new, true, line -> {});
-        node.start();
-        boolean ready = node.awaitReady(TimeUnit.SECONDS.toMillis(30));
-        node.stop();
-        System.exit(ready ? 0 : 1);
     }
 }
--- a/balancer/src/main/java/loadbalancer/process/DescriptorBudget.java
+++ b/balancer/src/main/java/loadbalancer/process/DescriptorBudget.java
@@ -3,71 +3,89 @@
 import loadbalancer.upstream.ConnectionBudget;
 
 /**
- * Counts the sockets of this process against its limit on descriptors. Guards against accepts and connects
- * that fail for want of descriptors: a reserve stays for what is not counted here (jars, the selector,
- * discovery, the listener), and a part for the upstreams, whatever clients open.
+ * Counts the sockets of this process against its limit on descriptors, so that neither an accept nor a connect fails
+ * for want of one: some stay in reserve for what is not counted here (files, the selector, discovery, the listeners),
+ * and a fraction for upstream connections, whatever clients open. Belongs to the event loop's thread.
  */
 public final class DescriptorBudget implements ConnectionBudget {
-    private static final int RESERVE = 64;
-    private static final double OWN_LEAST = 0.4;
-    private static final double CLIENTS_SHARE = 0.65;
+    private static final int RESERVED_DESCRIPTORS = 64;
+    /** Of the limit, for this process in any case while another one shares it. */
+    private static final double MIN_OWN_FRACTION = 0.4;
+    /** Of what is not in reserve, for clients at most. */
+    private static final double MAX_CLIENT_FRACTION = 0.65;
+
+    private static final int MIN_CONNECTIONS = 2;
+
     private final int limit;
-    private int most;
-    private int clientsMost;
-    private int open;
-    private int clients;
+    private int maxConnections;
+    private int maxClientConnections;
+    private int openConnections;
+    private int clientConnections;
 
+    /**
+     * Begins without an open socket.
+     *
+     * @param limit descriptors that the process may have open
+     */
     public DescriptorBudget(int limit) {
         this.limit = limit;
-        leave(0);
+        setUsedByPeer(0);
     }
 
     /**
-     * Leaves to another process what it holds: two that stand in for each other have one limit together. A
-     * part remains for this one in any case: the other can't close at once what it holds too much.
+     * Leaves to the other process of a handover what it holds: the two have one limit together. A fraction remains for
+     * this one in any case, as the other cannot close at once what it has open above its own.
+     *
+     * @param descriptors that the other process has open
      */
-    public void leave(int others) {
-        int own = Math.max((int) (limit * OWN_LEAST), limit - others);
-        most = Math.max(2, own - Math.min(RESERVE, own / 2));
-        clientsMost = Math.max(2, (int) (most * CLIENTS_SHARE));
+    void setUsedByPeer(int descriptors) {
+        int own = Math.max((int) (limit * MIN_OWN_FRACTION), limit - descriptors);
+        maxConnections = Math.max(MIN_CONNECTIONS, own - Math.min(RESERVED_DESCRIPTORS, own / 2));
+        maxClientConnections = Math.max(MIN_CONNECTIONS, (int) (maxConnections * MAX_CLIENT_FRACTION));
     }
 
-    /** Connections to upstreams that fit beside as many clients as may come. */
-    public int forUpstreams() {
-        return Math.max(1, most - clientsMost);
+    /** Returns how many upstream connections there may be beside as many clients as possible. */
+    int maxUpstreamConnections() {
+        return Math.max(1, maxConnections - maxClientConnections);
     }
 
-    public int open() {
-        return open;
+    /** Returns how many connections are open, to clients and upstreams. */
+    int openConnections() {
+        return openConnections;
     }
 
+    /** An upstream connection has been opened. */
     @Override
     public void opened() {
-        open++;
+        openConnections++;
     }
 
+    /** An upstream connection has been closed. */
     @Override
     public void closed() {
-        open--;
+        openConnections--;
     }
 
+    /** A client's connection has been accepted. */
     public void clientOpened() {
-        open++;
-        clients++;
+        openConnections++;
+        clientConnections++;
     }
 
+    /** A client's connection has been closed. */
     public void clientClosed() {
-        open--;
-        clients--;
+        openConnections--;
+        clientConnections--;
     }
 
+    /** Whether no further connection should be opened. */
     @Override
     public boolean full() {
-        return open >= most;
+        return openConnections >= maxConnections;
     }
 
-    /** Whether no further client should be let in. */
+    /** Whether no further client's connection should be accepted. */
     public boolean crowded() {
-        return clients >= clientsMost || full();
+        return clientConnections >= maxClientConnections || full();
     }
 }
--- a/balancer/src/main/java/loadbalancer/process/HandoverParticipant.java
+++ b/balancer/src/main/java/loadbalancer/process/HandoverParticipant.java
@@ -125,7 +125,7 @@
         } else if (message instanceof HandoverMessage.EndpointRestored restored) {
             pools.restore(restored.endpointId());
         } else if (message instanceof HandoverMessage.DescriptorsInUse inUse) {
-            descriptors.leave(inUse.count() + OTHER_DESCRIPTORS);
+            descriptors.setUsedByPeer(inUse.count() + OTHER_DESCRIPTORS);
         } else if (message instanceof HandoverMessage.ServingNotice) {
             pools.setSlowStartShare(SHARED_FRACTION);
         }
@@ -135,7 +135,7 @@
     public void peerPresent(boolean present) {
         if (present && descriptorReports == null) {
             descriptorReports = loop.scheduleWithFixedDelay(
-                    () -> link.sendToPeer(new HandoverMessage.DescriptorsInUse(descriptors.open())),
+                    () -> link.sendToPeer(new HandoverMessage.DescriptorsInUse(descriptors.openConnections())),
                     0,
                     DESCRIPTOR_REPORT_INTERVAL_MILLIS,
                     TimeUnit.MILLISECONDS);
@@ -144,7 +144,7 @@
             descriptorReports = null;
         }
         if (!present) {
-            descriptors.leave(0);
+            descriptors.setUsedByPeer(0);
             pools.setSlowStartShare(1);
         }
     }
--- a/balancer/src/main/java/loadbalancer/process/OperatorCalls.java
+++ b/balancer/src/main/java/loadbalancer/process/OperatorCalls.java
@@ -1,11 +1,11 @@
 package loadbalancer.process;
 
 import java.util.function.Supplier;
-import loadbalancer.admin.Operations;
+import loadbalancer.admin.OperatorActions;
 import loadbalancer.logs.Log;
 
 /** Carries out operators' calls: here, and at the other process of a handover. On the event loop's thread. */
-final class OperatorCalls implements Operations {
+final class OperatorCalls implements OperatorActions {
     private final Readiness readiness;
     private final GracefulShutdown shutdown;
     private final BalancerPools pools;
@@ -51,27 +51,27 @@
     }
 
     @Override
-    public boolean setDown(String id) {
-        boolean known = pools.drain(id);
+    public boolean drain(String endpointId) {
+        boolean known = pools.drain(endpointId);
         if (known) {
-            handover.announceDrained(id);
+            handover.announceDrained(endpointId);
         }
-        logCall("set-down", id, known);
+        logCall("set-down", endpointId, known);
         return known;
     }
 
     @Override
-    public boolean setUp(String id) {
-        boolean known = pools.restore(id);
+    public boolean restore(String endpointId) {
+        boolean known = pools.restore(endpointId);
         if (known) {
-            handover.announceRestored(id);
+            handover.announceRestored(endpointId);
         }
-        logCall("set-up", id, known);
+        logCall("set-up", endpointId, known);
         return known;
     }
 
-    private void logCall(String call, String id, boolean known) {
-        String line = call + " " + id + (known ? "" : ": no such upstream");
-        log.event(line, "call", call, "upstream", id, "known", known);
+    private void logCall(String call, String endpointId, boolean known) {
+        String line = call + " " + endpointId + (known ? "" : ": no such upstream");
+        log.event(line, "call", call, "upstream", endpointId, "known", known);
     }
 }
--- a/balancer/src/main/java/loadbalancer/process/OperatorFileLoader.java
+++ b/balancer/src/main/java/loadbalancer/process/OperatorFileLoader.java
@@ -2,52 +2,50 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import java.util.Map;
 import loadbalancer.operator.OperatorConfig;
 import loadbalancer.operator.OperatorReader;
 import loadbalancer.settings.SettingsReader;
 import loadbalancer.toml.Faults;
 
-/** Reads the operator file against the platform's configuration. Loaded only where there is such a file. */
+/**
+ * Reads an operator file against the platform's configuration. Stateless. A process loads this class only where it is
+ * given such a file.
+ */
 public final class OperatorFileLoader {
     private OperatorFileLoader() {}
 
-    public static OperatorConfig read(Path file, SettingsReader.Boot boot) {
+    /**
+     * Reads an operator file for a process with those settings.
+     *
+     * @throws ConfigException where it cannot be used
+     */
+    static OperatorConfig read(Path file, SettingsReader.Boot settings) {
         try {
-            return OperatorReader.read(file, site(boot));
+            return OperatorReader.read(file, site(settings));
         } catch (Faults e) {
-            throw new BalancerConfig.Bad("operator file: " + String.join("; ", e.lines()));
+            throw new ConfigException("operator file: " + String.join("; ", e.lines()), e);
         } catch (IOException e) {
-            throw new BalancerConfig.Bad("operator file: can't read " + file + ": " + e.getMessage());
+            throw new ConfigException("operator file: can't read " + file + ": " + e.getMessage(), e);
         }
     }
 
-    private static OperatorConfig.Site site(SettingsReader.Boot boot) {
+    private static OperatorConfig.Site site(SettingsReader.Boot settings) {
         return new OperatorConfig.Site(
-                boot.classes(),
-                boot.tenants().isEmpty() ? null : boot.tenants(),
-                boot.settings().balancers(),
-                boot.settings().limits().maxRetryAfterMicros());
+                settings.classes(),
+                settings.tenants().isEmpty() ? null : settings.tenants(),
+                settings.settings().balancers(),
+                settings.settings().limits().maxRetryAfterMicros());
     }
 
     /**
-     * What a balancer's configuration says that an operator file must fit.
+     * Returns what a balancer's configuration says that an operator file must fit.
      *
-     * @throws IllegalArgumentException for a configuration that can't be used, in one line
+     * @throws IllegalArgumentException for a configuration that cannot be used, in one line
      */
     public static OperatorConfig.Site site(Path config) {
         try {
-            return site(BalancerConfig.read(Map.of(
-                            "ROUTER_CONFIG",
-                            config.toString(),
-                            "ROUTER_NAME",
-                            "check",
-                            "ROUTER_LISTEN",
-                            "127.0.0.1:0",
-                            "ROUTER_DISCOVERY",
-                            "127.0.0.1:0"))
-                    .boot());
-        } catch (BalancerConfig.Bad e) {
+            return site(BalancerConfigReader.readForCheck(config).boot());
+        } catch (ConfigException e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
     }
--- a/balancer/src/main/java/loadbalancer/process/Reconfiguration.java
+++ b/balancer/src/main/java/loadbalancer/process/Reconfiguration.java
@@ -68,11 +68,11 @@
         BalancerConfig next;
         try {
             next = read.get();
-            String missing = next.lacks(config);
+            String missing = next.missingKey(config);
             if (missing != null) {
-                throw new BalancerConfig.Bad("settings: " + missing + ": was there before and is missing");
+                throw new ConfigException("settings: " + missing + ": was there before and is missing");
             }
-        } catch (BalancerConfig.Bad e) {
+        } catch (ConfigException e) {
             log.warn("configuration rejected: " + e.getMessage(), "config", "kept");
             return;
         }
@@ -115,7 +115,7 @@
         OperatorConfig next;
         try {
             next = OperatorFileLoader.read(file, config.boot());
-        } catch (BalancerConfig.Bad e) {
+        } catch (ConfigException e) {
             log.warn(e.getMessage(), "operator_file", "rejected");
             return false;
         }
@@ -151,7 +151,7 @@
                 parts.loop,
                 parts.policies,
                 config.seed(),
-                config.upstreams(),
+                config.maxEndpoints(),
                 parts.descriptors,
                 parts.clients::shed,
                 log);
@@ -159,7 +159,7 @@
                 new SitePool(parts.dispatcher, parts.membership),
                 environment,
                 config.boot(),
-                parts.descriptors.forUpstreams(),
+                parts.descriptors.maxUpstreamConnections(),
                 ClientListener.ROOM);
     }
 }
--- a/balancer/src/main/java/loadbalancer/process/ServeCommand.java
+++ b/balancer/src/main/java/loadbalancer/process/ServeCommand.java
@@ -25,14 +25,10 @@
 
     private ServeCommand(Map<String, String> environment, Log log) {
         this.environment = environment;
-        this.operatorFile = path(environment.get("ROUTER_OPERATOR_FILE"));
+        this.operatorFile = BalancerConfigReader.operatorFile(environment);
         this.log = log;
     }
 
-    private static Path path(String text) {
-        return text == null || text.isBlank() ? null : Path.of(text.strip());
-    }
-
     /**
      * Runs a balancer until SIGTERM ends the process; returns only where it cannot start.
      *
@@ -69,20 +65,15 @@
 
     private BalancerProcess create() {
         try {
-            BalancerProcess.Platform platform =
-                    new BalancerProcess.Platform(InheritedListener.find(environment), handoverDirectory());
-            return new BalancerProcess(BalancerConfig.read(environment), platform, JsqDasPolicy::new, true, log);
-        } catch (BalancerConfig.Bad | IOException e) {
+            BalancerProcess.Platform platform = new BalancerProcess.Platform(
+                    InheritedListener.find(environment), BalancerConfigReader.handoverDirectory(environment));
+            return new BalancerProcess(BalancerConfigReader.read(environment), platform, JsqDasPolicy::new, true, log);
+        } catch (ConfigException | IOException e) {
             log.accept(e.getMessage());
             return null;
         }
     }
 
-    private Path handoverDirectory() {
-        String directory = environment.get("TMPDIR");
-        return directory == null || directory.isBlank() ? null : Path.of(directory);
-    }
-
     private boolean loadOperatorFile(BalancerProcess process) {
         return operatorFile == null || process.operate(operatorFile, true);
     }
@@ -101,11 +92,11 @@
     }
 
     private void takeReloads(BalancerProcess process, ReloadSignal reloadSignal) {
-        if (reloadSignal.lack() != null) {
-            log.warn(reloadSignal.lack(), "sighup", "ignored");
+        if (reloadSignal.unavailability() != null) {
+            log.warn(reloadSignal.unavailability(), "sighup", "ignored");
         }
         reloadSignal.onEach(() -> {
-            process.reload(() -> BalancerConfig.again(environment));
+            process.reload(() -> BalancerConfigReader.reread(environment));
             loadOperatorFile(process);
         });
     }
--- a/balancer/src/main/java/loadbalancer/process/WarmUp.java
+++ b/balancer/src/main/java/loadbalancer/process/WarmUp.java
@@ -23,133 +23,152 @@
 import loadbalancer.upstream.UpstreamConnectionPool;
 
 /**
- * Takes requests of its own through the whole path, over this node's own address, before clients come. Guards
- * against a cold start: with nothing compiled yet a node took hundreds of milliseconds for its first
- * requests, fell behind at once under a full load, and answered some after their deadlines. It has a module,
- * a dispatcher and connections of its own, which end with it, so that the real ones learn nothing from it.
+ * Sends requests through the whole path of the process, from its own clients' side to itself as an upstream, before
+ * clients come: code that the JVM has not compiled yet takes many times as long, and the process would fall behind
+ * under a full load. It has a policy, a dispatcher and connections of its own, which end with it, so that the process's
+ * own ones learn nothing from it. Belongs to the event loop's thread.
  */
 public final class WarmUp {
-    /** The path of its requests, and the one on which they come back to this node as an upstream. */
+    /** The path of its requests. */
     public static final String PATH = "/-/rehearsal";
 
+    /** The path on which its requests come back to this process as an upstream. */
     public static final String HOP = "/-/rehearsed";
-    private static final String TOKEN = "Rehearsal"; // a header with what no stranger knows
-
-    // The more balancers there are, the fewer requests each has to be ready for at once; and the more of them
-    // start together after a release, on cores that they share.
-    private static final int REQUESTS_OF_ALL = 900;
-    private static final int REQUESTS_MOST = 300;
-    private static final int REQUESTS_LEAST = 100;
-    private static final int AT_ONCE = 8;
-    private static final int DECLINED = 3; // every third is turned away in the last part
-    private static final int SERVERS = 8;
-    private static final long MOST_MS = 4_000; // where the machine is busy
-    private static final long WAIT = 1_000_000; // µs for one request
+
+    private static final String TOKEN_HEADER = "Rehearsal"; // with a value that no one else knows
+    private static final String ID_PREFIX = "rehearsal-";
+
+    // The more balancers there are, the fewer requests each has to be ready for at once; and the more of them start
+    // together after a release, on cores that they share.
+    private static final int REQUESTS_OF_ALL_BALANCERS = 900;
+    private static final int MAX_REQUESTS = 300;
+    private static final int MIN_REQUESTS = 100;
+
+    private static final int CONCURRENT_REQUESTS = 8;
+    private static final int ENDPOINTS = 8;
+    private static final int KINDS = 2;
+    private static final int BODY_BYTES = 200; // of requests that have one
+    /** In the second half of the requests, every so many-th is rejected by the upstream, to warm up retries. */
+    private static final int REJECTION_INTERVAL = 3;
+
+    private static final long MAX_DURATION_MILLIS = 4_000; // reached where the machine is busy
+    private static final long REQUEST_TIMEOUT_MICROS = 1_000_000;
 
     private final EventLoop loop;
-    private final SettingsReader.Boot boot;
+    private final SettingsReader.Boot settings;
     private final Runnable then;
     private final String token;
     private final int requests;
     private final RequestDispatcher dispatcher;
-    private final UpstreamConnectionPool back;
-    private final UpstreamConnectionPool front;
-    private int begun;
-    private int ended;
-    private int hops;
-    private boolean over;
+    private final UpstreamConnectionPool upstreams; // from the dispatcher to this process
+    private final UpstreamConnectionPool clients; // to this process as its clients
+    private int sent;
+    private int completed;
+    private int returned;
+    private boolean ended;
 
     /**
-     * {@code then} runs on the loop when it is over; {@code via} is a way of its own to this node, or null.
+     * Creates a warm-up that is not started.
+     *
+     * @param address a Unix socket of its own to this process; null where it uses the address of {@link #start}
+     * @param then runs on the event loop's thread when it has ended
      */
-    public WarmUp(EventLoop loop, BalancerConfig config, UnixDomainSocketAddress via, Runnable then) {
+    WarmUp(EventLoop loop, BalancerConfig config, UnixDomainSocketAddress address, Runnable then) {
         this.loop = loop;
-        this.boot = config.boot();
+        this.settings = config.boot();
         this.then = then;
-        this.requests = Math.max(
-                REQUESTS_LEAST,
-                Math.min(REQUESTS_MOST, REQUESTS_OF_ALL / boot.settings().balancers()));
+        int share = REQUESTS_OF_ALL_BALANCERS / settings.settings().balancers();
+        this.requests = Math.max(MIN_REQUESTS, Math.min(MAX_REQUESTS, share));
         this.token = Long.toHexString(new SplittableRandom(config.seed() ^ System.nanoTime()).nextLong());
-        LoadBalancingPolicy policy = new JsqDasPolicy(boot.settings(), config.seed());
-        dispatcher = new RequestDispatcher(loop, boot, policy, line -> {});
-        DescriptorBudget descriptors = new DescriptorBudget(config.sockets());
-        back = new UpstreamConnectionPool(loop, boot, descriptors, dispatcher::now, via);
-        front = new UpstreamConnectionPool(loop, boot, descriptors, dispatcher::now, via);
-        dispatcher.attach(back, null);
+        LoadBalancingPolicy policy = new JsqDasPolicy(settings.settings(), config.seed());
+        dispatcher = new RequestDispatcher(loop, settings, policy, line -> {});
+        DescriptorBudget descriptors = new DescriptorBudget(config.maxDescriptors());
+        upstreams = new UpstreamConnectionPool(loop, settings, descriptors, dispatcher::now, address);
+        clients = new UpstreamConnectionPool(loop, settings, descriptors, dispatcher::now, address);
+        dispatcher.attach(upstreams, null);
     }
 
+    /** Returns what takes its requests in place of the process's own dispatcher. */
     public RequestDispatcher dispatcher() {
         return dispatcher;
     }
 
-    /** Whether a request is one of its own. */
+    /** Whether a request with those headers is one of its own. */
     public boolean knows(HttpHeaders headers) {
-        return token.equals(headers.get(TOKEN));
+        return token.equals(headers.get(TOKEN_HEADER));
     }
 
-    public void start(InetSocketAddress self) {
-        List<EndpointList.Entry> targets = new ArrayList<>();
-        for (int i = 0; i < SERVERS; i++) {
-            Endpoint server = new Endpoint(
-                    "rehearsal-" + i,
-                    EndpointState.UP,
-                    0,
-                    1,
-                    0,
-                    i % 2,
-                    boot.settings().zone());
-            targets.add(new EndpointList.Entry(server, self));
+    /** Starts to send requests to this process, which listens at that address. */
+    void start(InetSocketAddress self) {
+        EndpointList list = new EndpointList(0, true, endpoints(self));
+        clients.listed(list, dispatcher.now());
+        dispatcher.listed(EndpointListKind.CACHED, list);
+        loop.schedule(this::end, MAX_DURATION_MILLIS, TimeUnit.MILLISECONDS);
+        for (int i = 0; i < CONCURRENT_REQUESTS; i++) {
+            sendNext();
         }
-        EndpointList all = new EndpointList(0, true, targets);
-        front.listed(all, dispatcher.now());
-        dispatcher.listed(EndpointListKind.CACHED, all);
-        loop.schedule(this::end, MOST_MS, TimeUnit.MILLISECONDS);
-        for (int i = 0; i < AT_ONCE; i++) {
-            next();
+    }
+
+    private List<EndpointList.Entry> endpoints(InetSocketAddress self) {
+        List<EndpointList.Entry> entries = new ArrayList<>();
+        int zone = settings.settings().zone();
+        for (int i = 0; i < ENDPOINTS; i++) {
+            Endpoint endpoint = new Endpoint(ID_PREFIX + i, EndpointState.UP, 0, 1, 0, i % KINDS, zone);
+            entries.add(new EndpointList.Entry(endpoint, self));
         }
+        return entries;
     }
 
-    /** As an upstream: whether the request that has come back is turned away. */
+    /** Returns, as the upstream, whether the request that has come back is rejected. */
     public boolean declines() {
-        hops++;
-        return begun > requests / 2 && hops % DECLINED == 0;
+        returned++;
+        return sent > requests / 2 && returned % REJECTION_INTERVAL == 0;
     }
 
-    private void next() {
-        if (begun >= requests) {
+    private void sendNext() {
+        if (sent >= requests) {
             return;
         }
-        int number = begun++ % boot.classes().size();
-        Idempotency effect = boot.settings().classes().get(number).idempotency();
+        int requestClass = sent++ % settings.classes().size();
+        clients.send(
+                ID_PREFIX + 0, request(requestClass), REQUEST_TIMEOUT_MICROS, (outcome, answer, load) -> completed());
+    }
+
+    private InboundRequest request(int requestClass) {
+        Idempotency idempotency =
+                settings.settings().classes().get(requestClass).idempotency();
+        boolean safe = idempotency == Idempotency.IDEMPOTENT;
+        String id = ID_PREFIX + sent;
         HttpHeaders headers = new DefaultHttpHeaders()
-                .set(TOKEN, token)
-                .set("Req-Id", "rehearsal-" + begun)
-                .set("Req-Kind", boot.classes().get(number))
-                .set("Req-Cost", Integer.toString(begun));
-        if (effect == Idempotency.IDEMPOTENT_WITH_KEY) {
-            headers.set("Idempotency-Key", "rehearsal-" + begun);
+                .set(TOKEN_HEADER, token)
+                .set("Req-Id", id)
+                .set("Req-Kind", settings.classes().get(requestClass))
+                .set("Req-Cost", Integer.toString(sent));
+        if (idempotency == Idempotency.IDEMPOTENT_WITH_KEY) {
+            headers.set("Idempotency-Key", id);
+        }
+        HttpMethod method = safe ? HttpMethod.GET : HttpMethod.POST;
+        byte[] body = new byte[safe ? 0 : BODY_BYTES];
+        return new InboundRequest(
+                id, method, PATH, headers, body, null, requestClass, 0, null, REQUEST_TIMEOUT_MICROS, -1, false);
+    }
+
+    private void completed() {
+        completed++;
+        if (completed >= requests) {
+            end();
+        } else if (!ended) {
+            loop.execute(this::sendNext);
         }
-        HttpMethod method = effect == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
-        byte[] body = new byte[effect == Idempotency.IDEMPOTENT ? 0 : 200];
-        InboundRequest order = new InboundRequest(
-                "rehearsal-" + begun, method, PATH, headers, body, null, number, 0, null, WAIT, -1, false);
-        front.send("rehearsal-0", order, WAIT, (outcome, answer, load) -> {
-            ended++;
-            if (ended >= requests) {
-                end();
-            } else if (!over) {
-                loop.execute(this::next);
-            }
-        });
     }
 
     private void end() {
-        if (!over) {
-            over = true;
-            begun = requests;
+        if (!ended) {
+            ended = true;
+            sent = requests;
             dispatcher.retire();
-            front.close();
-            back.close();
+            clients.close();
+            upstreams.close();
             then.run();
         }
     }
--- a/balancer/src/test/java/loadbalancer/process/BalancerFixture.java
+++ b/balancer/src/test/java/loadbalancer/process/BalancerFixture.java
@@ -286,7 +286,7 @@
 
     public BalancerConfig config(int sockets, Map<String, Object> settings, int port, String discovery)
             throws IOException {
-        return BalancerConfig.of(
+        return BalancerConfigReader.read(
                 Map.of(),
                 Map.of(
                         "name",
--- a/balancer/src/test/java/loadbalancer/process/DiscoveryTest.java
+++ b/balancer/src/test/java/loadbalancer/process/DiscoveryTest.java
@@ -165,7 +165,8 @@
         start(Map.of(), 1024, "push");
         node.loop()
                 .schedule(
-                        () -> module.told.add(String.valueOf(node.operations().unreadiness())),
+                        () -> module.told.add(
+                                String.valueOf(node.operatorActions().unreadiness())),
                         3_500,
                         TimeUnit.MILLISECONDS);
         assertEquals("null", module.next()); // and no list before it
@@ -222,7 +223,7 @@
             client.send(IDEMPOTENT);
             FakeUpstream.Got held = upstream.next();
             node.reload(() -> {
-                throw new BalancerConfig.Bad("no good");
+                throw new ConfigException("no good");
             });
             node.reload(() -> config(second.address()));
             node.reload(() -> config(second.address())); // said twice, moved once
--- a/balancer/src/test/java/loadbalancer/process/GatewayTest.java
+++ b/balancer/src/test/java/loadbalancer/process/GatewayTest.java
@@ -264,9 +264,13 @@
         String id = "one/" + first.address();
         assertEquals(
                 Map.of(true, id),
-                Map.of(node.loop().submit(() -> node.operations().setDown(id)).get(), id));
+                Map.of(
+                        node.loop()
+                                .submit(() -> node.operatorActions().drain(id))
+                                .get(),
+                        id));
         assertEquals("503", ask(get("/api/k", "r1", "").replace("20000", "1500"), null));
-        assertTrue(node.loop().submit(() -> node.operations().setUp(id)).get());
+        assertTrue(node.loop().submit(() -> node.operatorActions().restore(id)).get());
         assertEquals("200", ask(get("/api/k", "r2", ""), first));
     }
 }
--- a/balancer/src/test/java/loadbalancer/process/HandoverDocumentTest.java
+++ b/balancer/src/test/java/loadbalancer/process/HandoverDocumentTest.java
@@ -243,9 +243,9 @@
         sent.add(predecessor.next());
         sent.add(predecessor.next());
         predecessor.send(resource("recorded-state.json"));
-        node.loop().submit(() -> node.operations().setDown("s1")).get(20, TimeUnit.SECONDS);
+        node.loop().submit(() -> node.operatorActions().drain("s1")).get(20, TimeUnit.SECONDS);
         sent.add(predecessor.next());
-        node.loop().submit(() -> node.operations().setUp("s1")).get(20, TimeUnit.SECONDS);
+        node.loop().submit(() -> node.operatorActions().restore("s1")).get(20, TimeUnit.SECONDS);
         sent.add(predecessor.next());
         List<?> expected = ((List<?>) recorded.get("successor"))
                 .stream().filter(l -> !l.toString().startsWith("{\"open\":")).toList();
--- a/balancer/src/test/java/loadbalancer/process/HandoverTest.java
+++ b/balancer/src/test/java/loadbalancer/process/HandoverTest.java
@@ -79,7 +79,7 @@
                 Map.of());
         node = process(module);
         awaitOffer();
-        node.loop().submit(() -> node.operations().setDown("s1")).get(20, TimeUnit.SECONDS);
+        node.loop().submit(() -> node.operatorActions().drain("s1")).get(20, TimeUnit.SECONDS);
         assertEquals("LOCAL_OVERRIDE [s1=DRAINING]", module.next());
         successor = process(next);
         assertEquals("LOCAL_OVERRIDE [s1=DRAINING]", next.next());
@@ -87,7 +87,7 @@
         assertEquals("share 0.5", next.next());
         assertEquals("share 0.5", module.next());
         // A call to either of them holds for both.
-        successor.loop().submit(() -> successor.operations().setUp("s1")).get(20, TimeUnit.SECONDS);
+        successor.loop().submit(() -> successor.operatorActions().restore("s1")).get(20, TimeUnit.SECONDS);
         assertEquals("LOCAL_OVERRIDE [s1=UP]", next.next());
         assertEquals("LOCAL_OVERRIDE [s1=UP]", module.next());
         node.stop();
@@ -116,12 +116,12 @@
         node = withPools();
         awaitOffer();
         String id = "one/" + upstream.address();
-        assertTrue(node.loop().submit(() -> node.operations().setDown(id)).get(20, TimeUnit.SECONDS));
+        assertTrue(node.loop().submit(() -> node.operatorActions().drain(id)).get(20, TimeUnit.SECONDS));
         successor = withPools();
         while (upOf(successor) > 1) { // ready at once here, as there is no rehearsal
             TimeUnit.MILLISECONDS.sleep(5);
         }
-        assertTrue(node.loop().submit(() -> node.operations().setUp(id)).get(20, TimeUnit.SECONDS));
+        assertTrue(node.loop().submit(() -> node.operatorActions().restore(id)).get(20, TimeUnit.SECONDS));
         while (upOf(successor) < 2) {
             TimeUnit.MILLISECONDS.sleep(5);
         }
@@ -151,7 +151,7 @@
         successor = process(next);
         Thread stop = new Thread(node::stop);
         stop.start();
-        while (node.operations().unreadiness() == null) {
+        while (node.operatorActions().unreadiness() == null) {
             TimeUnit.MILLISECONDS.sleep(5);
         }
         for (int i = 0; i < 5; i++) {
--- a/balancer/src/test/java/loadbalancer/process/LifeCycleTest.java
+++ b/balancer/src/test/java/loadbalancer/process/LifeCycleTest.java
@@ -120,8 +120,8 @@
             })
     void badConfigurationIsNamed(String json, String complaint) throws IOException {
         try {
-            BalancerConfig.of(Map.of("ROUTER_NAME", "n1"), com.fasterxml.jackson.jr.ob.JSON.std.mapFrom(json));
-        } catch (BalancerConfig.Bad e) {
+            BalancerConfigReader.read(Map.of("ROUTER_NAME", "n1"), com.fasterxml.jackson.jr.ob.JSON.std.mapFrom(json));
+        } catch (ConfigException e) {
             assertTrue(e.getMessage().startsWith(complaint), e.getMessage());
             return;
         }
--- a/balancer/src/test/java/loadbalancer/process/LongListTest.java
+++ b/balancer/src/test/java/loadbalancer/process/LongListTest.java
@@ -63,7 +63,10 @@
         Path file = Files.createTempFile("long-list", ".json");
         Files.writeString(file, JSON.std.asString(json));
         node = new BalancerProcess(
-                BalancerConfig.read(Map.of("ROUTER_CONFIG", file.toString())), (s, seed) -> module, rehearse, line -> {
+                BalancerConfigReader.read(Map.of("ROUTER_CONFIG", file.toString())),
+                (s, seed) -> module,
+                rehearse,
+                line -> {
                     synchronized (log) {
                         log.add(line);
                     }
@@ -180,8 +183,8 @@
                                 "limits",
                                 Map.of("sockets", 100)))
                         .replace("\"sockets\":100", "\"sockets\":100,\"upstreams\":" + bound));
-        BalancerConfig.Bad bad = assertThrows(
-                BalancerConfig.Bad.class, () -> BalancerConfig.read(Map.of("ROUTER_CONFIG", file.toString())));
+        ConfigException bad = assertThrows(
+                ConfigException.class, () -> BalancerConfigReader.read(Map.of("ROUTER_CONFIG", file.toString())));
         Files.delete(file);
         assertEquals(
                 "limits: upstreams: a whole number of 1 or more is wanted: " + bound.replace("\"", ""),
--- a/balancer/src/test/java/loadbalancer/process/OperatorsTest.java
+++ b/balancer/src/test/java/loadbalancer/process/OperatorsTest.java
@@ -152,16 +152,16 @@
                 "1",
                 "settings",
                 settings()));
-        assertNull(BalancerConfig.of(Map.of(), json).admin());
+        assertNull(BalancerConfigReader.read(Map.of(), json).admin());
         json.put("admin_addr", "127.0.0.1:9600");
-        assertEquals(9600, BalancerConfig.of(Map.of(), json).admin().getPort());
+        assertEquals(9600, BalancerConfigReader.read(Map.of(), json).admin().getPort());
         assertEquals(
                 9601,
-                BalancerConfig.of(Map.of("ROUTER_ADMIN_ADDR", "127.0.0.1:9601"), json)
+                BalancerConfigReader.read(Map.of("ROUTER_ADMIN_ADDR", "127.0.0.1:9601"), json)
                         .admin()
                         .getPort());
         json.put("admin_addr", "somewhere");
-        BalancerConfig.Bad bad = assertThrows(BalancerConfig.Bad.class, () -> BalancerConfig.of(Map.of(), json));
+        ConfigException bad = assertThrows(ConfigException.class, () -> BalancerConfigReader.read(Map.of(), json));
         assertTrue(bad.getMessage().startsWith("admin_addr: "), bad.getMessage());
     }
 }
--- a/discovery/src/test/java/loadbalancer/discovery/Lists.java
+++ b/discovery/src/test/java/loadbalancer/discovery/Lists.java
@@ -53,9 +53,9 @@
         return SettingsReader.read(values, (path, what) -> new IllegalStateException(path + ": " + what));
     }
 
-    static String entry(int i, String state) {
-        return "{\"uid\":\"s-" + i + "\",\"endpoint\":\"127.0.0.1:" + (1_000 + i % 60_000)
-                + "\",\"az\":\"b\",\"model\":\"m2\",\"pod_group\":" + i / 4 + ",\"state\":\"" + state
+    static String entry(int number, String state) {
+        return "{\"uid\":\"s-" + number + "\",\"endpoint\":\"127.0.0.1:" + (1_000 + number % 60_000)
+                + "\",\"az\":\"b\",\"model\":\"m2\",\"pod_group\":" + number / 4 + ",\"state\":\"" + state
                 + "\",\"capacity_hint\":1.5,\"boot_ms\":7}";
     }
 
