--- a/balancer/src/main/java/loadbalancer/process/DescriptorBudget.java
+++ b/balancer/src/main/java/loadbalancer/process/DescriptorBudget.java
@@ -1,5 +1,6 @@
 package loadbalancer.process;
 
+import loadbalancer.http.ClientConnectionBudget;
 import loadbalancer.upstream.ConnectionBudget;
 
 /**
@@ -7,7 +8,7 @@
  * for want of one: some stay in reserve for what is not counted here (files, the selector, discovery, the listeners),
  * and a fraction for upstream connections, whatever clients open. Belongs to the event loop's thread.
  */
-public final class DescriptorBudget implements ConnectionBudget {
+public final class DescriptorBudget implements ConnectionBudget, ClientConnectionBudget {
     private static final int RESERVED_DESCRIPTORS = 64;
     /** Of the limit, for this process in any case while another one shares it. */
     private static final double MIN_OWN_FRACTION = 0.4;
@@ -54,38 +55,35 @@
         return openConnections;
     }
 
-    /** An upstream connection has been opened. */
     @Override
     public void opened() {
         openConnections++;
     }
 
-    /** An upstream connection has been closed. */
     @Override
     public void closed() {
         openConnections--;
     }
 
-    /** A client's connection has been accepted. */
+    @Override
     public void clientOpened() {
         openConnections++;
         clientConnections++;
     }
 
-    /** A client's connection has been closed. */
+    @Override
     public void clientClosed() {
         openConnections--;
         clientConnections--;
     }
 
-    /** Whether no further connection should be opened. */
     @Override
     public boolean full() {
         return openConnections >= maxConnections;
     }
 
-    /** Whether no further client's connection should be accepted. */
-    public boolean crowded() {
+    @Override
+    public boolean fullForClients() {
         return clientConnections >= maxClientConnections || full();
     }
 }
--- a/balancer/src/main/java/loadbalancer/process/GracefulShutdown.java
+++ b/balancer/src/main/java/loadbalancer/process/GracefulShutdown.java
@@ -71,7 +71,7 @@
 
     private void linger() {
         advance(State.LINGERING);
-        clients.stopping();
+        clients.startStopping();
     }
 
     private void drain() {
@@ -91,7 +91,7 @@
     // Where none does, each moment until the exit is one in which nobody serves: only answers are waited for. What has
     // been accepted is answered in any case.
     private void stopWhenDrained() {
-        boolean requestsLeft = successorServes ? !clients.isEmpty() : clients.owe();
+        boolean requestsLeft = successorServes ? !clients.isEmpty() : clients.hasPendingResponses();
         if (requestsLeft && beforeDeadline() || clients.isStreaming()) {
             loop.schedule(this::stopWhenDrained, FLUSH_MILLIS, TimeUnit.MILLISECONDS);
             return;
@@ -101,7 +101,7 @@
 
     // Looks once more: a request may have become whole since, or an answer may still wait for its client.
     private void stopIfNothingIsLeft() {
-        if (clients.owe() && beforeDeadline()) {
+        if (clients.hasPendingResponses() && beforeDeadline()) {
             stopWhenDrained();
             return;
         }
--- a/balancer/src/main/java/loadbalancer/process/OperatorFileLoader.java
+++ b/balancer/src/main/java/loadbalancer/process/OperatorFileLoader.java
@@ -4,6 +4,7 @@
 import java.nio.file.Path;
 import loadbalancer.operator.OperatorConfig;
 import loadbalancer.operator.OperatorReader;
+import loadbalancer.operator.SiteConfig;
 import loadbalancer.settings.SettingsReader;
 import loadbalancer.toml.Faults;
 
@@ -29,8 +30,8 @@
         }
     }
 
-    private static OperatorConfig.Site site(SettingsReader.Boot settings) {
-        return new OperatorConfig.Site(
+    private static SiteConfig site(SettingsReader.Boot settings) {
+        return new SiteConfig(
                 settings.classes(),
                 settings.tenants().isEmpty() ? null : settings.tenants(),
                 settings.settings().balancers(),
@@ -42,7 +43,7 @@
      *
      * @throws IllegalArgumentException for a configuration that cannot be used, in one line
      */
-    public static OperatorConfig.Site site(Path config) {
+    public static SiteConfig site(Path config) {
         try {
             return site(BalancerConfigReader.readForCheck(config).boot());
         } catch (ConfigException e) {
--- a/balancer/src/main/java/loadbalancer/process/Reconfiguration.java
+++ b/balancer/src/main/java/loadbalancer/process/Reconfiguration.java
@@ -121,7 +121,7 @@
         }
         next.notes().forEach(log::accept);
         if (configuresLog) {
-            Slf4jProvider.sink().configure(next.log().json(), next.log().queue());
+            Slf4jProvider.writer().configure(next.log().json(), next.log().queueLines());
         }
         parts.loop.submit(() -> apply(next)).syncUninterruptibly();
         return true;
@@ -131,11 +131,11 @@
         if (parts.pools.gateway() == null) {
             RoutingGateway gateway = createGateway();
             parts.pools.attach(gateway);
-            parts.clients.to(gateway);
+            parts.clients.setRequestHandler(gateway);
         }
         parts.pools.gateway().configure(next);
         int pools = next.pools().size();
-        int routes = next.front().routes().size();
+        int routes = next.routing().routes().size();
         log.event(
                 "operator file applied: " + pools + " pools, " + routes + " routes",
                 "operator_file",
@@ -153,13 +153,13 @@
                 config.seed(),
                 config.maxEndpoints(),
                 parts.descriptors,
-                parts.clients::shed,
+                parts.clients::closeLeastNeeded,
                 log);
         return new RoutingGateway(
                 new SitePool(parts.dispatcher, parts.membership),
                 environment,
                 config.boot(),
                 parts.descriptors.maxUpstreamConnections(),
-                ClientListener.ROOM);
+                ClientListener.MAX_BODY_MEMORY_BYTES);
     }
 }
--- a/balancer/src/main/java/loadbalancer/process/WarmUp.java
+++ b/balancer/src/main/java/loadbalancer/process/WarmUp.java
@@ -11,8 +11,9 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.discovery.EndpointList;
-import loadbalancer.dispatch.InboundRequest;
 import loadbalancer.dispatch.RequestDispatcher;
+import loadbalancer.dispatch.RequestHandler;
+import loadbalancer.http.WarmUpTraffic;
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
@@ -20,6 +21,8 @@
 import loadbalancer.policy.JsqDasPolicy;
 import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.settings.SettingsReader;
+import loadbalancer.transport.HeaderNames;
+import loadbalancer.transport.InboundRequest;
 import loadbalancer.upstream.UpstreamConnectionPool;
 
 /**
@@ -28,13 +31,7 @@
  * under a full load. It has a policy, a dispatcher and connections of its own, which end with it, so that the process's
  * own ones learn nothing from it. Belongs to the event loop's thread.
  */
-public final class WarmUp {
-    /** The path of its requests. */
-    public static final String PATH = "/-/rehearsal";
-
-    /** The path on which its requests come back to this process as an upstream. */
-    public static final String HOP = "/-/rehearsed";
-
+public final class WarmUp implements WarmUpTraffic {
     private static final String TOKEN_HEADER = "Rehearsal"; // with a value that no one else knows
     private static final String ID_PREFIX = "rehearsal-";
 
@@ -83,26 +80,26 @@
         LoadBalancingPolicy policy = new JsqDasPolicy(settings.settings(), config.seed());
         dispatcher = new RequestDispatcher(loop, settings, policy, line -> {});
         DescriptorBudget descriptors = new DescriptorBudget(config.maxDescriptors());
-        upstreams = new UpstreamConnectionPool(loop, settings, descriptors, dispatcher::now, address);
-        clients = new UpstreamConnectionPool(loop, settings, descriptors, dispatcher::now, address);
+        upstreams = new UpstreamConnectionPool(loop, settings, descriptors, dispatcher::nowMicros, address);
+        clients = new UpstreamConnectionPool(loop, settings, descriptors, dispatcher::nowMicros, address);
         dispatcher.attach(upstreams, null);
     }
 
-    /** Returns what takes its requests in place of the process's own dispatcher. */
-    public RequestDispatcher dispatcher() {
+    @Override
+    public RequestHandler requestHandler() {
         return dispatcher;
     }
 
-    /** Whether a request with those headers is one of its own. */
-    public boolean knows(HttpHeaders headers) {
+    @Override
+    public boolean matches(HttpHeaders headers) {
         return token.equals(headers.get(TOKEN_HEADER));
     }
 
     /** Starts to send requests to this process, which listens at that address. */
     void start(InetSocketAddress self) {
         EndpointList list = new EndpointList(0, true, endpoints(self));
-        clients.listed(list, dispatcher.now());
-        dispatcher.listed(EndpointListKind.CACHED, list);
+        clients.updateEndpoints(list, dispatcher.nowMicros());
+        dispatcher.updateEndpoints(EndpointListKind.CACHED, list);
         loop.schedule(this::end, MAX_DURATION_MILLIS, TimeUnit.MILLISECONDS);
         for (int i = 0; i < CONCURRENT_REQUESTS; i++) {
             sendNext();
@@ -119,7 +116,7 @@
         return entries;
     }
 
-    /** Returns, as the upstream, whether the request that has come back is rejected. */
+    @Override
     public boolean declines() {
         returned++;
         return sent > requests / 2 && returned % REJECTION_INTERVAL == 0;
@@ -141,16 +138,16 @@
         String id = ID_PREFIX + sent;
         HttpHeaders headers = new DefaultHttpHeaders()
                 .set(TOKEN_HEADER, token)
-                .set("Req-Id", id)
-                .set("Req-Kind", settings.classes().get(requestClass))
-                .set("Req-Cost", Integer.toString(sent));
+                .set(HeaderNames.REQUEST_ID, id)
+                .set(HeaderNames.REQUEST_CLASS, settings.classes().get(requestClass))
+                .set(HeaderNames.WORK_ESTIMATE_MICROS, Integer.toString(sent));
         if (idempotency == Idempotency.IDEMPOTENT_WITH_KEY) {
-            headers.set("Idempotency-Key", id);
+            headers.set(HeaderNames.IDEMPOTENCY_KEY, id);
         }
         HttpMethod method = safe ? HttpMethod.GET : HttpMethod.POST;
         byte[] body = new byte[safe ? 0 : BODY_BYTES];
         return new InboundRequest(
-                id, method, PATH, headers, body, null, requestClass, 0, null, REQUEST_TIMEOUT_MICROS, -1, false);
+                id, method, CLIENT_PATH, headers, body, null, requestClass, 0, null, REQUEST_TIMEOUT_MICROS, -1, false);
     }
 
     private void completed() {
--- a/balancer/src/main/java/loadbalancer/routing/RoutedReply.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutedReply.java
@@ -1,15 +1,15 @@
 package loadbalancer.routing;
 
-import loadbalancer.dispatch.RequestDispatcher;
+import loadbalancer.dispatch.ClientResponder;
 import loadbalancer.router.LeaseEnd;
 import loadbalancer.router.RouteLease;
-import loadbalancer.upstream.ResponseReader;
+import loadbalancer.transport.UpstreamResponse;
 
 /**
  * The reply of a routed request: passes the final answer on to the client, and releases the request's route lease and
  * its reserved memory exactly once, when the request ends. Event loop only.
  */
-final class RoutedReply implements RequestDispatcher.Reply {
+final class RoutedReply implements ClientResponder {
     /** Who is notified of what happens to a routed request. */
     interface Listener {
         /** Whether the router's retry budget allows a further attempt; counts it where so. */
@@ -19,7 +19,7 @@
         void ended(RouteLease lease, LeaseEnd end);
     }
 
-    private final RequestDispatcher.Reply client;
+    private final ClientResponder client;
     private final RouteLease lease;
     private final PoolMemoryBudget memory;
     private final long reservedBytes;
@@ -33,11 +33,7 @@
      * @param reservedBytes what the request has reserved of {@code memory}
      */
     RoutedReply(
-            RequestDispatcher.Reply client,
-            RouteLease lease,
-            PoolMemoryBudget memory,
-            long reservedBytes,
-            Listener listener) {
+            ClientResponder client, RouteLease lease, PoolMemoryBudget memory, long reservedBytes, Listener listener) {
         this.client = client;
         this.lease = lease;
         this.memory = memory;
@@ -59,21 +55,21 @@
     }
 
     @Override
-    public boolean maySend(int attempt) {
+    public boolean mayAttempt(int attemptNumber) {
         sent = true;
-        return attempt == 0 || listener.allowsRetry(lease);
+        return attemptNumber == 0 || listener.allowsRetry(lease);
     }
 
     @Override
-    public void serve(ResponseReader.Answer answer) {
+    public void respond(UpstreamResponse response) {
         end(LeaseEnd.SERVED);
-        client.serve(answer);
+        client.respond(response);
     }
 
     @Override
-    public void refuse(long retryAfterMicros) {
+    public void reject(long retryAfterMicros) {
         end(sent ? LeaseEnd.FAILED : LeaseEnd.NOT_SENT);
-        client.refuse(retryAfterMicros);
+        client.reject(retryAfterMicros);
     }
 
     @Override
