--- a/balancer/src/test/java/loadbalancer/DirectionsTest.java
+++ b/balancer/src/test/java/loadbalancer/DirectionsTest.java
@@ -71,13 +71,15 @@
     }
 
     @Test
-    void clientsSideDispatchAndUpstreamsDependOnEachOtherInOneDirection() {
+    void layersFromProcessToTransportDependInOneDirection() {
         layeredArchitecture()
                 .consideringOnlyDependenciesInLayers()
                 .layer("process")
                 .definedBy("loadbalancer.process..")
                 .layer("http")
                 .definedBy("loadbalancer.http..")
+                .layer("routing")
+                .definedBy("loadbalancer.routing..")
                 .layer("dispatch")
                 .definedBy("loadbalancer.dispatch..")
                 .layer("upstream")
@@ -86,10 +88,12 @@
                 .definedBy("loadbalancer.transport..")
                 .whereLayer("http")
                 .mayOnlyBeAccessedByLayers("process")
+                .whereLayer("routing")
+                .mayOnlyBeAccessedByLayers("process")
                 .whereLayer("dispatch")
-                .mayOnlyBeAccessedByLayers("process", "http")
+                .mayOnlyBeAccessedByLayers("process", "http", "routing")
                 .whereLayer("upstream")
-                .mayOnlyBeAccessedByLayers("process", "dispatch")
+                .mayOnlyBeAccessedByLayers("process", "routing", "dispatch")
                 .check(ALL);
     }
 }
