--- a/balancer/src/test/java/loadbalancer/MainTest.java
+++ b/balancer/src/test/java/loadbalancer/MainTest.java
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void aTakenAddressEndsTheBalancerWithOneLine() throws IOException, InterruptedException {
+    void anAddressInUseEndsTheBalancerWithOneLine() throws IOException, InterruptedException {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Path config = config("127.0.0.1:" + taken.getLocalPort());
             Process process = serve(config.toString());
@@ -135,7 +135,7 @@
 
     /** By itself a JVM ends on SIGHUP. */
     @Test
-    void sighupTakesOverTheConfigurationAndEndsNothing() throws IOException, InterruptedException {
+    void sighupReloadsTheConfigurationAndEndsNothing() throws IOException, InterruptedException {
         Path config = config("127.0.0.1:0");
         Process process = serve(config.toString());
         try (BufferedReader err = process.errorReader(StandardCharsets.UTF_8)) {
@@ -156,7 +156,7 @@
 
     /** It comes while the process still reads its configuration, as when all are told of a new one in a release. */
     @Test
-    void sighupDuringTheStartEndsNothingAndIsMadeUpFor() throws IOException, InterruptedException {
+    void sighupDuringTheStartEndsNothingAndIsHandledAfterIt() throws IOException, InterruptedException {
         Path file = config("127.0.0.1:0");
         String text = Files.readString(file);
         Files.delete(file);
@@ -181,7 +181,7 @@
 
     /** As under nohup: the JVM leaves the signal ignored, and gives no other sign of it. */
     @Test
-    void whereSighupIsIgnoredTheProcessSaysSoAtItsStart() throws IOException, InterruptedException {
+    void anIgnoredSighupIsLoggedAtTheStart() throws IOException, InterruptedException {
         Path config = config("127.0.0.1:0");
         Process process = start(
                 config.toString(),
@@ -208,7 +208,7 @@
 
     /** The deploy file's own line, with this test's classes in place of the jar. */
     @Test
-    void theRunLineTakesSighupAlsoUnderNohup() throws IOException, InterruptedException {
+    void theRunLineTakesSighupUnderNohup() throws IOException, InterruptedException {
         String run = Files.readAllLines(Path.of("..", "deploy", "balancer.toml")).stream()
                 .filter(l -> l.startsWith("run = \""))
                 .findFirst()
@@ -343,7 +343,7 @@
     }
 
     @Test
-    void aBalancerWithoutAnOperatorFileLoadsNothingOfIt() throws IOException, InterruptedException {
+    void aBalancerWithoutAnOperatorFileLoadsNoneOfItsClasses() throws IOException, InterruptedException {
         Path loaded = Files.createTempFile("load-balancer", ".loaded");
         int exit = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
--- a/balancer/src/test/java/loadbalancer/process/AnswersTest.java
+++ b/balancer/src/test/java/loadbalancer/process/AttemptOutcomeTest.java
@@ -12,24 +12,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** One final answer to each request, and what an attempt is told to have come to. */
-class AnswersTest extends BalancerFixture {
+/** One response to each request, and the outcome of each attempt as the policy gets it. */
+class AttemptOutcomeTest extends BalancerFixture {
     @Test
-    void aRequestGoesOnUnchangedAndTheWholeAnswerComesBack() throws IOException, InterruptedException {
+    void aRequestAndItsResponseAreForwardedUnchanged() throws IOException, InterruptedException {
         start();
         byte[] big = new byte[64 * 1024];
         new Random(1).nextBytes(big);
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT);
-            assertEquals("0 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
-            FakeUpstream.Got got = upstream.next();
+            assertEquals("0 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
+            FakeUpstream.ReceivedRequest got = upstream.next();
             assertEquals("GET /api/k1?x=%20y HTTP/1.1", got.line());
             assertEquals("r1", got.header("Req-Id"));
             assertTrue(Integer.parseInt(got.header("Req-Deadline-Ms")) < 20_000);
             got.answer(200, "Srv-Load: TEXT eps=0.1, inflight=7\r\n", big);
             assertEquals(200, client.status());
             assertArrayEquals(big, client.body);
-            assertEquals("OK 7.0 closed", module.next());
+            assertEquals("OK 7.0 closed", policy.next());
             client.send(post("pay", "Idempotency-Key: abc\r\nReq-Deadline-Ms: 20000\r\n", "hello"));
             got = upstream.next();
             assertEquals("abc", got.header("Idempotency-Key"));
@@ -51,77 +51,77 @@
         "500,Srv-Declined: 1,ERROR,502",
         "429,'',ERROR,502"
     })
-    void onlyADeclinedAnswerProvesThatNothingRan(int status, String header, String told, int passed)
+    void onlyADeclineProvesThatTheRequestDidNotRun(int status, String header, String told, int passed)
             throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT);
             upstream.next().answer(status, header.isEmpty() ? "" : header + "\r\n", "");
-            assertEquals(told, module.next());
+            assertEquals(told, policy.next());
             assertEquals(passed, client.status());
         }
     }
 
     @Test
-    void aBrokenConnectionIsAResetOnceTheRequestIsWritten() throws IOException, InterruptedException {
+    void aConnectionThatEndsAfterTheRequestWasWrittenIsAReset() throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT);
             upstream.next().reset();
-            assertEquals("RESET", module.next());
+            assertEquals("RESET", policy.next());
             assertEquals(502, client.status());
             client.send(IDEMPOTENT);
-            FakeUpstream.Got half = upstream.next();
+            FakeUpstream.ReceivedRequest half = upstream.next();
             half.raw("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
             half.socket().close();
-            assertEquals("RESET", module.next());
+            assertEquals("RESET", policy.next());
             assertEquals(502, client.status());
         }
     }
 
     @Test
-    void aRefusedConnectionNeverRan() throws IOException, InterruptedException {
+    void aRefusedConnectionProvesThatTheRequestDidNotRun() throws IOException, InterruptedException {
         start();
         upstream.close();
         try (Client client = new Client(at)) {
             assertEquals(502, client.send(IDEMPOTENT).status());
-            assertEquals("CONNECT_FAILED", module.next());
+            assertEquals("CONNECT_FAILED", policy.next());
         }
     }
 
     @Test
-    void aTimeOutClosesTheConnectionAndMayHaveRun() throws IOException, InterruptedException {
+    void aTimeoutClosesTheConnectionAndTheRequestMayHaveRun() throws IOException, InterruptedException {
         start();
-        module.timeout = 100_000;
+        policy.timeoutMicros = 100_000;
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT);
-            FakeUpstream.Got got = upstream.next();
+            FakeUpstream.ReceivedRequest got = upstream.next();
             assertTrue(Integer.parseInt(got.header("Req-Deadline-Ms")) <= 100);
-            assertEquals("TIMEOUT", module.next());
+            assertEquals("TIMEOUT", policy.next());
             assertEquals(502, client.status());
             assertTrue(got.closedByPeer());
         }
     }
 
     @Test
-    void aClientThatLeavesIsToldToTheModuleAndItsAttemptIsGivenUp() throws IOException, InterruptedException {
+    void aGoneClientIsNotifiedToThePolicyAndItsAttemptCancelled() throws IOException, InterruptedException {
         start();
         Client client = new Client(at).send(IDEMPOTENT);
-        FakeUpstream.Got got = upstream.next();
+        FakeUpstream.ReceivedRequest got = upstream.next();
         client.close();
-        assertEquals("gone", module.next());
-        assertEquals("CANCELLED closed", module.next());
+        assertEquals("gone", policy.next());
+        assertEquals("CANCELLED closed", policy.next());
         assertTrue(got.closedByPeer());
     }
 
     @Test
-    void aSilentModuleIsCoveredByTheLastResort() throws IOException, InterruptedException {
+    void aRequestThatThePolicyNeverAnswersGetsTheLastResortResponse() throws IOException, InterruptedException {
         start();
-        module.server = null;
+        policy.endpointId = null;
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT.replace("20000", "150"));
             assertEquals(502, client.status());
-            assertEquals("gone", module.next());
+            assertEquals("gone", policy.next());
         }
         synchronized (log) {
             assertTrue(log.contains("last-resort responses: 1"), log.toString());
@@ -129,16 +129,16 @@
     }
 
     @Test
-    void aModuleThatThrowsDoesNotEndTheNode() throws IOException, InterruptedException {
+    void anExceptionOfThePolicyDoesNotEndTheProcess() throws IOException, InterruptedException {
         start();
-        module.broken = true;
+        policy.throwsOnRequest = true;
         try (Client client = new Client(at)) {
             assertEquals(502, client.send(IDEMPOTENT.replace("20000", "150")).status());
-            assertEquals("gone", module.next());
+            assertEquals("gone", policy.next());
             synchronized (log) {
                 assertTrue(log.get(log.size() - 2).startsWith("fault 1: "), log.toString());
             }
-            module.broken = false;
+            policy.throwsOnRequest = false;
             client.send(IDEMPOTENT);
             upstream.next().answer(200, "", "ok");
             assertEquals(200, client.status());
--- a/balancer/src/test/java/loadbalancer/process/BalancerFixture.java
+++ b/balancer/src/test/java/loadbalancer/process/BalancerFixture.java
@@ -28,27 +28,27 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A real balancer over loopback sockets, with a module that does what the test says. */
+/** A real balancer over loopback sockets, with a policy that does what the test says. */
 public abstract class BalancerFixture {
-    /** A module that notes what it is told and sends each request where {@code onRequest} says. */
-    public static class Scripted implements LoadBalancingPolicy {
-        public final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    /** A policy that notes the events that it gets and sends each request where {@code onRequest} says. */
+    public static class ScriptedPolicy implements LoadBalancingPolicy {
+        public final BlockingQueue<String> events = new LinkedBlockingQueue<>();
         public final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
         public final Map<String, Long> startedAt = new ConcurrentHashMap<>();
         public volatile LearnedState learnedState = LearnedState.NONE;
-        public volatile long timeout;
-        public volatile boolean broken;
-        public volatile boolean again;
-        public volatile boolean cancels = true;
+        public volatile long timeoutMicros;
+        public volatile boolean throwsOnRequest;
+        public volatile boolean retriesWhenFull;
+        public volatile boolean cancelsForGoneClients = true;
         public volatile Runnable onOutcome = () -> {};
-        public volatile String server = "s1";
+        public volatile String endpointId = "s1";
         public volatile LoadBalancingPolicy.Actions actions;
 
         @Override
         public void endpoints(long now, EndpointListKind kind, List<Endpoint> servers, Actions out) {
             actions = out;
             servers.forEach(s -> startedAt.put(s.id(), s.startedAt()));
-            told.add(kind + " "
+            events.add(kind + " "
                     + servers.stream().map(s -> s.id() + "=" + s.state()).toList());
         }
 
@@ -64,11 +64,11 @@
                 boolean clientRetry,
                 Actions out) {
             requests.add(requestClass + " " + key + " " + work + " " + clientRetry);
-            if (broken) {
+            if (throwsOnRequest) {
                 throw new IllegalStateException("broken");
             }
-            if (server != null) {
-                out.send(request, server, timeout);
+            if (endpointId != null) {
+                out.send(request, endpointId, timeoutMicros);
             }
         }
 
@@ -82,10 +82,10 @@
                 boolean closed,
                 LoadReport load,
                 Actions out) {
-            told.add(outcome + (load == null ? "" : " " + load.inFlight()) + (closed ? " closed" : ""));
+            events.add(outcome + (load == null ? "" : " " + load.inFlight()) + (closed ? " closed" : ""));
             onOutcome.run();
-            if (!closed && again && outcome == AttemptOutcome.FULL) {
-                out.send(request, server, timeout);
+            if (!closed && retriesWhenFull && outcome == AttemptOutcome.FULL) {
+                out.send(request, endpointId, timeoutMicros);
             } else if (!closed) {
                 out.fail(request);
             }
@@ -96,8 +96,8 @@
 
         @Override
         public void clientGone(long now, String request, Actions out) {
-            told.add("gone");
-            if (cancels) {
+            events.add("gone");
+            if (cancelsForGoneClients) {
                 out.cancel(request, 0);
             }
         }
@@ -105,12 +105,12 @@
         @Override
         public void probed(
                 long now, String server, AttemptOutcome outcome, long latency, LoadReport load, Actions out) {
-            told.add("probed " + outcome + " " + (load == null ? "-" : load.inFlight()));
+            events.add("probed " + outcome + " " + (load == null ? "-" : load.inFlight()));
         }
 
         @Override
         public void reconfigure(long now, PolicySettings settings, int[] classes, int[] tenants) {
-            told.add("reconfigured " + Arrays.toString(classes) + " " + Arrays.toString(tenants));
+            events.add("reconfigured " + Arrays.toString(classes) + " " + Arrays.toString(tenants));
         }
 
         @Override
@@ -121,22 +121,22 @@
         @Override
         public void restore(long now, LearnedState from) {
             if (from.traffic() != null) {
-                told.add("resumed " + from.traffic().arrivals());
+                events.add("resumed " + from.traffic().arrivals());
             }
         }
 
         @Override
         public void setSlowStartFraction(double part) {
-            told.add("share " + part);
+            events.add("share " + part);
         }
 
         @Override
         public void wake(long now, Actions out) {}
 
         public String next() throws InterruptedException {
-            String event = told.poll(20, TimeUnit.SECONDS);
+            String event = events.poll(20, TimeUnit.SECONDS);
             if (event == null) {
-                throw new AssertionError("the module was told nothing");
+                throw new AssertionError("no event reached the policy");
             }
             return event;
         }
@@ -183,13 +183,13 @@
     public static final String IDEMPOTENT = "GET /api/k1?x=%20y HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\n"
             + "Req-Kind: read\r\nReq-Deadline-Ms: 20000\r\nReq-Cost: 700\r\nReq-Retry: 1\r\n\r\n";
 
-    public final Scripted module = new Scripted();
+    public final ScriptedPolicy policy = new ScriptedPolicy();
     public final List<String> log = new ArrayList<>();
-    public boolean rehearse;
+    public boolean warmsUp;
     public String endpoint;
     public FakeUpstream upstream;
     public FakeUpstream discovery;
-    public BalancerProcess node;
+    public BalancerProcess balancer;
     public InetSocketAddress at;
 
     @BeforeEach
@@ -200,8 +200,8 @@
 
     @AfterEach
     public void close() throws IOException {
-        if (node != null) {
-            node.stop();
+        if (balancer != null) {
+            balancer.stop();
         }
         upstream.close();
         discovery.close();
@@ -319,19 +319,19 @@
             throws IOException, InterruptedException {
         Map<String, Object> settings = settings();
         settings.put("MembershipMode", membership);
-        if (membership.equals("push")) { // with a long grace a call may go unanswered for seconds
+        if (membership.equals("push")) { // with a long grace period the response timeout is seconds long
             settings.put("Rules", rules(8_000_000));
         }
         @SuppressWarnings("unchecked")
         Map<String, Object> all = (Map<String, Object>) settings.get("Limits");
         all.putAll(limits);
-        node = new BalancerProcess(config(sockets, settings, 0), (s, seed) -> module, rehearse, line -> {
+        balancer = new BalancerProcess(config(sockets, settings, 0), (s, seed) -> policy, warmsUp, line -> {
             synchronized (log) {
                 log.add(line);
             }
         });
-        at = node.start();
-        assertEquals(membership.equals("ask") ? "CACHED [s1=UP]" : "CACHED []", module.next());
+        at = balancer.start();
+        assertEquals(membership.equals("ask") ? "CACHED [s1=UP]" : "CACHED []", policy.next());
     }
 
     public static String post(String kind, String extra, String body) {
@@ -339,8 +339,8 @@
                 + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    // The upstream's own reader takes the end of the stream; the socket tells of it by refusing what is sent.
-    public static boolean closesSoon(FakeUpstream.Got got) throws InterruptedException {
+    // The upstream's reader consumes the end of the stream; the socket shows it by rejecting writes.
+    public static boolean isClosedSoon(FakeUpstream.ReceivedRequest got) throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (System.nanoTime() < until) {
             try {
@@ -358,6 +358,6 @@
     }
 
     public void onLoop(Runnable action) {
-        node.loop().execute(action);
+        balancer.loop().execute(action);
     }
 }
--- a/balancer/src/test/java/loadbalancer/process/LifeCycleTest.java
+++ b/balancer/src/test/java/loadbalancer/process/BalancerProcessTest.java
@@ -16,21 +16,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Start, configuration and stop. */
-class LifeCycleTest extends BalancerFixture {
+/** The start of a process, its configuration and its stop. */
+class BalancerProcessTest extends BalancerFixture {
     /** Interrupted, the starting thread never comes to hold the listener that clients reach all the same. */
     @Test
-    void aConnectionThatComesBeforeTheStartHasReturnedIsAnswered() throws Exception {
+    void aConnectionBeforeTheStartHasReturnedIsServed() throws Exception {
         int port;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        node = new BalancerProcess(config(1024, settings(), port), (s, seed) -> module, false, line -> {});
+        balancer = new BalancerProcess(config(1024, settings(), port), (s, seed) -> policy, false, line -> {});
         Thread.currentThread().interrupt();
-        assertThrows(IOException.class, node::start);
+        assertThrows(IOException.class, balancer::start);
         assertTrue(Thread.interrupted());
-        node.loop().submit(() -> {}).get(20, TimeUnit.SECONDS); // the listener is registered, which queues its bind
-        node.loop().submit(() -> {}).get(20, TimeUnit.SECONDS); // and the bind has been carried out
+        balancer.loop().submit(() -> {}).get(20, TimeUnit.SECONDS); // the listener is registered, which queues its bind
+        balancer.loop().submit(() -> {}).get(20, TimeUnit.SECONDS); // and the bind has been carried out
         InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
         try (Client client = new Client(to)) {
             assertEquals(
@@ -39,8 +39,8 @@
     }
 
     @Test
-    void aRehearsalComesBeforeReadinessAndReachesNeitherModuleNorUpstream() throws IOException, InterruptedException {
-        rehearse = true;
+    void theWarmUpPrecedesReadinessAndReachesNeitherPolicyNorUpstream() throws IOException, InterruptedException {
+        warmsUp = true;
         start();
         try (Client client = new Client(at)) {
             int status = 503;
@@ -55,7 +55,7 @@
                     404,
                     client.send(IDEMPOTENT.replace("/api/k1?x=%20y", "/-/rehearsal"))
                             .status());
-            assertTrue(module.requests.isEmpty());
+            assertTrue(policy.requests.isEmpty());
             assertEquals(0, upstream.connections());
             client.send(IDEMPOTENT);
             upstream.next().answer(200, "", "ok");
@@ -64,13 +64,13 @@
     }
 
     @Test
-    void anOrderlyStopAnswersWhatIsHeldAndGoesOnTakingConnectionsForAWhile() throws IOException, InterruptedException {
+    void aGracefulShutdownAnswersOpenRequestsAndAcceptsConnectionsForAWhile() throws IOException, InterruptedException {
         start();
         Client idle = new Client(at);
         assertEquals(200, idle.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
         Client held = new Client(at).send(IDEMPOTENT);
-        FakeUpstream.Got got = upstream.next();
-        Thread stop = new Thread(node::stop);
+        FakeUpstream.ReceivedRequest got = upstream.next();
+        Thread stop = new Thread(balancer::stop);
         stop.start();
         int ready = 200;
         while (ready == 200) {
@@ -86,16 +86,16 @@
         assertTrue(head.toLowerCase().contains("connection: close"), head);
         assertNull(held.answer());
         stop.join();
-        node = null;
+        balancer = null;
     }
 
     /** It could become whole just as the process ends: taken, and never answered. */
     @Test
-    void aRequestThatIsNotWholeAtTheEndIsRefusedAndNotCutOff() throws IOException, InterruptedException {
+    void anIncompleteRequestAtTheEndIsRejectedAndNotCutOff() throws IOException, InterruptedException {
         start();
         try (Client part = new Client(at)) {
             part.send(IDEMPOTENT.substring(0, 40));
-            Thread stop = new Thread(node::stop);
+            Thread stop = new Thread(balancer::stop);
             stop.start();
             String head = part.answer();
             assertNotNull(head, "ended without an answer");
@@ -103,9 +103,9 @@
             part.send(IDEMPOTENT.substring(40));
             assertNull(part.answer());
             stop.join();
-            node = null;
+            balancer = null;
         }
-        assertTrue(module.requests.isEmpty());
+        assertTrue(policy.requests.isEmpty());
     }
 
     @ParameterizedTest
@@ -118,7 +118,7 @@
                 "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"settings\":{\"Quantum\":1}} "
                         + "| settings: ",
             })
-    void badConfigurationIsNamed(String json, String complaint) throws IOException {
+    void anInvalidConfigurationIsAnErrorThatNamesTheField(String json, String complaint) throws IOException {
         try {
             BalancerConfigReader.read(Map.of("ROUTER_NAME", "n1"), com.fasterxml.jackson.jr.ob.JSON.std.mapFrom(json));
         } catch (ProcessConfigException e) {
--- a/balancer/src/test/java/loadbalancer/process/LargeBodiesTest.java
+++ b/balancer/src/test/java/loadbalancer/process/BodyStreamTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Bodies that are not held whole: they pass through, in pieces cut anywhere. */
-class LargeBodiesTest extends BalancerFixture {
+class BodyStreamTest extends BalancerFixture {
     private static final int MANY = 3_000_000;
 
     private static byte[] noise(int bytes) {
@@ -35,13 +35,13 @@
     }
 
     @Test
-    void aLargeAnswerPassesThroughAndTheConnectionsAreKept() throws Exception {
+    void aLargeResponseIsStreamedAndTheConnectionsAreKept() throws Exception {
         start();
         byte[] big = noise(MANY);
         try (Client client = new Client(at)) {
             for (int i = 0; i < 2; i++) {
                 client.send(IDEMPOTENT);
-                FakeUpstream.Got got = upstream.next();
+                FakeUpstream.ReceivedRequest got = upstream.next();
                 CompletableFuture<Void> answering = CompletableFuture.runAsync(() -> {
                     try {
                         got.answer(200, "", big);
@@ -52,19 +52,19 @@
                 assertEquals(200, client.status());
                 assertArrayEquals(big, client.body);
                 answering.get(20, TimeUnit.SECONDS);
-                assertEquals("OK closed", module.next());
+                assertEquals("OK closed", policy.next());
             }
         }
         assertEquals(1, upstream.connections());
     }
 
     @Test
-    void anAnswerThatNobodyReadsIsNotReadFromItsUpstreamEither() throws Exception {
+    void aResponseThatTheClientDoesNotReadIsNotReadFromItsUpstream() throws Exception {
         start();
         byte[] piece = noise(1 << 16);
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT);
-            FakeUpstream.Got got = upstream.next();
+            FakeUpstream.ReceivedRequest got = upstream.next();
             got.raw("HTTP/1.1 200 X\r\nContent-Length: " + (30 << 20) + "\r\n\r\n");
             long[] sent = new long[1];
             Thread writer = new Thread(() -> {
@@ -87,12 +87,12 @@
     }
 
     @Test
-    void anAnswerWithoutLengthIsCutIntoChunksAndEndsWhereItsConnectionDoes() throws Exception {
+    void aResponseWithoutLengthIsChunkedAndEndsWithItsConnection() throws Exception {
         start();
         byte[] big = noise(200_000);
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT);
-            FakeUpstream.Got got = upstream.next();
+            FakeUpstream.ReceivedRequest got = upstream.next();
             got.raw("HTTP/1.1 200 X\r\nConnection: close\r\n\r\n");
             got.raw(big);
             got.socket().shutdownOutput();
@@ -104,30 +104,30 @@
 
     /** Its end shows only behind all of its body. Many leave, one after the other: none keeps any of the room. */
     @Test
-    void whoSendsALargeBodyAndLeavesBeforeItHasAnUpstreamIsNoticed() throws Exception {
+    void aClientGoneBeforeItsLargeBodyHasAnUpstreamIsNoticed() throws Exception {
         start();
-        module.server = null; // none is free
+        policy.endpointId = null; // none is free
         byte[] big = noise(500_000);
         for (int i = 1; i <= 20; i++) {
             try (Client client = new Client(at)) {
                 client.send(postHead("Content-Length: " + big.length));
                 client.socket.getOutputStream().write(big);
-                assertEquals("2 k1 -1 false", module.requests.poll(20, TimeUnit.SECONDS));
+                assertEquals("2 k1 -1 false", policy.requests.poll(20, TimeUnit.SECONDS));
             }
-            assertEquals("gone", module.next());
+            assertEquals("gone", policy.next());
             String left = String.valueOf(i);
-            onLoop(() -> module.actions.send(left, "s1", 0));
+            onLoop(() -> policy.actions.send(left, "s1", 0));
         }
-        node.loop().submit(() -> {}).awaitUninterruptibly(20_000);
+        balancer.loop().submit(() -> {}).awaitUninterruptibly(20_000);
         assertEquals(0, upstream.connections());
     }
 
     /** It is read while it waits, or part of it, and passed on as it came. */
     @ParameterizedTest
     @ValueSource(ints = {500_000, MANY})
-    void aLargeBodyThatWaitedForItsUpstreamPassesThrough(int bytes) throws Exception {
+    void aLargeBodyThatWaitedForItsUpstreamIsStreamed(int bytes) throws Exception {
         start();
-        module.server = null;
+        policy.endpointId = null;
         byte[] big = noise(bytes);
         try (Client client = new Client(at)) {
             client.send(postHead("Content-Length: " + bytes));
@@ -138,12 +138,12 @@
                     throw new IllegalStateException(e);
                 }
             });
-            assertEquals("2 k1 -1 false", module.requests.poll(20, TimeUnit.SECONDS));
+            assertEquals("2 k1 -1 false", policy.requests.poll(20, TimeUnit.SECONDS));
             if (bytes < MANY) {
                 sending.get(20, TimeUnit.SECONDS);
             }
-            onLoop(() -> module.actions.send("1", "s1", 0));
-            FakeUpstream.Got got = upstream.next();
+            onLoop(() -> policy.actions.send("1", "s1", 0));
+            FakeUpstream.ReceivedRequest got = upstream.next();
             assertArrayEquals(big, got.body());
             got.answer(200, "", "ok");
             assertEquals(200, client.status());
@@ -171,14 +171,14 @@
     }
 
     @Test
-    void anAnswerThatBreaksOffIsSeenToBeBroken() throws Exception {
+    void aTruncatedResponseIsTruncatedForTheClientToo() throws Exception {
         start();
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT);
-            FakeUpstream.Got got = upstream.next();
+            FakeUpstream.ReceivedRequest got = upstream.next();
             got.raw("HTTP/1.1 200 X\r\nContent-Length: 500000\r\n\r\n");
             got.raw(noise(100_000));
-            assertEquals("OK closed", module.next());
+            assertEquals("OK closed", policy.next());
             got.socket().close();
             FakeUpstream.head(client.in);
             assertTrue(client.in.readAllBytes().length < 500_000);
@@ -187,11 +187,11 @@
 
     /** The upstream here reads for itself: it must get the first bytes while the last are not yet sent. */
     @Test
-    void aLargeBodyGoesOnAsItComes() throws Exception {
+    void aLargeBodyIsForwardedAsItArrives() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             endpoint = "127.0.0.1:" + server.getLocalPort();
             for (String framing : new String[] {"Content-Length: " + MANY, "Transfer-Encoding: chunked"}) {
-                if (node == null) {
+                if (balancer == null) {
                     start();
                 }
                 byte[] big = noise(MANY);
@@ -221,7 +221,7 @@
                                 .write("HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\nok"
                                         .getBytes(StandardCharsets.ISO_8859_1));
                         assertEquals(200, client.status());
-                        assertEquals("OK closed", module.next());
+                        assertEquals("OK closed", policy.next());
                     }
                 }
             }
@@ -243,16 +243,16 @@
     }
 
     @Test
-    void aLargeBodyThatWasTurnedAwayIsNotSentTwice() throws Exception {
+    void aLargeBodyThatWasRejectedIsNotRetried() throws Exception {
         start();
-        module.again = true;
+        policy.retriesWhenFull = true;
         try (Client client = new Client(at)) {
             client.send(postHead("Content-Length: 200000"));
             client.socket.getOutputStream().write(noise(200_000));
-            FakeUpstream.Got got = upstream.next();
+            FakeUpstream.ReceivedRequest got = upstream.next();
             got.answer(503, "Srv-Declined: 1\r\n", "");
-            assertEquals("FULL", module.next());
-            String second = module.next();
+            assertEquals("FULL", policy.next());
+            String second = policy.next();
             assertTrue(second.equals("NOT_SENT"), second);
             assertEquals(502, client.status());
             client.send(IDEMPOTENT); // what follows on the connection is read as before
@@ -263,7 +263,7 @@
     }
 
     @Test
-    void aBodyThatIsTooLargeIsRefusedAtItsHead() throws Exception {
+    void aTooLargeBodyIsRejectedAtItsHead() throws Exception {
         start();
         try (Client client = new Client(at)) {
             assertEquals(413, client.send(postHead("Content-Length: 60000000")).status());
@@ -272,11 +272,11 @@
     }
 
     @Test
-    void aTargetThatNamesItsHostIsTaken() throws Exception {
+    void anAbsoluteRequestTargetIsAccepted() throws Exception {
         start();
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT.replace("GET /api", "GET http://backend.local/api"));
-            FakeUpstream.Got got = upstream.next();
+            FakeUpstream.ReceivedRequest got = upstream.next();
             assertEquals("GET /api/k1?x=%20y HTTP/1.1", got.line());
             got.answer(200, "", "ok");
             assertEquals(200, client.status());
--- a/balancer/src/test/java/loadbalancer/process/ClientsTest.java
+++ b/balancer/src/test/java/loadbalancer/process/ClientProtectionTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What clients may do to a balancer, in error or ill will. */
-class ClientsTest extends BalancerFixture {
+/** Faulty and hostile clients: what they get, and that they do not affect others. */
+class ClientProtectionTest extends BalancerFixture {
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -34,26 +34,26 @@
                 "NONSENSE\r\n\r\n",
                 "GET /-/else HTTP/1.1\r\n\r\n",
             })
-    void badInputIsAPlainErrorThatReachesNobody(String request) throws IOException, InterruptedException {
+    void invalidInputIsRejectedAndReachesNoUpstream(String request) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             int status = client.send(request).status();
             assertTrue(status >= 400 && status < 500 && status != 429, "status " + status);
         }
-        assertTrue(module.requests.isEmpty());
+        assertTrue(policy.requests.isEmpty());
         assertEquals(0, upstream.connections());
     }
 
     @Test
-    void descriptorsAreKeptFreeByClosingIdleConnectionsFirst() throws IOException, InterruptedException {
+    void idleConnectionsAreClosedFirstToFreeDescriptors() throws IOException, InterruptedException {
         start(Map.of(), 4); // a reserve of two, two for use
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT);
-            FakeUpstream.Got got = upstream.next();
+            FakeUpstream.ReceivedRequest got = upstream.next();
             got.answer(200, "", "ok");
             assertEquals(200, client.status());
             try (Client second = new Client(at)) {
-                assertTrue(closesSoon(got));
+                assertTrue(isClosedSoon(got));
                 assertEquals(
                         200,
                         second.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
@@ -63,7 +63,7 @@
 
     /** Clients alone are too many here: no connection to an upstream is closed for them. */
     @Test
-    void aCrowdOfClientsClosesNoConnectionToAnUpstream() throws IOException, InterruptedException {
+    void manyClientsCloseNoUpstreamConnection() throws IOException, InterruptedException {
         start(Map.of(), 24); // twelve for use, seven of them for clients
         List<Client> crowd = new ArrayList<>();
         try (Client client = new Client(at)) {
@@ -90,7 +90,7 @@
         assertEquals(1, upstream.connections());
     }
 
-    /** Each could be read in two ways, or hides another request; upstreams see none of them. */
+    /** Each could be parsed in two ways, or hides another request; none is forwarded. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -111,7 +111,7 @@
                 "Req-Id: second\r\nContent-Length: 0\r\n\r\n",
                 "Req-Deadline-Ms: 5\r\nContent-Length: 0\r\n\r\n",
             })
-    void whatMayBeReadInTwoWaysIsRefusedAndEndsItsConnection(String rest) throws IOException, InterruptedException {
+    void anAmbiguousRequestIsRejectedAndItsConnectionClosed(String rest) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send("POST /api/k HTTP/1.1\r\nHost: x\r\nReq-Id: r\r\nReq-Kind: book\r\n"
@@ -120,7 +120,7 @@
             assertTrue(status >= 400 && status < 500 && status != 429, "status " + status);
             assertNull(client.answer(), "one answer, and the end");
         }
-        assertTrue(module.requests.isEmpty());
+        assertTrue(policy.requests.isEmpty());
         assertEquals(0, upstream.connections());
     }
 
@@ -133,19 +133,19 @@
                 "Req-Id: r s\r\nReq-Deadline-Ms: 900\r\n",
                 "Req-Id: r\r\nReq-Deadline-Ms: 900\r\nContent-Length: 3\r\n",
             })
-    void figuresBeyondReasonAreRefused(String headers) throws IOException, InterruptedException {
+    void outOfRangeNumbersAreRejected(String headers) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send("GET /api/k HTTP/1.1\r\nHost: x\r\nReq-Kind: read\r\n" + headers + "\r\nabc");
             assertEquals(400, client.status());
             assertNull(client.answer());
         }
-        assertTrue(module.requests.isEmpty());
+        assertTrue(policy.requests.isEmpty());
     }
 
     /** Of a huge body only the head is needed for the answer; the rest is never read. */
     @Test
-    void aHugeBodyIsAnsweredAtItsHeadAndNotReadToItsEnd() throws IOException, InterruptedException {
+    void aTooLargeBodyIsRejectedAtItsHeadAndNotReadToItsEnd() throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send("POST /api/k HTTP/1.1\r\nHost: x\r\nReq-Id: r\r\nReq-Kind: book\r\n"
@@ -161,7 +161,7 @@
     }
 
     @Test
-    void anEndlessHeadIsRefused() throws IOException, InterruptedException {
+    void anEndlessHeadIsRejected() throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send("GET /api/k HTTP/1.1\r\n" + "X-Pad: pppppppppppppppppppppppp\r\n".repeat(400));
@@ -170,14 +170,14 @@
         }
     }
 
-    /** Two with one name could not be told apart upstream: the second is refused, the first is served. */
+    /** Two of one id could not be distinguished upstream: the second is rejected, the first is served. */
     @Test
-    void aSecondUseOfAnOpenIdIsRefused() throws IOException, InterruptedException {
+    void aSecondRequestWithAnOpenIdIsRejected() throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at);
                 Client thief = new Client(at)) {
             client.send(IDEMPOTENT);
-            FakeUpstream.Got got = upstream.next();
+            FakeUpstream.ReceivedRequest got = upstream.next();
             assertEquals(409, thief.send(IDEMPOTENT).status());
             assertNull(thief.answer());
             got.answer(200, "", "mine");
@@ -189,10 +189,10 @@
         }
     }
 
-    /** Nothing, half a head, half a body, and a byte now and then: all end, and soon enough. */
+    /** Nothing, half a head, half a body, and a byte now and then: each times out. */
     @ParameterizedTest
     @ValueSource(strings = {"", "GET /api/k HT", "POST /api/k HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nabc"})
-    void whoDoesNotFinishIsAnsweredOrDropped(String part) throws IOException, InterruptedException {
+    void anIncompleteRequestIsRejectedOrItsConnectionClosed(String part) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             String head = client.send(part).answer();
@@ -206,7 +206,7 @@
     }
 
     @Test
-    void aFewRequestsSentAheadAreServedInTurnAndHundredsAreNot() throws IOException, InterruptedException {
+    void aFewPipelinedRequestsAreServedInOrderAndHundredsAreNot() throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT + IDEMPOTENT.replace("r1", "r2") + "NONSENSE\r\n\r\n");
@@ -239,9 +239,9 @@
         }
     }
 
-    /** Its request waits to be read, and the client leaves meanwhile: nobody is owed anything, nothing is sent on. */
+    /** The client closes while its request waits to be read: there is no one to answer, and nothing is forwarded. */
     @Test
-    void whoLeavesBeforeItsRequestIsReadIsNotServed() throws Exception {
+    void aClientGoneBeforeItsRequestIsReadIsNotServed() throws Exception {
         start();
         CountDownLatch held = new CountDownLatch(1);
         onLoop(() -> {
@@ -255,19 +255,19 @@
         held.countDown();
         try (Client stays = new Client(at)) {
             stays.send(IDEMPOTENT);
-            FakeUpstream.Got got = upstream.next();
+            FakeUpstream.ReceivedRequest got = upstream.next();
             assertEquals("r1", got.header("Req-Id"));
             got.answer(200, "", "ok");
             assertEquals(200, stays.status());
         }
-        assertEquals(1, module.requests.size());
+        assertEquals(1, policy.requests.size());
     }
 
-    /** As many as are kept, and then the end: it is noticed while the first one is still being served. */
+    /** As many as are queued, and then the end of the connection: noticed while the first is still being served. */
     @Test
-    void whoSendsManyAheadAndLeavesIsNoticedAndNoneOfThemIsSentOn() throws IOException, InterruptedException {
+    void aClientGoneWithPipelinedRequestsIsNoticedAndNoneIsForwarded() throws IOException, InterruptedException {
         start();
-        FakeUpstream.Got first;
+        FakeUpstream.ReceivedRequest first;
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT);
             first = upstream.next();
@@ -277,14 +277,14 @@
             }
             client.send(ahead.toString());
         }
-        assertEquals("gone", module.next());
+        assertEquals("gone", policy.next());
         assertTrue(first.closedByPeer());
-        assertEquals(1, module.requests.size());
+        assertEquals(1, policy.requests.size());
     }
 
-    /** Hundreds that connect and say nothing must not shut out those who ask. */
+    /** Hundreds of silent connections must not keep others from being served. */
     @Test
-    void silentConnectionsGiveWayToNewOnes() throws IOException, InterruptedException {
+    void idleConnectionsAreClosedForNewOnes() throws IOException, InterruptedException {
         start(Map.of(), 40);
         List<Client> silent = new ArrayList<>();
         try (Client usual = new Client(at)) {
--- a/balancer/src/test/java/loadbalancer/process/ShortOfDescriptorsTest.java
+++ b/balancer/src/test/java/loadbalancer/process/DescriptorExhaustionTest.java
@@ -20,7 +20,7 @@
 
 /** A process of its own, whose system really has no more descriptors than it may use. */
 @Timeout(120)
-class ShortOfDescriptorsTest {
+class DescriptorExhaustionTest {
     private static final String OPEN = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String ASK = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
@@ -105,10 +105,10 @@
     /** Discovery is down, and clients that ask once and stay fill all that there is. */
     @ParameterizedTest
     @ValueSource(strings = {"ask", "push"})
-    void idleClientsLeaveDescriptorsToDiscoveryAndToTheNextConfiguration(String membership)
+    void idleClientsLeaveDescriptorsToDiscoveryAndTheNextConfiguration(String membership)
             throws IOException, InterruptedException {
         start(128, membership);
-        FakeUpstream.Got watch = discovery.next();
+        FakeUpstream.ReceivedRequest watch = discovery.next();
         watch.raw(OPEN + BalancerFixture.chunk("\n"));
         served();
         List<BalancerFixture.Client> crowd = new ArrayList<>();
@@ -147,15 +147,14 @@
     /** The system has none left at all for a while: not a call, not a connection to an upstream. */
     @ParameterizedTest
     @ValueSource(strings = {"ask", "push"})
-    void callsThatFindNoDescriptorAreMadeAgainOnceThereIsOne(String membership)
-            throws IOException, InterruptedException {
+    void callsThatFindNoDescriptorAreRetriedOnceThereIsOne(String membership) throws IOException, InterruptedException {
         start(256, membership);
         discovery.next().socket().close(); // all that a failure needs has been loaded
-        FakeUpstream.Got watch = discovery.next();
+        FakeUpstream.ReceivedRequest watch = discovery.next();
         watch.raw(OPEN + BalancerFixture.chunk("\n"));
         try (BalancerFixture.Client client = new BalancerFixture.Client(at)) {
             client.send(BalancerFixture.IDEMPOTENT);
-            FakeUpstream.Got got = upstream.next();
+            FakeUpstream.ReceivedRequest got = upstream.next();
             got.answer(200, "Connection: close\r\n", "ok");
             assertEquals(200, client.status());
             run("prlimit", "--pid", String.valueOf(process.pid()), "--nofile=1:256");
--- a/balancer/src/test/java/loadbalancer/process/FakeUpstream.java
+++ b/balancer/src/test/java/loadbalancer/process/FakeUpstream.java
@@ -22,7 +22,7 @@
 /** The other side of a connection, for tests: hands each request over, and answers what the test says. */
 public final class FakeUpstream implements Closeable {
     /** A request as it came, and the connection to answer on. */
-    public record Got(String head, byte[] body, Socket socket, int connection) {
+    public record ReceivedRequest(String head, byte[] body, Socket socket, int connection) {
         public String line() {
             return head.substring(0, head.indexOf("\r\n"));
         }
@@ -75,7 +75,7 @@
     }
 
     private final ServerSocket server;
-    private final BlockingQueue<Got> requests = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ReceivedRequest> requests = new LinkedBlockingQueue<>();
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final AtomicInteger connections = new AtomicInteger();
     private final List<Thread> readers = new CopyOnWriteArrayList<>();
@@ -118,10 +118,10 @@
             if (head == null) {
                 return;
             }
-            Got got = new Got(head, new byte[0], socket, number);
+            ReceivedRequest got = new ReceivedRequest(head, new byte[0], socket, number);
             String length = got.header("Content-Length");
             byte[] body = in.readNBytes(length == null ? 0 : Integer.parseInt(length));
-            requests.add(new Got(head, body, socket, number));
+            requests.add(new ReceivedRequest(head, body, socket, number));
             if (head.contains("watch=1")) {
                 return; // the test reads the rest, if anything
             }
@@ -150,8 +150,8 @@
     }
 
     /** The next request; fails where none comes. */
-    public Got next() throws InterruptedException {
-        Got got = requests.poll(20, TimeUnit.SECONDS);
+    public ReceivedRequest next() throws InterruptedException {
+        ReceivedRequest got = requests.poll(20, TimeUnit.SECONDS);
         if (got == null) {
             throw new AssertionError("no request came");
         }
--- a/balancer/src/test/java/loadbalancer/process/HandoverDocumentTest.java
+++ b/balancer/src/test/java/loadbalancer/process/HandoverDocumentTest.java
@@ -43,8 +43,8 @@
  * say: releases replace each other in both directions, so neither the words nor the fields may change.
  */
 class HandoverDocumentTest extends BalancerFixture {
-    /** Keeps what it was given, to the last figure, and gives it back. */
-    private static final class Keeping extends Scripted {
+    /** Keeps the state that it is given, and returns it unchanged. */
+    private static final class Keeping extends ScriptedPolicy {
         private final Map<String, Endpoint> endpoints = new ConcurrentHashMap<>();
 
         @Override
@@ -59,7 +59,7 @@
         }
     }
 
-    /** The other process of a handover: notes each line that it gets, save the repeated counts of descriptors. */
+    /** The other process of a handover: records each line that it gets, save the repeated counts of descriptors. */
     private static final class Peer implements Closeable {
         private final BlockingQueue<String> lines = new LinkedBlockingQueue<>();
         private final SocketChannel channel;
@@ -139,7 +139,7 @@
 
     /** Starts a process in place of a stand-in for the recorded one; both are joined when this returns. */
     private void startSuccessor() throws IOException, InterruptedException {
-        node = new BalancerProcess(
+        balancer = new BalancerProcess(
                 config(1024, settings(), 0),
                 new BalancerProcess.Platform(clients, folder),
                 (s, seed) -> {
@@ -152,10 +152,10 @@
         Path file = Files.writeString(
                 folder.resolve("operator.toml"),
                 "[[pool]]\nname = \"one\"\nupstreams = [\"127.0.0.1:18201\", \"127.0.0.1:18202\"]\n");
-        assertTrue(node.operate(file, false));
-        at = node.start();
+        assertTrue(balancer.operate(file, false));
+        at = balancer.start();
         predecessor = new Peer(predecessorSocket.accept());
-        assertTrue(node.awaitReady(20_000));
+        assertTrue(balancer.awaitReady(20_000));
     }
 
     private void restoreRecordedState() throws Exception {
@@ -168,7 +168,7 @@
         while (policies.get(1).learnedState == LearnedState.NONE && System.nanoTime() < until) {
             TimeUnit.MILLISECONDS.sleep(5);
         }
-        node.loop().submit(() -> {}).get(20, TimeUnit.SECONDS);
+        balancer.loop().submit(() -> {}).get(20, TimeUnit.SECONDS);
     }
 
     private static void assertLearned(Map<String, Object> recorded, LearnedState state) {
@@ -243,9 +243,9 @@
         sent.add(predecessor.next());
         sent.add(predecessor.next());
         predecessor.send(resource("recorded-state.json"));
-        node.loop().submit(() -> node.operatorActions().drain("s1")).get(20, TimeUnit.SECONDS);
+        balancer.loop().submit(() -> balancer.operatorActions().drain("s1")).get(20, TimeUnit.SECONDS);
         sent.add(predecessor.next());
-        node.loop().submit(() -> node.operatorActions().restore("s1")).get(20, TimeUnit.SECONDS);
+        balancer.loop().submit(() -> balancer.operatorActions().restore("s1")).get(20, TimeUnit.SECONDS);
         sent.add(predecessor.next());
         List<?> expected = ((List<?>) recorded.get("successor"))
                 .stream().filter(l -> !l.toString().startsWith("{\"open\":")).toList();
--- a/balancer/src/test/java/loadbalancer/process/HandoverTest.java
+++ b/balancer/src/test/java/loadbalancer/process/HandoverParticipantTest.java
@@ -23,15 +23,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A process that takes the place of another, with one socket for clients between them. */
-class HandoverTest extends BalancerFixture {
+/** A process that replaces another, with one listening socket for clients between them. */
+class HandoverParticipantTest extends BalancerFixture {
     // Not @TempDir's usual place alone: a Unix socket's path is short.
     @TempDir
     Path folder;
 
     private ServerSocketChannel shared;
     private BalancerProcess successor;
-    private final Scripted next = new Scripted();
+    private final ScriptedPolicy next = new ScriptedPolicy();
 
     @BeforeEach
     void share() throws IOException {
@@ -47,7 +47,7 @@
         shared.close();
     }
 
-    private BalancerProcess process(Scripted with) throws IOException, InterruptedException {
+    private BalancerProcess process(ScriptedPolicy with) throws IOException, InterruptedException {
         BalancerProcess process = new BalancerProcess(
                 config(1024, settings(), 0),
                 new BalancerProcess.Platform(shared, folder),
@@ -68,8 +68,8 @@
     }
 
     @Test
-    void theSuccessorKnowsWhatIsOutAndWhatWasLearnt() throws Exception {
-        module.learnedState = new LearnedState(
+    void theSuccessorRestoresDrainsAndLearnedState() throws Exception {
+        policy.learnedState = new LearnedState(
                 new LearnedState.Latencies(null, null),
                 null,
                 null,
@@ -77,21 +77,21 @@
                 new LearnedState.Traffic(0.25, 0, 0, 0),
                 Map.of(),
                 Map.of());
-        node = process(module);
+        balancer = process(policy);
         awaitOffer();
-        node.loop().submit(() -> node.operatorActions().drain("s1")).get(20, TimeUnit.SECONDS);
-        assertEquals("LOCAL_OVERRIDE [s1=DRAINING]", module.next());
+        balancer.loop().submit(() -> balancer.operatorActions().drain("s1")).get(20, TimeUnit.SECONDS);
+        assertEquals("LOCAL_OVERRIDE [s1=DRAINING]", policy.next());
         successor = process(next);
         assertEquals("LOCAL_OVERRIDE [s1=DRAINING]", next.next());
         assertEquals("resumed 0.25", next.next());
         assertEquals("share 0.5", next.next());
-        assertEquals("share 0.5", module.next());
+        assertEquals("share 0.5", policy.next());
         // A call to either of them holds for both.
         successor.loop().submit(() -> successor.operatorActions().restore("s1")).get(20, TimeUnit.SECONDS);
         assertEquals("LOCAL_OVERRIDE [s1=UP]", next.next());
-        assertEquals("LOCAL_OVERRIDE [s1=UP]", module.next());
-        node.stop();
-        node = null;
+        assertEquals("LOCAL_OVERRIDE [s1=UP]", policy.next());
+        balancer.stop();
+        balancer = null;
         assertEquals("share 1.0", next.next());
     }
 
@@ -112,21 +112,25 @@
     }
 
     @Test
-    void whatIsOutOfAPoolBesideTheSitesIsKnownToTheSuccessorToo() throws Exception {
-        node = withPools();
+    void theSuccessorRestoresTheDrainsOfFurtherPools() throws Exception {
+        balancer = withPools();
         awaitOffer();
         String id = "one/" + upstream.address();
-        assertTrue(node.loop().submit(() -> node.operatorActions().drain(id)).get(20, TimeUnit.SECONDS));
+        assertTrue(balancer.loop()
+                .submit(() -> balancer.operatorActions().drain(id))
+                .get(20, TimeUnit.SECONDS));
         successor = withPools();
-        while (upOf(successor) > 1) { // ready at once here, as there is no rehearsal
+        while (upOf(successor) > 1) { // ready at once here, as there is no warm-up
             TimeUnit.MILLISECONDS.sleep(5);
         }
-        assertTrue(node.loop().submit(() -> node.operatorActions().restore(id)).get(20, TimeUnit.SECONDS));
+        assertTrue(balancer.loop()
+                .submit(() -> balancer.operatorActions().restore(id))
+                .get(20, TimeUnit.SECONDS));
         while (upOf(successor) < 2) {
             TimeUnit.MILLISECONDS.sleep(5);
         }
-        node.stop();
-        node = null;
+        balancer.stop();
+        balancer = null;
     }
 
     private static int upOf(BalancerProcess process) throws Exception {
@@ -143,15 +147,15 @@
     }
 
     @Test
-    void theOldProcessAnswersWhatItHoldsAndTakesNoNewConnections() throws Exception {
-        node = process(module);
+    void thePredecessorAnswersOpenRequestsAndAcceptsNoConnections() throws Exception {
+        balancer = process(policy);
         awaitOffer();
         Client held = new Client(at).send(IDEMPOTENT);
-        FakeUpstream.Got got = upstream.next();
+        FakeUpstream.ReceivedRequest got = upstream.next();
         successor = process(next);
-        Thread stop = new Thread(node::stop);
+        Thread stop = new Thread(balancer::stop);
         stop.start();
-        while (node.operatorActions().unreadiness() == null) {
+        while (balancer.operatorActions().unreadiness() == null) {
             TimeUnit.MILLISECONDS.sleep(5);
         }
         for (int i = 0; i < 5; i++) {
@@ -165,23 +169,23 @@
         assertTrue(held.answer().startsWith("HTTP/1.1 200"));
         assertNull(held.answer());
         stop.join();
-        node = null;
+        balancer = null;
     }
 
     @Test
-    void aFileLeftByADeadProcessDoesNoHarm() throws Exception {
+    void aSocketLeftByADeadProcessIsReplaced() throws Exception {
         Files.writeString(folder.resolve("handover.sock"), "left behind");
-        node = process(module);
+        balancer = process(policy);
         awaitOffer();
-        successor = process(next); // the name has been taken over
+        successor = process(next); // the name leads to the new process
         assertEquals("LOCAL_OVERRIDE [s1=UP]", next.next());
     }
 
     @Test
-    void aProcessThatHangsIsNotWaitedForForLong() throws Exception {
+    void aHangingPredecessorTimesOut() throws Exception {
         try (ServerSocketChannel hung = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
             hung.bind(UnixDomainSocketAddress.of(folder.resolve("handover.sock")));
-            node = process(module);
+            balancer = process(policy);
             try (Client client = new Client(at)) {
                 assertEquals(
                         200,
@@ -191,12 +195,12 @@
     }
 
     @Test
-    void aDescriptorThatIsNoListenerIsNamed() {
+    void aDescriptorThatIsNoListenerIsAnError() {
         assertThrows(IOException.class, () -> InheritedListener.find(Map.of("ROUTER_INHERITED_FD", "7")));
     }
 
     @Test
-    void whereNoneIsNamedNoneIsLookedFor() throws IOException {
+    void withoutADescriptorThereIsNoInheritedListener() throws IOException {
         assertNull(InheritedListener.find(Map.of()));
     }
 }
--- a/balancer/src/test/java/loadbalancer/process/OperatorsTest.java
+++ b/balancer/src/test/java/loadbalancer/process/OperatorCallsTest.java
@@ -23,13 +23,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Operators' calls, and what becomes of an upstream that they take out. */
-class OperatorsTest extends BalancerFixture {
+/** Operators' commands, and what becomes of an endpoint that they drain. */
+class OperatorCallsTest extends BalancerFixture {
     private InetSocketAddress operators;
 
     private void startWithOperators() throws IOException, InterruptedException {
         start();
-        operators = node.listenForOperators();
+        operators = balancer.listenForOperators();
     }
 
     private String call(String line) throws IOException {
@@ -59,57 +59,58 @@
         "reload,NAK",
         "'',NAK"
     })
-    void eachCallGetsOneLineThatBeginsWithYesOrNo(String line, String answer) throws IOException, InterruptedException {
+    void eachCommandGetsOneResponseLine(String line, String answer) throws IOException, InterruptedException {
         startWithOperators();
         assertTrue(call(line + "\r\n").startsWith(answer + " "), line);
     }
 
     @Test
-    void aLineThatIsTooLongIsRefused() throws IOException, InterruptedException {
+    void aTooLongLineIsRejected() throws IOException, InterruptedException {
         startWithOperators();
         assertTrue(call("x".repeat(2_000)).startsWith("NAK "));
         assertTrue(call("set-down " + "s".repeat(100_000) + "\n").startsWith("NAK "));
     }
 
     @Test
-    void anUpstreamThatIsOutStaysOutWhateverDiscoveryListsAndComesBackCold() throws IOException, InterruptedException {
+    void aDrainedEndpointStaysDrainedWhateverDiscoveryListsAndIsRestoredCold()
+            throws IOException, InterruptedException {
         startWithOperators();
         call("set-down s1\n");
-        assertEquals("LOCAL_OVERRIDE [s1=DRAINING]", module.next());
+        assertEquals("LOCAL_OVERRIDE [s1=DRAINING]", policy.next());
         call("set-down s1\n"); // once more: nothing changes
         EndpointList again = DiscoveryFormat.read(
                 JSON.std.anyFrom(list(42, true, "in_service")),
                 config(1024, settings(), 0).boot());
-        onLoop(() -> node.endpointsListed(EndpointListKind.SNAPSHOT, again));
-        assertEquals("SNAPSHOT [s1=DRAINING]", module.next());
+        onLoop(() -> balancer.endpointsListed(EndpointListKind.SNAPSHOT, again));
+        assertEquals("SNAPSHOT [s1=DRAINING]", policy.next());
         long before = System.currentTimeMillis() * 1000;
         call("set-up s1\n");
-        assertEquals("LOCAL_OVERRIDE [s1=UP]", module.next());
-        // The node's clock is monotonic and set once, by a clock of whole milliseconds: a second to spare.
-        assertTrue(module.startedAt.get("s1") >= before - 1_000_000);
-        long back = module.startedAt.get("s1");
-        onLoop(() -> node.endpointsListed(EndpointListKind.SNAPSHOT, again));
-        assertEquals("SNAPSHOT [s1=UP]", module.next());
-        assertEquals(back, module.startedAt.get("s1")); // the same start: it is not cold a second time
+        assertEquals("LOCAL_OVERRIDE [s1=UP]", policy.next());
+        // The balancer's clock is monotonic and set once, by a clock of whole milliseconds: a second to spare.
+        assertTrue(policy.startedAt.get("s1") >= before - 1_000_000);
+        long back = policy.startedAt.get("s1");
+        onLoop(() -> balancer.endpointsListed(EndpointListKind.SNAPSHOT, again));
+        assertEquals("SNAPSHOT [s1=UP]", policy.next());
+        assertEquals(back, policy.startedAt.get("s1")); // the same start: it is not cold a second time
         call("set-up s1\n");
-        assertTrue(module.told.isEmpty());
+        assertTrue(policy.events.isEmpty());
     }
 
     @Test
-    void anUpstreamThatIsOutStaysKnownWhileDiscoveryHasLostIt() throws IOException, InterruptedException {
+    void aDrainedEndpointStaysKnownWhileDiscoveryDoesNotListIt() throws IOException, InterruptedException {
         startWithOperators();
         call("set-down s1\n");
         EndpointList gone = DiscoveryFormat.read(
                 JSON.std.anyFrom("{\"rev\":42,\"all\":true,\"targets\":[]}"),
                 config(1024, settings(), 0).boot());
-        onLoop(() -> node.endpointsListed(EndpointListKind.SNAPSHOT, gone));
+        onLoop(() -> balancer.endpointsListed(EndpointListKind.SNAPSHOT, gone));
         assertTrue(call("set-down s1\n").startsWith("ACK "));
         assertTrue(call("set-up s1\n").startsWith("ACK "));
-        assertTrue(call("set-up s1\n").startsWith("NAK ")); // nobody has it any more
+        assertTrue(call("set-up s1\n").startsWith("NAK ")); // it is neither listed nor drained any more
     }
 
     @Test
-    void callersThatSayNothingKeepNobodyOut() throws IOException, InterruptedException {
+    void silentCallersDoNotBlockOthers() throws IOException, InterruptedException {
         startWithOperators();
         List<Socket> silent = new ArrayList<>();
         try {
@@ -129,18 +130,18 @@
     }
 
     @Test
-    void notReadyIsNoUntilTheRehearsalIsOver() throws IOException, InterruptedException {
+    void checkIsRejectedUntilTheWarmUpIsOver() throws IOException, InterruptedException {
         BalancerConfig config = config(1024, settings(), 0);
-        node = new BalancerProcess(config, (s, seed) -> module, true, log::add);
-        operators = node.listenForOperators();
+        balancer = new BalancerProcess(config, (s, seed) -> policy, true, log::add);
+        operators = balancer.listenForOperators();
         assertTrue(call("check\n").startsWith("NAK "));
-        at = node.start();
-        assertTrue(node.awaitReady(20_000));
+        at = balancer.start();
+        assertTrue(balancer.awaitReady(20_000));
         assertEquals("ACK ready", call("check\n"));
     }
 
     @Test
-    void theAddressComesFromTheEnvironmentOrTheFileAndABadOneIsNamed() throws IOException {
+    void theAdminAddressComesFromTheEnvironmentOrTheFileAndAnInvalidOneIsAnError() throws IOException {
         Map<String, Object> json = new HashMap<>(Map.of(
                 "name",
                 "n1",
--- a/balancer/src/test/java/loadbalancer/process/LongListTest.java
+++ b/balancer/src/test/java/loadbalancer/process/PartialEndpointListTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Lists that name more upstreams than a balancer may hold. */
-class LongListTest extends BalancerFixture {
+/** Lists of more endpoints than a balancer may keep. */
+class PartialEndpointListTest extends BalancerFixture {
     private static final int MOST = 10;
     private static final String OPEN = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -62,23 +62,23 @@
         }
         Path file = Files.createTempFile("long-list", ".json");
         Files.writeString(file, JSON.std.asString(json));
-        node = new BalancerProcess(
+        balancer = new BalancerProcess(
                 BalancerConfigReader.read(Map.of("ROUTER_CONFIG", file.toString())),
-                (s, seed) -> module,
-                rehearse,
+                (s, seed) -> policy,
+                warmsUp,
                 line -> {
                     synchronized (log) {
                         log.add(line);
                     }
                 });
         Files.delete(file);
-        at = node.start();
+        at = balancer.start();
     }
 
     private String cached() throws InterruptedException {
-        String event = module.next();
-        while (!event.startsWith("CACHED")) { // the share of a cold budget comes before it
-            event = module.next();
+        String event = policy.next();
+        while (!event.startsWith("CACHED")) { // the fraction of the slow-start budget comes before it
+            event = policy.next();
         }
         return event;
     }
@@ -93,12 +93,12 @@
     }
 
     @Test
-    void aStartWithALongListServesWithAPartOfItAndSaysSo() throws IOException, InterruptedException {
+    void aStartWithALongListServesWithASubsetAndReportsIt() throws IOException, InterruptedException {
         startBounded(longList(41, true, "in_service"));
         String event = cached();
         assertTrue(entries(event) > 0 && entries(event) <= MOST, event);
-        InetSocketAddress operators = node.listenForOperators();
-        assertTrue(node.awaitReady(20_000));
+        InetSocketAddress operators = balancer.listenForOperators();
+        assertTrue(balancer.awaitReady(20_000));
         String note = "; holds one part in 16 of a list of 100 upstreams, 10 at most";
         assertEquals("ACK ready" + note, call(operators, "check"));
         try (Client client = new Client(at)) {
@@ -114,7 +114,7 @@
                             .count(),
                     log.toString());
         }
-        // Whether somebody has it can't be known here; if it is held one day, it is out.
+        // Whether there is such an endpoint cannot be known here; if it comes to be kept, it is drained.
         String other = IntStream.range(0, 100)
                 .mapToObj(i -> "s" + i)
                 .filter(s -> !event.contains(s + "="))
@@ -124,36 +124,36 @@
     }
 
     @Test
-    void aLongListOverAWatchIsHeldInPartAndItsDrainsBind() throws IOException, InterruptedException {
+    void ofALongListOverAWatchASubsetIsKeptAndItsDrainsApply() throws IOException, InterruptedException {
         startBounded(list(41, true, "in_service"));
         assertEquals("CACHED [s1=UP]", cached());
-        onLoop(() -> module.actions.watch(true));
-        FakeUpstream.Got watch = discovery.next();
+        onLoop(() -> policy.actions.watch(true));
+        FakeUpstream.ReceivedRequest watch = discovery.next();
         watch.raw(OPEN);
         watch.raw(chunk(longList(42, true, "in_service")));
-        assertEquals("share 16.0", module.next());
-        String event = module.next();
+        assertEquals("share 16.0", policy.next());
+        String event = policy.next();
         assertTrue(event.startsWith("SNAPSHOT ") && entries(event) <= MOST, event);
         watch.raw(chunk(longList(43, false, "terminating")));
-        assertEquals(event.replace("SNAPSHOT", "DELTA").replace("=UP", "=DRAINING"), module.next());
+        assertEquals(event.replace("SNAPSHOT", "DELTA").replace("=UP", "=DRAINING"), policy.next());
     }
 
-    /** Nothing that is held may be sent to, and others may be there: another part is asked for unasked. */
+    /** No endpoint that is kept may be sent to, and others may exist: another subset is polled at once. */
     @Test
-    void aBalancerWithNothingOfUseAsksForAnotherPart() throws IOException, InterruptedException {
+    void aBalancerWithoutUsableEndpointsPollsForAnotherSubset() throws IOException, InterruptedException {
         startBounded(longList(41, true, "in_service"));
         String first = cached();
-        onLoop(() -> module.actions.watch(true));
-        FakeUpstream.Got watch = discovery.next();
+        onLoop(() -> policy.actions.watch(true));
+        FakeUpstream.ReceivedRequest watch = discovery.next();
         watch.raw(OPEN);
         watch.raw(chunk(longList(42, false, "terminating")));
-        assertEquals(first.replace("CACHED", "DELTA").replace("=UP", "=DRAINING"), module.next());
-        FakeUpstream.Got fetch = discovery.next();
+        assertEquals(first.replace("CACHED", "DELTA").replace("=UP", "=DRAINING"), policy.next());
+        FakeUpstream.ReceivedRequest fetch = discovery.next();
         assertEquals("GET /api/targets HTTP/1.1", fetch.line());
         fetch.answer(200, "", longList(43, true, "in_service").strip());
-        String event = module.next();
+        String event = policy.next();
         while (!event.startsWith("SNAPSHOT")) {
-            event = module.next();
+            event = policy.next();
         }
         assertTrue(entries(event) > 0, event);
         for (String entry :
@@ -164,7 +164,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"0", "-1", "2.5", "\"many\""})
-    void anUnusableBoundIsNamed(String bound) throws IOException {
+    void anInvalidBoundIsAnError(String bound) throws IOException {
         Path file = Files.createTempFile("long-list", ".json");
         Files.writeString(
                 file,
--- a/balancer/src/test/java/loadbalancer/process/ReloadTest.java
+++ b/balancer/src/test/java/loadbalancer/process/ReconfigurationTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Settings that change while the balancer serves. */
-class ReloadTest extends BalancerFixture {
+class ReconfigurationTest extends BalancerFixture {
     private static Map<String, Object> with(Map<String, Object> changes) {
         Map<String, Object> settings = settings();
         settings.putAll(changes);
@@ -19,14 +19,14 @@
     }
 
     private void reload(Map<String, Object> settings) throws IOException, InterruptedException {
-        node.reload(() -> {
+        balancer.reload(() -> {
             try {
                 return config(1024, settings, 0);
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
         });
-        node.loop().submit(() -> {}).awaitUninterruptibly(20_000);
+        balancer.loop().submit(() -> {}).awaitUninterruptibly(20_000);
     }
 
     private static String get(String kind) {
@@ -34,19 +34,19 @@
     }
 
     @Test
-    void aNewClassIsServedADroppedOneIsNotAndOpenRequestsKeepTheirs() throws Exception {
+    void addedClassesAreServedRemovedOnesAreNotAndOpenRequestsKeepTheirs() throws Exception {
         start();
         try (Client open = new Client(at);
                 Client other = new Client(at)) {
             open.send(IDEMPOTENT);
-            FakeUpstream.Got got = upstream.next();
-            assertEquals("0 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
+            FakeUpstream.ReceivedRequest got = upstream.next();
+            assertEquals("0 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
             reload(with(Map.of("Classes", List.of(kind("book", "unsafe"), kind("look", "safe")))));
-            assertEquals("reconfigured [2, -1] []", module.next());
+            assertEquals("reconfigured [2, -1] []", policy.next());
             got.answer(200, "", "of a class that is gone");
             assertEquals(200, open.status());
             other.send(get("look").replace("r1", "r2"));
-            assertEquals("1 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
+            assertEquals("1 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
             upstream.next().answer(200, "", "of the new class");
             assertEquals(200, other.status());
             assertEquals(400, open.send(IDEMPOTENT).status());
@@ -54,12 +54,12 @@
     }
 
     @Test
-    void anOpenRequestKeepsTheNumberOfAttemptsThatItCameWith() throws Exception {
+    void anOpenRequestKeepsItsMaxAttempts() throws Exception {
         start();
-        module.again = true;
+        policy.retriesWhenFull = true;
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT);
-            FakeUpstream.Got first = upstream.next();
+            FakeUpstream.ReceivedRequest first = upstream.next();
             reload(with(Map.of(
                     "Limits",
                     Map.of(
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void aFileThatCantBeUsedChangesNothing() throws Exception {
+    void anInvalidConfigurationChangesNothing() throws Exception {
         start();
         Map<String, Object> noTries =
                 new HashMap<>(Map.of("TryLimit", 0, "MayDuplicate", true, "Cancel", true, "Probes", true));
@@ -106,7 +106,7 @@
             assertEquals(lines + 1, log.size());
             assertTrue(log.get(lines).startsWith("configuration rejected: "), log.get(lines));
         }
-        assertTrue(module.told.stream().noneMatch(t -> t.startsWith("reconfigured")));
+        assertTrue(policy.events.stream().noneMatch(t -> t.startsWith("reconfigured")));
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT);
             upstream.next().answer(200, "", "as before");
--- a/balancer/src/test/java/loadbalancer/process/TimeLeftTest.java
+++ b/balancer/src/test/java/loadbalancer/process/RequestDeadlineTest.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** What an attempt tells its upstream is at most what is left to the client, however busy the loop was. */
-class TimeLeftTest extends BalancerFixture {
+/** The deadline that an attempt passes on is at most what the client has left, however busy the event loop was. */
+class RequestDeadlineTest extends BalancerFixture {
     private static final long BUSY_NS = 400_000_000;
     private static final int BUSY_MS = 400;
     private static final int TIME_MS = 20_000; // as the request says
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void theTimeThatARequestLayUnreadIsOver() throws IOException, InterruptedException {
+    void timeUnreadCountsAgainstTheDeadline() throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status();
@@ -43,16 +43,16 @@
         }
     }
 
-    /** A connection that comes up late takes its time from what is told, for it is the client's. */
+    /** The time to connect is the client's: it is taken from the deadline that is passed on. */
     @Test
-    void theTimeThatAnAttemptWaitedForItsConnectionIsOver() throws IOException, InterruptedException {
+    void timeToConnectCountsAgainstTheDeadline() throws IOException, InterruptedException {
         start();
-        module.server = null;
+        policy.endpointId = null;
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT);
-            module.requests.take();
+            policy.requests.take();
             onLoop(() -> {
-                module.actions.send("1", "s1", 0);
+                policy.actions.send("1", "s1", 0);
                 busy(); // the connection is up meanwhile, and nobody looks
             });
             int told = told();
@@ -60,13 +60,13 @@
         }
     }
 
-    /** Sent ahead: its time runs while the one before it is answered. */
+    /** Pipelined: its time runs while the request before it is answered. */
     @Test
-    void theTimeThatARequestWaitedBehindAnotherIsOver() throws IOException, InterruptedException {
+    void timeBehindAPipelinedRequestCountsAgainstTheDeadline() throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT + IDEMPOTENT.replace("Req-Id: r1", "Req-Id: r2"));
-            FakeUpstream.Got first = upstream.next();
+            FakeUpstream.ReceivedRequest first = upstream.next();
             busy();
             first.answer(200, "", "ok");
             assertTrue(told() <= TIME_MS - BUSY_MS);
--- a/balancer/src/test/java/loadbalancer/process/GatewayTest.java
+++ b/balancer/src/test/java/loadbalancer/process/RoutingGatewayTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A balancer with an operator file, over loopback sockets, with the real module in each pool. */
-class GatewayTest extends BalancerFixture {
+/** A balancer with an operator file, over loopback sockets, with the real policy in each pool. */
+class RoutingGatewayTest extends BalancerFixture {
     @TempDir
     private Path folder;
 
@@ -37,12 +37,12 @@
     void openPools() throws IOException, InterruptedException {
         first = new FakeUpstream();
         second = new FakeUpstream();
-        node = new BalancerProcess(config(1024, settings(), 0), JsqDasPolicy::new, false, line -> {
+        balancer = new BalancerProcess(config(1024, settings(), 0), JsqDasPolicy::new, false, line -> {
             synchronized (log) {
                 log.add(line);
             }
         });
-        at = node.start();
+        at = balancer.start();
     }
 
     @AfterEach
@@ -53,7 +53,7 @@
     }
 
     private boolean operate(String text) throws IOException {
-        return node.operate(Files.writeString(folder.resolve("operator.toml"), text), false);
+        return balancer.operate(Files.writeString(folder.resolve("operator.toml"), text), false);
     }
 
     private String pool(String name, FakeUpstream at1, String more) {
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void requestsGoWhereTheFileSaysOrAreTurnedAwayAtOnce() throws IOException {
+    void requestsAreRoutedByTheOperatorFileOrRejectedAtOnce() throws IOException {
         assertTrue(operate("[front]\nunmatched = \"refuse\"\n" + pool("one", first, "") + pool("two", second, "")
                 + pool("empty", null, "")
                 + route("deep", "/api/{key}", "to = \"one\"\n") + route("all", "/api/**", "to = \"two\"\n")
@@ -114,13 +114,13 @@
     }
 
     @Test
-    void whatMayHaveRunInTheFirstPoolNeverRunsInTheSecond() throws IOException, InterruptedException {
+    void aRequestThatMayHaveRunIsNotRetriedInAnotherPool() throws IOException, InterruptedException {
         assertTrue(operate(pool("one", first, "")
                 + pool("two", second, "")
                 + route("book", "/api/{key}", "to = \"one\"\nspill = [\"two\"]\n")));
         try (Client client = new Client(at)) {
             client.send(post("book", "Req-Deadline-Ms: 20000\r\n", "seat 7"));
-            FakeUpstream.Got got = first.next();
+            FakeUpstream.ReceivedRequest got = first.next();
             assertEquals("seat 7", new String(got.body(), java.nio.charset.StandardCharsets.UTF_8));
             got.reset();
             assertEquals(502, client.status(), "one clear failure");
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void aPoolThatHangsIsFullSoonAndCostsTheOthersNothing() throws IOException, InterruptedException {
+    void aHangingPoolFillsUpAndDoesNotAffectOthers() throws IOException, InterruptedException {
         assertTrue(operate(pool("one", first, "limit = { kind = \"fixed\", most = 2 }\nconnections = 2\n")
                 + pool("two", second, "")
                 + route("a", "/a/{key}", "to = \"one\"\n")
@@ -152,16 +152,16 @@
             c.close();
         }
         // The limit is free again once its clients have left.
-        await(() -> node.loop()
+        await(() -> balancer.loop()
                         .submit(() ->
-                                node.gateway().router().poolStatus().get(0).inFlight())
+                                balancer.gateway().router().poolStatus().get(0).inFlight())
                         .get()
                 == 0);
         assertEquals("200", ask(get("/a/k", "again", ""), first));
     }
 
     @Test
-    void bodiesOverAPoolsMemoryAreRefusedUnsent() throws IOException {
+    void bodiesOverAPoolsMemoryBudgetAreRejectedUnsent() throws IOException {
         assertTrue(operate(pool("one", first, "memory = \"1KiB\"\n") + route("a", "/api/{key}", "to = \"one\"\n")));
         try (Client client = new Client(at)) {
             client.send(post("book", "Req-Deadline-Ms: 20000\r\n", "x".repeat(2000)));
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void clientsMarkedRetriesDrawOnTheBudget() throws IOException {
+    void clientRetriesDrawOnTheRetryBudget() throws IOException {
         assertTrue(operate(pool("one", first, "")
                 + route(
                         "a",
@@ -182,7 +182,7 @@
     }
 
     @Test
-    void aFileWithFaultsChangesNothing() throws IOException {
+    void anInvalidOperatorFileChangesNothing() throws IOException {
         assertTrue(operate(pool("one", first, "") + route("a", "/api/{key}", "to = \"one\"\n")));
         assertFalse(operate(pool("one", second, "") + route("a", "/api/{key}", "to = \"oen\"\n")));
         assertEquals("200", ask(get("/api/k", "r1", ""), first));
@@ -194,7 +194,7 @@
 
     /** A pool is renamed back and forth while it holds open requests; each client gets each of its answers. */
     @Test
-    void aHundredSwapsUnderLoadLoseNoRequest() throws Exception {
+    void aHundredReplacementsUnderLoadLoseNoRequest() throws Exception {
         AtomicBoolean over = new AtomicBoolean();
         serveAll(first, over);
         serveAll(second, over);
@@ -234,8 +234,9 @@
             sent += c.get(20, TimeUnit.SECONDS);
         }
         assertEquals(sent, answers.get());
-        assertEquals(100, node.gateway().replacements());
-        await(() -> node.loop().submit(() -> node.gateway().drainingPools()).get() == 0);
+        assertEquals(100, balancer.gateway().replacements());
+        await(() ->
+                balancer.loop().submit(() -> balancer.gateway().drainingPools()).get() == 0);
     }
 
     private void serveAll(FakeUpstream at1, AtomicBoolean over) {
@@ -259,18 +260,20 @@
     }
 
     @Test
-    void operatorsTakeUpstreamsOfAnyPoolOut() throws Exception {
+    void operatorsDrainEndpointsOfAnyPool() throws Exception {
         assertTrue(operate(pool("one", first, "") + route("a", "/api/{key}", "to = \"one\"\n")));
         String id = "one/" + first.address();
         assertEquals(
                 Map.of(true, id),
                 Map.of(
-                        node.loop()
-                                .submit(() -> node.operatorActions().drain(id))
+                        balancer.loop()
+                                .submit(() -> balancer.operatorActions().drain(id))
                                 .get(),
                         id));
         assertEquals("503", ask(get("/api/k", "r1", "").replace("20000", "1500"), null));
-        assertTrue(node.loop().submit(() -> node.operatorActions().restore(id)).get());
+        assertTrue(balancer.loop()
+                .submit(() -> balancer.operatorActions().restore(id))
+                .get());
         assertEquals("200", ask(get("/api/k", "r2", ""), first));
     }
 }
--- a/balancer/src/test/java/loadbalancer/upstream/ResponseReaderTest.java
+++ b/balancer/src/test/java/loadbalancer/upstream/ResponseReaderTest.java
@@ -35,9 +35,9 @@
         start();
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT);
-            FakeUpstream.Got got = upstream.next();
+            FakeUpstream.ReceivedRequest got = upstream.next();
             got.raw(response);
-            assertEquals("RESET", module.next());
+            assertEquals("RESET", policy.next());
             assertEquals(502, client.status());
             client.send(IDEMPOTENT);
             upstream.next().answer(200, "", "good");
@@ -55,7 +55,7 @@
             client.send(IDEMPOTENT);
             String begin = endless.startsWith("X") ? "HTTP/1.1 200 OK\r\n" : "";
             upstream.next().raw(begin + endless.repeat(1_000));
-            assertEquals("RESET", module.next());
+            assertEquals("RESET", policy.next());
             assertEquals(502, client.status());
         }
     }
@@ -82,10 +82,10 @@
         start();
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT);
-            FakeUpstream.Got got = upstream.next();
+            FakeUpstream.ReceivedRequest got = upstream.next();
             got.answer(200, "", "ok");
             assertEquals(200, client.status());
-            assertTrue(closesSoon(got));
+            assertTrue(isClosedSoon(got));
         }
     }
 
@@ -99,11 +99,11 @@
                             + "HTTP/1.1 102 Processing\r\n\r\n"
                             + "HTTP/1.1 200 OK\r\nSrv-Load: TEXT inflight=NaN, eps=-1, queue=Infinity\r\n"
                             + "Content-Length: 2\r\n\r\nok");
-            assertEquals("OK closed", module.next());
+            assertEquals("OK closed", policy.next());
             assertEquals(200, client.status());
             client.send(IDEMPOTENT);
             upstream.next().answer(200, "Srv-Load: {\"\r\n", "ok");
-            assertEquals("OK closed", module.next());
+            assertEquals("OK closed", policy.next());
             assertEquals(200, client.status());
         }
         assertEquals(1, upstream.connections());
--- a/balancer/src/test/java/loadbalancer/upstream/UpstreamConnectionPoolTest.java
+++ b/balancer/src/test/java/loadbalancer/upstream/UpstreamConnectionPoolTest.java
@@ -32,10 +32,10 @@
         start(Map.of("IdleClose", 400_000), 1024);
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT);
-            FakeUpstream.Got got = upstream.next();
+            FakeUpstream.ReceivedRequest got = upstream.next();
             got.answer(200, "", "ok");
             assertEquals(200, client.status());
-            assertTrue(closesSoon(got));
+            assertTrue(isClosedSoon(got));
         }
     }
 
@@ -43,20 +43,20 @@
     @Timeout(60)
     void nothingIsSentAfterTheDrainGracePeriod() throws IOException, InterruptedException {
         start(Map.of(), 1024);
-        onLoop(() -> module.actions.fetchList());
+        onLoop(() -> policy.actions.fetchList());
         discovery.next().answer(200, "", "{\"rev\":50,\"all\":true,\"targets\":[]}");
-        assertEquals("SNAPSHOT []", module.next());
+        assertEquals("SNAPSHOT []", policy.next());
         // The grace period ends at last; the policy of this test goes on sending all the same.
         try (Client client = new Client(at)) {
             String outcome = "OK closed";
             while (outcome.startsWith("OK")) {
                 client.send(IDEMPOTENT);
-                outcome = module.told.poll(10, TimeUnit.MILLISECONDS);
+                outcome = policy.events.poll(10, TimeUnit.MILLISECONDS);
                 while (outcome == null) {
                     if (!upstream.isEmpty()) {
                         upstream.next().answer(200, "", "ok");
                     }
-                    outcome = module.told.poll(10, TimeUnit.MILLISECONDS);
+                    outcome = policy.events.poll(10, TimeUnit.MILLISECONDS);
                 }
                 client.status();
             }
@@ -77,19 +77,19 @@
             endpoint = "127.0.0.1:" + slow.getLocalPort();
             start(Map.of("DialTimeout", 30_000_000), 1024);
             clients.add(new Client(at).send(IDEMPOTENT.replace("r1", "r0")));
-            assertEquals("0 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
-            onLoop(() -> module.actions.fetchList());
+            assertEquals("0 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
+            onLoop(() -> policy.actions.fetchList());
             discovery.next().answer(200, "", "{\"rev\":50,\"all\":true,\"targets\":[]}");
-            assertEquals("SNAPSHOT []", module.next());
+            assertEquals("SNAPSHOT []", policy.next());
             String outcome = null;
             while (outcome == null) { // until new attempts show that the grace period is over
                 clients.add(new Client(at).send(IDEMPOTENT.replace("r1", "r" + clients.size())));
-                outcome = module.told.poll(100, TimeUnit.MILLISECONDS);
+                outcome = policy.events.poll(100, TimeUnit.MILLISECONDS);
             }
             assertEquals("NOT_SENT", outcome);
             acceptAll(slow);
             for (int i = 1; i < clients.size(); i++) {
-                assertEquals("NOT_SENT", module.next());
+                assertEquals("NOT_SENT", policy.next());
             }
             assertFillersAreAccepted(fillers.size());
             Socket taken = accepted.poll(20, TimeUnit.SECONDS);
@@ -131,7 +131,7 @@
     @Timeout(60)
     void attemptThatWaitsForItsConnectionIsCancelledOnceItsClientHasLeft() throws IOException, InterruptedException {
         List<Socket> fillers = new ArrayList<>();
-        module.cancels = false;
+        policy.cancelsForGoneClients = false;
         try (ServerSocket slow = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             while (fill(fillers, slow.getLocalPort())) {
                 assertTrue(fillers.size() < 50, "the queue never fills");
@@ -140,10 +140,10 @@
             start(Map.of("DialTimeout", 30_000_000), 1024);
             try (Client client = new Client(at)) {
                 client.send(IDEMPOTENT.replace("20000", "500000")); // its deadline is not what ends it
-                assertEquals("0 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
+                assertEquals("0 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
             }
-            assertEquals("gone", module.next());
-            assertEquals("NOT_SENT closed", module.next());
+            assertEquals("gone", policy.next());
+            assertEquals("NOT_SENT closed", policy.next());
         } finally {
             for (Socket filler : fillers) {
                 filler.close();
@@ -160,14 +160,14 @@
         try (Client client = new Client(at);
                 Client next = new Client(at)) {
             client.send(IDEMPOTENT);
-            FakeUpstream.Got got = upstream.next();
-            module.server = null; // the next one is queued, and sent once the first is served
+            FakeUpstream.ReceivedRequest got = upstream.next();
+            policy.endpointId = null; // the next one is queued, and sent once the first is served
             next.send(IDEMPOTENT.replace("r1", "r2"));
-            assertEquals("0 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
-            assertEquals("0 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
-            module.onOutcome = () -> {
-                module.onOutcome = () -> {};
-                module.actions.send("2", "s1", 0);
+            assertEquals("0 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
+            assertEquals("0 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
+            policy.onOutcome = () -> {
+                policy.onOutcome = () -> {};
+                policy.actions.send("2", "s1", 0);
                 answered.countDown();
                 try {
                     held.await();
@@ -180,7 +180,7 @@
             got.answer(200, "", "second");
             held.countDown();
             assertEquals(200, client.status());
-            FakeUpstream.Got other = upstream.next();
+            FakeUpstream.ReceivedRequest other = upstream.next();
             assertEquals("r2", other.header("Req-Id"));
             assertEquals(2, other.connection());
             other.answer(200, "", "its own");
@@ -204,11 +204,11 @@
     @Test
     void probeReturnsTheLoadReport() throws IOException, InterruptedException {
         start();
-        onLoop(() -> module.actions.probe("s1"));
-        FakeUpstream.Got got = upstream.next();
+        onLoop(() -> policy.actions.probe("s1"));
+        FakeUpstream.ReceivedRequest got = upstream.next();
         assertEquals("GET /-/load HTTP/1.1", got.line());
         assertNull(got.header("Req-Id"));
         got.answer(200, "", "TEXT inflight=3");
-        assertEquals("probed OK 3.0", module.next());
+        assertEquals("probed OK 3.0", policy.next());
     }
 }
