--- a/balancer/src/main/java/loadbalancer/dispatch/SlowStartQuota.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/SlowStartQuota.java
@@ -32,7 +32,7 @@
     /** The balancer holds that subset of the endpoints from here on. */
     void setSubset(EndpointSubset subset, SettingsReader.Boot siteSettings) {
         int balancers = siteSettings.settings().balancers();
-        long parts = subset.subset().parts();
+        long parts = subset.subset().partCount();
         subsetFactor = Math.min(parts, balancers);
         update();
         log.warn(
--- a/core/src/main/java/loadbalancer/subset/AdaptiveSample.java
+++ b/core/src/main/java/loadbalancer/subset/AdaptiveSample.java
@@ -5,85 +5,88 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Gathers of one list what a balancer holds, in one pass and never more than a bound: each time it would be more, the
- * part is halved and what no longer belongs to it is let go (as Wegman's adaptive sampling does: Flajolet, "On adaptive
- * sampling", 1990). Which entries are held at the end depends on the list and the balancer's point alone, not on the
- * order of the entries.
+ * Gathers the entries of one list that a balancer holds, in one pass and never more than a bound: each time there
+ * would be more, the subset is halved and entries outside of it are removed, as in Wegman's adaptive sampling
+ * (Flajolet, "On adaptive sampling", 1990). Which entries remain depends on the list and the balancer's point alone,
+ * not on the order of the entries. Not thread-safe.
  *
  * @param <T> an entry
  */
 public final class AdaptiveSample<T> {
-    /** A part of twice the size is taken up again only where it leaves this much room, so that lists that vary don't
-     * make a balancer let go and take up half of its upstreams in turns. */
-    private static final double ROOM = 0.25;
+    /**
+     * A subset of twice the size is only kept where it leaves this fraction of the bound free, so that lists of varying
+     * length don't make a balancer drop and add half of its endpoints in turn.
+     */
+    private static final double WIDENING_HEADROOM = 0.25;
 
-    private final Subset before;
-    private final int most;
+    private final Subset former;
+    private final int maxEntries;
     private final ToLongFunction<T> hash;
-    private final List<T> held = new ArrayList<>();
+    private final List<T> entries = new ArrayList<>();
     private Subset subset;
-    private long named;
+    private long listedCount;
 
     /**
-     * Begins.
+     * Creates an empty sample.
      *
-     * @param before the part held so far
-     * @param whole whether the list names all upstreams there are, so that a larger part may be taken up
-     * @param most entries that may be held
+     * @param former the subset held so far
+     * @param completeList whether the list names all endpoints there are, so that a wider subset may be held
+     * @param maxEntries entries that may be held, 1 or more
      * @param hash of an entry's id, spread over all 64 bits
+     * @throws IllegalArgumentException for a bound under 1
      */
-    public AdaptiveSample(Subset before, boolean whole, int most, ToLongFunction<T> hash) {
-        if (most < 1) {
-            throw new IllegalArgumentException("impossible bound: " + most);
+    public AdaptiveSample(Subset former, boolean completeList, int maxEntries, ToLongFunction<T> hash) {
+        if (maxEntries < 1) {
+            throw new IllegalArgumentException("impossible bound: " + maxEntries);
         }
-        this.before = before;
-        this.most = most;
+        this.former = former;
+        this.maxEntries = maxEntries;
         this.hash = hash;
-        subset = whole ? before.wider() : before;
+        subset = completeList ? former.wider() : former;
     }
 
-    /** Whether an entry of that hash would be held: one that wouldn't need not be read further. */
-    public boolean wants(long of) {
-        return subset.holds(of);
+    /** Whether an entry of that hash would be held; one that would not need not be read further. */
+    public boolean accepts(long entryHash) {
+        return subset.contains(entryHash);
     }
 
-    /** An entry that isn't wanted. */
-    public void pass() {
-        named++;
+    /** Counts an entry that is not accepted. */
+    public void skip() {
+        listedCount++;
     }
 
-    /** An entry that is. */
+    /** Adds an entry that is accepted. */
     public void add(T entry) {
-        named++;
-        held.add(entry);
-        while (held.size() > most && subset.level() < Subset.DEEPEST) {
-            narrow(subset.narrower());
+        listedCount++;
+        entries.add(entry);
+        while (entries.size() > maxEntries && subset.level() < Subset.MAX_LEVEL) {
+            narrowTo(subset.narrower());
         }
-        if (held.size() > most) { // so many of one hash: no list that anybody means
-            held.remove(held.size() - 1);
+        if (entries.size() > maxEntries) { // more entries of one hash than any real list has
+            entries.remove(entries.size() - 1);
         }
     }
 
-    private void narrow(Subset to) {
-        subset = to;
-        held.removeIf(t -> !to.holds(hash.applyAsLong(t)));
+    private void narrowTo(Subset narrower) {
+        subset = narrower;
+        entries.removeIf(entry -> !narrower.contains(hash.applyAsLong(entry)));
     }
 
-    /** The list is over; what is held of it. */
-    public List<T> end() {
-        if (subset.level() < before.level() && held.size() > most * (1 - ROOM)) {
-            narrow(before);
+    /** Ends the list; returns the entries that are held of it. */
+    public List<T> finish() {
+        if (subset.level() < former.level() && entries.size() > maxEntries * (1 - WIDENING_HEADROOM)) {
+            narrowTo(former);
         }
-        return held;
+        return entries;
     }
 
-    /** The part that {@link #end()} gave. */
+    /** The subset that contains what {@link #finish} returned. */
     public Subset subset() {
         return subset;
     }
 
-    /** How many entries the list named. */
-    public long named() {
-        return named;
+    /** How many entries the list has named. */
+    public long listedCount() {
+        return listedCount;
     }
 }
--- a/core/src/test/java/loadbalancer/subset/SubsetTest.java
+++ b/core/src/test/java/loadbalancer/subset/SubsetTest.java
@@ -50,8 +50,8 @@
         Subset s = at(rank, level);
         int holders = 0;
         Set<Long> seen = new HashSet<>();
-        for (long i = 0; i < s.parts(); i++, s = s.next()) {
-            holders += s.holds(hash) ? 1 : 0;
+        for (long i = 0; i < s.partCount(); i++, s = s.next()) {
+            holders += s.contains(hash) ? 1 : 0;
             seen.add(level == 0 ? 0 : s.point() >>> 64 - level);
         }
         assertEquals(1, holders);
@@ -62,9 +62,9 @@
     void aNarrowerPartLiesWithinAWiderOne(
             @ForAll long hash,
             @ForAll @IntRange(min = 0, max = FLEET) int rank,
-            @ForAll @IntRange(min = 1, max = Subset.DEEPEST) int level) {
+            @ForAll @IntRange(min = 1, max = Subset.MAX_LEVEL) int level) {
         Subset s = at(rank, level);
-        assertTrue(!s.holds(hash) || s.wider().holds(hash));
+        assertTrue(!s.contains(hash) || s.wider().contains(hash));
         assertEquals(s, s.wider().narrower());
     }
 
@@ -99,7 +99,7 @@
         double sum = 0;
         for (int rank = 0; rank < FLEET; rank++) {
             Subset s = at(rank, random.nextInt(2) + 4);
-            sum += s.holds(hash) ? s.parts() / (double) FLEET : 0;
+            sum += s.contains(hash) ? s.partCount() / (double) FLEET : 0;
         }
         // Which half of the balancers is at which level is chance here: some 100 of them hold it.
         assertTrue(sum < 1.45, "sum " + sum);
@@ -112,7 +112,7 @@
                 long hash = level == 0 ? 0 : part << 64 - level;
                 double sum = 0;
                 for (int rank = 0; rank < FLEET; rank++) {
-                    sum += at(rank, level).holds(hash) ? (1L << level) / (double) FLEET : 0;
+                    sum += at(rank, level).contains(hash) ? (1L << level) / (double) FLEET : 0;
                 }
                 assertTrue(sum > 0.94 && sum < 1.06, "level " + level + ", part " + part + ": " + sum);
             }
@@ -141,10 +141,10 @@
     private static AdaptiveSample<Long> gather(Subset before, boolean whole, int most, List<Long> list) {
         AdaptiveSample<Long> g = new AdaptiveSample<>(before, whole, most, h -> h);
         for (Long h : list) {
-            if (g.wants(h)) {
+            if (g.accepts(h)) {
                 g.add(h);
             } else {
-                g.pass();
+                g.skip();
             }
         }
         return g;
@@ -158,23 +158,24 @@
             @ForAll @IntRange(min = 1, max = 500) int most) {
         List<Long> list = list(random, many);
         AdaptiveSample<Long> g = gather(Subset.whole(rank), true, most, list);
-        List<Long> held = List.copyOf(g.end());
+        List<Long> held = List.copyOf(g.finish());
         assertTrue(held.size() <= most);
-        assertEquals(many, g.named());
+        assertEquals(many, g.listedCount());
         Subset s = g.subset();
-        assertEquals(list.stream().filter(s::holds).toList(), held, "all of the part, and nothing else");
-        assertTrue(s.level() == 0 || list.stream().filter(s.wider()::holds).count() > most, "no narrower than needed");
+        assertEquals(list.stream().filter(s::contains).toList(), held, "all of the part, and nothing else");
+        assertTrue(
+                s.level() == 0 || list.stream().filter(s.wider()::contains).count() > most, "no narrower than needed");
         List<Long> other = new ArrayList<>(list);
         Collections.shuffle(other, random);
         AdaptiveSample<Long> again = gather(Subset.whole(rank), true, most, other);
-        assertEquals(Set.copyOf(held), Set.copyOf(again.end()));
+        assertEquals(Set.copyOf(held), Set.copyOf(again.finish()));
     }
 
     @Test
     void aListThatFitsIsHeldWhole() {
         List<Long> list = list(new Random(1), 200);
         AdaptiveSample<Long> g = gather(Subset.whole(7), true, 200, list);
-        assertEquals(list, g.end());
+        assertEquals(list, g.finish());
         assertEquals(0, g.subset().level());
     }
 
@@ -184,13 +185,13 @@
         Random random = new Random(2);
         List<Long> list = new ArrayList<>(list(random, 1_010));
         AdaptiveSample<Long> first = gather(Subset.whole(3), true, 1_000, list);
-        first.end();
+        first.finish();
         assertEquals(1, first.subset().level());
         AdaptiveSample<Long> fewer = gather(first.subset(), true, 1_000, list.subList(0, 900));
-        fewer.end();
+        fewer.finish();
         assertEquals(1, fewer.subset().level());
         AdaptiveSample<Long> few = gather(first.subset(), true, 1_000, list.subList(0, 700));
-        assertEquals(700, few.end().size());
+        assertEquals(700, few.finish().size());
         assertEquals(0, few.subset().level());
     }
 
@@ -198,9 +199,9 @@
     void changesNeverWidenAPart() {
         Subset s = at(3, 4);
         AdaptiveSample<Long> g = gather(s, false, 1_000, list(new Random(3), 160));
-        g.end();
+        g.finish();
         assertEquals(s, g.subset());
-        assertTrue(g.end().stream().allMatch(s::holds));
+        assertTrue(g.finish().stream().allMatch(s::contains));
     }
 
     @Test
@@ -208,9 +209,9 @@
         List<Long> list = list(new Random(4), 20_000);
         for (int rank = 0; rank < 50; rank++) {
             AdaptiveSample<Long> all = gather(Subset.whole(rank), true, 1_000, list);
-            Set<Long> held = Set.copyOf(all.end());
+            Set<Long> held = Set.copyOf(all.finish());
             AdaptiveSample<Long> less = gather(all.subset(), true, 1_000, list.subList(1, list.size()));
-            Set<Long> then = new HashSet<>(less.end());
+            Set<Long> then = new HashSet<>(less.finish());
             assertEquals(held.contains(list.get(0)), then.add(list.get(0)) && held.equals(then));
         }
     }
@@ -218,7 +219,7 @@
     @Test
     void manyOfOneIdStayWithinTheBound() {
         AdaptiveSample<Long> g = gather(Subset.whole(0), true, 3, Collections.nCopies(50, 0L));
-        assertEquals(3, g.end().size());
+        assertEquals(3, g.finish().size());
     }
 
     @Test
@@ -226,8 +227,8 @@
         Subset all = Subset.whole(5);
         assertSame(all, all.wider());
         assertSame(all, all.next());
-        Subset deepest = at(5, Subset.DEEPEST);
+        Subset deepest = at(5, Subset.MAX_LEVEL);
         assertSame(deepest, deepest.narrower());
-        assertFalse(deepest.holds(~deepest.point()));
+        assertFalse(deepest.contains(~deepest.point()));
     }
 }
--- a/discovery/src/main/java/loadbalancer/discovery/EndpointSubset.java
+++ b/discovery/src/main/java/loadbalancer/discovery/EndpointSubset.java
@@ -59,7 +59,7 @@
 
     /** Whether an endpoint of that id is kept, if there is one. */
     public boolean contains(String endpointId) {
-        return subset.holds(Subset.hash(endpointId));
+        return subset.contains(Subset.hash(endpointId));
     }
 
     /**
@@ -87,19 +87,19 @@
         }
         AdaptiveSample<EndpointList.Entry> sampling = beginSample(list.complete());
         for (EndpointList.Entry entry : list.entries()) {
-            if (sampling.wants(Subset.hash(entry.endpoint().id()))) {
+            if (sampling.accepts(Subset.hash(entry.endpoint().id()))) {
                 sampling.add(entry);
             } else {
-                sampling.pass();
+                sampling.skip();
             }
         }
-        List<EndpointList.Entry> kept = List.copyOf(sampling.end());
+        List<EndpointList.Entry> kept = List.copyOf(sampling.finish());
         return new EndpointList(
                 list.version(),
                 list.complete(),
                 kept,
                 list.notifiedAtMicros(),
-                new EndpointList.Sample(sampling.subset(), sampling.named()));
+                new EndpointList.Sample(sampling.subset(), sampling.listedCount()));
     }
 
     /** Keeps that part from here on, of a complete list that names so many. */
@@ -126,7 +126,7 @@
     public String summary() {
         return subset.level() == 0
                 ? null
-                : "holds one part in " + subset.parts() + " of a list of " + listedCount + " upstreams, " + maxEndpoints
-                        + " at most";
+                : "holds one part in " + subset.partCount() + " of a list of " + listedCount + " upstreams, "
+                        + maxEndpoints + " at most";
     }
 }
--- a/discovery/src/main/java/loadbalancer/discovery/ListReader.java
+++ b/discovery/src/main/java/loadbalancer/discovery/ListReader.java
@@ -196,11 +196,11 @@
         if (sampling == null) {
             sampling = subset.beginSample(DiscoveryFormat.isComplete((Map<?, ?>) openContainers.peekLast()));
         }
-        if (sampling.wants(Subset.hash(DiscoveryFormat.id(entry)))) {
+        if (sampling.accepts(Subset.hash(DiscoveryFormat.id(entry)))) {
             sampling.add(DiscoveryFormat.entry((Map<?, ?>) entry, settings.get()));
         } else {
             DiscoveryFormat.state((Map<?, ?>) entry); // what is not kept must still be an entry
-            sampling.pass();
+            sampling.skip();
         }
     }
 
@@ -212,13 +212,13 @@
         if (sampled == null) {
             sampled = subset.beginSample(complete);
         }
-        List<EndpointList.Entry> kept = List.copyOf(sampled.end());
+        List<EndpointList.Entry> kept = List.copyOf(sampled.finish());
         onList.accept(new EndpointList(
                 DiscoveryFormat.version(fields),
                 complete,
                 kept,
                 Long.MAX_VALUE,
-                new EndpointList.Sample(sampled.subset(), sampled.named())));
+                new EndpointList.Sample(sampled.subset(), sampled.listedCount())));
     }
 
     // Entries have been taken out as they ended: what is left in their array is none, such as a number or a string.
--- a/discovery/src/main/java/loadbalancer/discovery/Membership.java
+++ b/discovery/src/main/java/loadbalancer/discovery/Membership.java
@@ -104,7 +104,7 @@
         changes.forEach(entry -> published.put(entry.endpoint().id(), entry));
         subset.keep(next);
         removeOthers(published);
-        while (listed.size() > subset.maxEndpoints() && subset.subset().level() < Subset.DEEPEST) {
+        while (listed.size() > subset.maxEndpoints() && subset.subset().level() < Subset.MAX_LEVEL) {
             subset.keep(subset.subset().narrower());
             removeOthers(published);
         }
--- a/discovery/src/test/java/loadbalancer/discovery/ListReaderTest.java
+++ b/discovery/src/test/java/loadbalancer/discovery/ListReaderTest.java
@@ -41,7 +41,7 @@
         assertEquals(40_000, list.sample().listedCount());
         assertTrue(list.entries().stream().allMatch(t -> list.sample()
                 .subset()
-                .holds(loadbalancer.subset.Subset.hash(t.endpoint().id()))));
+                .contains(loadbalancer.subset.Subset.hash(t.endpoint().id()))));
         assertEquals(0, subset.subset().level(), "the reader decides nothing: whoever keeps the list does");
     }
 
