--- a/balancer/src/test/java/loadbalancer/cli/CommandsTest.java
+++ b/balancer/src/test/java/loadbalancer/cli/CommandsTest.java
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void diffAndRoutes() throws IOException {
+    void diffListsChangesAndRoutesListsRoutes() throws IOException {
         String file = file("a.toml", FILE);
         assertEquals(0, run("diff", file, file));
         assertEquals(1, run("diff", file, file("b.toml", FILE.replace("most = 8", "most = 9"))));
--- a/balancer/src/test/java/loadbalancer/logs/LoggingTest.java
+++ b/balancer/src/test/java/loadbalancer/logs/LoggingTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void textReadsAsItAlwaysDidAndJsonHoldsTheFigures() throws IOException {
+    void textOmitsFieldsAndJsonHoldsThem() throws IOException {
         AsyncLogWriter sink = new AsyncLogWriter(written, "load-balancer: ");
         Log log = Log.to(Slf4jProvider.logger("load-balancer", sink));
         log.event("set-down s1", "call", "set-down", "known", true);
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aReaderThatStopsReadingCostsLinesAndNoTime() throws InterruptedException {
+    void aStalledReaderDropsLinesWithoutBlockingCallers() throws InterruptedException {
         CountDownLatch reads = new CountDownLatch(1);
         AsyncLogWriter sink = new AsyncLogWriter(
                 new OutputStream() {
--- a/balancer/src/test/java/loadbalancer/operator/OperatorReaderTest.java
+++ b/balancer/src/test/java/loadbalancer/operator/OperatorReaderTest.java
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void aSoundFileIsReadInFull() throws IOException {
+    void aValidFileIsReadCompletely() throws IOException {
         OperatorConfig o = OperatorReader.read(Files.writeString(folder.resolve("operator.toml"), SOUND), SITE);
         assertEquals(
                 List.of("agents", "new", "site"),
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void whatChangesIsSaidInWords() throws IOException {
+    void changesAreDescribed() throws IOException {
         Path file = folder.resolve("operator.toml");
         OperatorConfig before = OperatorReader.read(Files.writeString(file, SOUND), SITE);
         assertEquals(List.of(), ConfigDiff.between(before, before));
--- a/balancer/src/test/java/loadbalancer/wire/SimulatorWireAdapterTest.java
+++ b/balancer/src/test/java/loadbalancer/wire/SimulatorWireAdapterTest.java
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void listNumbersAreResolvedInTheOrderOfEvents() throws IOException {
+    void listBuffersAreResolvedInTheOrderOfEvents() throws IOException {
         String out = run("TICK\t1\n" + enlist("balancer/0", SETTINGS)
                 + "LIST\t0\t1\nITEM\t-\t10.0.0.9:80\tU\t1\t0\t0\t0\nSYNC\tComplete\t2\t0\n"
                 + inbound("a") + "GO\n");
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void oneProcessActsLikeSeveral() throws IOException {
+    void balancersOfOneProcessActLikeThoseOfSeveral() throws IOException {
         String one = "TICK\t1\n" + enlist("balancer/0", SETTINGS) + inbound("a") + inbound("b") + "GO\n";
         String two = "TICK\t1\n" + enlist("balancer/1", SETTINGS) + inbound("c") + inbound("d") + "GO\n";
         String both = "TICK\t1\n" + enlist("balancer/0", SETTINGS) + inbound("a") + inbound("b")
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void aFailureInTheModuleIsReported() throws IOException {
+    void anExceptionOfThePolicyIsReported() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         SimulatorWireAdapter.PolicyFactory broken = (settings, seed) -> {
             throw new IllegalStateException("odd\tstate");
@@ -175,7 +175,7 @@
     }
 
     @Test
-    void eventsForIdsNoLongerHeldArePassedOver() throws IOException {
+    void eventsForUnknownIdsAreIgnored() throws IOException {
         String out = run("TICK\t1\n" + enlist("balancer/0", SETTINGS)
                 + "RESPONSE\tz\t0\t10.0.0.1:80\t502\t1\t0\t-\nWITHDRAWN\tz\nACK_FIRST\tz\t0\t10.0.0.1:80\t5\n"
                 + "PROBE_RESULT\t10.0.0.1:80\t5\t200\t1,2\nMAIL\t1\tAAAA\nDUE\told\nGO\n");
@@ -194,7 +194,7 @@
                 "Prices.CrossZone=-1 | BootInfo: impossible crossZone: -1.0",
                 "Rules.OrderPause=-5 | BootInfo: impossible orderPause: -5",
             })
-    void impossiblePlacementAndOrderAreRefusedAtTheStart(String setting, String complaint) {
+    void impossiblePlacementAndOrderAreRejectedAtTheStart(String setting, String complaint) {
         String settings = SETTINGS + "\tAreas=a,b\tKinds=k\t" + setting.strip();
         String frames = "TICK\t1\n" + enlist("balancer/0", settings) + "GO\n";
         assertEquals(
@@ -203,7 +203,7 @@
     }
 
     @Test
-    void placementAndOrderReachTheModule() throws IOException {
+    void placementAndOrderReachThePolicy() throws IOException {
         String settings = SETTINGS + "\tAreas=a,b\tClasses.0.AllowedIn=1\tClasses.0.InOrder=true";
         String out = run("TICK\t1\n" + enlist("balancer/0", settings) + "LIST\t1\t1\n"
                 + "ITEM\t-\t10.0.0.7:80\tU\t1\t0\t0\t1\nSYNC\tPartial\t2\t1\n"
--- a/core/src/test/java/loadbalancer/limits/ConcurrencyLimitTest.java
+++ b/core/src/test/java/loadbalancer/limits/ConcurrencyLimitTest.java
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void aFixedLimitStays() {
+    void aFixedLimitNeverChanges() {
         Seen seen = run(ConcurrencyLimitConfig.fixed(40), 10, 1.5, 1, 1000);
         assertEquals(40, seen.limit, 1e-9);
         assertEquals(
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void allKeepGoodputAndOnlyThoseThatSeeLatencyKeepTheQueueShort() {
+    void allKeepGoodputAndLatencyBasedLimitsKeepTheQueueShort() {
         for (int servers : new int[] {10, 100}) {
             double aimd = run(
                             new ConcurrencyLimitConfig(LimitAlgorithm.AIMD, servers, 1, 100 * servers),
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void whatBecomesHeavierIsLearntAsTheNewBase() {
+    void slowerWorkIsLearnedAsTheNewBaseLatency() {
         for (LimitAlgorithm kind : new LimitAlgorithm[] {LimitAlgorithm.VEGAS, LimitAlgorithm.GRADIENT}) {
             Seen s = run(new ConcurrencyLimitConfig(kind, 10, 1, 10_000), 10, 1.4, 4, 1000);
             assertTrue(s.goodput > 0.75, kind + ": " + s);
@@ -125,7 +125,7 @@
     }
 
     @Test
-    void aLimitThatIsNotUsedDoesntGrow() {
+    void anUnusedLimitDoesNotGrow() {
         for (LimitAlgorithm kind :
                 new LimitAlgorithm[] {LimitAlgorithm.AIMD, LimitAlgorithm.VEGAS, LimitAlgorithm.GRADIENT}) {
             Seen s = run(new ConcurrencyLimitConfig(kind, 100, 1, 10_000), 10, 0.3, 1, 1000);
--- a/core/src/test/java/loadbalancer/limits/LimitsTest.java
+++ b/core/src/test/java/loadbalancer/limits/LimitsTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void whatASiblingLeavesIsBorrowedAndGivenBackWhenItComes() {
+    void unusedSiblingRateIsBorrowedAndReturnedOnDemand() {
         assertEquals(100, passing(tree(), 500, 0, 20)[0], 3, "alone it may use all");
         double[] both = passing(tree(), 500, 40, 20);
         assertTrue(both[1] > 39, "one at eight times its share leaves the other all of its own: " + both[1]);
@@ -47,7 +47,7 @@
     }
 
     @Property(tries = 60, seed = "3")
-    void nobodyIsHeldUnderHisOwnRateByAnother(
+    void noNodeIsHeldBelowItsOwnRateByAnother(
             @ForAll @IntRange(max = 2000) int flood, @ForAll @IntRange(min = 1, max = 40) int modest) {
         double[] passed = passing(tree(), flood, modest, 10);
         assertTrue(passed[1] >= 0.97 * modest - 0.2, modest + " a second asked, " + passed[1] + " passed");
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aLimitOfNothingAClockThatStandsAndAnIdleHour() {
+    void handlesARateOfZeroAStandingClockAndAnIdleHour() {
         TokenBucketTree tree = new TokenBucketTree("site", new RateLimit(10, 5, 10));
         tree.add("site", "none", new RateLimit(0, 1, 0));
         assertTrue(tree.tryTake(0, "none"), "the burst of one");
@@ -73,7 +73,7 @@
     }
 
     @Property(tries = 200, seed = "4")
-    void furtherTriesStayWithinTheShareOfFirstOnes(@ForAll @Size(max = 400) List<@IntRange(max = 5) Integer> retries) {
+    void retriesStayWithinTheRatioOfFirstAttempts(@ForAll @Size(max = 400) List<@IntRange(max = 5) Integer> retries) {
         RetryBudget budget = new RetryBudget(0.2, 1, 10 * SECOND);
         int granted = 0;
         long now = 0;
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void whatWasSavedInAnIdleHourIsForgotten() {
+    void unusedBudgetExpiresInAnIdleHour() {
         RetryBudget budget = new RetryBudget(0.5, 0, 10 * SECOND);
         for (int i = 0; i < 1000; i++) {
             budget.deposit(i);
--- a/core/src/test/java/loadbalancer/routes/OverflowTest.java
+++ b/core/src/test/java/loadbalancer/routes/OverflowTest.java
@@ -16,7 +16,7 @@
     private static final long SECOND = 1_000_000;
 
     @Test
-    void trafficLeavesByDegreesAtOnceAndReturnsSlowly() {
+    void trafficSpillsImmediatelyAndReturnsSlowly() {
         Overflow overflow = new Overflow(1.4, 0.1, 1, 0.5);
         assertArrayEquals(new double[] {1, 0}, overflow.shares(0, 0.8, 1), 1e-9, "0.8 x 1.4 is enough");
         assertArrayEquals(new double[] {0.7, 0.3}, overflow.shares(SECOND, 0.5, 1), 1e-9);
@@ -37,7 +37,7 @@
     }
 
     @Property(tries = 500, seed = "9")
-    void noPoolGetsMoreThanItsLimitAndNothingIsRefusedThatOneCouldTake(
+    void noPoolExceedsItsShareAndNoCapacityIsLeftUnused(
             @ForAll @Size(min = 1, max = 20) List<@DoubleRange(max = 1) Double> first,
             @ForAll @DoubleRange(max = 1) double second,
             @ForAll @DoubleRange(min = 0.1, max = 1) double limit) {
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void impossibleFiguresAreRefused() {
+    void impossibleParametersAreRejected() {
         assertThrows(IllegalArgumentException.class, () -> new Overflow(0.9, 1, 1));
         assertThrows(IllegalArgumentException.class, () -> new Overflow(1.4, 0, 1));
         assertThrows(IllegalArgumentException.class, () -> new Overflow(1.4, 1, 1, 0));
--- a/core/src/test/java/loadbalancer/routes/PoolHealthTest.java
+++ b/core/src/test/java/loadbalancer/routes/PoolHealthTest.java
@@ -9,7 +9,7 @@
     private static final long SECOND = 1_000_000;
 
     @Test
-    void strengthIsStatedOrLearntAndASmallerFleetIsTheFullOneInTime() {
+    void fullStrengthIsConfiguredOrLearnedAndDecaysToASmallerFleet() {
         PoolHealth stated = new PoolHealth(10);
         assertEquals(0, stated.healthyFraction(0, 1, 1.2), "nothing is listed yet");
         stated.setEndpointsUp(0, 4);
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void whatItServesOfWhatItGetsIsWhatItCan() {
+    void healthFollowsTheSuccessRate() {
         PoolHealth h = new PoolHealth(10);
         h.setEndpointsUp(0, 10);
         for (int i = 0; i < 2000; i++) {
--- a/core/src/test/java/loadbalancer/routes/RouteTableTest.java
+++ b/core/src/test/java/loadbalancer/routes/RouteTableTest.java
@@ -100,7 +100,7 @@
         "/api/x?q=/../y, literal",
         "/api/a%2Fb, place"
     })
-    void theMostSpecificOfSeveralDepthsTakesIt(String path, String name) {
+    void theMostSpecificRouteOfSeveralDepthsMatches(String path, String name) {
         List<Route> routes = new ArrayList<>();
         Map.of("literal", "/api/x", "place", "/api/{key}", "rest", "/api/**", "whole", "/api", "all", "/**")
                 .forEach((n, p) ->
@@ -125,14 +125,14 @@
                 "/a/../b | no request with '..' is routed",
                 "/{}/x | '{}' is neither"
             })
-    void whatIsNoTemplateIsNamed(String text, String complaint) {
+    void malformedTemplatesAreNamed(String text, String complaint) {
         String said = assertThrows(IllegalArgumentException.class, () -> PathTemplate.of(text))
                 .getMessage();
         assertTrue(said.contains(complaint), said);
     }
 
     @Test
-    void headerNamesCountInAnyCaseAndTheirValuesAsTheyAre() {
+    void headerNamesIgnoreCaseAndValuesDoNot() {
         Route route = new Route("r", PathTemplate.of("/**"), Set.of(), Map.of("X-Pool", "New"), Set.of(), Set.of(), 0);
         RouteTable table = new RouteTable(List.of(route));
         RouteRequest request = new RouteRequest("GET", new String[] {"a"}, Map.of("x-pool", "New"), null, null);
--- a/core/src/test/java/loadbalancer/routes/TrafficSplitTest.java
+++ b/core/src/test/java/loadbalancer/routes/TrafficSplitTest.java
@@ -15,7 +15,7 @@
 
     /** From 0 to all in twenty steps: each key moves once, to the growing pool, and stays. */
     @Test
-    void whileOneWeightGrowsNoKeyThatHasMovedMovesBack() {
+    void aKeyMovedByAGrowingWeightNeverMovesBack() {
         int[] at = new int[20_000];
         for (int step = 0; step <= 20; step++) {
             TrafficSplit split = new TrafficSplit(POOLS, new double[] {5, step * step, 2});
@@ -34,19 +34,19 @@
 
     @Property(tries = 200, seed = "5")
     void sharesFollowTheWeights(
-            @ForAll @DoubleRange(min = 0, max = 10) double a,
-            @ForAll @DoubleRange(min = 0.5, max = 10) double b,
+            @ForAll @DoubleRange(min = 0, max = 10) double firstWeight,
+            @ForAll @DoubleRange(min = 0.5, max = 10) double secondWeight,
             @ForAll @IntRange(max = 1000) int salt) {
-        TrafficSplit split = new TrafficSplit(new String[] {"a", "b"}, new double[] {a, b});
+        TrafficSplit split = new TrafficSplit(new String[] {"a", "b"}, new double[] {firstWeight, secondWeight});
         int first = 0;
         for (int key = 0; key < 4000; key++) {
             first += split.choose(TrafficSplit.hash(salt + "/" + key)) == 0 ? 1 : 0;
         }
-        assertEquals(a / (a + b), first / 4000.0, 0.05);
+        assertEquals(firstWeight / (firstWeight + secondWeight), first / 4000.0, 0.05);
     }
 
     @Test
-    void aPoolOfWeightNothingGetsNothingAndAllNothingIsNoPool() {
+    void aPoolOfWeightZeroGetsNoKeyAndAllZeroGivesNoPool() {
         TrafficSplit split = new TrafficSplit(POOLS, new double[] {0, 1, 0});
         for (int key = 0; key < 100; key++) {
             assertEquals(1, split.choose(key));
--- a/core/src/test/java/loadbalancer/subset/SubsetTest.java
+++ b/core/src/test/java/loadbalancer/subset/SubsetTest.java
@@ -43,7 +43,7 @@
     }
 
     @Property(tries = 200, seed = "1")
-    void everyUpstreamIsInExactlyOnePart(
+    void everyEndpointIsInExactlyOnePart(
             @ForAll long hash,
             @ForAll @IntRange(min = 0, max = FLEET) int rank,
             @ForAll @IntRange(min = 0, max = 8) int level) {
@@ -59,7 +59,7 @@
     }
 
     @Property(tries = 1_000, seed = "2")
-    void aNarrowerPartLiesWithinAWiderOne(
+    void aNarrowerPartLiesWithinTheWiderOne(
             @ForAll long hash,
             @ForAll @IntRange(min = 0, max = FLEET) int rank,
             @ForAll @IntRange(min = 1, max = Subset.MAX_LEVEL) int level) {
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void theFleetOfTwoYearsAheadIsSpreadEvenly() {
+    void aLargeFleetIsSpreadEvenly() {
         for (int level = 0; level <= 6; level++) {
             double most = unevenness(FLEET, level, rank -> true);
             assertTrue(most < 1.06, "level " + level + ": " + most);
@@ -78,7 +78,7 @@
 
     /** Ranks go round the zones, or are given zone by zone: the balancers of one zone must not share a part. */
     @Test
-    void theBalancersOfEachZoneAreSpreadToo() {
+    void theBalancersOfEachZoneAreSpreadEvenly() {
         for (int zones : new int[] {2, 3, 4, 8, 11, 16, 29}) {
             int each = FLEET / zones;
             for (int z = 0; z < zones; z++) {
@@ -95,7 +95,7 @@
 
     /** What the fleet may send to a cold upstream, where each takes that part of the budget times its parts. */
     @Property(tries = 100, seed = "3")
-    void sharesOfABudgetAddUpWhateverLevelEachIsAt(@ForAll long hash, @ForAll Random random) {
+    void budgetFractionsAddUpAcrossLevels(@ForAll long hash, @ForAll Random random) {
         double sum = 0;
         for (int rank = 0; rank < FLEET; rank++) {
             Subset s = at(rank, random.nextInt(2) + 4);
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void sharesOfABudgetAddUpAtOneLevel() {
+    void budgetFractionsAddUpAtOneLevel() {
         for (int level = 0; level <= 6; level++) {
             for (long part = 0; part < 1L << level; part++) {
                 long hash = level == 0 ? 0 : part << 64 - level;
@@ -121,7 +121,7 @@
 
     /** Ids as registers make them: counted, hexadecimal, addresses. Part sizes vary by chance only. */
     @Test
-    void idsFallEvenlyOnTheParts() {
+    void idsAreSpreadEvenlyOverTheParts() {
         for (String form : new String[] {"s-%08x", "box-%d", "10.0.0.%d:5000", "%06d"}) {
             int[] of = new int[32];
             for (int i = 0; i < 200_000; i++) {
@@ -151,7 +151,7 @@
     }
 
     @Property(tries = 300, seed = "4")
-    void neverMoreThanTheBoundAndWhatIsHeldHangsOnTheListAlone(
+    void theSampleStaysWithinItsBoundAndDependsOnTheListAlone(
             @ForAll Random random,
             @ForAll @IntRange(min = 0, max = FLEET) int rank,
             @ForAll @IntRange(min = 1, max = 3_000) int many,
@@ -172,7 +172,7 @@
     }
 
     @Test
-    void aListThatFitsIsHeldWhole() {
+    void aListWithinTheBoundIsHeldCompletely() {
         List<Long> list = list(new Random(1), 200);
         AdaptiveSample<Long> g = gather(Subset.whole(7), true, 200, list);
         assertEquals(list, g.finish());
@@ -181,7 +181,7 @@
 
     /** A list that goes up and down about the bound must not move half of the upstreams each time. */
     @Test
-    void aWiderPartIsTakenUpOnlyWithRoomToSpare() {
+    void aWiderPartIsHeldOnlyWithHeadroom() {
         Random random = new Random(2);
         List<Long> list = new ArrayList<>(list(random, 1_010));
         AdaptiveSample<Long> first = gather(Subset.whole(3), true, 1_000, list);
@@ -196,7 +196,7 @@
     }
 
     @Test
-    void changesNeverWidenAPart() {
+    void deltasNeverWidenAPart() {
         Subset s = at(3, 4);
         AdaptiveSample<Long> g = gather(s, false, 1_000, list(new Random(3), 160));
         g.finish();
@@ -205,7 +205,7 @@
     }
 
     @Test
-    void anUpstreamThatComesOrGoesMovesNobodyElse() {
+    void anEndpointThatIsAddedOrRemovedMovesNoOther() {
         List<Long> list = list(new Random(4), 20_000);
         for (int rank = 0; rank < 50; rank++) {
             AdaptiveSample<Long> all = gather(Subset.whole(rank), true, 1_000, list);
@@ -217,13 +217,13 @@
     }
 
     @Test
-    void manyOfOneIdStayWithinTheBound() {
+    void manyEntriesOfOneIdStayWithinTheBound() {
         AdaptiveSample<Long> g = gather(Subset.whole(0), true, 3, Collections.nCopies(50, 0L));
         assertEquals(3, g.finish().size());
     }
 
     @Test
-    void theEndsOfTheScaleHold() {
+    void theLowestAndHighestLevelsAreKept() {
         Subset all = Subset.whole(5);
         assertSame(all, all.wider());
         assertSame(all, all.next());
