--- a/balancer/src/main/java/loadbalancer/process/BalancerConfig.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerConfig.java
@@ -24,7 +24,7 @@
  * @param boot the settings, typed
  * @param settings the same as paths and values, to compare two configurations by
  */
-public record BalancerConfig(
+record BalancerConfig(
         String name,
         InetSocketAddress listen,
         InetSocketAddress admin,
@@ -47,7 +47,7 @@
      * Returns a key of the settings that these lack and those before had, or null: a file may have lost a part and
      * still be readable. An entry of a list must have the fields that all entries had before.
      */
-    public String missingKey(BalancerConfig before) {
+    String missingKey(BalancerConfig before) {
         for (String key : before.settings.keySet()) {
             boolean required =
                     !OPTIONAL_KEY.matcher(key).find() && !ENTRY_KEY.matcher(key).find();
--- a/balancer/src/main/java/loadbalancer/process/BalancerConfigReader.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerConfigReader.java
@@ -28,7 +28,7 @@
  * of the environment's variables and of the file's fields. A variable wins over the field for the same value.
  * Stateless.
  */
-public final class BalancerConfigReader {
+final class BalancerConfigReader {
     /** The variable that names the configuration file. */
     static final String FILE_VARIABLE = "ROUTER_CONFIG";
 
@@ -78,7 +78,7 @@
      *
      * @throws ProcessConfigException where it cannot be used
      */
-    public static BalancerConfig read(Map<String, String> environment) {
+    static BalancerConfig read(Map<String, String> environment) {
         String file = environment.get(FILE_VARIABLE);
         if (file == null || file.isBlank()) {
             throw new ProcessConfigException(FILE_VARIABLE + " is not set");
@@ -103,7 +103,7 @@
      *
      * @throws ProcessConfigException where it cannot be used
      */
-    public static BalancerConfig reread(Map<String, String> environment) {
+    static BalancerConfig reread(Map<String, String> environment) {
         Map<String, String> withoutDiscovery = new HashMap<>(environment);
         withoutDiscovery.remove(DISCOVERY_VARIABLE);
         return read(withoutDiscovery);
@@ -132,7 +132,7 @@
      * @param fields the file's, as a JSON parser gives them
      * @throws ProcessConfigException where it cannot be used
      */
-    public static BalancerConfig read(Map<String, String> environment, Map<String, Object> fields) {
+    static BalancerConfig read(Map<String, String> environment, Map<String, Object> fields) {
         try {
             return read(environment, fields, limits -> {
                 Object list = fields.get(KNOWN_LIST);
--- a/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
@@ -38,7 +38,7 @@
  * One balancer with its sockets: puts its parts together, starts them and stops them. All of it runs on one event loop;
  * the methods here may be called on any other thread, save where they say otherwise.
  */
-public final class BalancerProcess {
+final class BalancerProcess {
     /** How long nothing is sent by the list of the start where lists are pushed and discovery is silent. */
     private static final long OLD_LIST_HOLD_MILLIS = 10_000;
 
@@ -66,14 +66,14 @@
      * @param listener the clients' listening socket, where the platform holds it
      * @param handoverDirectory where a process finds its predecessor
      */
-    public record Platform(ServerSocketChannel listener, Path handoverDirectory) {}
+    record Platform(ServerSocketChannel listener, Path handoverDirectory) {}
 
     /**
      * Creates a process that opens its own listening socket and has neither predecessor nor successor.
      *
      * @see #BalancerProcess(BalancerConfig, Platform, BiFunction, boolean, Log)
      */
-    public BalancerProcess(
+    BalancerProcess(
             BalancerConfig config,
             BiFunction<PolicySettings, Long, LoadBalancingPolicy> policies,
             boolean warmsUp,
@@ -87,7 +87,7 @@
      * @param policies makes the policy of a pool from its settings and a seed
      * @param warmsUp whether requests of its own warm the process up before it is ready
      */
-    public BalancerProcess(
+    BalancerProcess(
             BalancerConfig config,
             Platform platform,
             BiFunction<PolicySettings, Long, LoadBalancingPolicy> policies,
@@ -140,7 +140,7 @@
      *
      * @return the address in use
      */
-    public InetSocketAddress listenForOperators() throws IOException {
+    InetSocketAddress listenForOperators() throws IOException {
         return admin.listen(config().admin());
     }
 
@@ -149,7 +149,7 @@
      *
      * @return the address in use
      */
-    public InetSocketAddress start() throws IOException {
+    InetSocketAddress start() throws IOException {
         boolean hasPredecessor = handover.connectToPredecessor();
         InetSocketAddress address = clients.listen(config().listen(), platform.listener(), !hasPredecessor);
         UnixDomainSocketAddress warmUpAddress = warmUpAddress();
@@ -242,7 +242,7 @@
      *
      * @return false where it does not after that time
      */
-    public boolean awaitReady(long millis) throws InterruptedException {
+    boolean awaitReady(long millis) throws InterruptedException {
         return readiness.await(millis);
     }
 
@@ -252,7 +252,7 @@
      *
      * @param read reads the configuration, on the caller's thread
      */
-    public void reload(Supplier<BalancerConfig> read) {
+    void reload(Supplier<BalancerConfig> read) {
         reconfiguration.reload(read);
     }
 
@@ -262,12 +262,12 @@
      * @param configuresLog whether the process's own log goes by it as well
      * @return whether the file is in force
      */
-    public boolean operate(Path file, boolean configuresLog) {
+    boolean operate(Path file, boolean configuresLog) {
         return reconfiguration.applyOperatorFile(file, configuresLog);
     }
 
     /** Stops in order, as after SIGTERM, and returns when all that was accepted has been answered. */
-    public void stop() {
+    void stop() {
         shutdown.begin();
         shutdown.await();
         log.accept("stopped: " + pools.summary());
@@ -280,27 +280,27 @@
     }
 
     /** Waits until the process has stopped; returns early where the thread is interrupted. */
-    public void awaitStopped() {
+    void awaitStopped() {
         shutdown.await();
     }
 
     /** Returns the configuration in force. */
-    public BalancerConfig config() {
+    BalancerConfig config() {
         return reconfiguration.config();
     }
 
     /** Returns what operators may do, for the event loop's thread. */
-    public OperatorActions operatorActions() {
+    OperatorActions operatorActions() {
         return operatorCalls;
     }
 
     /** Returns the event loop that all of the process runs on. */
-    public EventLoop loop() {
+    EventLoop loop() {
         return loop;
     }
 
     /** Returns what routes by the operator file, for the event loop's thread; null without a file. */
-    public RoutingGateway gateway() {
+    RoutingGateway gateway() {
         return pools.gateway();
     }
 }
--- a/balancer/src/main/java/loadbalancer/process/DescriptorBudget.java
+++ b/balancer/src/main/java/loadbalancer/process/DescriptorBudget.java
@@ -8,7 +8,7 @@
  * for want of one: some stay in reserve for what is not counted here (files, the selector, discovery, the listeners),
  * and a fraction for upstream connections, whatever clients open. Belongs to the event loop's thread.
  */
-public final class DescriptorBudget implements ConnectionBudget, ClientConnectionBudget {
+final class DescriptorBudget implements ConnectionBudget, ClientConnectionBudget {
     private static final int RESERVED_DESCRIPTORS = 64;
     /** Of the limit, for this process in any case while another one shares it. */
     private static final double MIN_OWN_FRACTION = 0.4;
@@ -28,7 +28,7 @@
      *
      * @param limit descriptors that the process may have open
      */
-    public DescriptorBudget(int limit) {
+    DescriptorBudget(int limit) {
         this.limit = limit;
         setUsedByPeer(0);
     }
--- a/balancer/src/main/java/loadbalancer/process/OperatorFileLoader.java
+++ b/balancer/src/main/java/loadbalancer/process/OperatorFileLoader.java
@@ -46,7 +46,7 @@
     public static SiteConfig site(Path config) {
         try {
             return site(BalancerConfigReader.readForCheck(config).boot());
-        } catch (ConfigException e) {
+        } catch (ProcessConfigException e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
     }
--- a/balancer/src/main/java/loadbalancer/process/ReloadSignal.java
+++ b/balancer/src/main/java/loadbalancer/process/ReloadSignal.java
@@ -14,7 +14,7 @@
  *
  * <p>Thread-safe. The signal comes on a thread of its own.
  */
-public final class ReloadSignal {
+final class ReloadSignal {
     private static final String SIGNAL_CLASS = "sun.misc.Signal";
     private static final String HANDLER_CLASS = "sun.misc.SignalHandler";
     private static final String HANGUP = "HUP";
@@ -30,7 +30,7 @@
     private ReloadSignal() {}
 
     /** Takes each SIGHUP from here on, and remembers one that comes before {@link #onEach}. */
-    public static ReloadSignal take() {
+    static ReloadSignal take() {
         ReloadSignal reloadSignal = new ReloadSignal();
         try {
             Class<?> signalClass = Class.forName(SIGNAL_CLASS);
@@ -62,7 +62,7 @@
     }
 
     /** Returns why no signal will ever come, and how the configuration is replaced then; null where each is taken. */
-    public String unavailability() {
+    String unavailability() {
         return unavailability;
     }
 
@@ -74,7 +74,7 @@
     }
 
     /** Runs {@code then} at each SIGHUP, on the signal's thread, and now where one has come already. */
-    public synchronized void onEach(Runnable then) {
+    synchronized void onEach(Runnable then) {
         action = then;
         if (missed) {
             received();
--- a/balancer/src/main/java/loadbalancer/process/WarmUp.java
+++ b/balancer/src/main/java/loadbalancer/process/WarmUp.java
@@ -31,7 +31,7 @@
  * under a full load. It has a policy, a dispatcher and connections of its own, which end with it, so that the process's
  * own ones learn nothing from it. Belongs to the event loop's thread.
  */
-public final class WarmUp implements WarmUpTraffic {
+final class WarmUp implements WarmUpTraffic {
     private static final String TOKEN_HEADER = "Rehearsal"; // with a value that no one else knows
     private static final String ID_PREFIX = "rehearsal-";
 
--- /dev/null
+++ b/balancer/src/test/java/loadbalancer/process/OperatorFileLoaderTest.java
@@ -0,0 +1,24 @@
+package loadbalancer.process;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** The configuration that an operator file is checked against. */
+class OperatorFileLoaderTest {
+    @TempDir
+    Path folder;
+
+    @Test
+    void anInvalidConfigurationIsAnErrorOfOneLine() throws IOException {
+        Path config = Files.writeString(folder.resolve("config.json"), "{\"settings\": 1}");
+        IllegalArgumentException error =
+                assertThrows(IllegalArgumentException.class, () -> OperatorFileLoader.site(config));
+        assertEquals("the configuration has no settings", error.getMessage());
+    }
+}
