--- a/balancer/src/main/java/loadbalancer/operator/DestinationReader.java
+++ b/balancer/src/main/java/loadbalancer/operator/DestinationReader.java
@@ -6,6 +6,7 @@
 import loadbalancer.router.SpillTarget;
 import loadbalancer.toml.Measure;
 import loadbalancer.toml.Section;
+import loadbalancer.toml.TextOrTable;
 
 /** Reads where a route's traffic goes: the keys {@code to} and {@code spill}. */
 final class DestinationReader {
@@ -25,9 +26,9 @@
             route.fault("to", "route '" + routeName + "' has no 'to': a pool, or several with weights");
         }
         List<Destination> destinations = new ArrayList<>();
-        List<Object> items = route.items("to");
+        List<TextOrTable> items = route.items("to");
         double weightSum = 0;
-        for (Object item : items) {
+        for (TextOrTable item : items) {
             Destination destination = destination(item, targets);
             checkDestination(route, destination, destinations, targets, items.size());
             weightSum += destination.weight();
@@ -41,16 +42,19 @@
         return destinations;
     }
 
-    private static Destination destination(Object item, List<SpillTarget> targets) {
-        String pool;
+    private static Destination destination(TextOrTable item, List<SpillTarget> targets) {
+        String pool = item.text();
         double weight = 1;
-        if (item instanceof Section section) {
+        if (item.isTable()) {
+            Section section = item.table();
             pool = section.text("pool", null);
             weight = section.number("weight", Measure.NUMBER, 1);
             section.rejectUnknownKeys();
-        } else {
-            pool = (String) item;
         }
+        return destination(pool, weight, targets);
+    }
+
+    private static Destination destination(String pool, double weight, List<SpillTarget> targets) {
         List<SpillTarget> otherPools =
                 targets.stream().filter(target -> !target.pool().equals(pool)).toList();
         return new Destination(pool, weight, otherPools);
@@ -70,7 +74,7 @@
 
     private List<SpillTarget> spillTargets(Section route) {
         List<SpillTarget> targets = new ArrayList<>();
-        for (Object item : route.items("spill")) {
+        for (TextOrTable item : route.items("spill")) {
             SpillTarget target = spillTarget(route, item);
             pools.require(route, "spill", target.pool());
             if (targets.stream().anyMatch(other -> other.pool().equals(target.pool()))) {
@@ -81,10 +85,11 @@
         return targets;
     }
 
-    private static SpillTarget spillTarget(Section route, Object item) {
-        if (!(item instanceof Section section)) {
-            return new SpillTarget((String) item, 1);
+    private static SpillTarget spillTarget(Section route, TextOrTable item) {
+        if (!item.isTable()) {
+            return new SpillTarget(item.text(), 1);
         }
+        Section section = item.table();
         String pool = section.text("pool", null);
         double maxShare = section.number("most", Measure.SHARE, 1);
         if (maxShare <= 0) {
--- a/toml/src/main/java/loadbalancer/toml/Section.java
+++ b/toml/src/main/java/loadbalancer/toml/Section.java
@@ -209,10 +209,10 @@
         return figure;
     }
 
-    /** The values of a list, or one value without a list, each a String or a Section; none where missing. */
-    public List<Object> items(String key) {
+    /** The values of a list, or one value without a list; none where missing. */
+    public List<TextOrTable> items(String key) {
         JsonNode value = read(key);
-        List<Object> items = new ArrayList<>();
+        List<TextOrTable> items = new ArrayList<>();
         if (value == null) {
             return items;
         }
@@ -226,11 +226,11 @@
         return items;
     }
 
-    private void addItem(String key, JsonNode value, String itemPath, List<Object> items) {
+    private void addItem(String key, JsonNode value, String itemPath, List<TextOrTable> items) {
         if (value.isTextual()) {
-            items.add(value.asText());
+            items.add(new TextOrTable(value.asText(), null));
         } else if (value instanceof ObjectNode table) {
-            items.add(new Section(source, table, itemPath));
+            items.add(new TextOrTable(null, new Section(source, table, itemPath)));
         } else {
             fault(key, "'" + key + "' holds " + value + ": a text or a table is wanted");
         }
