--- a/balancer/src/main/java/loadbalancer/Main.java
+++ b/balancer/src/main/java/loadbalancer/Main.java
@@ -25,7 +25,7 @@
     private Main() {}
 
     /**
-     * Runs the command that the arguments name. The two that a platform starts are told apart here, so that a start
+     * Runs the command that the arguments name. The two that a platform starts are recognized here, so that a start
      * does not load the tools' option parser.
      */
     public static void main(String[] args) {
--- a/balancer/src/main/java/loadbalancer/process/BalancerConfigReader.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerConfigReader.java
@@ -295,8 +295,8 @@
         if (value == null) {
             return limit;
         }
-        boolean whole = value instanceof Number number && number.longValue() == number.doubleValue();
-        if (!whole || ((Number) value).longValue() < 1) {
+        boolean isWhole = value instanceof Number number && number.longValue() == number.doubleValue();
+        if (!isWhole || ((Number) value).longValue() < 1) {
             throw new ProcessConfigException(
                     LIMITS + ": " + MAX_ENDPOINTS + ": a whole number of 1 or more is wanted: " + value);
         }
--- a/balancer/src/main/java/loadbalancer/process/GracefulShutdown.java
+++ b/balancer/src/main/java/loadbalancer/process/GracefulShutdown.java
@@ -99,7 +99,7 @@
         pools.whenIdle(() -> loop.schedule(this::stopIfNothingIsLeft, FLUSH_MILLIS, TimeUnit.MILLISECONDS));
     }
 
-    // Looks once more: a request may have become whole since, or an answer may still wait for its client.
+    // Looks once more: a request may have come in completely since, or a response may still wait for its client.
     private void stopIfNothingIsLeft() {
         if (clients.hasPendingResponses() && beforeDeadline()) {
             stopWhenDrained();
--- a/discovery/src/main/java/loadbalancer/discovery/EndpointSubset.java
+++ b/discovery/src/main/java/loadbalancer/discovery/EndpointSubset.java
@@ -22,7 +22,7 @@
     private Consumer<EndpointSubset> onChange = changed -> {};
 
     /**
-     * Begins with the whole list.
+     * Begins with the complete list.
      *
      * @param maxEndpoints endpoints that may be kept
      * @param rank of the balancer among all, which gives its part of a longer list
@@ -122,7 +122,7 @@
         }
     }
 
-    /** Returns what operators are told where only a part is kept; null where all of the list is. */
+    /** Returns a line for operators where only a part is kept; null where all of the list is. */
     public String summary() {
         return subset.level() == 0
                 ? null
--- a/discovery/src/main/java/loadbalancer/discovery/ListReader.java
+++ b/discovery/src/main/java/loadbalancer/discovery/ListReader.java
@@ -221,7 +221,7 @@
                 new EndpointList.Sample(sampled.subset(), sampled.listedCount())));
     }
 
-    // Entries have been taken out as they ended: what is left in their array is none, such as a number or a string.
+    // Entries are not added to their array: what is in it is no entry, such as a number or a string.
     private static void checkNoOtherEntries(Map<?, ?> fields) {
         if (!(fields.get(DiscoveryFormat.ENTRIES) instanceof List<?> others)) {
             throw new DiscoveryFormatException("no list of targets");
