--- a/simulator/src/main/java/loadbalancer/simulator/cli/CompareCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/CompareCommand.java
@@ -37,30 +37,30 @@
     @Override
     public Integer call() throws IOException {
         ObjectMapper mapper = new ObjectMapper();
-        JsonNode a = figures(mapper, first);
+        JsonNode node = figures(mapper, first);
         JsonNode b = figures(mapper, second);
         System.out.printf("%-22s%12s%12s%24s%n", variant, "A", "B", "B - A, paired");
-        for (Iterator<String> names = a.fieldNames(); names.hasNext(); ) {
+        for (Iterator<String> names = node.fieldNames(); names.hasNext(); ) {
             String name = names.next();
             if (only != null && !only.contains(name) || !b.has(name)) {
                 continue;
             }
-            double[] before = values(a.get(name));
+            double[] before = values(node.get(name));
             double[] after = values(b.get(name));
             if (before.length != after.length) {
                 throw new IllegalArgumentException("the two have " + before.length + " and " + after.length
                         + " seeds: only runs on the same seeds can be paired");
             }
-            Interval d = Interval.ofDifferences(after, before);
-            boolean sure = !Double.isNaN(d.halfWidth()) && !d.holds(0);
+            Interval interval = Interval.ofDifferences(after, before);
+            boolean sure = !Double.isNaN(interval.halfWidth()) && !interval.holds(0);
             System.out.printf(
                     Locale.ROOT,
                     "%-22s%12.4f%12.4f%12.4f +- %.4f%s%n",
                     name,
                     Interval.of(before).mean(),
                     Interval.of(after).mean(),
-                    d.mean(),
-                    d.halfWidth(),
+                    interval.mean(),
+                    interval.halfWidth(),
                     sure ? "  *" : "");
         }
         System.out.println("* the 95% interval of the difference leaves out 0");
--- a/simulator/src/main/java/loadbalancer/simulator/cli/DemoCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/DemoCommand.java
@@ -43,22 +43,22 @@
 
     @Override
     public Integer call() throws Exception {
-        Experiment e = ExperimentReader.read(file);
-        WorldPlan plan = e.plan();
+        Experiment experiment = ExperimentReader.read(file);
+        WorldPlan plan = experiment.plan();
         String run = new TomlMapper()
                 .readTree(Files.readString(root.resolve("deploy/balancer.toml")))
                 .get("run")
                 .asText();
         Thread end = new Thread(this::endAll, "end");
         Runtime.getRuntime().addShutdownHook(end); // also on Ctrl-C: no process stays
-        try (LiveSite site = new LiveSite(plan, e.firstSeed())) {
+        try (LiveSite site = new LiveSite(plan, experiment.firstSeed())) {
             int many = Math.max(1, (int) Math.round(plan.balancers().midpoint()));
             List<InetSocketAddress> entries = new ArrayList<>();
             for (int i = 0; i < many; i++) {
-                BalancerProcess b =
+                BalancerProcess process =
                         new BalancerProcess(List.of("bash", "-c", run), root, SiteSettings.config(plan, i, many, site));
-                balancers.add(b);
-                entries.add(b.address());
+                balancers.add(process);
+                entries.add(process.address());
             }
             System.out.printf(
                     Locale.ROOT,
@@ -73,7 +73,7 @@
                             plan.length(),
                             1 + (int) plan.clients().retries().midpoint(),
                             Math.max(1, (int) plan.load().keys().midpoint()),
-                            e.firstSeed()),
+                            experiment.firstSeed()),
                     plan.classes())) {
                 int[] seconds = {0};
                 load.run(() -> {
@@ -85,7 +85,7 @@
                 DemoPage page = new DemoPage(plan, load, ledger);
                 page.table().forEach(System.out::println);
                 Files.createDirectories(html.toAbsolutePath().getParent());
-                Files.writeString(html, page.html(e.question()));
+                Files.writeString(html, page.html(experiment.question()));
                 System.out.println("page written to " + html);
                 return page.violations().isEmpty() && balancers.stream().allMatch(BalancerProcess::alive) ? 0 : 1;
             }
@@ -100,9 +100,9 @@
     }
 
     private synchronized void endAll() {
-        for (BalancerProcess b : balancers) {
+        for (BalancerProcess process : balancers) {
             try {
-                b.close();
+                process.close();
             } catch (IOException e) {
                 System.err.println("a balancer's file stays: " + e.getMessage());
             }
--- a/simulator/src/main/java/loadbalancer/simulator/cli/FaultInjectionCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/FaultInjectionCommand.java
@@ -68,8 +68,8 @@
             System.out.println(
                     "listening on " + server.listen(port).getPort() + ", control on " + calls.getLocalPort());
             while (!over) {
-                try (Socket s = calls.accept()) {
-                    serve(s, server);
+                try (Socket socket = calls.accept()) {
+                    serve(socket, server);
                 }
             }
         } finally {
@@ -79,9 +79,9 @@
         return 0;
     }
 
-    private void serve(Socket s, FaultInjectionServer server) throws IOException {
-        BufferedReader in = new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.UTF_8));
-        PrintWriter out = new PrintWriter(s.getOutputStream(), true, StandardCharsets.UTF_8);
+    private void serve(Socket socket, FaultInjectionServer server) throws IOException {
+        BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
+        PrintWriter out = new PrintWriter(socket.getOutputStream(), true, StandardCharsets.UTF_8);
         for (String line = in.readLine(); line != null && !over; line = in.readLine()) {
             switch (line.strip()) {
                 case "" -> {}
--- a/simulator/src/main/java/loadbalancer/simulator/cli/ListCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/ListCommand.java
@@ -32,12 +32,12 @@
             throw new IllegalArgumentException(folder + ": no such folder");
         }
         try (Stream<Path> files = Files.list(folder)) {
-            for (Path f :
+            for (Path file :
                     files.filter(p -> p.toString().endsWith(".toml")).sorted().toList()) {
                 try {
-                    Experiment e = ExperimentReader.read(f);
-                    figures = Score.names(e.plan());
-                    System.out.printf("%-40s %s%n", f, e.question());
+                    Experiment experiment = ExperimentReader.read(file);
+                    figures = Score.names(experiment.plan());
+                    System.out.printf("%-40s %s%n", file, experiment.question());
                 } catch (Faults faults) {
                     sound = false;
                     System.out.println(faults.getMessage());
--- a/simulator/src/main/java/loadbalancer/simulator/cli/QueueCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/QueueCommand.java
@@ -48,10 +48,10 @@
     private double slowRate;
 
     @Option(names = "-d", defaultValue = "2", description = "Servers sampled (jsq-dfds: dF + dS); 2.")
-    private int d;
+    private int sampled;
 
     @Option(names = "-a", defaultValue = "1", description = "Of these from the accomplished (or dF); 1.")
-    private int a;
+    private int fromAccomplished;
 
     @Option(names = "--jobs", defaultValue = "1000000", description = "Jobs in all; 1,000,000.")
     private long jobs;
@@ -64,24 +64,26 @@
 
     @Override
     public Integer call() throws IOException {
-        QueueModel.Result r = QueueModel.run(new QueueModel.Setting(
-                policy, servers, cores, lambda, fastShare, fastRate, slowRate, d, a, jobs, seed));
+        QueueModel.Result result = QueueModel.run(new QueueModel.Setting(
+                policy, servers, cores, lambda, fastShare, fastRate, slowRate, sampled, fromAccomplished, jobs, seed));
         System.out.printf(
                 Locale.ROOT,
                 "%s  servers %d  lambda %.3f  mean response %.4f +- %.4f  fast found %s%n",
                 policy,
                 servers,
                 lambda,
-                r.meanResponse(),
-                r.ci95(),
-                Double.isNaN(r.fastIdentified()) ? "-" : String.format(Locale.ROOT, "%.4f", r.fastIdentified()));
+                result.meanResponse(),
+                result.ci95(),
+                Double.isNaN(result.fastIdentified())
+                        ? "-"
+                        : String.format(Locale.ROOT, "%.4f", result.fastIdentified()));
         System.out.printf(
                 Locale.ROOT,
                 "%d jobs left out as warm-up, %d refused, %.1f s, %.2f million events/s%n",
-                r.warmUp(),
-                r.refused(),
-                r.seconds(),
-                r.events() / r.seconds() / 1e6);
+                result.warmUp(),
+                result.refused(),
+                result.seconds(),
+                result.events() / result.seconds() / 1e6);
         if (json != null) {
             ObjectMapper mapper = new ObjectMapper();
             ObjectNode node = mapper.createObjectNode()
@@ -92,20 +94,20 @@
                     .put("fast_share", fastShare)
                     .put("fast_rate", fastRate)
                     .put("slow_rate", slowRate)
-                    .put("d", d)
-                    .put("a", a)
+                    .put("d", sampled)
+                    .put("a", fromAccomplished)
                     .put("jobs", jobs)
                     .put("seed", seed)
-                    .put("mean_response", r.meanResponse())
-                    .put("ci95", r.ci95())
-                    .put("warm_up_jobs", r.warmUp())
-                    .put("refused", r.refused())
-                    .put("events", r.events())
-                    .put("seconds", r.seconds());
-            if (Double.isNaN(r.fastIdentified())) {
+                    .put("mean_response", result.meanResponse())
+                    .put("ci95", result.ci95())
+                    .put("warm_up_jobs", result.warmUp())
+                    .put("refused", result.refused())
+                    .put("events", result.events())
+                    .put("seconds", result.seconds());
+            if (Double.isNaN(result.fastIdentified())) {
                 node.putNull("fast_identified");
             } else {
-                node.put("fast_identified", r.fastIdentified());
+                node.put("fast_identified", result.fastIdentified());
             }
             mapper.writerWithDefaultPrettyPrinter().writeValue(json, node);
         }
--- a/simulator/src/main/java/loadbalancer/simulator/cli/RandomSearchCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/RandomSearchCommand.java
@@ -43,24 +43,24 @@
 
     @Override
     public Integer call() throws IOException {
-        Experiment e = ExperimentReader.read(file.toPath());
+        Experiment experiment = ExperimentReader.read(file.toPath());
         int many = threads == null ? Runtime.getRuntime().availableProcessors() : threads;
         ProgressBar bar = new ProgressBar();
-        RandomSearch hunt = new RandomSearch(e, seed, many);
+        RandomSearch hunt = new RandomSearch(experiment, seed, many);
         var finds = hunt.search(worlds, bar);
         bar.end();
         System.out.printf(Locale.ROOT, "%d worlds, %d finds%n", worlds, finds.size());
-        for (RandomSearch.Find f : finds) {
-            RandomSearch.Find small = hunt.shrink(f);
+        for (RandomSearch.Find find : finds) {
+            RandomSearch.Find small = hunt.shrink(find);
             Files.createDirectories(out.toPath());
-            File written = new File(out, "hunt-" + seed + "-" + f.seed() + ".toml");
+            File written = new File(out, "hunt-" + seed + "-" + find.seed() + ".toml");
             Files.writeString(written.toPath(), ExperimentWriter.write(small));
             System.out.printf(
                     Locale.ROOT,
                     "world %d: %s; shrunk from %d troubles to %d in %d runs: %s%n",
-                    f.seed(),
+                    find.seed(),
                     small.what(),
-                    f.plan().faults().size(),
+                    find.plan().faults().size(),
                     small.plan().faults().size(),
                     small.runs(),
                     written);
--- a/simulator/src/main/java/loadbalancer/simulator/cli/ReportCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/ReportCommand.java
@@ -47,19 +47,19 @@
         }
         List<Experiment> experiments = new ArrayList<>();
         try (Stream<Path> files = Files.list(folder)) {
-            for (Path f :
+            for (Path file :
                     files.filter(p -> p.toString().endsWith(".toml")).sorted().toList()) {
-                experiments.add(playing.applied(ExperimentReader.read(f))); // all are sound before any is played
+                experiments.add(playing.applied(ExperimentReader.read(file))); // all are sound before any is played
             }
         }
         Files.createDirectories(out);
         List<Results> all = new ArrayList<>();
-        for (Experiment e : experiments) {
-            Results r = playing.play(e);
-            all.add(r);
-            HtmlReport.write(r, out.resolve(e.name() + ".html").toFile());
-            JsonReport.write(r, out.resolve(e.name() + ".json").toFile());
-            System.out.println(IndexPage.line(r));
+        for (Experiment experiment : experiments) {
+            Results results = playing.play(experiment);
+            all.add(results);
+            HtmlReport.write(results, out.resolve(experiment.name() + ".html").toFile());
+            JsonReport.write(results, out.resolve(experiment.name() + ".json").toFile());
+            System.out.println(IndexPage.line(results));
         }
         File index = out.resolve("index.html").toFile();
         IndexPage.write(all, index);
--- a/simulator/src/main/java/loadbalancer/simulator/cli/RunCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/RunCommand.java
@@ -39,17 +39,19 @@
         @Option(names = "--threads", description = "Days played at once; as many as there are processors.")
         private Integer threads;
 
-        Experiment applied(Experiment e) {
-            return e.on(seed == null ? e.firstSeed() : seed, seeds == null ? e.seeds() : Math.max(1, seeds));
+        Experiment applied(Experiment experiment) {
+            return experiment.on(
+                    seed == null ? experiment.firstSeed() : seed,
+                    seeds == null ? experiment.seeds() : Math.max(1, seeds));
         }
 
         int threads() {
             return threads == null ? Runtime.getRuntime().availableProcessors() : Math.max(1, threads);
         }
 
-        Results play(Experiment e) {
+        Results play(Experiment experiment) {
             ProgressBar bar = new ProgressBar();
-            Results results = Runner.run(e, threads(), bar);
+            Results results = Runner.run(experiment, threads(), bar);
             bar.end();
             return results;
         }
@@ -72,13 +74,13 @@
 
     @Override
     public Integer call() throws IOException {
-        Experiment e = playing.applied(ExperimentReader.read(file.toPath()));
-        Results results = playing.play(e);
+        Experiment experiment = playing.applied(ExperimentReader.read(file.toPath()));
+        Results results = playing.play(experiment);
         System.out.print(Table.of(results));
         if (json != null) {
             JsonReport.write(results, json);
         }
-        File page = html == null ? new File("simulator/target/reports", e.name() + ".html") : html;
+        File page = html == null ? new File("simulator/target/reports", experiment.name() + ".html") : html;
         if (page.getAbsoluteFile().getParentFile().mkdirs()) {
             SimulatorLog.of(RunCommand.class).debug("made the folder of {}", page);
         }
--- a/simulator/src/main/java/loadbalancer/simulator/cli/ScaleCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/ScaleCommand.java
@@ -56,11 +56,11 @@
 
     @Override
     public Integer call() throws IOException {
-        Experiment e = ExperimentReader.read(file.toPath());
-        Variant variant = e.variants().stream()
+        Experiment experiment = ExperimentReader.read(file.toPath());
+        Variant variant = experiment.variants().stream()
                 .filter(v -> v.policy().equals(policy))
                 .findFirst()
-                .orElse(new Variant(policy, policy, e.variants().get(0).figures()));
+                .orElse(new Variant(policy, policy, experiment.variants().get(0).figures()));
         System.out.printf(
                 "%-10s%8s%8s%8s%10s%12s%12s%10s%12s%12s%10s%n",
                 "size",
@@ -83,7 +83,7 @@
             }
             play(
                     size,
-                    e.plan(),
+                    experiment.plan(),
                     variant,
                     Integer.parseInt(size.substring(0, x)),
                     Integer.parseInt(size.substring(x + 1)));
@@ -93,7 +93,7 @@
 
     private void play(String size, WorldPlan sitePlan, Variant variant, int balancers, int upstreams) {
         // The register's capacity is for the site's three balancers: a larger site has a larger one.
-        WorldPlan.Discovery d = sitePlan.discovery();
+        WorldPlan.Discovery discovery = sitePlan.discovery();
         double times = Math.max(1, balancers / 3.0) * Math.max(1, upstreams / 10.0);
         WorldPlan base =
                 sitePlan.withSize(Range.of(balancers), Range.of(upstreams)).withLength(length * 1_000_000L);
@@ -106,15 +106,17 @@
                 base.network(),
                 base.clients(),
                 new WorldPlan.Discovery(
-                        d.ask(),
-                        d.noticeDelay(),
-                        d.silentFailureNotice(),
-                        d.registrationDelay(),
-                        d.period(),
-                        d.spread(),
-                        new Range(d.capacity().from() * times, d.capacity().to() * times),
-                        d.entriesPerCall(),
-                        d.timeout()),
+                        discovery.ask(),
+                        discovery.noticeDelay(),
+                        discovery.silentFailureNotice(),
+                        discovery.registrationDelay(),
+                        discovery.period(),
+                        discovery.spread(),
+                        new Range(
+                                discovery.capacity().from() * times,
+                                discovery.capacity().to() * times),
+                        discovery.entriesPerCall(),
+                        discovery.timeout()),
                 base.rules(),
                 base.goal(),
                 base.prices(),
@@ -164,18 +166,18 @@
         List<LoadBalancingPolicy> modules = new ArrayList<>();
         long before = used();
         for (int m = 0; m < MODULES; m++) {
-            LoadBalancingPolicy p = policyFactory.create(settings, m, null);
+            LoadBalancingPolicy policy = policyFactory.create(settings, m, null);
             NoOpActions out = new NoOpActions();
-            p.endpoints(1, EndpointListKind.CACHED, fleet, out);
+            policy.endpoints(1, EndpointListKind.CACHED, fleet, out);
             for (int i = 0; i < 2_000; i++) {
                 long now = 1_000 + i * 10_000L;
-                p.request(now, "r" + i, 0, 0, Integer.toHexString(i % 300), 1_000_000, -1, false, out);
-                p.outcome(now + 5_000, "r" + i, 0, AttemptOutcome.OK, 5_000, true, null, out);
+                policy.request(now, "r" + i, 0, 0, Integer.toHexString(i % 300), 1_000_000, -1, false, out);
+                policy.outcome(now + 5_000, "r" + i, 0, AttemptOutcome.OK, 5_000, true, null, out);
                 if (i % 10 == 0) {
-                    p.wake(now + 6_000, out);
+                    policy.wake(now + 6_000, out);
                 }
             }
-            modules.add(p);
+            modules.add(policy);
         }
         double bytes = (used() - before) / (double) modules.size();
         return Math.max(0, bytes);
@@ -185,7 +187,7 @@
         for (int i = 0; i < 3; i++) {
             System.gc();
         }
-        Runtime r = Runtime.getRuntime();
-        return r.totalMemory() - r.freeMemory();
+        Runtime runtime = Runtime.getRuntime();
+        return runtime.totalMemory() - runtime.freeMemory();
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/cli/SimulatorCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/SimulatorCommand.java
@@ -31,6 +31,7 @@
 
     private SimulatorCommand() {}
 
+    /** Runs a command and exits with its code. */
     public static void main(String[] args) {
         System.exit(run(args));
     }
--- a/simulator/src/main/java/loadbalancer/simulator/cli/TheoryCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/TheoryCommand.java
@@ -49,8 +49,16 @@
             check("M/M/4 at " + load, "random", 1, 4, 4 * load, 1, 1, Theory.mmc(4, load));
         }
         for (double load : new double[] {0.7, 0.9, 0.95}) {
-            for (int d = 2; d <= 3; d++) {
-                check("JSQ(" + d + ") of 1,000 at " + load, "jsq-d", 1000, 1, load, 1, d, Theory.jsqD(d, load));
+            for (int sampled = 2; sampled <= 3; sampled++) {
+                check(
+                        "JSQ(" + sampled + ") of 1,000 at " + load,
+                        "jsq-d",
+                        1000,
+                        1,
+                        load,
+                        1,
+                        sampled,
+                        Theory.jsqD(sampled, load));
             }
         }
         for (double load : new double[] {0.5, 0.7, 0.8}) {
@@ -78,12 +86,19 @@
     }
 
     private void check(
-            String name, String policy, int servers, int cores, double lambda, double share, int d, double theory) {
+            String name,
+            String policy,
+            int servers,
+            int cores,
+            double lambda,
+            double share,
+            int sampled,
+            double theory) {
         Interval found = Interval.of(IntStream.rangeClosed(1, seeds)
                 .parallel()
-                .mapToDouble(
-                        seed -> QueueModel.run(setting(policy, servers, cores, lambda, share, d, jobs / seeds, seed))
-                                .meanResponse())
+                .mapToDouble(seed -> QueueModel.run(
+                                setting(policy, servers, cores, lambda, share, sampled, jobs / seeds, seed))
+                        .meanResponse())
                 .toArray());
         System.out.printf(
                 Locale.ROOT,
@@ -96,10 +111,20 @@
     }
 
     private static Setting setting(
-            String policy, int servers, int cores, double lambda, double share, int d, long jobs, long seed) {
+            String policy, int servers, int cores, double lambda, double share, int sampled, long jobs, long seed) {
         boolean mixed = share < 1;
         return new Setting(
-                policy, servers, cores, lambda, share, mixed ? FAST : 1, mixed ? SLOW : 1, d, d / 2, jobs, seed);
+                policy,
+                servers,
+                cores,
+                lambda,
+                share,
+                mixed ? FAST : 1,
+                mixed ? SLOW : 1,
+                sampled,
+                sampled / 2,
+                jobs,
+                seed);
     }
 
     private void figure() throws IOException {
--- a/simulator/src/main/java/loadbalancer/simulator/engine/RandomStreams.java
+++ b/simulator/src/main/java/loadbalancer/simulator/engine/RandomStreams.java
@@ -9,6 +9,7 @@
 public final class RandomStreams {
     private final long seed;
 
+    /** Streams that are all derived from {@code seed}. */
     public RandomStreams(long seed) {
         this.seed = seed;
     }
@@ -26,16 +27,16 @@
     }
 
     private static long hash(String text) { // FNV-1a, 64 bits
-        long h = 0xcbf29ce484222325L;
+        long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < text.length(); i++) {
-            h = (h ^ text.charAt(i)) * 0x100000001b3L;
+            hash = (hash ^ text.charAt(i)) * 0x100000001b3L;
         }
-        return h;
+        return hash;
     }
 
     private static long mix(long value) { // the finalizer of SplitMix64
-        long z = (value ^ value >>> 30) * 0xbf58476d1ce4e5b9L;
-        z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
-        return z ^ z >>> 31;
+        long mixed = (value ^ value >>> 30) * 0xbf58476d1ce4e5b9L;
+        mixed = (mixed ^ mixed >>> 27) * 0x94d049bb133111ebL;
+        return mixed ^ mixed >>> 31;
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/engine/Simulation.java
+++ b/simulator/src/main/java/loadbalancer/simulator/engine/Simulation.java
@@ -135,22 +135,22 @@
     }
 
     private void up(int from, long time, long order, Event event) {
-        int i = from;
-        while (i > 0) {
-            int parent = (i - 1) / WAYS;
+        int index = from;
+        while (index > 0) {
+            int parent = (index - 1) / WAYS;
             if (times[parent] < time || times[parent] == time && orders[parent] < order) {
                 break;
             }
-            move(parent, i);
-            i = parent;
+            move(parent, index);
+            index = parent;
         }
-        put(i, time, order, event);
+        put(index, time, order, event);
     }
 
     private void down(int from, long time, long order, Event event) {
-        int i = from;
+        int index = from;
         while (true) {
-            int first = WAYS * i + 1;
+            int first = WAYS * index + 1;
             if (first >= size) {
                 break;
             }
@@ -163,10 +163,10 @@
             if (time < times[least] || time == times[least] && order < orders[least]) {
                 break;
             }
-            move(least, i);
-            i = least;
+            move(least, index);
+            index = least;
         }
-        put(i, time, order, event);
+        put(index, time, order, event);
     }
 
     private void move(int from, int to) {
@@ -175,10 +175,10 @@
         events[to] = events[from];
     }
 
-    private void put(int i, long time, long order, Event event) {
-        times[i] = time;
-        orders[i] = order;
-        events[i] = event;
+    private void put(int index, long time, long order, Event event) {
+        times[index] = time;
+        orders[index] = order;
+        events[index] = event;
     }
 
     // Timers are called off far more often than they fire: without this the calendar would grow with the
@@ -188,16 +188,16 @@
             return;
         }
         int kept = 0;
-        for (int i = 0; i < size; i++) {
-            if (!(events[i] instanceof Timer t) || t.pending()) {
-                move(i, kept++);
+        for (int index = 0; index < size; index++) {
+            if (!(events[index] instanceof Timer t) || t.pending()) {
+                move(index, kept++);
             }
         }
         Arrays.fill(events, kept, size, null);
         size = kept;
         cancelled = 0;
-        for (int i = (size - 2) / WAYS; i >= 0 && size > 1; i--) {
-            down(i, times[i], orders[i], events[i]);
+        for (int index = (size - 2) / WAYS; index >= 0 && size > 1; index--) {
+            down(index, times[index], orders[index], events[index]);
         }
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/Expectation.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/Expectation.java
@@ -26,29 +26,36 @@
      * @throws IllegalArgumentException in plain words, for what can't be read or names what there isn't
      */
     static Expectation read(String text, List<String> figures, List<String> variants) {
-        Matcher m = FORM.matcher(text);
-        if (!m.matches()) {
+        Matcher matcher = FORM.matcher(text);
+        if (!matcher.matches()) {
             throw new IllegalArgumentException("expectation \"" + text + "\" can't be read: such as"
                     + " \"rules.broken == 0\" or \"diff(G, balance, random) > 0.1\"");
         }
-        String function = m.group(1) == null ? "mean" : m.group(1);
-        String figure = m.group(1) == null ? m.group(5) : m.group(2);
-        String variant = m.group(1) == null ? m.group(6) : m.group(3);
+        String function = matcher.group(1) == null ? "mean" : matcher.group(1);
+        String figure = matcher.group(1) == null ? matcher.group(5) : matcher.group(2);
+        String variant = matcher.group(1) == null ? matcher.group(6) : matcher.group(3);
         if (!figures.contains(figure)) {
             throw new IllegalArgumentException(
                     "expectation \"" + text + "\": no figure '" + figure + "'" + Section.meant(figure, figures));
         }
         String first = variant == null ? variants.get(0) : variant;
-        for (String v : new String[] {first, m.group(4)}) {
+        for (String v : new String[] {first, matcher.group(4)}) {
             if (v != null && !variants.contains(v)) {
                 throw new IllegalArgumentException(
                         "expectation \"" + text + "\": no variant '" + v + "'" + Section.meant(v, variants));
             }
         }
-        if (function.equals("diff") && m.group(4) == null) {
+        if (function.equals("diff") && matcher.group(4) == null) {
             throw new IllegalArgumentException("expectation \"" + text + "\": diff takes a figure and two variants");
         }
-        return new Expectation(text, function, figure, first, m.group(4), m.group(7), Double.parseDouble(m.group(8)));
+        return new Expectation(
+                text,
+                function,
+                figure,
+                first,
+                matcher.group(4),
+                matcher.group(7),
+                Double.parseDouble(matcher.group(8)));
     }
 
     /** Holds it against what the variants came to. */
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/RoutingReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/RoutingReader.java
@@ -17,13 +17,13 @@
 
     private RoutingReader() {}
 
-    static RoutingSpec read(Section f, WorldPlan plan) {
+    static RoutingSpec read(Section section, WorldPlan plan) {
         List<String> pools =
                 plan.kinds().stream().map(WorldPlan.Kind::pool).distinct().toList();
         List<String> classes =
                 plan.classes().stream().map(WorldPlan.RequestKind::name).toList();
         List<RoutingSpec.Pool> own = new ArrayList<>();
-        for (Section p : f.tables("pool")) {
+        for (Section p : section.tables("pool")) {
             String name = p.text("name", null);
             if (!pools.contains(name)) {
                 p.fault("name", "no [[kind]] is of pool '" + name + "'" + Section.meant(name, pools));
@@ -42,53 +42,53 @@
         own.forEach(p -> named.add(p.name()));
         for (String p : pools) {
             if (!named.contains(p)) {
-                f.fault("pool", "no [[front.pool]] for pool '" + p + "', which a [[kind]] names");
+                section.fault("pool", "no [[front.pool]] for pool '" + p + "', which a [[kind]] names");
             }
         }
         List<RoutingSpec.Way> routes = new ArrayList<>();
-        for (Section r : f.tables("route")) {
+        for (Section r : section.tables("route")) {
             routes.add(route(r, pools, classes));
         }
         if (routes.isEmpty()) {
-            f.fault("route", "no [[front.route]]: one at least is wanted");
+            section.fault("route", "no [[front.route]]: one at least is wanted");
         }
         RoutingSpec spec = new RoutingSpec(
                 List.copyOf(own),
                 List.copyOf(routes),
-                f.number("tenant_rate", Measure.NUMBER, 0),
-                f.number("tenant_ceiling", Measure.NUMBER, CEILING),
-                f.number("site_rate", Measure.NUMBER, 1),
-                f.number("reserve", Measure.SHARE, 0));
-        f.done();
+                section.number("tenant_rate", Measure.NUMBER, 0),
+                section.number("tenant_ceiling", Measure.NUMBER, CEILING),
+                section.number("site_rate", Measure.NUMBER, 1),
+                section.number("reserve", Measure.SHARE, 0));
+        section.done();
         return spec;
     }
 
-    private static RoutingSpec.Way route(Section r, List<String> pools, List<String> classes) {
-        String name = r.text("name", null);
-        List<String> to = r.texts("to", List.of());
-        List<String> spill = r.texts("spill", List.of());
+    private static RoutingSpec.Way route(Section section, List<String> pools, List<String> classes) {
+        String name = section.text("name", null);
+        List<String> to = section.texts("to", List.of());
+        List<String> spill = section.texts("spill", List.of());
         List<String> all = new ArrayList<>(to);
         all.addAll(spill);
         for (String p : all) {
             if (!pools.contains(p)) {
-                r.fault("to", "no pool '" + p + "'" + Section.meant(p, pools));
+                section.fault("to", "no pool '" + p + "'" + Section.meant(p, pools));
             }
         }
         if (to.isEmpty()) {
-            r.fault("to", "route '" + name + "' leads to no pool");
+            section.fault("to", "route '" + name + "' leads to no pool");
         }
-        List<String> only = r.texts("classes", List.of());
+        List<String> only = section.texts("classes", List.of());
         for (String c : only) {
             if (!classes.contains(c)) {
-                r.fault("classes", "no class '" + c + "'" + Section.meant(c, classes));
+                section.fault("classes", "no class '" + c + "'" + Section.meant(c, classes));
             }
         }
         List<Double> weights = new ArrayList<>();
-        for (String w : r.texts("weights", to.stream().map(p -> "1").toList())) {
-            weights.add(weight(r, w));
+        for (String w : section.texts("weights", to.stream().map(p -> "1").toList())) {
+            weights.add(weight(section, w));
         }
         if (weights.size() != to.size()) {
-            r.fault("weights", weights.size() + " weights for " + to.size() + " pools");
+            section.fault("weights", weights.size() + " weights for " + to.size() + " pools");
         }
         RoutingSpec.Way way = new RoutingSpec.Way(
                 name,
@@ -96,29 +96,29 @@
                 to,
                 weights,
                 spill,
-                r.number("spill_most", Measure.SHARE, 1),
-                Math.max(1, r.number("spare", Measure.NUMBER, 1.2)),
-                Math.max(1e-6, r.number("return_per_s", Measure.NUMBER, 0.05)),
-                r.number("retry_share", Measure.SIGNED, -1),
-                r.flag("count_clients", true),
-                (int) r.number("steps", Measure.NUMBER, 0),
-                r.time("steps_from", 0),
-                Math.max(1, r.time("steps_length", 1_000_000)));
-        r.done();
+                section.number("spill_most", Measure.SHARE, 1),
+                Math.max(1, section.number("spare", Measure.NUMBER, 1.2)),
+                Math.max(1e-6, section.number("return_per_s", Measure.NUMBER, 0.05)),
+                section.number("retry_share", Measure.SIGNED, -1),
+                section.flag("count_clients", true),
+                (int) section.number("steps", Measure.NUMBER, 0),
+                section.time("steps_from", 0),
+                Math.max(1, section.time("steps_length", 1_000_000)));
+        section.done();
         return way;
     }
 
-    private static double weight(Section r, String text) {
+    private static double weight(Section section, String text) {
         try {
             double w = Double.parseDouble(text);
             if (w >= 0 && !Double.isInfinite(w)) {
                 return w;
             }
         } catch (NumberFormatException e) {
-            r.fault("weights", "'" + text + "' is no weight: a number of 0 or more is wanted");
+            section.fault("weights", "'" + text + "' is no weight: a number of 0 or more is wanted");
             return 0;
         }
-        r.fault("weights", "'" + text + "' is no weight: a number of 0 or more is wanted");
+        section.fault("weights", "'" + text + "' is no weight: a number of 0 or more is wanted");
         return 0;
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/Runner.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/Runner.java
@@ -19,6 +19,7 @@
     /** Hears of progress: {@code done} days of {@code all}. It is called on the threads that play. */
     @FunctionalInterface
     public interface Progress {
+        /** {@code done} of {@code all} days have been played. */
         void played(int done, int all);
     }
 
@@ -33,17 +34,17 @@
             Map<String, List<Future<Day>>> playing = new LinkedHashMap<>();
             int all = experiment.variants().size() * experiment.seeds();
             java.util.concurrent.atomic.AtomicInteger done = new java.util.concurrent.atomic.AtomicInteger();
-            for (Variant v : experiment.variants()) {
-                playing.put(v.name(), new ArrayList<>());
+            for (Variant variant : experiment.variants()) {
+                playing.put(variant.name(), new ArrayList<>());
             }
             for (int i = 0; i < experiment.seeds(); i++) {
                 long seed = experiment.firstSeed() + i;
-                for (Variant v : experiment.variants()) {
-                    playing.get(v.name()).add(pool.submit(() -> {
+                for (Variant variant : experiment.variants()) {
+                    playing.get(variant.name()).add(pool.submit(() -> {
                         Day day = Day.play(
-                                v.calm() ? experiment.plan().with(List.of()) : experiment.plan(),
+                                variant.calm() ? experiment.plan().with(List.of()) : experiment.plan(),
                                 seed,
-                                Variants.policyFactory(v, experiment.plan()));
+                                Variants.policyFactory(variant, experiment.plan()));
                         progress.played(done.incrementAndGet(), all);
                         return day;
                     }));
@@ -52,8 +53,8 @@
             Map<String, List<Day>> days = new LinkedHashMap<>();
             for (Map.Entry<String, List<Future<Day>>> e : playing.entrySet()) {
                 List<Day> own = new ArrayList<>();
-                for (Future<Day> f : e.getValue()) {
-                    own.add(f.get());
+                for (Future<Day> future : e.getValue()) {
+                    own.add(future.get());
                 }
                 days.put(e.getKey(), own);
             }
--- a/simulator/src/main/java/loadbalancer/simulator/faultinjection/FaultedStream.java
+++ b/simulator/src/main/java/loadbalancer/simulator/faultinjection/FaultedStream.java
@@ -71,18 +71,18 @@
     public List<Step> take(byte[] bytes) {
         List<Step> steps = new ArrayList<>();
         ByteArrayOutputStream run = new ByteArrayOutputStream(bytes.length);
-        for (byte b : bytes) {
+        for (byte octet : bytes) {
             if (over) {
                 break;
             }
-            Framing.Place place = framing.next(b);
-            for (StreamFault f : due(place, false)) {
-                strike(f, run, steps);
+            Framing.Position place = framing.next(octet);
+            for (StreamFault fault : due(place, false)) {
+                strike(fault, run, steps);
             }
             if (over) {
                 break;
             }
-            byte out = garbled(b);
+            byte out = garbled(octet);
             run.write(out);
             offset++;
             if (twice != null && place.message() == twice.message()) {
@@ -92,54 +92,54 @@
                     run.writeBytes(answer.toByteArray());
                 }
             }
-            for (StreamFault f : due(place, true)) {
-                strike(f, run, steps);
+            for (StreamFault fault : due(place, true)) {
+                strike(fault, run, steps);
             }
         }
         flush(run, steps);
         return steps;
     }
 
-    private List<StreamFault> due(Framing.Place place, boolean after) {
+    private List<StreamFault> due(Framing.Position place, boolean after) {
         List<StreamFault> due = new ArrayList<>(1);
-        for (StreamFault f : pending) {
-            if (f.what() == FaultType.GARBLE) {
+        for (StreamFault fault : pending) {
+            if (fault.what() == FaultType.GARBLE) {
                 continue;
             }
-            if (f.point() == null) {
-                if (!after && offset == f.offset()) {
-                    due.add(f);
+            if (fault.point() == null) {
+                if (!after && offset == fault.offset()) {
+                    due.add(fault);
                 }
                 continue;
             }
-            boolean here = place.message() == f.message()
-                    && switch (f.point()) {
+            boolean here = place.message() == fault.message()
+                    && switch (fault.point()) {
                         case HEAD -> !after && place.headFirst();
                         case HEAD_LAST -> !after && place.headLast();
                         case BODY_FIRST -> !after && place.bodyFirst();
                         case BODY_LAST -> !after && place.messageLast();
                         case END -> after && place.messageLast();
                     };
-            if (here && f.offset() == 0) {
-                due.add(f);
+            if (here && fault.offset() == 0) {
+                due.add(fault);
             } else if (here) {
-                starts.put(f, offset + f.offset());
-            } else if (!after && Long.valueOf(offset).equals(starts.get(f))) {
-                due.add(f);
+                starts.put(fault, offset + fault.offset());
+            } else if (!after && Long.valueOf(offset).equals(starts.get(fault))) {
+                due.add(fault);
             }
         }
         return due;
     }
 
-    private void strike(StreamFault f, ByteArrayOutputStream run, List<Step> steps) {
+    private void strike(StreamFault fault, ByteArrayOutputStream run, List<Step> steps) {
         if (over) {
             return;
         }
-        pending.remove(f);
+        pending.remove(fault);
         flush(run, steps);
-        trace.add(name + " " + f.what().name().toLowerCase(Locale.ROOT).replace('_', '-') + " at " + offset);
-        steps.add(new Do(f.what()));
-        over = f.what() != FaultType.PAUSE;
+        trace.add(name + " " + fault.what().name().toLowerCase(Locale.ROOT).replace('_', '-') + " at " + offset);
+        steps.add(new Do(fault.what()));
+        over = fault.what() != FaultType.PAUSE;
     }
 
     private static void flush(ByteArrayOutputStream run, List<Step> steps) {
@@ -149,22 +149,22 @@
         }
     }
 
-    private byte garbled(byte b) {
-        for (StreamFault f : pending) {
-            if (f.what() == FaultType.GARBLE && offset >= f.offset()) {
-                long z = mix(f.seed() * GOLDEN + offset);
-                if ((z >>> 11) * 0x1.0p-53 < f.amount()) {
+    private byte garbled(byte octet) {
+        for (StreamFault fault : pending) {
+            if (fault.what() == FaultType.GARBLE && offset >= fault.offset()) {
+                long mixed = mix(fault.seed() * GOLDEN + offset);
+                if ((mixed >>> 11) * 0x1.0p-53 < fault.amount()) {
                     trace.add(name + " garble at " + offset);
-                    return (byte) (b ^ 1 + (int) (z & 0x7e));
+                    return (byte) (octet ^ 1 + (int) (mixed & 0x7e));
                 }
             }
         }
-        return b;
+        return octet;
     }
 
     private static long mix(long value) {
-        long z = (value ^ value >>> 30) * 0xbf58476d1ce4e5b9L;
-        z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
-        return z ^ z >>> 31;
+        long mixed = (value ^ value >>> 30) * 0xbf58476d1ce4e5b9L;
+        mixed = (mixed ^ mixed >>> 27) * 0x94d049bb133111ebL;
+        return mixed ^ mixed >>> 31;
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/faultinjection/Framing.java
+++ b/simulator/src/main/java/loadbalancer/simulator/faultinjection/Framing.java
@@ -36,17 +36,17 @@
     }
 
     /** Where a byte is. */
-    record Place(int message, boolean headFirst, boolean headLast, boolean bodyFirst, boolean messageLast) {}
+    record Position(int message, boolean headFirst, boolean headLast, boolean bodyFirst, boolean messageLast) {}
 
-    /** The place of the next byte, which is {@code b}. */
-    Place next(byte b) {
+    /** The place of the next byte, which is {@code octet}. */
+    Position next(byte octet) {
         int number = message;
         boolean headFirst = in == In.HEAD && head.length() == 0;
         boolean headLast = false;
         boolean bodyFirst = false;
         last = false;
         switch (in) {
-            case HEAD -> headLast = head(b);
+            case HEAD -> headLast = head(octet);
             case BODY -> {
                 bodyFirst = first();
                 left--;
@@ -54,17 +54,17 @@
             }
             case CHUNK_SIZE -> {
                 bodyFirst = first();
-                chunkSize(b);
+                chunkSize(octet);
             }
             case CHUNK -> {
                 left--;
                 in = left == 0 ? In.CHUNK_END : In.CHUNK;
             }
-            case CHUNK_END -> in = b == '\n' ? In.CHUNK_SIZE : In.CHUNK_END;
-            case TRAILER -> trailer(b);
+            case CHUNK_END -> in = octet == '\n' ? In.CHUNK_SIZE : In.CHUNK_END;
+            case TRAILER -> trailer(octet);
             default -> bodyFirst = first();
         }
-        return new Place(number, headFirst, headLast, bodyFirst, last);
+        return new Position(number, headFirst, headLast, bodyFirst, last);
     }
 
     private boolean first() {
@@ -73,8 +73,8 @@
         return was;
     }
 
-    private void ended(boolean so) {
-        if (so) {
+    private void ended(boolean text) {
+        if (text) {
             last = true;
             message++;
             in = In.HEAD;
@@ -82,12 +82,15 @@
         }
     }
 
-    private boolean head(byte b) {
-        head.append((char) (b & 0xff));
-        int n = head.length();
-        boolean over = n >= 4 && head.charAt(n - 1) == '\n' && head.charAt(n - 2) == '\r' && head.charAt(n - 3) == '\n';
+    private boolean head(byte octet) {
+        head.append((char) (octet & 0xff));
+        int length = head.length();
+        boolean over = length >= 4
+                && head.charAt(length - 1) == '\n'
+                && head.charAt(length - 2) == '\r'
+                && head.charAt(length - 3) == '\n';
         if (!over) {
-            if (n > HEAD_MOST) {
+            if (length > HEAD_MOST) {
                 in = In.ENDLESS;
             }
             return false;
@@ -120,9 +123,9 @@
         return text.matches("\\d{1,15}") ? Long.parseLong(text) : -1;
     }
 
-    private void chunkSize(byte b) {
-        if (b != '\n') {
-            line.append((char) (b & 0xff));
+    private void chunkSize(byte octet) {
+        if (octet != '\n') {
+            line.append((char) (octet & 0xff));
             return;
         }
         String size = line.toString().split(";")[0].strip();
@@ -131,11 +134,11 @@
         in = left < 0 ? In.ENDLESS : left == 0 ? In.TRAILER : In.CHUNK;
     }
 
-    private void trailer(byte b) {
-        line.append((char) (b & 0xff));
-        String so = line.toString();
-        if (so.endsWith("\r\n")) {
-            boolean over = so.equals("\r\n");
+    private void trailer(byte octet) {
+        line.append((char) (octet & 0xff));
+        String text = line.toString();
+        if (text.endsWith("\r\n")) {
+            boolean over = text.equals("\r\n");
             line.setLength(0);
             ended(over);
         }
--- a/simulator/src/main/java/loadbalancer/simulator/faultinjection/StreamFault.java
+++ b/simulator/src/main/java/loadbalancer/simulator/faultinjection/StreamFault.java
@@ -85,31 +85,31 @@
      * @throws IllegalArgumentException that says what is wrong
      */
     public static StreamFault of(String line) {
-        Matcher m = LINE.matcher(line);
-        if (!m.matches()) {
+        Matcher matcher = LINE.matcher(line);
+        if (!matcher.matches()) {
             throw new IllegalArgumentException(
                     "\"" + line + "\" can't be read: such as" + " \"on 2 up cut at body-first+3\"");
         }
-        FaultType what = word(FaultType.class, m.group(3), "fault");
+        FaultType what = word(FaultType.class, matcher.group(3), "fault");
         boolean whole = what == FaultType.REFUSE || what == FaultType.MUTE;
-        if (whole != (m.group(2) == null)) {
+        if (whole != (matcher.group(2) == null)) {
             throw new IllegalArgumentException("\"" + line + "\": "
                     + (whole
-                            ? m.group(3) + " has no direction"
+                            ? matcher.group(3) + " has no direction"
                             : "a direction is missing, up (towards the server) or down"));
         }
         int from = 1;
         int to = Integer.MAX_VALUE;
-        if (!m.group(1).equals("*")) {
-            String[] ends = m.group(1).split("-", -1);
+        if (!matcher.group(1).equals("*")) {
+            String[] ends = matcher.group(1).split("-", -1);
             from = Integer.parseInt(ends[0]);
             to = ends.length == 1 ? from : ends[1].isEmpty() ? Integer.MAX_VALUE : Integer.parseInt(ends[1]);
         }
         if (from < 1 || to < from) {
             throw new IllegalArgumentException("\"" + line + "\": connections are counted from 1");
         }
-        Point point = m.group(8) == null ? null : word(Point.class, m.group(8), "point");
-        String off = m.group(9);
+        Point point = matcher.group(8) == null ? null : word(Point.class, matcher.group(8), "point");
+        String off = matcher.group(9);
         if (point == null && off != null && off.startsWith("+")) {
             throw new IllegalArgumentException("\"" + line + "\": '" + off + "' from which point?");
         }
@@ -117,13 +117,13 @@
         return new StreamFault(
                 from,
                 to,
-                "up".equals(m.group(2)),
+                "up".equals(matcher.group(2)),
                 what,
-                m.group(7) == null ? 1 : Integer.parseInt(m.group(7)),
+                matcher.group(7) == null ? 1 : Integer.parseInt(matcher.group(7)),
                 point,
                 offset,
-                amount(line, what, m.group(4), m.group(5)),
-                m.group(6) == null ? 0 : Long.parseLong(m.group(6)));
+                amount(line, what, matcher.group(4), matcher.group(5)),
+                matcher.group(6) == null ? 0 : Long.parseLong(matcher.group(6)));
     }
 
     private static double amount(String line, FaultType what, String figure, String unit) {
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/Churn.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/Churn.java
@@ -63,32 +63,35 @@
         int[] owner = new int[machines.many()]; // the restart that a machine is in; 0: none
         List<Event> events = new ArrayList<>();
         int order = due.size();
-        for (Step s = due.poll(); s != null && s.at < length; s = due.poll()) {
-            List<Integer> hit = owned(owner, s);
-            double hint = s.what == What.CONFIGURATION ? Math.round(hints.between(0.5, 2) * 100) / 100.0 : 1;
+        for (Step step = due.poll(); step != null && step.at < length; step = due.poll()) {
+            List<Integer> hit = owned(owner, step);
+            double hint = step.what == What.CONFIGURATION ? Math.round(hints.between(0.5, 2) * 100) / 100.0 : 1;
             if (hit.isEmpty()) {
                 continue; // it is in another restart already
             }
-            if (s.what == What.CONFIGURATION) {
-                events.add(new Event(s.at, s.what, hit, "in_service", hint, false));
+            if (step.what == What.CONFIGURATION) {
+                events.add(new Event(step.at, step.what, hit, "in_service", hint, false));
                 continue;
             }
-            int next = s.stage == 2 ? 0 : s.restart;
+            int next = step.stage == 2 ? 0 : step.restart;
             for (int machine : hit) {
                 owner[machine] = next;
             }
-            events.add(new Event(s.at, s.what, hit, STATES[s.stage], 1, s.stage == 2));
-            if (s.stage < 2) {
-                long wait = s.stage == 0 ? rates.drain() : rates.gone();
-                due.add(new Step(s.at + wait, ++order, s.what, s.from, s.to, s.stage + 1, s.restart));
+            events.add(new Event(step.at, step.what, hit, STATES[step.stage], 1, step.stage == 2));
+            if (step.stage < 2) {
+                long wait = step.stage == 0 ? rates.drain() : rates.gone();
+                due.add(new Step(step.at + wait, ++order, step.what, step.from, step.to, step.stage + 1, step.restart));
             }
         }
         return events;
     }
 
-    private static List<Integer> owned(int[] owner, Step s) {
-        int by = s.stage == 0 ? 0 : s.restart;
-        return IntStream.range(s.from, s.to).filter(i -> owner[i] == by).boxed().toList();
+    private static List<Integer> owned(int[] owner, Step step) {
+        int by = step.stage == 0 ? 0 : step.restart;
+        return IntStream.range(step.from, step.to)
+                .filter(i -> owner[i] == by)
+                .boxed()
+                .toList();
     }
 
     private void begin(PriorityQueue<Step> due, long length, What what, double perSecond) {
@@ -115,12 +118,12 @@
     }
 
     /** What discovery tells of an event that happens at that time of day. */
-    List<Machines.Change> changes(Event e, long unixMs) {
-        if (e.booted) {
-            e.machines.forEach(i -> boots[i] = unixMs);
+    List<Machines.Change> changes(Event event, long unixMs) {
+        if (event.booted) {
+            event.machines.forEach(i -> boots[i] = unixMs);
         }
-        return e.machines.stream()
-                .map(i -> machines.entry(i, e.state, e.hint, boots[i]))
+        return event.machines.stream()
+                .map(i -> machines.entry(i, event.state, event.hint, boots[i]))
                 .toList();
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/FleetReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/FleetReader.java
@@ -37,16 +37,16 @@
         head.done();
         FleetPlan.Fleet fleet = fleet(root.table("fleet"));
         Churn.Rates churn = churn(root.table("churn"));
-        Section d = root.table("discovery");
-        FleetPlan.Discovery discovery =
-                new FleetPlan.Discovery(d.time("call_time", 0), d.time("call_timeout", 2_000_000), (int)
-                        d.number("kept", Measure.COUNT, 1_000));
-        d.done();
+        Section discoverySection = root.table("discovery");
+        FleetPlan.Discovery discovery = new FleetPlan.Discovery(
+                discoverySection.time("call_time", 0), discoverySection.time("call_timeout", 2_000_000), (int)
+                        discoverySection.number("kept", Measure.COUNT, 1_000));
+        discoverySection.done();
         FleetPlan.Restart restart = null;
         if (root.has("restart")) {
-            Section r = root.table("restart");
-            restart = new FleetPlan.Restart(r.flag("known", false));
-            r.done();
+            Section restartSection = root.table("restart");
+            restart = new FleetPlan.Restart(restartSection.flag("known", false));
+            restartSection.done();
         }
         FleetPlan.Outage outage = root.has("outage") ? outage(root.table("outage")) : null;
         List<FleetPlan.Sweep> sweeps = sweeps(root);
@@ -55,61 +55,63 @@
         return new FleetPlan(name, question, seed, fleet, churn, discovery, restart, outage, sweeps);
     }
 
-    private static FleetPlan.Fleet fleet(Section f) {
-        String mode = f.text("mode", "ask");
+    private static FleetPlan.Fleet fleet(Section section) {
+        String mode = section.text("mode", "ask");
         if (!Set.of("ask", "push").contains(mode)) {
-            f.fault("mode", "'mode' is \"" + mode + "\"; there are ask, push");
+            section.fault("mode", "'mode' is \"" + mode + "\"; there are ask, push");
         }
-        List<String> zones = f.texts("zones", List.of("a", "b", "c"));
+        List<String> zones = section.texts("zones", List.of("a", "b", "c"));
         if (zones.isEmpty()) {
-            f.fault("zones", "'zones' is empty: one at least is wanted");
+            section.fault("zones", "'zones' is empty: one at least is wanted");
         }
         FleetPlan.Fleet fleet = new FleetPlan.Fleet(
                 mode.equals("ask"),
-                count(f, "balancers", 10),
-                count(f, "upstreams", 100),
-                (int) whole(f, "real", 0),
-                f.number("load_per_s", Measure.NUMBER, 50),
-                f.number("decisions_per_s", Measure.NUMBER, 0),
-                count(f, "loops", 2),
+                count(section, "balancers", 10),
+                count(section, "upstreams", 100),
+                (int) whole(section, "real", 0),
+                section.number("load_per_s", Measure.NUMBER, 50),
+                section.number("decisions_per_s", Measure.NUMBER, 0),
+                count(section, "loops", 2),
                 zones,
-                count(f, "rack_size", 40),
-                f.time("idle", 10_000_000),
-                f.time("length", 20_000_000),
-                f.time("reach", 60_000_000),
-                count(f, "upstreams_most", EndpointSubset.most(RUN_HEAP)));
-        f.done();
+                count(section, "rack_size", 40),
+                section.time("idle", 10_000_000),
+                section.time("length", 20_000_000),
+                section.time("reach", 60_000_000),
+                count(section, "upstreams_most", EndpointSubset.most(RUN_HEAP)));
+        section.done();
         return fleet;
     }
 
-    private static Churn.Rates churn(Section c) {
+    private static Churn.Rates churn(Section section) {
         Churn.Rates rates = new Churn.Rates(
-                c.number("machines_per_hour", Measure.NUMBER, 0) / HOUR,
-                c.number("racks_per_hour", Measure.NUMBER, 0) / HOUR,
-                c.number("zones_per_hour", Measure.NUMBER, 0) / HOUR,
-                c.number("configurations_per_day", Measure.NUMBER, 0) / DAY,
-                c.number("speed", Measure.NUMBER, 1),
-                c.time("drain", 2_000_000),
-                c.time("gone", 1_000_000));
-        c.done();
+                section.number("machines_per_hour", Measure.NUMBER, 0) / HOUR,
+                section.number("racks_per_hour", Measure.NUMBER, 0) / HOUR,
+                section.number("zones_per_hour", Measure.NUMBER, 0) / HOUR,
+                section.number("configurations_per_day", Measure.NUMBER, 0) / DAY,
+                section.number("speed", Measure.NUMBER, 1),
+                section.time("drain", 2_000_000),
+                section.time("gone", 1_000_000));
+        section.done();
         return rates;
     }
 
-    private static FleetPlan.Outage outage(Section o) {
+    private static FleetPlan.Outage outage(Section section) {
         FleetPlan.Outage outage = new FleetPlan.Outage(
-                o.word("kind", FleetPlan.Kind.class, null), o.time("length", 10_000_000), o.time("call_time", 100_000));
-        o.done();
+                section.word("kind", FleetPlan.Kind.class, null),
+                section.time("length", 10_000_000),
+                section.time("call_time", 100_000));
+        section.done();
         return outage;
     }
 
-    private static int count(Section s, String key, int otherwise) {
-        return (int) Math.min(MOST, Math.round(s.number(key, Measure.COUNT, otherwise)));
+    private static int count(Section section, String key, int otherwise) {
+        return (int) Math.min(MOST, Math.round(section.number(key, Measure.COUNT, otherwise)));
     }
 
-    private static long whole(Section s, String key, long otherwise) {
-        double read = s.number(key, Measure.NUMBER, otherwise);
+    private static long whole(Section section, String key, long otherwise) {
+        double read = section.number(key, Measure.NUMBER, otherwise);
         if (read != Math.rint(read)) {
-            s.fault(key, "'" + key + "' is " + read + ": a whole number is wanted");
+            section.fault(key, "'" + key + "' is " + read + ": a whole number is wanted");
         }
         return Math.round(read);
     }
@@ -117,19 +119,19 @@
     private static List<FleetPlan.Sweep> sweeps(Section root) {
         List<FleetPlan.Sweep> all = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (Section a : root.tables("axis")) {
-            String name = a.text("name", null);
+        for (Section section : root.tables("axis")) {
+            String name = section.text("name", null);
             if (name != null && !Axes.names().contains(name)) {
-                a.fault(
+                section.fault(
                         "name",
                         "no axis '" + name + "'; there are " + String.join(", ", Axes.names())
                                 + Section.meant(name, Axes.names()));
             }
             if (!names.add(String.valueOf(name))) {
-                a.fault("name", "the axis '" + name + "' is there already");
+                section.fault("name", "the axis '" + name + "' is there already");
             }
-            all.add(new FleetPlan.Sweep(String.valueOf(name), sizes(a)));
-            a.done();
+            all.add(new FleetPlan.Sweep(String.valueOf(name), sizes(section)));
+            section.done();
         }
         if (all.isEmpty()) {
             root.fault("axis", "no [[axis]]: one at least is wanted, with its name and sizes");
@@ -137,17 +139,17 @@
         return all;
     }
 
-    private static List<Long> sizes(Section a) {
+    private static List<Long> sizes(Section section) {
         List<Long> sizes = new ArrayList<>();
-        for (String text : a.texts("sizes", List.of())) {
+        for (String text : section.texts("sizes", List.of())) {
             boolean sound = text.matches("[0-9]{1,9}") && Long.parseLong(text) >= 1;
             if (!sound || Long.parseLong(text) > MOST) {
-                a.fault("sizes", "'sizes' holds " + text + ": whole numbers from 1 to " + MOST + " are wanted");
+                section.fault("sizes", "'sizes' holds " + text + ": whole numbers from 1 to " + MOST + " are wanted");
                 return List.of(1L);
             }
             long size = Long.parseLong(text);
             if (!sizes.isEmpty() && size <= sizes.get(sizes.size() - 1)) {
-                a.fault(
+                section.fault(
                         "sizes",
                         "'sizes' holds " + size + " behind " + sizes.get(sizes.size() - 1)
                                 + ": each must be larger than the one before");
@@ -156,7 +158,7 @@
             sizes.add(size);
         }
         if (sizes.isEmpty()) {
-            a.fault("sizes", "'sizes' is missing or empty: whole numbers from 1 to " + MOST + " are wanted");
+            section.fault("sizes", "'sizes' is missing or empty: whole numbers from 1 to " + MOST + " are wanted");
         }
         return sizes;
     }
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/FleetResults.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/FleetResults.java
@@ -93,15 +93,15 @@
                 out.append(String.format("%-42s", name));
                 of.forEach(
                         p -> out.append(String.format("%13s", number(p.figures().get(name)))));
-                Fit f = fit(of, name);
-                if (f != null) {
+                Fit fit = fit(of, name);
+                if (fit != null) {
                     out.append(String.format(
                             Locale.ROOT,
                             "%14s%13s%13s%8.0f%%",
-                            number(f.slope()),
-                            number(f.slopeError()),
-                            number(f.base()),
-                            f.worst() * 100));
+                            number(fit.slope()),
+                            number(fit.slopeError()),
+                            number(fit.base()),
+                            fit.worst() * 100));
                 }
                 out.append('\n');
             }
@@ -120,20 +120,20 @@
         return out.toString();
     }
 
-    private static String number(Double v) {
-        if (v == null || v.isNaN()) {
+    private static String number(Double value) {
+        if (value == null || value.isNaN()) {
             return "-";
         }
-        double size = Math.abs(v);
-        return v == Math.rint(v) && size < 1e12
-                ? String.format(Locale.ROOT, "%.0f", v)
+        double size = Math.abs(value);
+        return value == Math.rint(value) && size < 1e12
+                ? String.format(Locale.ROOT, "%.0f", value)
                 : size >= 1000
-                        ? String.format(Locale.ROOT, "%.0f", v)
+                        ? String.format(Locale.ROOT, "%.0f", value)
                         : size >= 10
-                                ? String.format(Locale.ROOT, "%.1f", v)
+                                ? String.format(Locale.ROOT, "%.1f", value)
                                 : size >= 0.01
-                                        ? String.format(Locale.ROOT, "%.3f", v)
-                                        : String.format(Locale.ROOT, "%.2e", v);
+                                        ? String.format(Locale.ROOT, "%.3f", value)
+                                        : String.format(Locale.ROOT, "%.2e", value);
     }
 
     /** Writes all of it as JSON. */
@@ -164,15 +164,15 @@
             }
             ObjectNode fits = node.putObject("fits");
             for (String name : names(of)) {
-                Fit f = fit(of, name);
-                if (f != null) {
+                Fit fit = fit(of, name);
+                if (fit != null) {
                     fits.putObject(name)
-                            .put("slope", f.slope())
-                            .put("slope_error", f.slopeError())
-                            .put("at_nought", f.base())
-                            .put("worst_residual_share", f.worst())
-                            .put("largest_size", f.largest())
-                            .put("not_beyond", f.largest() * Fit.REACH);
+                            .put("slope", fit.slope())
+                            .put("slope_error", fit.slopeError())
+                            .put("at_nought", fit.base())
+                            .put("worst_residual_share", fit.worst())
+                            .put("largest_size", fit.largest())
+                            .put("not_beyond", fit.largest() * Fit.REACH);
                 }
             }
         });
@@ -202,17 +202,17 @@
                 out.append("<tr><td>").append(escape(name)).append("</td>");
                 of.forEach(p ->
                         out.append("<td>").append(number(p.figures().get(name))).append("</td>"));
-                Fit f = fit(of, name);
+                Fit fit = fit(of, name);
                 out.append(
-                                f == null
+                                fit == null
                                         ? "<td></td><td></td><td></td><td></td>"
                                         : String.format(
                                                 Locale.ROOT,
                                                 "<td>%s</td><td>%s</td><td>%s</td><td>%.0f%%</td>",
-                                                number(f.slope()),
-                                                number(f.slopeError()),
-                                                number(f.base()),
-                                                f.worst() * 100))
+                                                number(fit.slope()),
+                                                number(fit.slopeError()),
+                                                number(fit.base()),
+                                                fit.worst() * 100))
                         .append("</tr>\n");
             }
             out.append("</table>");
@@ -253,17 +253,19 @@
                         .orElse(1));
         StringBuilder line = new StringBuilder();
         StringBuilder dots = new StringBuilder();
-        for (ScalePoint p : shown) {
-            double x = MARGIN + (Math.log(p.size()) - left) / (right - left) * (WIDTH - 2 * MARGIN);
-            double y = HEIGHT - MARGIN - (Math.log(p.figures().get(name)) - low) / (high - low) * (HEIGHT - 2 * MARGIN);
+        for (ScalePoint point : shown) {
+            double x = MARGIN + (Math.log(point.size()) - left) / (right - left) * (WIDTH - 2 * MARGIN);
+            double y = HEIGHT
+                    - MARGIN
+                    - (Math.log(point.figures().get(name)) - low) / (high - low) * (HEIGHT - 2 * MARGIN);
             line.append(String.format(Locale.ROOT, "%.1f,%.1f ", x, y));
             dots.append(String.format(
                     Locale.ROOT,
                     "<circle cx=%.1f cy=%.1f r=3><title>%d: %s</title></circle>",
                     x,
                     y,
-                    p.size(),
-                    number(p.figures().get(name))));
+                    point.size(),
+                    number(point.figures().get(name))));
         }
         out.append("<div class=c>")
                 .append(escape(name))
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/FleetRun.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/FleetRun.java
@@ -89,9 +89,9 @@
                 if (plan.outage() != null) {
                     outage(discovery, fleet, machines);
                 }
-                for (BalancerProcess p : processes) {
-                    complaints(p, "a real balancer", missed);
-                    if (!p.alive()) {
+                for (BalancerProcess process : processes) {
+                    complaints(process, "a real balancer", missed);
+                    if (!process.alive()) {
                         missed.add("a real balancer ended during the run");
                     }
                 }
@@ -101,9 +101,9 @@
     }
 
     /** What a balancer said of lists that it could not read, once. */
-    static void complaints(BalancerProcess p, String who, List<String> missed) {
+    static void complaints(BalancerProcess process, String who, List<String> missed) {
         List<String> said =
-                p.log().stream().filter(l -> l.contains("can't be read")).toList();
+                process.log().stream().filter(l -> l.contains("can't be read")).toList();
         if (!said.isEmpty()) {
             missed.add(who + " said " + said.size() + " times, last: " + said.get(said.size() - 1));
         }
@@ -171,16 +171,16 @@
                 .getBytes(StandardCharsets.US_ASCII);
         try {
             for (int i = 0; i < many; i++) {
-                SocketChannel c = SocketChannel.open(discovery.address());
-                open.add(c);
-                c.setOption(StandardSocketOptions.TCP_NODELAY, true);
-                c.write(ByteBuffer.wrap(ask));
+                SocketChannel channel = SocketChannel.open(discovery.address());
+                open.add(channel);
+                channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+                channel.write(ByteBuffer.wrap(ask));
             }
             await(() -> discovery.watches() >= many, 30_000_000);
             return Math.max(0, (Clocks.retained() - before) / many);
         } finally {
-            for (SocketChannel c : open) {
-                c.close();
+            for (SocketChannel channel : open) {
+                channel.close();
             }
             await(() -> discovery.watches() == 0, 30_000_000);
         }
@@ -264,13 +264,13 @@
         String window = (listed ? "" : "unlisted_") + name;
         double seconds = (to.at - from.at) / 1e9;
         int many = plan.fleet().balancers();
-        StandInDiscovery.Counts c = to.counts.since(from.counts);
+        StandInDiscovery.Counts counts = to.counts.since(from.counts);
         figures.put(
                 window + "_received_per_watch_bytes_per_s",
-                c.bytesOut() / seconds / (many + plan.fleet().real()));
+                counts.bytesOut() / seconds / (many + plan.fleet().real()));
         figures.put(
                 window + "_messages_per_watch_per_s",
-                c.messages() / seconds / (many + plan.fleet().real()));
+                counts.messages() / seconds / (many + plan.fleet().real()));
         figures.put(window + "_cpu_per_balancer_percent", (to.hollow - from.hollow) / seconds / many * 100);
         figures.put(
                 window + "_loops_busy_percent",
@@ -282,7 +282,7 @@
         figures.put(
                 window + "_other_cpu_percent",
                 (to.process - from.process - (to.hollow - from.hollow) - (to.standIn - from.standIn)) / seconds * 100);
-        return c;
+        return counts;
     }
 
     private void idle(StandInDiscovery discovery, HollowFleet fleet, List<BalancerProcess> real)
@@ -323,7 +323,7 @@
         }
         boolean all = reached(fleet, fleet.size(), discovery.rev(), "the last change");
         Mark to = mark(discovery, fleet, real);
-        StandInDiscovery.Counts c = figure("churn", from, to);
+        StandInDiscovery.Counts counts = figure("churn", from, to);
         Tally tally = fleet.tally();
         int changes = publisher.published();
         figures.put("heap_more_after_churn_per_balancer_bytes", (Clocks.retained() - retained) / fleet.size());
@@ -335,7 +335,7 @@
             double idle = figures.get("idle_cpu_per_balancer_percent") / 100 * fleet.size() * (to.at - from.at) / 1e9;
             figures.put("cpu_per_change_us", Math.max(0, to.hollow - from.hollow - idle) * 1e6 / pairs);
             figures.put("allocated_per_change_bytes", (to.allocated - from.allocated) / pairs);
-            figures.put("line_per_change_bytes", c.bytesOut() / pairs);
+            figures.put("line_per_change_bytes", counts.bytesOut() / pairs);
             inForce("in_force", tally.inForce);
             figures.put("in_force_pairs_count", (double) tally.inForce.getTotalCount());
             if (all && tally.inForce.getTotalCount() != Math.round(pairs)) {
@@ -369,11 +369,11 @@
         }
     }
 
-    private void inForce(String name, Histogram h) {
-        if (h.getTotalCount() > 0) {
-            figures.put(name + "_p50_ms", h.getValueAtPercentile(50) / 1e3);
-            figures.put(name + "_p99_ms", h.getValueAtPercentile(99) / 1e3);
-            figures.put(name + "_last_ms", h.getMaxValue() / 1e3);
+    private void inForce(String name, Histogram histogram) {
+        if (histogram.getTotalCount() > 0) {
+            figures.put(name + "_p50_ms", histogram.getValueAtPercentile(50) / 1e3);
+            figures.put(name + "_p99_ms", histogram.getValueAtPercentile(99) / 1e3);
+            figures.put(name + "_last_ms", histogram.getMaxValue() / 1e3);
         }
     }
 
@@ -409,34 +409,34 @@
             boolean all,
             long began,
             Tally tally) {
-        StandInDiscovery.Counts c = discovery.counts().since(before);
+        StandInDiscovery.Counts counts = discovery.counts().since(before);
         if (all) {
             figures.put(what + "_all_listed_ms", (System.nanoTime() - began) / MS);
         }
-        figures.put(what + "_calls_count", (double) c.calls());
-        figures.put(what + "_refused_count", (double) c.refused());
-        figures.put(what + "_calls_peak_per_s", (double) c.peakPerSecond());
-        figures.put(what + "_wholes_count", (double) c.wholes());
-        figures.put(what + "_sent_bytes", (double) c.bytesOut());
-        figures.put(what + "_longest_wait_ms", c.longestMicros() / 1e3);
+        figures.put(what + "_calls_count", (double) counts.calls());
+        figures.put(what + "_refused_count", (double) counts.refused());
+        figures.put(what + "_calls_peak_per_s", (double) counts.peakPerSecond());
+        figures.put(what + "_wholes_count", (double) counts.wholes());
+        figures.put(what + "_sent_bytes", (double) counts.bytesOut());
+        figures.put(what + "_longest_wait_ms", counts.longestMicros() / 1e3);
         figures.put(what + "_failed_in_balancers_count", (double) tally.failed);
     }
 
     private void outage(StandInDiscovery discovery, HollowFleet fleet, Machines machines) throws InterruptedException {
-        FleetPlan.Outage o = plan.outage();
+        FleetPlan.Outage outage = plan.outage();
         fleet.begin();
         discovery.forgetPeak();
         double still = Clocks.collected();
         StandInDiscovery.Counts before = discovery.counts();
         try (Publisher publisher = new Publisher(discovery, machines, plan.churn(), plan.seed() + 1)) {
-            switch (o.kind()) {
+            switch (outage.kind()) {
                 case DOWN -> discovery.down();
                 case CUT_OFF -> discovery.cutOff();
-                default -> discovery.slow(o.callTime());
+                default -> discovery.slow(outage.callTime());
             }
-            publisher.start(o.length());
-            TimeUnit.MICROSECONDS.sleep(o.length());
-            await(publisher::over, o.length());
+            publisher.start(outage.length());
+            TimeUnit.MICROSECONDS.sleep(outage.length());
+            await(publisher::over, outage.length());
             figures.put("outage_published_late_most_ms", publisher.lateMicros() / 1e3);
             figures.put("outage_changes_count", (double) publisher.published());
         }
@@ -456,9 +456,9 @@
     /** Publishes churn at its times, on a thread of its own. */
     private static final class Publisher implements AutoCloseable {
         private final ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor(r -> {
-            Thread t = new Thread(r, "churn");
-            t.setDaemon(true);
-            return t;
+            Thread thread = new Thread(r, "churn");
+            thread.setDaemon(true);
+            return thread;
         });
         private final StandInDiscovery discovery;
         private final Churn churn;
@@ -475,15 +475,15 @@
         void start(long length) {
             events = churn.events(length);
             long began = System.nanoTime();
-            for (Churn.Event e : events) {
+            for (Churn.Event event : events) {
                 clock.schedule(
                         () -> {
-                            late = Math.max(late, (System.nanoTime() - began) / 1_000 - e.at());
-                            discovery.publish(churn.changes(e, System.currentTimeMillis()));
-                            entries += e.machines().size();
+                            late = Math.max(late, (System.nanoTime() - began) / 1_000 - event.at());
+                            discovery.publish(churn.changes(event, System.currentTimeMillis()));
+                            entries += event.machines().size();
                             done++;
                         },
-                        Math.max(0, e.at() * 1_000 - (System.nanoTime() - began)),
+                        Math.max(0, event.at() * 1_000 - (System.nanoTime() - began)),
                         TimeUnit.NANOSECONDS);
             }
         }
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/HollowFleet.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/HollowFleet.java
@@ -86,17 +86,17 @@
     private <T> List<T> ask(Question<T> question) {
         List<Future<T>> asked = new ArrayList<>();
         for (int i = 0; i < balancers.size(); i++) {
-            HollowBalancer b = balancers.get(i);
-            asked.add(loops.get(i % loops.size()).submit(() -> question.of(b)));
+            HollowBalancer balancer = balancers.get(i);
+            asked.add(loops.get(i % loops.size()).submit(() -> question.of(balancer)));
         }
         List<T> all = new ArrayList<>();
         asked.forEach(f -> all.add(get(f)));
         return all;
     }
 
-    private static <T> T get(Future<T> f) {
+    private static <T> T get(Future<T> future) {
         try {
-            return f.get();
+            return future.get();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IllegalStateException("interrupted", e);
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/QuickUpstream.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/QuickUpstream.java
@@ -41,8 +41,9 @@
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel c) {
-                        c.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(BODY_MOST), new Answers());
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline()
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(BODY_MOST), new Answers());
                     }
                 });
         for (int i = 0; i < listeners; i++) {
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/RealBalancers.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/RealBalancers.java
@@ -96,9 +96,9 @@
     }
 
     private synchronized void endAll() {
-        for (BalancerProcess p : processes) {
+        for (BalancerProcess process : processes) {
             try {
-                p.close();
+                process.close();
             } catch (IOException e) {
                 System.err.println("a balancer's file stays: " + e.getMessage());
             }
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/RoutesAxis.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/RoutesAxis.java
@@ -46,17 +46,18 @@
         List<String> missed = new ArrayList<>();
         figures.put(FleetRun.LOAD, Host.load());
         List<Route> routes = new ArrayList<>();
-        for (int i = 0; i < size; i++) {
-            routes.add(new Route("r" + i, PathTemplate.of(path(i)), Set.of("GET"), Map.of(), Set.of(), Set.of(), i));
+        for (int index = 0; index < size; index++) {
+            routes.add(new Route(
+                    "r" + index, PathTemplate.of(path(index)), Set.of("GET"), Map.of(), Set.of(), Set.of(), index));
         }
         figures.put("table_heap_per_route_bytes", Repeated.retained(() -> new RouteTable(routes)) / size);
         figures.put("table_made_ms", Repeated.millis(() -> new RouteTable(routes)));
         RouteTable table = new RouteTable(routes);
         Route.Request[] requests = new Route.Request[PATHS];
-        for (int i = 0; i < PATHS; i++) {
-            int r = (int) (i * 7919L % size);
-            requests[i] = new Route.Request(
-                    "GET", PathTemplate.split(path(r).replace("{key}", "k" + i)), Map.of(), null, "lookup");
+        for (int index = 0; index < PATHS; index++) {
+            int route = (int) (index * 7919L % size);
+            requests[index] = new Route.Request(
+                    "GET", PathTemplate.split(path(route).replace("{key}", "k" + index)), Map.of(), null, "lookup");
         }
         int[] next = {0};
         figures.put("match_ns", Repeated.nanos(() -> table.find(requests[next[0] = next[0] + 1 & PATHS - 1])));
@@ -79,16 +80,16 @@
         return new ScalePoint(name(), size, figures, missed);
     }
 
-    private static String path(int i) {
-        return "/service" + i % 97 + "/part" + i + (i % 3 == 0 ? "/{key}" : "/seats");
+    private static String path(int index) {
+        return "/service" + index % 97 + "/part" + index + (index % 3 == 0 ? "/{key}" : "/seats");
     }
 
     private static RoutingConfig plan(List<Route> routes) {
         ConcurrencyLimit.Plan limit = new ConcurrencyLimit.Plan(ConcurrencyLimit.Kind.FIXED, 100, 10, 1000);
         List<RoutingConfig.RoutePlan> plans = new ArrayList<>();
-        for (Route r : routes) {
+        for (Route route : routes) {
             plans.add(new RoutingConfig.RoutePlan(
-                    r, List.of(new RoutingConfig.Way("site", 1, List.of())), 1.2, 0.05, null, null, 0));
+                    route, List.of(new RoutingConfig.Way("site", 1, List.of())), 1.2, 0.05, null, null, 0));
         }
         return new RoutingConfig(
                 List.of(new RoutingConfig.PoolPlan("site", limit, 10)),
@@ -103,9 +104,9 @@
     private static void write(Path file, long size) throws IOException {
         try (Writer out = Files.newBufferedWriter(file)) {
             out.write("[front]\nunmatched = \"site\"\n");
-            for (int i = 0; i < size; i++) {
-                out.write("\n[[route]]\nname = \"r" + i + "\"\npath = \"" + path(i) + "\"\nmethods = [\"GET\"]\n"
-                        + "to = [{ pool = \"site\", weight = 1 }]\n");
+            for (int index = 0; index < size; index++) {
+                out.write("\n[[route]]\nname = \"r" + index + "\"\npath = \"" + path(index)
+                        + "\"\nmethods = [\"GET\"]\n" + "to = [{ pool = \"site\", weight = 1 }]\n");
             }
         }
     }
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/StandInDiscovery.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/StandInDiscovery.java
@@ -168,7 +168,7 @@
     StandInDiscovery(Collection<Machines.Change> list, FleetPlan.Discovery plan) throws IOException {
         this.plan = plan;
         callNanos = plan.callTime() * 1_000;
-        list.forEach(c -> current.put(c.uid(), c));
+        list.forEach(change -> current.put(change.uid(), change));
         group = new NioEventLoopGroup(1);
         loop = group.next();
         try {
@@ -180,8 +180,8 @@
                     .childOption(ChannelOption.TCP_NODELAY, true)
                     .childHandler(new ChannelInitializer<SocketChannel>() {
                         @Override
-                        protected void initChannel(SocketChannel c) {
-                            accepted(c);
+                        protected void initChannel(SocketChannel channel) {
+                            accepted(channel);
                         }
                     })
                     .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
@@ -244,11 +244,11 @@
         return on(() -> {
             long next = rev + 1;
             published.put(next, now);
-            for (Machines.Change c : changes) {
-                if (c.gone()) {
-                    current.remove(c.uid());
+            for (Machines.Change change : changes) {
+                if (change.gone()) {
+                    current.remove(change.uid());
                 } else {
-                    current.put(c.uid(), c);
+                    current.put(change.uid(), change);
                 }
             }
             history.addLast(new Revision(next, changes));
@@ -286,7 +286,7 @@
     public void cutOff() {
         on(() -> {
             mode = Mode.CUT_OFF;
-            queue.forEach(w -> limbo.add(w.channel));
+            queue.forEach(call -> limbo.add(call.channel));
             queue.clear();
             return null;
         });
@@ -315,26 +315,27 @@
         }
     }
 
-    private static void reset(Channel c) {
-        c.config().setOption(ChannelOption.SO_LINGER, 0);
-        c.close();
+    private static void reset(Channel channel) {
+        channel.config().setOption(ChannelOption.SO_LINGER, 0);
+        channel.close();
     }
 
     // ---- connections
 
-    private void accepted(SocketChannel c) {
+    private void accepted(SocketChannel channel) {
         if (mode == Mode.DOWN) {
             came();
             refused++;
-            reset(c);
+            reset(channel);
             return;
         }
-        channels.add(c);
-        c.closeFuture().addListener(closed -> {
-            channels.remove(c);
-            limbo.remove(c);
+        channels.add(channel);
+        channel.closeFuture().addListener(closed -> {
+            channels.remove(channel);
+            limbo.remove(channel);
         });
-        c.pipeline().addLast(new Counting(), new HttpServerCodec(), new HttpObjectAggregator(BODY_MOST), new Calls());
+        channel.pipeline()
+                .addLast(new Counting(), new HttpServerCodec(), new HttpObjectAggregator(BODY_MOST), new Calls());
     }
 
     private void came() {
@@ -395,16 +396,16 @@
     private void next() {
         serving = false;
         while (!serving && !queue.isEmpty()) {
-            Waiting w = queue.poll();
-            long wait = System.nanoTime() - w.at;
-            if (!w.channel.isActive()) {
+            Waiting call = queue.poll();
+            long wait = System.nanoTime() - call.at;
+            if (!call.channel.isActive()) {
                 continue; // whoever asked has gone
             }
             waited += wait / 1_000;
             longest = Math.max(longest, wait / 1_000);
             if (wait > plan.callTimeout() * 1_000) {
                 refused++;
-                answer(w.channel, HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER);
+                answer(call.channel, HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER);
                 continue;
             }
             calls++;
@@ -413,29 +414,31 @@
                 loop.schedule(
                         () -> {
                             if (mode == Mode.UP) {
-                                serve(w);
+                                serve(call);
                             } else if (mode == Mode.CUT_OFF) {
-                                limbo.add(w.channel);
+                                limbo.add(call.channel);
                             }
                             next();
                         },
                         callNanos,
                         TimeUnit.NANOSECONDS);
             } else {
-                serve(w);
+                serve(call);
             }
         }
     }
 
-    private void serve(Waiting w) {
-        QueryStringDecoder uri = new QueryStringDecoder(w.uri);
+    private void serve(Waiting call) {
+        QueryStringDecoder uri = new QueryStringDecoder(call.uri);
         if (!uri.path().equals("/api/targets")) {
-            answer(w.channel, HttpResponseStatus.NOT_FOUND, Unpooled.EMPTY_BUFFER);
+            answer(call.channel, HttpResponseStatus.NOT_FOUND, Unpooled.EMPTY_BUFFER);
         } else if (uri.parameters().containsKey("watch")) {
-            watch(w.channel, uri.parameters().getOrDefault("from", List.of("0")).get(0));
+            watch(
+                    call.channel,
+                    uri.parameters().getOrDefault("from", List.of("0")).get(0));
         } else {
             wholes++;
-            answer(w.channel, HttpResponseStatus.OK, whole().retainedDuplicate());
+            answer(call.channel, HttpResponseStatus.OK, whole().retainedDuplicate());
         }
     }
 
@@ -447,52 +450,52 @@
 
     // ---- watches
 
-    private void watch(Channel c, String from) {
+    private void watch(Channel channel, String from) {
         if (!from.matches("[0-9]{1,18}")) {
-            answer(c, HttpResponseStatus.BAD_REQUEST, Unpooled.EMPTY_BUFFER);
+            answer(channel, HttpResponseStatus.BAD_REQUEST, Unpooled.EMPTY_BUFFER);
             return;
         }
         opened++;
         DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         head.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
         HttpUtil.setTransferEncodingChunked(head, true);
-        c.write(head);
-        Watch w = new Watch(c);
-        w.sent = Long.parseLong(from);
-        watches.add(w);
-        c.closeFuture().addListener(closed -> watches.remove(w));
+        channel.write(head);
+        Watch watch = new Watch(channel);
+        watch.sent = Long.parseLong(from);
+        watches.add(watch);
+        channel.closeFuture().addListener(closed -> watches.remove(watch));
         // Also where nothing has changed: that line says that the list which is known still holds.
-        line(w, after(w.sent));
-        beat(w);
+        line(watch, after(watch.sent));
+        beat(watch);
     }
 
-    private void bringUp(Watch w) {
-        if (w.sent != rev) {
-            line(w, after(w.sent));
+    private void bringUp(Watch watch) {
+        if (watch.sent != rev) {
+            line(watch, after(watch.sent));
         }
     }
 
-    private void line(Watch w, ByteBuf text) {
+    private void line(Watch watch, ByteBuf text) {
         lines++;
-        w.sent = rev;
-        w.wroteAt = System.nanoTime();
-        w.channel.writeAndFlush(new DefaultHttpContent(text.retainedDuplicate()));
+        watch.sent = rev;
+        watch.wroteAt = System.nanoTime();
+        watch.channel.writeAndFlush(new DefaultHttpContent(text.retainedDuplicate()));
     }
 
-    private void beat(Watch w) {
-        if (!w.channel.isActive()) {
+    private void beat(Watch watch) {
+        if (!watch.channel.isActive()) {
             return;
         }
-        long left = w.wroteAt + BEAT_NS - System.nanoTime();
+        long left = watch.wroteAt + BEAT_NS - System.nanoTime();
         if (left <= 0) {
             left = BEAT_NS;
-            w.wroteAt = System.nanoTime();
+            watch.wroteAt = System.nanoTime();
             if (mode == Mode.UP) {
                 beats++;
-                w.channel.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(new byte[] {'\n'})));
+                watch.channel.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(new byte[] {'\n'})));
             }
         }
-        loop.schedule(() -> beat(w), left, TimeUnit.NANOSECONDS);
+        loop.schedule(() -> beat(watch), left, TimeUnit.NANOSECONDS);
     }
 
     // ---- what is told, in bytes
@@ -515,7 +518,7 @@
             Map<String, Machines.Change> changes = new LinkedHashMap<>();
             for (Revision r : history) {
                 if (r.rev > k) {
-                    r.changes.forEach(c -> changes.put(c.uid(), c));
+                    r.changes.forEach(change -> changes.put(change.uid(), change));
                 }
             }
             return bytes(false, changes.values());
@@ -525,9 +528,9 @@
     private ByteBuf bytes(boolean all, Collection<Machines.Change> entries) {
         List<byte[]> parts = new ArrayList<>(entries.size());
         int length = 0;
-        for (Machines.Change c : entries) {
-            parts.add(c.json());
-            length += c.json().length + 1;
+        for (Machines.Change change : entries) {
+            parts.add(change.json());
+            length += change.json().length + 1;
         }
         byte[] head = ("{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[").getBytes(StandardCharsets.US_ASCII);
         // Off the heap, so that lists here don't count as heap of balancers.
--- a/simulator/src/main/java/loadbalancer/simulator/policies/Choosers.java
+++ b/simulator/src/main/java/loadbalancer/simulator/policies/Choosers.java
@@ -11,10 +11,11 @@
             List.of("random", "round-robin", "jsq", "jsq-d", "sed-d", "sed", "jsq-dfds", "jsq-das");
 
     /** Figures of a sampling policy; {@code fastShare} is the paper's p. */
-    public record Figures(int d, int a, double fastShare) {
+    public record Figures(int sampled, int fromAccomplished, double fastShare) {
         public Figures {
-            if (d < 1 || a < 0 || a > d) {
-                throw new IllegalArgumentException("d = " + d + ", a = " + a + ": 0 <= a <= d and d >= 1 wanted");
+            if (sampled < 1 || fromAccomplished < 0 || fromAccomplished > sampled) {
+                throw new IllegalArgumentException(
+                        "d = " + sampled + ", a = " + fromAccomplished + ": 0 <= a <= d and d >= 1 wanted");
             }
         }
     }
@@ -32,9 +33,9 @@
             case "round-robin" -> new RoundRobin();
             case "jsq" -> new All(false);
             case "sed" -> new All(true);
-            case "jsq-d" -> new Sampling(figures.d, false);
-            case "sed-d" -> new Sampling(figures.d, true);
-            case "jsq-dfds" -> new FastFirst(figures.a, figures.d - figures.a);
+            case "jsq-d" -> new Sampling(figures.sampled, false);
+            case "sed-d" -> new Sampling(figures.sampled, true);
+            case "jsq-dfds" -> new FastFirst(figures.fromAccomplished, figures.sampled - figures.fromAccomplished);
             case "jsq-das" -> new Accomplishment(figures);
             default -> throw new IllegalArgumentException(
                     "no policy '" + name + "'; there are " + String.join(", ", NAMES));
@@ -94,12 +95,12 @@
 
     /** JSQ(d) and SED(d): the best of d drawn uniformly. */
     private static final class Sampling implements Chooser {
-        private final int d;
+        private final int sampled;
         private final boolean delay;
         private final Sample sample = new Sample();
 
-        Sampling(int d, boolean delay) {
-            this.d = d;
+        Sampling(int sampled, boolean delay) {
+            this.sampled = sampled;
             this.delay = delay;
         }
 
@@ -109,7 +110,7 @@
             sample.fit(size);
             int best = -1;
             double least = 0;
-            for (int i = 0; i < Math.min(d, size); i++) {
+            for (int i = 0; i < Math.min(sampled, size); i++) {
                 int drawn = sample.draw(0, size, i, random);
                 double length = delay ? (view.queue(drawn) + 1) / view.rate(drawn) : view.queue(drawn);
                 if (best < 0 || length < least) {
@@ -156,10 +157,10 @@
             return best < 0 || other >= 0 && view.queue(other) == 0 ? other : best;
         }
 
-        private static int shortest(int[] servers, int d, Sample sample, ServerView view, RandomStream random) {
+        private static int shortest(int[] servers, int sampled, Sample sample, ServerView view, RandomStream random) {
             sample.fit(servers.length);
             int best = -1;
-            for (int i = 0; i < Math.min(d, servers.length); i++) {
+            for (int i = 0; i < Math.min(sampled, servers.length); i++) {
                 int drawn = servers[sample.draw(0, servers.length, i, random)];
                 best = best < 0 || view.queue(drawn) < view.queue(best) ? drawn : best;
             }
@@ -195,8 +196,9 @@
                 ranking.renumber(IntStream.range(0, k).toArray());
             }
             int accomplished = Math.max(1, Math.min(k, (int) Math.round(figures.fastShare * k)));
-            int fromTop = Math.min(accomplished, Math.max(figures.a, figures.d - (k - accomplished)));
-            int fromRest = Math.min(k - accomplished, figures.d - fromTop);
+            int fromTop =
+                    Math.min(accomplished, Math.max(figures.fromAccomplished, figures.sampled - (k - accomplished)));
+            int fromRest = Math.min(k - accomplished, figures.sampled - fromTop);
             top.fit(accomplished);
             rest.fit(k - accomplished);
             int best = -1;
--- a/simulator/src/main/java/loadbalancer/simulator/queue/QueueModel.java
+++ b/simulator/src/main/java/loadbalancer/simulator/queue/QueueModel.java
@@ -54,8 +54,8 @@
             double fastShare,
             double fastRate,
             double slowRate,
-            int d,
-            int a,
+            int sampled,
+            int fromAccomplished,
             long jobs,
             long seed) {
         public Setting {
@@ -117,8 +117,9 @@
         responses = new BatchMeans((setting.jobs - warmUp) / BATCHES);
         dispatcher = setting.policy.equals("balance")
                 ? new ByModule(streams.seed("dispatcher", 0))
-                : new ByChooser(
-                        Choosers.named(setting.policy, new Choosers.Figures(setting.d, setting.a, setting.fastShare)));
+                : new ByChooser(Choosers.named(
+                        setting.policy,
+                        new Choosers.Figures(setting.sampled, setting.fromAccomplished, setting.fastShare)));
     }
 
     /** Plays {@code setting} to its end. */
--- a/simulator/src/main/java/loadbalancer/simulator/queue/Theory.java
+++ b/simulator/src/main/java/loadbalancer/simulator/queue/Theory.java
@@ -23,15 +23,15 @@
     }
 
     /** JSQ(d) with infinitely many servers: Mitzenmacher 2001, corollary 1. */
-    public static double jsqD(int d, double lambda) {
-        if (d == 1) {
+    public static double jsqD(int sampled, double lambda) {
+        if (sampled == 1) {
             return mm1(lambda);
         }
         double sum = 0;
         double power = 1; // d^i
         for (int i = 1; i < TERMS; i++) {
-            power *= d;
-            double term = Math.pow(lambda, (power - d) / (d - 1));
+            power *= sampled;
+            double term = Math.pow(lambda, (power - sampled) / (sampled - 1));
             sum += term;
             if (term < 1e-15) {
                 break;
@@ -43,18 +43,18 @@
     /**
      * The fixed point of JSQ-(dF, dS) as the paper has it, its equations 1 to 5, in units of time.
      *
-     * @param fastRate the paper's mu_F; {@code p} the share of fast servers
+     * @param fastRate the paper's mu_F; {@code fastShare} the share of fast servers
      * @param asPrinted equation 5 as printed, where a job that joins a queue of i jobs takes i services; else
      *     i + 1, its own included
      */
     public static double jsqDfDs(
-            int dF, int dS, double lambda, double p, double fastRate, double slowRate, boolean asPrinted) {
-        double fast = lambda / (p * fastRate);
+            int dF, int dS, double lambda, double fastShare, double fastRate, double slowRate, boolean asPrinted) {
+        double fast = lambda / (fastShare * fastRate);
         double slow = 0;
         for (int i = 0; i < 200_000; i++) { // a damped iteration: it contracts where stable
             double busyFast = Math.pow(fast, dF);
-            double nextSlow = lambda * busyFast * (1 - Math.pow(slow, dS)) / (slowRate * (1 - p));
-            double nextFast = lambda * (1 - busyFast + busyFast * Math.pow(slow, dS)) / (fastRate * p);
+            double nextSlow = lambda * busyFast * (1 - Math.pow(slow, dS)) / (slowRate * (1 - fastShare));
+            double nextFast = lambda * (1 - busyFast + busyFast * Math.pow(slow, dS)) / (fastRate * fastShare);
             double change = Math.abs(nextSlow - slow) + Math.abs(nextFast - fast);
             slow += 0.05 * (Math.min(1, nextSlow) - slow);
             fast += 0.05 * (Math.min(1, nextFast) - fast);
@@ -65,13 +65,13 @@
         double noneFast = Math.pow(fast, dF);
         double noneSlow = Math.pow(slow, dS);
         // Equation 3 summed from i on: s_{i+1} = lambda rho_S^dS / (p mu_F) * s_i^dF.
-        double factor = lambda * noneSlow / (p * fastRate);
-        double s = fast;
+        double factor = lambda * noneSlow / (fastShare * fastRate);
+        double fractionLonger = fast;
         double joined = 0;
-        for (int i = 1; i < TERMS && s > 1e-14; i++) {
-            double next = factor * Math.pow(s, dF);
-            joined += (asPrinted ? i : i + 1) * (Math.pow(s, dF) - Math.pow(next, dF)) / noneFast;
-            s = next;
+        for (int i = 1; i < TERMS && fractionLonger > 1e-14; i++) {
+            double next = factor * Math.pow(fractionLonger, dF);
+            joined += (asPrinted ? i : i + 1) * (Math.pow(fractionLonger, dF) - Math.pow(next, dF)) / noneFast;
+            fractionLonger = next;
         }
         return (1 - noneFast) / fastRate
                 + noneFast * (1 - noneSlow) / slowRate
--- a/simulator/src/main/java/loadbalancer/simulator/report/FigurePlot.java
+++ b/simulator/src/main/java/loadbalancer/simulator/report/FigurePlot.java
@@ -18,7 +18,13 @@
 
     /** Writes the page; values that aren't finite are left out of their curve. */
     public static void write(
-            File file, String title, String xName, String yName, double[] x, List<String> names, List<double[]> curves)
+            File file,
+            String title,
+            String xName,
+            String yName,
+            double[] xValues,
+            List<String> names,
+            List<double[]> curves)
             throws IOException {
         System.setProperty("java.awt.headless", "true");
         XYChart chart = new XYChartBuilder()
@@ -29,14 +35,14 @@
                 .yAxisTitle(yName)
                 .build();
         for (int c = 0; c < names.size(); c++) {
-            double[] y = curves.get(c);
-            int[] known = IntStream.range(0, x.length)
-                    .filter(i -> Double.isFinite(y[i]))
+            double[] yValues = curves.get(c);
+            int[] known = IntStream.range(0, xValues.length)
+                    .filter(i -> Double.isFinite(yValues[i]))
                     .toArray();
             chart.addSeries(
                     names.get(c),
-                    IntStream.of(known).mapToDouble(i -> x[i]).toArray(),
-                    IntStream.of(known).mapToDouble(i -> y[i]).toArray());
+                    IntStream.of(known).mapToDouble(i -> xValues[i]).toArray(),
+                    IntStream.of(known).mapToDouble(i -> yValues[i]).toArray());
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         VectorGraphicsEncoder.saveVectorGraphic(chart, out, VectorGraphicsFormat.SVG);
--- a/simulator/src/main/java/loadbalancer/simulator/report/HtmlReport.java
+++ b/simulator/src/main/java/loadbalancer/simulator/report/HtmlReport.java
@@ -103,18 +103,18 @@
 
     private void answer() {
         page.append("<h2>The answer</h2><table><tr><th>expectation</th><th>found</th><th></th></tr>");
-        for (Expectation.Verdict v : results.verdicts()) {
+        for (Expectation.Verdict verdict : results.verdicts()) {
             page.append("<tr><td><code>")
-                    .append(text(v.expectation().text()))
+                    .append(text(verdict.expectation().text()))
                     .append("</code></td><td>")
-                    .append(text(v.found()))
+                    .append(text(verdict.found()))
                     .append("</td><td class=\"")
-                    .append(v.holds() ? "good\">holds" : "bad\">fails")
+                    .append(verdict.holds() ? "good\">holds" : "bad\">fails")
                     .append("</td></tr>");
         }
         page.append("</table>");
         for (String v : variants.subList(1, variants.size())) {
-            Interval d = results.difference("G", variants.get(0), v);
+            Interval interval = results.difference("G", variants.get(0), v);
             page.append("<p>G of <b>")
                     .append(text(variants.get(0)))
                     .append("</b> over <b>")
@@ -122,12 +122,12 @@
                     .append("</b>, on the same ")
                     .append(results.experiment().seeds())
                     .append(" seeds: <b>")
-                    .append(text(Table.cell(d)))
+                    .append(text(Table.cell(interval)))
                     .append("</b>")
                     .append(
-                            Double.isNaN(d.halfWidth())
+                            Double.isNaN(interval.halfWidth())
                                     ? ""
-                                    : d.holds(0) ? ", which is no difference that these seeds can show." : ".")
+                                    : interval.holds(0) ? ", which is no difference that these seeds can show." : ".")
                     .append("</p>");
         }
     }
@@ -139,7 +139,7 @@
         page.append("</tr>");
         for (String f : results.figures()) {
             if (variants.stream()
-                            .allMatch(v -> Arrays.stream(results.values(v, f)).allMatch(x -> x == 0))
+                            .allMatch(v -> Arrays.stream(results.values(v, f)).allMatch(xValues -> xValues == 0))
                     && !f.equals("rules.broken")) {
                 continue;
             }
@@ -186,9 +186,9 @@
         }
         double height = Double.isNaN(top) ? Math.max(1, most * 1.05) : top;
         int shade = 0;
-        for (Timeline.FaultInterval s : series(variants.get(0), seed).faultIntervals()) {
-            double from = s.from() / 1e6;
-            double to = Math.max(from + 0.1, s.to() / 1e6);
+        for (Timeline.FaultInterval interval : series(variants.get(0), seed).faultIntervals()) {
+            double from = interval.from() / 1e6;
+            double to = Math.max(from + 0.1, interval.to() / 1e6);
             var area = chart.addSeries(
                     "shade" + shade++, new double[] {from, from, to, to}, new double[] {0, height, height, 0});
             area.setXYSeriesRenderStyle(org.knowm.xchart.XYSeries.XYSeriesRenderStyle.Area);
@@ -199,9 +199,10 @@
         }
         chart.getStyler().setYAxisMin(0.0).setYAxisMax(height).setXAxisMin(0.0);
         for (int i = 0; i < variants.size(); i++) {
-            double[] y = values.of(series(variants.get(i), seed));
-            double[] x = IntStream.range(0, y.length).mapToDouble(n -> n + 0.5).toArray();
-            line(chart, variants.get(i), x, y, i);
+            double[] yValues = values.of(series(variants.get(i), seed));
+            double[] xValues =
+                    IntStream.range(0, yValues.length).mapToDouble(n -> n + 0.5).toArray();
+            line(chart, variants.get(i), xValues, yValues, i);
         }
         put(chart);
     }
@@ -210,25 +211,25 @@
         List<String> classes = results.experiment().plan().classes().stream()
                 .map(k -> k.name())
                 .toList();
-        double[] x = IntStream.rangeClosed(1, 99).mapToDouble(i -> i).toArray();
+        double[] xValues = IntStream.rangeClosed(1, 99).mapToDouble(i -> i).toArray();
         for (int c = 0; c < classes.size(); c++) {
             XYChart chart = chart("Latency of " + classes.get(c) + ", from the client's first try", "percentile", "ms");
             for (int i = 0; i < variants.size(); i++) {
                 double[] all = series(variants.get(i), seed).percentiles().get(c);
-                line(chart, variants.get(i), x, Arrays.copyOfRange(all, 1, 100), i);
+                line(chart, variants.get(i), xValues, Arrays.copyOfRange(all, 1, 100), i);
             }
             chart.getStyler().setYAxisMin(0.0);
             put(chart);
         }
     }
 
-    private static XYChart chart(String title, String x, String y) {
+    private static XYChart chart(String title, String xValues, String yValues) {
         XYChart chart = new XYChartBuilder()
                 .width(1000)
                 .height(300)
                 .title(title)
-                .xAxisTitle(x)
-                .yAxisTitle(y)
+                .xAxisTitle(xValues)
+                .yAxisTitle(yValues)
                 .theme(Styler.ChartTheme.XChart)
                 .build();
         chart.getStyler()
@@ -239,8 +240,8 @@
         return chart;
     }
 
-    private static void line(XYChart chart, String name, double[] x, double[] y, int number) {
-        chart.addSeries(name, x, y)
+    private static void line(XYChart chart, String name, double[] xValues, double[] yValues, int number) {
+        chart.addSeries(name, xValues, yValues)
                 .setMarker(SeriesMarkers.NONE)
                 .setLineColor(COLOURS[number % COLOURS.length])
                 .setLineWidth(1.8f);
@@ -255,16 +256,16 @@
     }
 
     // Upstream x time: how many requests each holds. Cells are plain rectangles, runs of one shade joined.
-    private void heat(String variant, Score.Series s) {
-        int all = s.held().isEmpty() ? 0 : s.held().get(s.held().size() - 1).length;
+    private void heat(String variant, Score.Series series) {
+        int all = series.held().isEmpty() ? 0 : series.held().get(series.held().size() - 1).length;
         int rows = Math.min(MOST_ROWS, all);
-        int columns = s.held().size();
+        int columns = series.held().size();
         if (rows == 0) {
             return;
         }
         int wide = Math.max(2, 820 / columns);
         double sent = Math.max(
-                1, s.sentTo().values().stream().mapToLong(Long::longValue).sum());
+                1, series.sentTo().values().stream().mapToLong(Long::longValue).sum());
         int high = 12;
         page.append("<h3>")
                 .append(text(variant))
@@ -283,17 +284,17 @@
                     Locale.ROOT,
                     "<text x=\"0\" y=\"%d\" font-size=\"10\">%s</text>",
                     row * high + 10,
-                    text(s.upstreams().get(row))));
+                    text(series.upstreams().get(row))));
             page.append(String.format(
                     Locale.ROOT,
                     "<text x=\"%d\" y=\"%d\" font-size=\"10\">%.1f%%</text>",
                     76 + wide * columns,
                     row * high + 10,
-                    100 * s.sentTo().getOrDefault(s.upstreams().get(row), 0L) / sent));
+                    100 * series.sentTo().getOrDefault(series.upstreams().get(row), 0L) / sent));
             int from = 0;
             for (int c = 1; c <= columns; c++) {
-                String shade = shade(s.held().get(from), row);
-                if (c == columns || !shade(s.held().get(c), row).equals(shade)) {
+                String shade = shade(series.held().get(from), row);
+                if (c == columns || !shade(series.held().get(c), row).equals(shade)) {
                     page.append(String.format(
                             Locale.ROOT,
                             "<rect x=\"%d\" y=\"%d\" width=\"%d\" height=\"%d\" fill=\"%s\"/>",
@@ -332,10 +333,17 @@
             return;
         }
         page.append("<h2>Rules that ").append(text(variant)).append(" broke</h2><pre>");
-        for (RuleViolation b : broken.subList(0, Math.min(20, broken.size()))) {
+        for (RuleViolation violation : broken.subList(0, Math.min(20, broken.size()))) {
             page.append(text(String.format(
-                    Locale.ROOT, "%s at %.6f s: %s: %s%n", b.rule(), b.at() / 1e6, b.subject(), b.description())));
-            b.events().forEach(step -> page.append("    ").append(text(step)).append('\n'));
+                    Locale.ROOT,
+                    "%s at %.6f s: %s: %s%n",
+                    violation.rule(),
+                    violation.at() / 1e6,
+                    violation.subject(),
+                    violation.description())));
+            violation
+                    .events()
+                    .forEach(step -> page.append("    ").append(text(step)).append('\n'));
         }
         page.append("</pre>");
     }
--- a/simulator/src/main/java/loadbalancer/simulator/report/IndexPage.java
+++ b/simulator/src/main/java/loadbalancer/simulator/report/IndexPage.java
@@ -12,11 +12,11 @@
     private IndexPage() {}
 
     /** One experiment in a line for a terminal. */
-    public static String line(Results r) {
+    public static String line(Results results) {
         StringBuilder out =
-                new StringBuilder(String.format("%-16s", r.experiment().name()));
-        r.days().keySet().forEach(v -> out.append(String.format("  %s %s", v, Table.cell(r.mean(v, "G")))));
-        long fails = r.verdicts().stream().filter(v -> !v.holds()).count();
+                new StringBuilder(String.format("%-16s", results.experiment().name()));
+        results.days().keySet().forEach(v -> out.append(String.format("  %s %s", v, Table.cell(results.mean(v, "G")))));
+        long fails = results.verdicts().stream().filter(v -> !v.holds()).count();
         return out.append(fails == 0 ? "  holds" : "  " + fails + " expectations FAIL")
                 .toString();
     }
@@ -28,22 +28,22 @@
                 .append(HtmlReport.STYLE)
                 .append("</style></head><body><h1>Experiments</h1><table><tr><th>experiment</th><th>G of each variant")
                 .append("</th><th>expectations</th></tr>");
-        for (Results r : all) {
-            long fails = r.verdicts().stream().filter(v -> !v.holds()).count();
+        for (Results results : all) {
+            long fails = results.verdicts().stream().filter(v -> !v.holds()).count();
             page.append("<tr><td><a href=\"")
-                    .append(r.experiment().name())
+                    .append(results.experiment().name())
                     .append(".html\">")
-                    .append(HtmlReport.text(r.experiment().name()))
+                    .append(HtmlReport.text(results.experiment().name()))
                     .append("</a><br><span class=\"note\">")
-                    .append(HtmlReport.text(r.experiment().question()))
+                    .append(HtmlReport.text(results.experiment().question()))
                     .append("</span></td><td>");
-            r.days()
+            results.days()
                     .keySet()
                     .forEach(v -> page.append(String.format(
                             Locale.ROOT,
                             "%s %s<br>",
                             HtmlReport.text(v),
-                            HtmlReport.text(Table.cell(r.mean(v, "G"))))));
+                            HtmlReport.text(Table.cell(results.mean(v, "G"))))));
             page.append("</td><td class=\"")
                     .append(fails == 0 ? "good\">hold" : "bad\">" + fails + " fail")
                     .append("</td></tr>");
--- a/simulator/src/main/java/loadbalancer/simulator/report/JsonReport.java
+++ b/simulator/src/main/java/loadbalancer/simulator/report/JsonReport.java
@@ -28,47 +28,47 @@
         MAPPER.writerWithDefaultPrettyPrinter().writeValue(file, of(results));
     }
 
-    static ObjectNode of(Results r) {
+    static ObjectNode of(Results results) {
         ObjectNode root = MAPPER.createObjectNode()
-                .put("experiment", r.experiment().name())
-                .put("question", r.experiment().question())
-                .put("first_seed", r.experiment().firstSeed())
-                .put("seeds", r.experiment().seeds());
-        List<String> variants = List.copyOf(r.days().keySet());
+                .put("experiment", results.experiment().name())
+                .put("question", results.experiment().question())
+                .put("first_seed", results.experiment().firstSeed())
+                .put("seeds", results.experiment().seeds());
+        List<String> variants = List.copyOf(results.days().keySet());
         ObjectNode all = root.putObject("variants");
         for (String v : variants) {
             ObjectNode node = all.putObject(v);
             ObjectNode figures = node.putObject("figures");
-            for (String f : r.figures()) {
-                ObjectNode figure = interval(figures.putObject(f), r.mean(v, f));
+            for (String f : results.figures()) {
+                ObjectNode figure = interval(figures.putObject(f), results.mean(v, f));
                 ArrayNode values = figure.putArray("values");
-                for (double value : r.values(v, f)) {
+                for (double value : results.values(v, f)) {
                     values.add(value);
                 }
                 if (!v.equals(variants.get(0))) {
-                    interval(figure.putObject("more_than_first"), r.difference(f, v, variants.get(0)));
+                    interval(figure.putObject("more_than_first"), results.difference(f, v, variants.get(0)));
                 }
             }
             ArrayNode days = node.putArray("days");
-            for (Day day : r.days().get(v)) {
+            for (Day day : results.days().get(v)) {
                 series(days.addObject(), day.series());
             }
             ArrayNode broken = node.putArray("broken");
-            for (RuleViolation b : r.violations(v)) {
+            for (RuleViolation violation : results.violations(v)) {
                 ObjectNode entry = broken.addObject()
-                        .put("rule", b.rule().name())
-                        .put("at_us", b.at())
-                        .put("subject", b.subject())
-                        .put("what", b.description());
-                b.events().forEach(entry.putArray("chain")::add);
+                        .put("rule", violation.rule().name())
+                        .put("at_us", violation.at())
+                        .put("subject", violation.subject())
+                        .put("what", violation.description());
+                violation.events().forEach(entry.putArray("chain")::add);
             }
         }
         ArrayNode verdicts = root.putArray("expectations");
-        for (Expectation.Verdict v : r.verdicts()) {
+        for (Expectation.Verdict verdict : results.verdicts()) {
             verdicts.addObject()
-                    .put("expectation", v.expectation().text())
-                    .put("holds", v.holds())
-                    .put("found", v.found());
+                    .put("expectation", verdict.expectation().text())
+                    .put("holds", verdict.holds())
+                    .put("found", verdict.found());
         }
         return root;
     }
@@ -86,10 +86,10 @@
         }
     }
 
-    private static ObjectNode interval(ObjectNode node, Interval i) {
-        node.put("mean", i.mean());
-        if (!Double.isNaN(i.halfWidth())) {
-            node.put("half_width", i.halfWidth());
+    private static ObjectNode interval(ObjectNode node, Interval interval) {
+        node.put("mean", interval.mean());
+        if (!Double.isNaN(interval.halfWidth())) {
+            node.put("half_width", interval.halfWidth());
         }
         return node;
     }
--- a/simulator/src/main/java/loadbalancer/simulator/report/Table.java
+++ b/simulator/src/main/java/loadbalancer/simulator/report/Table.java
@@ -14,42 +14,47 @@
     private Table() {}
 
     /** The whole table: variants, differences to the first, expectations, broken rules. */
-    public static String of(Results r) {
+    public static String of(Results results) {
         StringBuilder out = new StringBuilder();
-        List<String> variants = List.copyOf(r.days().keySet());
-        out.append(r.experiment().name())
+        List<String> variants = List.copyOf(results.days().keySet());
+        out.append(results.experiment().name())
                 .append(": ")
-                .append(r.experiment().question())
+                .append(results.experiment().question())
                 .append('\n');
         out.append(String.format(
                 Locale.ROOT,
                 "%d seeds from %d; mean and half width of the 95%% interval%n%n",
-                r.experiment().seeds(),
-                r.experiment().firstSeed()));
+                results.experiment().seeds(),
+                results.experiment().firstSeed()));
         out.append(String.format("%-18s", ""));
-        variants.forEach(v -> out.append(String.format("%22s", v)));
+        variants.forEach(value -> out.append(String.format("%22s", value)));
         out.append('\n');
-        for (String figure : r.figures()) {
-            if (variants.stream().allMatch(v -> allZero(r.values(v, figure)))) {
+        for (String figure : results.figures()) {
+            if (variants.stream().allMatch(value -> allZero(results.values(value, figure)))) {
                 continue;
             }
             out.append(String.format("%-18s", figure.length() > 18 ? figure.substring(0, 18) : figure));
-            variants.forEach(v -> out.append(String.format("%22s", cell(r.mean(v, figure)))));
+            variants.forEach(value -> out.append(String.format("%22s", cell(results.mean(value, figure)))));
             out.append('\n');
         }
-        for (String v : variants.subList(1, variants.size())) {
-            Interval d = r.difference("G", variants.get(0), v);
+        for (String value : variants.subList(1, variants.size())) {
+            Interval interval = results.difference("G", variants.get(0), value);
             out.append(String.format(
-                    Locale.ROOT, "%nG of %s over %s, paired: %s%s", variants.get(0), v, cell(d), sure(d)));
+                    Locale.ROOT,
+                    "%nG of %s over %s, paired: %s%s",
+                    variants.get(0),
+                    value,
+                    cell(interval),
+                    sure(interval)));
         }
         out.append('\n');
-        for (Expectation.Verdict v : r.verdicts()) {
+        for (Expectation.Verdict verdict : results.verdicts()) {
             out.append(String.format(
                     "%n%s  %s   (%s)",
-                    v.holds() ? "holds " : "FAILS ", v.expectation().text(), v.found()));
+                    verdict.holds() ? "holds " : "FAILS ", verdict.expectation().text(), verdict.found()));
         }
-        for (String v : variants) {
-            broken(v, r, out);
+        for (String value : variants) {
+            broken(value, results, out);
         }
         return out.append('\n').toString();
     }
@@ -58,38 +63,44 @@
         return java.util.Arrays.stream(values).allMatch(x -> x == 0);
     }
 
-    private static void broken(String variant, Results r, StringBuilder out) {
-        List<RuleViolation> broken = r.violations(variant);
-        double all = java.util.Arrays.stream(r.values(variant, "rules.broken")).sum();
+    private static void broken(String variant, Results results, StringBuilder out) {
+        List<RuleViolation> broken = results.violations(variant);
+        double all =
+                java.util.Arrays.stream(results.values(variant, "rules.broken")).sum();
         if (broken.isEmpty()) {
             return;
         }
         out.append(String.format(Locale.ROOT, "%n%n%s broke rules %.0f times; the first:", variant, all));
-        for (RuleViolation b : broken.subList(0, Math.min(CHAINS, broken.size()))) {
+        for (RuleViolation violation : broken.subList(0, Math.min(CHAINS, broken.size()))) {
             out.append(String.format(
-                    Locale.ROOT, "%n  %s at %.6f s: %s: %s", b.rule(), b.at() / 1e6, b.subject(), b.description()));
-            b.events().forEach(step -> out.append("\n      ").append(step));
+                    Locale.ROOT,
+                    "%n  %s at %.6f s: %s: %s",
+                    violation.rule(),
+                    violation.at() / 1e6,
+                    violation.subject(),
+                    violation.description()));
+            violation.events().forEach(step -> out.append("\n      ").append(step));
         }
     }
 
-    private static String sure(Interval d) {
-        if (Double.isNaN(d.halfWidth())) {
+    private static String sure(Interval interval) {
+        if (Double.isNaN(interval.halfWidth())) {
             return " (one seed: no interval)";
         }
-        return d.holds(0) ? " (no difference shown)" : d.mean() > 0 ? " (better)" : " (worse)";
+        return interval.holds(0) ? " (no difference shown)" : interval.mean() > 0 ? " (better)" : " (worse)";
     }
 
     /** A mean with its half width. */
-    static String cell(Interval i) {
-        if (Double.isNaN(i.mean())) {
+    static String cell(Interval interval) {
+        if (Double.isNaN(interval.mean())) {
             return "-";
         }
-        String mean = number(i.mean());
-        return Double.isNaN(i.halfWidth()) ? mean : mean + " +- " + number(i.halfWidth());
+        String mean = number(interval.mean());
+        return Double.isNaN(interval.halfWidth()) ? mean : mean + " +- " + number(interval.halfWidth());
     }
 
-    private static String number(double v) {
-        double size = Math.abs(v);
-        return String.format(Locale.ROOT, size >= 1000 ? "%.0f" : size >= 10 ? "%.1f" : "%.3f", v);
+    private static String number(double value) {
+        double size = Math.abs(value);
+        return String.format(Locale.ROOT, size >= 1000 ? "%.0f" : size >= 10 ? "%.1f" : "%.3f", value);
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/rules/RuleChecker.java
+++ b/simulator/src/main/java/loadbalancer/simulator/rules/RuleChecker.java
@@ -41,6 +41,7 @@
     private final Map<Balancer, Map<String, NotifiedEndpoint>> notified = new HashMap<>();
     private long count;
 
+    /** Checks the rules of {@code plan} and passes each event on to {@code score}. */
     public RuleChecker(WorldPlan plan, Score score) {
         this.plan = plan;
         this.score = score;
@@ -56,13 +57,13 @@
         return count;
     }
 
-    private void addViolation(Rule rule, long now, String subject, String what, BalancerRequest t) {
+    private void addViolation(Rule rule, long now, String subject, String what, BalancerRequest request) {
         count++;
         if (violations.size() < MAX_VIOLATIONS) {
             List<String> chain = new ArrayList<>();
-            if (t != null) {
-                for (BalancerRequest.Step s : t.steps()) {
-                    chain.add(time(s.at()) + " " + s.description());
+            if (request != null) {
+                for (BalancerRequest.Step step : request.steps()) {
+                    chain.add(time(step.at()) + " " + step.description());
                 }
             }
             violations.add(new RuleViolation(rule, now - World.dayStart(), subject, what, List.copyOf(chain)));
@@ -79,29 +80,38 @@
     }
 
     @Override
-    public void attemptStarting(Attempt a, long now) {
-        BalancerRequest t = a.request();
+    public void attemptStarting(Attempt attempt, long now) {
+        BalancerRequest request = attempt.request();
         score.attemptStarted(
-                a.endpointId(),
-                t.attempts().size(),
-                t.clientRequest().key(),
-                plan.kinds().get(a.kind()).pool(),
+                attempt.endpointId(),
+                request.attempts().size(),
+                request.clientRequest().key(),
+                plan.kinds().get(attempt.kind()).pool(),
                 now);
-        if (t.answered()) {
-            addViolation(Rule.MALFORMED, now, t.id(), "sent after its final answer", t);
+        if (request.answered()) {
+            addViolation(Rule.MALFORMED, now, request.id(), "sent after its final answer", request);
         }
-        if (t.attemptsInFlight() > 0 && !plan.rules().hedgingAllowed()) {
+        if (request.attemptsInFlight() > 0 && !plan.rules().hedgingAllowed()) {
             addViolation(
-                    Rule.TWO_AT_ONCE, now, t.id(), "sent to " + a.endpointId() + " while another attempt is out", t);
+                    Rule.TWO_AT_ONCE,
+                    now,
+                    request.id(),
+                    "sent to " + attempt.endpointId() + " while another attempt is out",
+                    request);
         }
-        boolean mayHaveRun = t.attempts().stream().anyMatch(Attempt::mayHaveRun);
-        if (mayHaveRun && plan.classes().get(t.clientRequest().kind()).effect() == Idempotency.NON_IDEMPOTENT) {
-            addViolation(Rule.DUPLICATE, now, t.id(), "sent again to " + a.endpointId() + " though it may have run", t);
+        boolean mayHaveRun = request.attempts().stream().anyMatch(Attempt::mayHaveRun);
+        if (mayHaveRun && plan.classes().get(request.clientRequest().kind()).effect() == Idempotency.NON_IDEMPOTENT) {
+            addViolation(
+                    Rule.DUPLICATE,
+                    now,
+                    request.id(),
+                    "sent again to " + attempt.endpointId() + " though it may have run",
+                    request);
         }
-        Map<String, NotifiedEndpoint> known = notified.get(t.balancer());
-        NotifiedEndpoint entry = known == null ? null : known.get(a.endpointId());
+        Map<String, NotifiedEndpoint> known = notified.get(request.balancer());
+        NotifiedEndpoint entry = known == null ? null : known.get(attempt.endpointId());
         long since = entry != null && entry.state != EndpointState.UP ? entry.endsSince : Long.MAX_VALUE;
-        since = Math.min(since, t.balancer().deemedNotifiedAt(a.endpointId()));
+        since = Math.min(since, request.balancer().deemedNotifiedAt(attempt.endpointId()));
         if (since != Long.MAX_VALUE) {
             score.sentToDraining(now - since);
         }
@@ -109,57 +119,68 @@
             addViolation(
                     Rule.DRAIN,
                     now,
-                    t.id(),
-                    "sent to " + a.endpointId() + " " + (now - since) / 1000 + " ms after balancer "
-                            + t.balancer().rank() + " was told that it drains or is gone",
-                    t);
+                    request.id(),
+                    "sent to " + attempt.endpointId() + " " + (now - since) / 1000 + " ms after balancer "
+                            + request.balancer().rank() + " was told that it drains or is gone",
+                    request);
         }
     }
 
     @Override
-    public void attemptEnded(Attempt a, AttemptOutcome outcome, long now) {
+    public void attemptEnded(Attempt attempt, AttemptOutcome outcome, long now) {
         score.attemptEnded(outcome, now);
     }
 
     @Override
-    public void requestAnswered(BalancerRequest t, Clients.End end, long retryAfter, long now) {
+    public void requestAnswered(BalancerRequest request, Clients.End end, long retryAfter, long now) {
         score.requestAnswered(end, now);
-        score.answerMargin(t.deadline() + plan.rules().responseSlackMicros() - now);
-        boolean unsafe = plan.classes().get(t.clientRequest().kind()).effect() == Idempotency.NON_IDEMPOTENT;
-        if (end == Clients.End.REFUSED && unsafe && t.attempts().stream().anyMatch(Attempt::mayHaveRun)) {
-            addViolation(Rule.DUPLICATE, now, t.id(), "refused, which invites another try, though it may have run", t);
+        score.answerMargin(request.deadline() + plan.rules().responseSlackMicros() - now);
+        boolean unsafe = plan.classes().get(request.clientRequest().kind()).effect() == Idempotency.NON_IDEMPOTENT;
+        if (end == Clients.End.REFUSED && unsafe && request.attempts().stream().anyMatch(Attempt::mayHaveRun)) {
+            addViolation(
+                    Rule.DUPLICATE,
+                    now,
+                    request.id(),
+                    "refused, which invites another try, though it may have run",
+                    request);
         }
         if (end == Clients.End.REFUSED && retryAfter > plan.rules().maxRetryAfterMicros()) {
             addViolation(
-                    Rule.MALFORMED, now, t.id(), "told to come back after " + retryAfter + " µs, more than allowed", t);
+                    Rule.MALFORMED,
+                    now,
+                    request.id(),
+                    "told to come back after " + retryAfter + " µs, more than allowed",
+                    request);
         }
     }
 
     @Override
-    public void answeredTwice(BalancerRequest t, Clients.End end, long now) {
-        addViolation(Rule.ANSWERED_TWICE, now, t.id(), end + " after its final answer", t);
+    public void answeredTwice(BalancerRequest request, Clients.End end, long now) {
+        addViolation(Rule.ANSWERED_TWICE, now, request.id(), end + " after its final answer", request);
     }
 
     @Override
-    public void deadlineMissed(BalancerRequest t, long now) {
-        addViolation(Rule.LOST, now, t.id(), "no final answer in time", t);
+    public void deadlineMissed(BalancerRequest request, long now) {
+        addViolation(Rule.LOST, now, request.id(), "no final answer in time", request);
     }
 
     @Override
-    public void endpointsNotified(Balancer b, EndpointListKind kind, List<Endpoint> servers, long now) {
+    public void endpointsNotified(Balancer balancer, EndpointListKind kind, List<Endpoint> servers, long now) {
         if (kind == EndpointListKind.CACHED) {
-            notified.keySet().removeIf(other -> other.rank() == b.rank() && other.incarnation() < b.incarnation() - 1);
+            notified.keySet()
+                    .removeIf(other ->
+                            other.rank() == balancer.rank() && other.incarnation() < balancer.incarnation() - 1);
         }
-        Map<String, NotifiedEndpoint> known = notified.computeIfAbsent(b, x -> new HashMap<>());
+        Map<String, NotifiedEndpoint> known = notified.computeIfAbsent(balancer, x -> new HashMap<>());
         Set<String> listed = new HashSet<>();
-        for (Endpoint s : servers) {
-            listed.add(s.id());
-            NotifiedEndpoint t = known.computeIfAbsent(s.id(), x -> new NotifiedEndpoint());
-            if (s.state() != EndpointState.UP && t.state == EndpointState.UP) {
-                t.endsSince = now;
+        for (Endpoint endpoint : servers) {
+            listed.add(endpoint.id());
+            NotifiedEndpoint notified = known.computeIfAbsent(endpoint.id(), x -> new NotifiedEndpoint());
+            if (endpoint.state() != EndpointState.UP && notified.state == EndpointState.UP) {
+                notified.endsSince = now;
             }
-            t.state = s.state();
-            t.start = s.startedAt();
+            notified.state = endpoint.state();
+            notified.start = endpoint.startedAt();
         }
         if (kind == EndpointListKind.SNAPSHOT || kind == EndpointListKind.CACHED) {
             known.forEach((id, t) -> {
@@ -173,20 +194,20 @@
     }
 
     @Override
-    public boolean knowsStart(Balancer b, Upstream u) {
-        Map<String, NotifiedEndpoint> known = notified.get(b);
-        NotifiedEndpoint t = known == null ? null : known.get(u.id());
-        return t != null && t.start >= u.reportedStart();
+    public boolean knowsStart(Balancer balancer, Upstream upstream) {
+        Map<String, NotifiedEndpoint> known = notified.get(balancer);
+        NotifiedEndpoint notified = known == null ? null : known.get(upstream.id());
+        return notified != null && notified.start >= upstream.reportedStart();
     }
 
     @Override
-    public void upstreamOverloaded(Upstream u, double notifiedFraction, long now) {
+    public void upstreamOverloaded(Upstream upstream, double notifiedFraction, long now) {
         score.upstreamOverloaded();
         if (notifiedFraction >= MIN_NOTIFIED_FRACTION) {
             addViolation(
                     Rule.COLD,
                     now,
-                    u.id(),
+                    upstream.id(),
                     String.format(
                             Locale.ROOT,
                             "fell over while cold; %.0f%% of the work came from balancers that knew of its start",
@@ -196,13 +217,14 @@
     }
 
     @Override
-    public void coldLoad(Upstream u, double part, long now) {
+    public void coldLoad(Upstream upstream, double part, long now) {
         score.coldLoad(part);
     }
 
     @Override
-    public void invalidAction(Balancer b, String what, BalancerRequest request, long now) {
-        addViolation(Rule.MALFORMED, now, request == null ? "balancer " + b.rank() : request.id(), what, request);
+    public void invalidAction(Balancer balancer, String what, BalancerRequest request, long now) {
+        addViolation(
+                Rule.MALFORMED, now, request == null ? "balancer " + balancer.rank() : request.id(), what, request);
     }
 
     @Override
--- a/simulator/src/main/java/loadbalancer/simulator/rules/Score.java
+++ b/simulator/src/main/java/loadbalancer/simulator/rules/Score.java
@@ -68,6 +68,7 @@
             List<Timeline.FaultInterval> faultIntervals,
             List<double[]> percentiles) {}
 
+    /** Counts nothing yet, for a day of that plan. */
     public Score(WorldPlan plan) {
         this.plan = plan;
         seconds = (int) ((plan.length() + SECOND - 1) / SECOND);
@@ -96,41 +97,41 @@
         return (int) Math.max(0, Math.min(seconds - 1, (now - World.dayStart()) / SECOND));
     }
 
-    private double priorityWeight(ClientRequest r) {
-        return plan.classes().get(r.kind()).priorityWeight() * (r.overQuota() ? OVER_SHARE : 1);
+    private double priorityWeight(ClientRequest request) {
+        return plan.classes().get(request.kind()).priorityWeight() * (request.overQuota() ? OVER_SHARE : 1);
     }
 
-    void requestIssued(ClientRequest r, long now) {
-        double priorityWeight = priorityWeight(r);
+    void requestIssued(ClientRequest request, long now) {
+        double priorityWeight = priorityWeight(request);
         firstTries++;
         asked[second(now)] += priorityWeight;
         arrivals[second(now)]++;
-        classes[r.kind()][0] += priorityWeight;
-        if (tenants.length > 0 && !r.overQuota()) {
-            tenants[r.tenant()][0] += priorityWeight;
+        classes[request.kind()][0] += priorityWeight;
+        if (tenants.length > 0 && !request.overQuota()) {
+            tenants[request.tenant()][0] += priorityWeight;
         }
     }
 
-    void requestFinished(ClientRequest r, boolean wasServed, long now) {
-        WorldPlan.RequestKind kind = plan.classes().get(r.kind());
-        long latency = now - r.firstAt();
-        double priorityWeight = priorityWeight(r);
+    void requestFinished(ClientRequest request, boolean wasServed, long now) {
+        WorldPlan.RequestKind kind = plan.classes().get(request.kind());
+        long latency = now - request.firstAt();
+        double priorityWeight = priorityWeight(request);
         if (!wasServed) {
             lateLost += latency > kind.latencyObjectiveMicros() ? priorityWeight : 0;
             return;
         }
         served++;
-        if (now <= r.deadline() && now - World.dayStart() < seconds * SECOND) {
-            done[second(now)] += r.work();
+        if (now <= request.deadline() && now - World.dayStart() < seconds * SECOND) {
+            done[second(now)] += request.work();
         }
-        latencies[r.kind()].recordValue(Math.max(1, Math.min(LONGEST, latency)));
+        latencies[request.kind()].recordValue(Math.max(1, Math.min(LONGEST, latency)));
         double gained = latency <= kind.latencyObjectiveMicros()
                 ? priorityWeight
                 : latency <= kind.deadline() ? priorityWeight * kind.lateFraction() : 0;
-        got[second(r.firstAt())] += gained;
-        classes[r.kind()][1] += gained;
-        if (tenants.length > 0 && !r.overQuota()) {
-            tenants[r.tenant()][1] += gained;
+        got[second(request.firstAt())] += gained;
+        classes[request.kind()][1] += gained;
+        if (tenants.length > 0 && !request.overQuota()) {
+            tenants[request.tenant()][1] += gained;
         }
     }
 
@@ -194,10 +195,10 @@
             priorityWeight[i] = asked[i] <= 0 ? 1 : got[i] / asked[i];
         }
         List<double[]> percentiles = new ArrayList<>();
-        for (Histogram h : latencies) {
+        for (Histogram histogram : latencies) {
             double[] ms = new double[101];
             for (int p = 0; p < ms.length; p++) {
-                ms[p] = h.getValueAtPercentile(p == 100 ? 99.9 : p) / 1000.0;
+                ms[p] = histogram.getValueAtPercentile(p == 100 ? 99.9 : p) / 1000.0;
             }
             percentiles.add(ms);
         }
@@ -221,20 +222,20 @@
         double window = worstWindow();
         double worstClass = worst(classes);
         double worstTenant = worst(tenants);
-        WorldPlan.Goal g = plan.goal();
-        WorldPlan.Prices p = plan.prices();
+        WorldPlan.Goal goal = plan.goal();
+        WorldPlan.Prices prices = plan.prices();
         double first = Math.max(1, firstTries);
-        double price = p.crossZone() * costs.crossings() / first
-                + p.handshake() * costs.handshakes() / first
-                + p.probe() * costs.probes() / first
-                + p.waste() * ratio0(costs.wastedWork(), costs.offeredWork())
-                + p.lateFail() * ratio0(lateLost, allAsked);
+        double price = prices.crossZone() * costs.crossings() / first
+                + prices.handshake() * costs.handshakes() / first
+                + prices.probe() * costs.probes() / first
+                + prices.waste() * ratio0(costs.wastedWork(), costs.offeredWork())
+                + prices.lateFail() * ratio0(lateLost, allAsked);
         f.put(
                 "G",
-                g.whole() * whole
-                        + g.worstWindow() * window
-                        + g.worstClass() * worstClass
-                        + g.worstTenant() * worstTenant
+                goal.whole() * whole
+                        + goal.worstWindow() * window
+                        + goal.worstClass() * worstClass
+                        + goal.worstTenant() * worstTenant
                         - price);
         f.put("rules.broken", (double) brokenRules);
         f.put("whole", whole);
--- a/simulator/src/main/java/loadbalancer/simulator/search/ExperimentWriter.java
+++ b/simulator/src/main/java/loadbalancer/simulator/search/ExperimentWriter.java
@@ -18,7 +18,7 @@
     }
 
     private String text(RandomSearch.Find find) {
-        WorldPlan p = find.plan();
+        WorldPlan plan = find.plan();
         out.append("# Found by a hunt: ").append(find.what()).append("\n");
         head("experiment");
         text("question", "Does it still show: " + find.what() + "?");
@@ -26,143 +26,143 @@
         head("[variant]");
         text("policy", find.variant().policy());
         head("world");
-        time("length", p.length());
-        number("balancers", p.balancers());
-        number("upstreams", p.upstreams());
+        time("length", plan.length());
+        number("balancers", plan.balancers());
+        number("upstreams", plan.upstreams());
         out.append("zones = [")
-                .append(p.zones().stream().map(z -> '"' + z + '"').collect(Collectors.joining(", ")))
+                .append(plan.zones().stream().map(z -> '"' + z + '"').collect(Collectors.joining(", ")))
                 .append("]\n");
         head("load");
-        number("level", p.load().level());
-        text("shape", p.load().shape().name().toLowerCase(Locale.ROOT));
-        number("swing", p.load().swing());
-        number("zone_skew", p.load().zoneSkew());
-        number("keys", p.load().keys());
-        number("key_zipf", p.load().keyZipf());
-        number("quota", p.load().quota());
+        number("level", plan.load().level());
+        text("shape", plan.load().shape().name().toLowerCase(Locale.ROOT));
+        number("swing", plan.load().swing());
+        number("zone_skew", plan.load().zoneSkew());
+        number("keys", plan.load().keys());
+        number("key_zipf", plan.load().keyZipf());
+        number("quota", plan.load().quota());
         head("network");
-        time("same", p.network().same());
-        time("cross", p.network().cross());
-        time("client", p.network().client());
-        number("jitter", p.network().jitter());
-        number("loss", Range.of(p.network().loss()));
+        time("same", plan.network().same());
+        time("cross", plan.network().cross());
+        time("client", plan.network().client());
+        number("jitter", plan.network().jitter());
+        number("loss", Range.of(plan.network().loss()));
         head("clients");
-        number("retries", p.clients().retries());
-        number("try_share", p.clients().attemptTimeoutFraction());
-        time("backoff", p.clients().backoff());
-        number("honour", p.clients().retryAfterCompliance());
-        number("impatient", p.clients().abandonFraction());
-        time("notice", p.clients().noticeDelay());
-        flag("marks_retry", p.clients().marksRetries());
+        number("retries", plan.clients().retries());
+        number("try_share", plan.clients().attemptTimeoutFraction());
+        time("backoff", plan.clients().backoff());
+        number("honour", plan.clients().retryAfterCompliance());
+        number("impatient", plan.clients().abandonFraction());
+        time("notice", plan.clients().noticeDelay());
+        flag("marks_retry", plan.clients().marksRetries());
         head("discovery");
-        text("mode", p.discovery().ask() ? "ask" : "push");
-        time("notice", p.discovery().noticeDelay());
-        time("silent_notice", p.discovery().silentFailureNotice());
-        time("add", p.discovery().registrationDelay());
-        time("period", p.discovery().period());
-        time("spread", p.discovery().spread());
-        number("capacity", p.discovery().capacity());
-        number("call_lines", p.discovery().entriesPerCall());
-        time("timeout", p.discovery().timeout());
-        rules(p.rules());
+        text("mode", plan.discovery().ask() ? "ask" : "push");
+        time("notice", plan.discovery().noticeDelay());
+        time("silent_notice", plan.discovery().silentFailureNotice());
+        time("add", plan.discovery().registrationDelay());
+        time("period", plan.discovery().period());
+        time("spread", plan.discovery().spread());
+        number("capacity", plan.discovery().capacity());
+        number("call_lines", plan.discovery().entriesPerCall());
+        time("timeout", plan.discovery().timeout());
+        rules(plan.rules());
         head("goal");
-        number("whole", Range.of(p.goal().whole()));
-        number("worst_window", Range.of(p.goal().worstWindow()));
-        number("worst_class", Range.of(p.goal().worstClass()));
-        number("worst_tenant", Range.of(p.goal().worstTenant()));
+        number("whole", Range.of(plan.goal().whole()));
+        number("worst_window", Range.of(plan.goal().worstWindow()));
+        number("worst_class", Range.of(plan.goal().worstClass()));
+        number("worst_tenant", Range.of(plan.goal().worstTenant()));
         head("prices");
-        number("cross_zone", Range.of(p.prices().crossZone()));
-        number("waste", Range.of(p.prices().waste()));
-        number("probe", Range.of(p.prices().probe()));
-        number("late_fail", Range.of(p.prices().lateFail()));
-        number("handshake", Range.of(p.prices().handshake()));
-        fleet(p.fleet());
-        p.kinds().forEach(this::kind);
-        p.classes().forEach(this::requests);
-        for (WorldPlan.Tenant t : p.tenants()) {
+        number("cross_zone", Range.of(plan.prices().crossZone()));
+        number("waste", Range.of(plan.prices().waste()));
+        number("probe", Range.of(plan.prices().probe()));
+        number("late_fail", Range.of(plan.prices().lateFail()));
+        number("handshake", Range.of(plan.prices().handshake()));
+        fleet(plan.fleet());
+        plan.kinds().forEach(this::kind);
+        plan.classes().forEach(this::requests);
+        for (WorldPlan.Tenant tenant : plan.tenants()) {
             head("[tenant]");
-            text("name", t.name());
-            number("share", Range.of(t.share()));
-            number("usage", t.usage());
+            text("name", tenant.name());
+            number("share", Range.of(tenant.share()));
+            number("usage", tenant.usage());
         }
-        p.faults().forEach(this::fault);
+        plan.faults().forEach(this::fault);
         return out.toString();
     }
 
-    private void rules(WorldPlan.Rules r) {
+    private void rules(WorldPlan.Rules rules) {
         head("rules");
-        time("answer_slack", r.responseSlackMicros());
-        time("drain_grace", r.drainGracePeriodMicros());
-        time("ask_within", r.pollIntervalMicros());
-        number("fall_multiple", Range.of(r.overloadFactor()));
-        time("fall", r.overloadWindowMicros());
-        number("max_attempts", Range.of(r.maxAttempts()));
-        flag("second_copies", r.hedgingAllowed());
-        flag("cancel", r.cancel());
-        flag("probes", r.probes());
-        time("max_retry_after", r.maxRetryAfterMicros());
+        time("answer_slack", rules.responseSlackMicros());
+        time("drain_grace", rules.drainGracePeriodMicros());
+        time("ask_within", rules.pollIntervalMicros());
+        number("fall_multiple", Range.of(rules.overloadFactor()));
+        time("fall", rules.overloadWindowMicros());
+        number("max_attempts", Range.of(rules.maxAttempts()));
+        flag("second_copies", rules.hedgingAllowed());
+        flag("cancel", rules.cancel());
+        flag("probes", rules.probes());
+        time("max_retry_after", rules.maxRetryAfterMicros());
     }
 
-    private void fleet(WorldPlan.Fleet f) {
+    private void fleet(WorldPlan.Fleet fleet) {
         head("fleet");
-        number("rack_size", f.rackSize());
-        number("limited_racks", f.limitedRacks());
-        number("rack_limit", f.rackLimit());
-        number("handshake_rtts", f.handshakeRtts());
-        time("handshake_work", f.handshakeWork());
-        time("idle", f.idleTimeoutMicros());
-        time("connect_timeout", f.connectTimeoutMicros());
-        number("connections_per_core", f.connectionsPerCore());
-        number("full_tax", f.connectionOverhead());
-        number("key_gain", f.keyAffinityGain());
-        time("key_memory", f.keyRetentionMicros());
-        number("keys_per_core", f.keysPerCore());
+        number("rack_size", fleet.rackSize());
+        number("limited_racks", fleet.limitedRacks());
+        number("rack_limit", fleet.rackLimit());
+        number("handshake_rtts", fleet.handshakeRtts());
+        time("handshake_work", fleet.handshakeWork());
+        time("idle", fleet.idleTimeoutMicros());
+        time("connect_timeout", fleet.connectTimeoutMicros());
+        number("connections_per_core", fleet.connectionsPerCore());
+        number("full_tax", fleet.connectionOverhead());
+        number("key_gain", fleet.keyAffinityGain());
+        time("key_memory", fleet.keyRetentionMicros());
+        number("keys_per_core", fleet.keysPerCore());
     }
 
-    private void kind(WorldPlan.Kind k) {
+    private void kind(WorldPlan.Kind kind) {
         head("[kind]");
-        text("name", k.name());
-        number("share", k.share());
-        number("cores", Range.of(k.cores()));
-        number("speed", k.speed());
-        number("speed_cv", k.speedVariation());
-        number("slots_per_core", k.slotsPerCore());
-        number("queue_per_core", k.queuePerCore());
-        number("thrash", Range.of(k.crowding()));
-        number("thrash_at", k.crowdingThreshold());
-        number("cold_from", k.slowStartInitialWeight());
-        time("cold", k.slowStartDurationMicros());
-        text("warm_by", k.warmBy().name().toLowerCase(Locale.ROOT));
-        number("errors", k.errors());
-        number("cancel_drops", Range.of(k.cancelDropProbability()));
-        text("pool", k.pool());
+        text("name", kind.name());
+        number("share", kind.share());
+        number("cores", Range.of(kind.cores()));
+        number("speed", kind.speed());
+        number("speed_cv", kind.speedVariation());
+        number("slots_per_core", kind.slotsPerCore());
+        number("queue_per_core", kind.queuePerCore());
+        number("thrash", Range.of(kind.crowding()));
+        number("thrash_at", kind.crowdingThreshold());
+        number("cold_from", kind.slowStartInitialWeight());
+        time("cold", kind.slowStartDurationMicros());
+        text("warm_by", kind.warmBy().name().toLowerCase(Locale.ROOT));
+        number("errors", kind.errors());
+        number("cancel_drops", Range.of(kind.cancelDropProbability()));
+        text("pool", kind.pool());
     }
 
-    private void requests(WorldPlan.RequestKind k) {
+    private void requests(WorldPlan.RequestKind kind) {
         head("[class]");
-        text("name", k.name());
-        number("share", k.share());
-        time("work", k.work());
-        text("dist", k.spread().name().toLowerCase(Locale.ROOT));
-        number("cv", k.variation());
-        number("attempt_noise", k.attemptNoise());
-        time("aim", k.latencyObjectiveMicros());
-        time("deadline", k.deadline());
-        number("worth", Range.of(k.priorityWeight()));
-        number("late_worth", Range.of(k.lateFraction()));
-        text("effect", ProtocolNames.of(k.effect()));
+        text("name", kind.name());
+        number("share", kind.share());
+        time("work", kind.work());
+        text("dist", kind.spread().name().toLowerCase(Locale.ROOT));
+        number("cv", kind.variation());
+        number("attempt_noise", kind.attemptNoise());
+        time("aim", kind.latencyObjectiveMicros());
+        time("deadline", kind.deadline());
+        number("worth", Range.of(kind.priorityWeight()));
+        number("late_worth", Range.of(kind.lateFraction()));
+        text("effect", ProtocolNames.of(kind.effect()));
     }
 
-    private void fault(WorldPlan.Fault t) {
+    private void fault(WorldPlan.Fault fault) {
         head("[trouble]");
-        text("kind", t.kind());
-        time("at", t.at());
-        time("length", t.length());
-        number("part", t.fraction());
-        number("size", t.size());
-        number("extra", t.extra());
-        if (t.pool() != null) {
-            text("of", t.pool());
+        text("kind", fault.kind());
+        time("at", fault.at());
+        time("length", fault.length());
+        number("part", fault.fraction());
+        number("size", fault.size());
+        number("extra", fault.extra());
+        if (fault.pool() != null) {
+            text("of", fault.pool());
         }
     }
 
@@ -181,10 +181,13 @@
         out.append(key).append(" = ").append(value).append('\n');
     }
 
-    private void number(String key, Range r) {
+    private void number(String key, Range range) {
         out.append(key)
                 .append(" = ")
-                .append(r.from() == r.to() ? plain(r.from()) : "[" + plain(r.from()) + ", " + plain(r.to()) + "]")
+                .append(
+                        range.from() == range.to()
+                                ? plain(range.from())
+                                : "[" + plain(range.from()) + ", " + plain(range.to()) + "]")
                 .append('\n');
     }
 
@@ -192,19 +195,19 @@
         time(key, Range.of(value));
     }
 
-    private void time(String key, Range r) {
+    private void time(String key, Range range) {
         out.append(key)
                 .append(" = ")
                 .append(
-                        r.from() == r.to()
-                                ? '"' + plain(r.from()) + "us\""
-                                : "[\"" + plain(r.from()) + "us\", \"" + plain(r.to()) + "us\"]")
+                        range.from() == range.to()
+                                ? '"' + plain(range.from()) + "us\""
+                                : "[\"" + plain(range.from()) + "us\", \"" + plain(range.to()) + "us\"]")
                 .append('\n');
     }
 
-    private static String plain(double v) {
-        return v == Math.rint(v) && Math.abs(v) < 1e15
-                ? Long.toString((long) v)
-                : new java.math.BigDecimal(Double.toString(v)).toPlainString();
+    private static String plain(double value) {
+        return value == Math.rint(value) && Math.abs(value) < 1e15
+                ? Long.toString((long) value)
+                : new java.math.BigDecimal(Double.toString(value)).toPlainString();
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/search/RandomSearch.java
+++ b/simulator/src/main/java/loadbalancer/simulator/search/RandomSearch.java
@@ -40,6 +40,12 @@
     private final Variant variant;
     private final PolicyFactory policyFactory;
 
+    /**
+     * Searches the ranges of an experiment, under its first variant.
+     *
+     * @param seed of the worlds and their faults
+     * @param threads worlds played at once
+     */
     public RandomSearch(Experiment experiment, long seed, int threads) {
         this.experiment = experiment;
         this.streams = new RandomStreams(seed);
@@ -65,9 +71,9 @@
                 }));
             }
             List<Find> finds = new ArrayList<>();
-            for (Future<Find> f : playing) {
-                if (f.get() != null) {
-                    finds.add(f.get());
+            for (Future<Find> future : playing) {
+                if (future.get() != null) {
+                    finds.add(future.get());
                 }
             }
             return finds;
@@ -101,35 +107,35 @@
         return experiment.plan().withLength(length).with(faults);
     }
 
-    private static double round(double v) {
-        return Math.rint(v * 1000) / 1000;
+    private static double round(double value) {
+        return Math.rint(value * 1000) / 1000;
     }
 
-    private static double part(String kind, double u) {
-        return kind.equals("deploy") || kind.startsWith("balancers") ? 0.3 + 0.65 * u : 0.05 + 0.25 * u;
+    private static double part(String kind, double draw) {
+        return kind.equals("deploy") || kind.startsWith("balancers") ? 0.3 + 0.65 * draw : 0.05 + 0.25 * draw;
     }
 
-    private static double size(String kind, double u) {
+    private static double size(String kind, double draw) {
         return switch (kind) {
-            case "slow" -> 2 + 8 * u;
-            case "shared_slow", "network_slow" -> 1.3 + 1.7 * u;
-            case "fast_errors", "grey" -> 0.3 + 0.7 * u;
-            case "hot_key" -> 0.03 + 0.22 * u;
-            case "deploy" -> 0.08 + 0.12 * u;
-            case "burst" -> 1.2 + 0.8 * u;
-            case "retry_storm" -> 1 + Math.floor(5 * u);
-            case "loss" -> 0.002 + 0.03 * u;
-            default -> u < 0.5 ? 0 : 1;
+            case "slow" -> 2 + 8 * draw;
+            case "shared_slow", "network_slow" -> 1.3 + 1.7 * draw;
+            case "fast_errors", "grey" -> 0.3 + 0.7 * draw;
+            case "hot_key" -> 0.03 + 0.22 * draw;
+            case "deploy" -> 0.08 + 0.12 * draw;
+            case "burst" -> 1.2 + 0.8 * draw;
+            case "retry_storm" -> 1 + Math.floor(5 * draw);
+            case "loss" -> 0.002 + 0.03 * draw;
+            default -> draw < 0.5 ? 0 : 1;
         };
     }
 
-    private static double extra(String kind, double u) {
+    private static double extra(String kind, double draw) {
         return switch (kind) {
-            case "deploy" -> 2 + 4 * u;
-            case "hot_key" -> 1 + Math.floor(3 * u);
-            case "grey" -> 1 + 3 * u;
-            case "clock_step" -> -5 + 10 * u;
-            default -> 0.2 + 2 * u;
+            case "deploy" -> 2 + 4 * draw;
+            case "hot_key" -> 1 + Math.floor(3 * draw);
+            case "grey" -> 1 + 3 * draw;
+            case "clock_step" -> -5 + 10 * draw;
+            default -> 0.2 + 2 * draw;
         };
     }
 
@@ -210,26 +216,26 @@
             all.add(plan.withLength(Math.round((end + CALM) / SECOND) * SECOND));
         }
         for (int i = 0; i < plan.faults().size(); i++) {
-            Fault t = plan.faults().get(i);
-            if (t.length().max() >= 2 * SECOND) {
+            Fault fault = plan.faults().get(i);
+            if (fault.length().max() >= 2 * SECOND) {
                 List<Fault> shorter = new ArrayList<>(plan.faults());
                 shorter.set(
                         i,
                         new Fault(
-                                t.kind(),
-                                t.at(),
-                                Range.of(Math.rint(t.length().max() / 2)),
-                                t.fraction(),
-                                t.size(),
-                                t.extra(),
-                                t.pool()));
+                                fault.kind(),
+                                fault.at(),
+                                Range.of(Math.rint(fault.length().max() / 2)),
+                                fault.fraction(),
+                                fault.size(),
+                                fault.extra(),
+                                fault.pool()));
                 all.add(plan.with(shorter));
             }
         }
         return all;
     }
 
-    private static Range half(Range r, int least) {
-        return Range.of(Math.max(least, Math.floor(r.max() / 2)));
+    private static Range half(Range range, int least) {
+        return Range.of(Math.max(least, Math.floor(range.max() / 2)));
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/DemoPage.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/DemoPage.java
@@ -27,14 +27,15 @@
     /** Requests that must not run twice and did, or were served and never ran; a line each. */
     public List<String> violations() {
         List<String> violations = new ArrayList<>();
-        for (Load.Outcome o : load.outcomes()) {
-            int ran =
-                    o.ids().stream().mapToInt(id -> ledger.getOrDefault(id, 0)).sum();
-            if (plan.classes().get(o.kind()).effect() == Idempotency.NON_IDEMPOTENT && ran > 1) {
-                violations.add(o.ids() + " ran " + ran + " times");
+        for (Load.Outcome outcome : load.outcomes()) {
+            int ran = outcome.ids().stream()
+                    .mapToInt(id -> ledger.getOrDefault(id, 0))
+                    .sum();
+            if (plan.classes().get(outcome.kind()).effect() == Idempotency.NON_IDEMPOTENT && ran > 1) {
+                violations.add(outcome.ids() + " ran " + ran + " times");
             }
-            if (o.served() && ran == 0) {
-                violations.add(o.ids() + " was served and never ran");
+            if (outcome.served() && ran == 0) {
+                violations.add(outcome.ids() + " was served and never ran");
             }
         }
         return violations;
@@ -47,24 +48,24 @@
                 "%-14s %9s %9s %9s %9s %9s %9s", "class", "asked", "in aim", "served", "p50 ms", "p99 ms", "p99.9 ms"));
         for (int i = 0; i < plan.classes().size(); i++) {
             int kind = i;
-            WorldPlan.RequestKind k = plan.classes().get(i);
+            WorldPlan.RequestKind requestKind = plan.classes().get(i);
             List<Load.Outcome> own =
                     load.outcomes().stream().filter(o -> o.kind() == kind).toList();
             long served = own.stream().filter(Load.Outcome::served).count();
             long inAim = own.stream()
-                    .filter(o -> o.served() && o.micros() <= k.latencyObjectiveMicros())
+                    .filter(o -> o.served() && o.micros() <= requestKind.latencyObjectiveMicros())
                     .count();
-            Histogram h = load.latencies(i);
+            Histogram histogram = load.latencies(i);
             lines.add(String.format(
                     Locale.ROOT,
                     "%-14s %9d %9.4f %9.4f %9.1f %9.1f %9.1f",
-                    k.name(),
+                    requestKind.name(),
                     own.size(),
                     inAim / (double) Math.max(1, own.size()),
                     served / (double) Math.max(1, own.size()),
-                    h.getValueAtPercentile(50) / 1e3,
-                    h.getValueAtPercentile(99) / 1e3,
-                    h.getValueAtPercentile(99.9) / 1e3));
+                    histogram.getValueAtPercentile(50) / 1e3,
+                    histogram.getValueAtPercentile(99) / 1e3,
+                    histogram.getValueAtPercentile(99.9) / 1e3));
         }
         lines.add("last status of each request (0: none in time): " + load.statuses());
         List<String> violations = violations();
@@ -78,11 +79,13 @@
         int seconds = (int) Math.max(1, plan.length() / 1_000_000);
         double[] asked = new double[seconds];
         double[] good = new double[seconds];
-        for (Load.Outcome o : load.outcomes()) {
-            int s = (int) Math.min(seconds - 1, o.second());
-            double priorityWeight = plan.classes().get(o.kind()).priorityWeight();
+        for (Load.Outcome outcome : load.outcomes()) {
+            int s = (int) Math.min(seconds - 1, outcome.second());
+            double priorityWeight = plan.classes().get(outcome.kind()).priorityWeight();
             asked[s] += priorityWeight;
-            good[s] += o.served() && o.micros() <= plan.classes().get(o.kind()).latencyObjectiveMicros()
+            good[s] += outcome.served()
+                            && outcome.micros()
+                                    <= plan.classes().get(outcome.kind()).latencyObjectiveMicros()
                     ? priorityWeight
                     : 0;
         }
@@ -92,16 +95,16 @@
             line.append(String.format(Locale.ROOT, "%.1f,%.1f ", WIDTH * (i + 0.5) / seconds, y));
         }
         StringBuilder shades = new StringBuilder();
-        for (WorldPlan.Fault t : plan.faults()) {
-            double from = t.at().midpoint() / plan.length() * WIDTH;
-            double wide = Math.max(2, t.length().midpoint() / plan.length() * WIDTH);
+        for (WorldPlan.Fault fault : plan.faults()) {
+            double from = fault.at().midpoint() / plan.length() * WIDTH;
+            double wide = Math.max(2, fault.length().midpoint() / plan.length() * WIDTH);
             shades.append(String.format(
                     Locale.ROOT,
                     "<rect x=%.1f y=0 width=%.1f height=%d fill='#fdd'>" + "<title>%s</title></rect>",
                     from,
                     wide,
                     HEIGHT,
-                    t.kind()));
+                    fault.kind()));
         }
         return "<!doctype html><meta charset=utf-8><title>Demo</title><style>body{font:15px sans-serif;margin:2em}"
                 + "pre{font-size:14px}svg{border:1px solid #ccc}</style><h1>A day on sockets</h1><p>" + question
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/Exchange.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/Exchange.java
@@ -22,25 +22,25 @@
     /** Sends a request as it stands, and reads until the answer is whole, the connection ends or time is over. */
     public static Exchange of(InetSocketAddress to, String request, int waitMillis) {
         long began = System.nanoTime();
-        try (Socket s = new Socket()) {
-            s.connect(to, waitMillis);
-            s.setTcpNoDelay(true);
-            s.setSoTimeout(waitMillis);
+        try (Socket socket = new Socket()) {
+            socket.connect(to, waitMillis);
+            socket.setTcpNoDelay(true);
+            socket.setSoTimeout(waitMillis);
             try {
-                s.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
+                socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
             } catch (IOException e) {
-                return read(s, began, "reset"); // what was said before is still worth reading
+                return read(socket, began, "reset"); // what was said before is still worth reading
             }
-            return read(s, began, "closed");
+            return read(socket, began, "closed");
         } catch (IOException e) {
             return new Exchange(0, "unreachable", 0, since(began));
         }
     }
 
-    private static Exchange read(Socket s, long began, String otherwise) {
+    private static Exchange read(Socket socket, long began, String otherwise) {
         boolean some = false;
         try {
-            InputStream in = new BufferedInputStream(s.getInputStream());
+            InputStream in = new BufferedInputStream(socket.getInputStream());
             in.mark(1);
             if (in.read() < 0) {
                 return new Exchange(0, otherwise, 0, since(began));
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/FaultInjectionServer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/FaultInjectionServer.java
@@ -124,8 +124,8 @@
     /** Bytes that a connection has passed on in a direction; 0 for one that there wasn't. */
     public long bytes(int connection, boolean up) {
         return loop.submit(() -> {
-                    Pair p = pairs.get(connection);
-                    return p == null ? 0L : up ? p.up.lane.bytes() : p.down.lane.bytes();
+                    Pair pair = pairs.get(connection);
+                    return pair == null ? 0L : up ? pair.up.lane.bytes() : pair.down.lane.bytes();
                 })
                 .syncUninterruptibly()
                 .getNow();
@@ -134,10 +134,10 @@
     /** Whether a fault has struck that connection. */
     public boolean struck(int connection) {
         return loop.submit(() -> {
-                    Pair p = pairs.get(connection);
-                    return p != null
-                            && !(p.up.lane.trace().isEmpty()
-                                    && p.down.lane.trace().isEmpty());
+                    Pair pair = pairs.get(connection);
+                    return pair != null
+                            && !(pair.up.lane.trace().isEmpty()
+                                    && pair.down.lane.trace().isEmpty());
                 })
                 .syncUninterruptibly()
                 .getNow();
@@ -159,14 +159,14 @@
 
     private void opened(Channel client) {
         int number = ++accepted;
-        for (StreamFault f : script) {
-            if (f.concerns(number) && f.what() == FaultType.REFUSE) {
+        for (StreamFault fault : script) {
+            if (fault.concerns(number) && fault.what() == FaultType.REFUSE) {
                 refused.add(number + " refuse");
                 client.config().setOption(ChannelOption.SO_LINGER, 0);
                 client.close();
                 return;
             }
-            if (f.concerns(number) && f.what() == FaultType.MUTE) {
+            if (fault.concerns(number) && fault.what() == FaultType.MUTE) {
                 refused.add(number + " mute"); // accepted, never read, never answered
                 return;
             }
@@ -258,11 +258,11 @@
             }
 
             void came(byte[] bytes) {
-                for (FaultedStream.Step s : lane.take(bytes)) {
-                    if (s instanceof FaultedStream.Pass p) {
+                for (FaultedStream.Step step : lane.take(bytes)) {
+                    if (step instanceof FaultedStream.Pass p) {
                         pass(p.bytes());
                     } else {
-                        FaultType what = ((FaultedStream.Do) s).what();
+                        FaultType what = ((FaultedStream.Do) step).what();
                         later(0, () -> strike(what));
                     }
                 }
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/KillMatrix.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/KillMatrix.java
@@ -41,6 +41,21 @@
 
     private static final List<FaultType> FAULTS =
             List.of(FaultType.CUT, FaultType.HALF_CLOSE, FaultType.RESET, FaultType.SILENCE);
+    private static final List<String> HEADER = List.of(
+            "class",
+            "side",
+            "fault",
+            "cases",
+            "struck",
+            "ran 0",
+            "ran 1",
+            "ran 2+",
+            "200",
+            "502",
+            "503",
+            "no answer",
+            "slowest ms",
+            "wrong");
     private static final int IDS = 8;
     private static final int DEADLINE_MS = 400;
     private static final int SLACK_MS = 20;
@@ -63,6 +78,7 @@
     /** Whom it tells how far it has come; called on the workers' threads. */
     @FunctionalInterface
     public interface Progress {
+        /** The case of number {@code done} of {@code all} has been played. */
         void played(int done, int all);
     }
 
@@ -78,16 +94,16 @@
             AtomicInteger next = new AtomicInteger();
             Played[] played = new Played[cases.size()];
             List<Future<?>> running = new ArrayList<>();
-            for (Worker w : all) {
+            for (Worker worker : all) {
                 running.add(threads.submit(() -> {
                     for (int i = next.getAndIncrement(); i < played.length; i = next.getAndIncrement()) {
-                        played[i] = w.play(cases.get(i));
+                        played[i] = worker.play(cases.get(i));
                         progress.played(i + 1, played.length);
                     }
                 }));
             }
-            for (Future<?> f : running) {
-                f.get();
+            for (Future<?> future : running) {
+                future.get();
             }
             TimeUnit.MILLISECONDS.sleep(SETTLE_MS); // what is still on its way runs now, or never
             List<Result> results = new ArrayList<>();
@@ -108,18 +124,18 @@
     }
 
     // Each by itself: one that can't be closed must not leave the balancers of all others running.
-    private static void end(Worker w) {
+    private static void end(Worker worker) {
         try {
-            w.close();
+            worker.close();
         } catch (IOException | RuntimeException e) {
             System.err.println("a worker didn't end in order: " + e);
         }
     }
 
-    private List<Case> cases(Worker w) {
+    private List<Case> cases(Worker worker) {
         List<Case> cases = new ArrayList<>();
         for (String kind : List.of("seat-lookup", "book-seat")) {
-            Map<Side, Long> lengths = w.lengths(kind);
+            Map<Side, Long> lengths = worker.lengths(kind);
             for (Side side : Side.values()) {
                 for (FaultType what : FAULTS) {
                     // The rest of the sample's step is spread over the faults: together they see more offsets.
@@ -192,25 +208,25 @@
         }
 
         Map<Side, Long> lengths(String kind) {
-            int f = front.connections() + 1;
+            int frontConnection = front.connections() + 1;
             int b = before.connections() + 1;
-            Exchange x = Exchange.of(entry, request(kind, id()), PATIENCE_MS);
-            if (x.status() != 200) {
-                throw new IllegalStateException("a clean request got " + x + "; " + balancer.log());
+            Exchange exchange = Exchange.of(entry, request(kind, id()), PATIENCE_MS);
+            if (exchange.status() != 200) {
+                throw new IllegalStateException("a clean request got " + exchange + "; " + balancer.log());
             }
             return Map.of(
                     Side.CLIENT_UP,
-                    front.bytes(f, true),
+                    front.bytes(frontConnection, true),
                     Side.CLIENT_DOWN,
-                    front.bytes(f, false),
+                    front.bytes(frontConnection, false),
                     Side.UPSTREAM_UP,
                     before.bytes(b, true),
                     Side.UPSTREAM_DOWN,
                     before.bytes(b, false));
         }
 
-        Played play(Case c) {
-            FaultInjectionServer server = server(c.side);
+        Played play(Case testCase) {
+            FaultInjectionServer server = server(testCase.side);
             Exchange seen = null;
             String id = null;
             boolean struck = false;
@@ -223,22 +239,22 @@
                 server.script(List.of(new StreamFault(
                         number,
                         number,
-                        up(c.side),
-                        c.what,
+                        up(testCase.side),
+                        testCase.what,
                         1,
-                        c.offset < 0 ? Point.END : null,
-                        Math.max(0, c.offset),
+                        testCase.offset < 0 ? Point.END : null,
+                        Math.max(0, testCase.offset),
                         0,
                         0)));
                 id = id();
-                seen = Exchange.of(entry, request(c.kind, id), PATIENCE_MS);
+                seen = Exchange.of(entry, request(testCase.kind, id), PATIENCE_MS);
                 struck = server.struck(number);
                 server.script(List.of());
                 for (int k = 0; k < CALM; k++) {
                     calm();
                 }
             }
-            return new Played(c, struck, id, seen, this);
+            return new Played(testCase, struck, id, seen, this);
         }
 
         @Override
@@ -252,9 +268,9 @@
     }
 
     /** Which rule a result breaks, in words; null where none. */
-    static String wrong(Case c, int ran, Exchange seen) {
-        boolean book = c.kind.equals("book-seat");
-        boolean upstream = c.side == Side.UPSTREAM_UP || c.side == Side.UPSTREAM_DOWN;
+    static String wrong(Case testCase, int ran, Exchange seen) {
+        boolean book = testCase.kind.equals("book-seat");
+        boolean upstream = testCase.side == Side.UPSTREAM_UP || testCase.side == Side.UPSTREAM_DOWN;
         if (book && ran > 1) {
             return "ran " + ran + " times";
         }
@@ -276,27 +292,14 @@
     /** What each class, side and fault came to, a line each: cases, how often they ran, what the clients got. */
     public static List<String[]> table(List<Result> results) {
         Map<String, List<Result>> groups = new LinkedHashMap<>();
-        for (Result r : results) {
-            groups.computeIfAbsent(r.of.kind + "\n" + word(r.of.side) + "\n" + word(r.of.what), k -> new ArrayList<>())
-                    .add(r);
+        for (Result result : results) {
+            groups.computeIfAbsent(
+                            result.of.kind + "\n" + word(result.of.side) + "\n" + word(result.of.what),
+                            k -> new ArrayList<>())
+                    .add(result);
         }
         List<String[]> rows = new ArrayList<>();
-        rows.add(new String[] {
-            "class",
-            "side",
-            "fault",
-            "cases",
-            "struck",
-            "ran 0",
-            "ran 1",
-            "ran 2+",
-            "200",
-            "502",
-            "503",
-            "no answer",
-            "slowest ms",
-            "wrong"
-        });
+        rows.add(HEADER.toArray(String[]::new));
         groups.forEach((name, of) -> {
             String[] key = name.split("\n");
             rows.add(new String[] {
@@ -328,7 +331,7 @@
         return Long.toString(of.stream().filter(which).count());
     }
 
-    static String word(Enum<?> e) {
-        return e.name().toLowerCase(Locale.ROOT).replace('_', '-');
+    static String word(Enum<?> constant) {
+        return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/LiveSite.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/LiveSite.java
@@ -81,8 +81,8 @@
             }
             register = (InetSocketAddress) server().childHandler(new ChannelInitializer<Channel>() {
                         @Override
-                        protected void initChannel(Channel c) {
-                            c.pipeline()
+                        protected void initChannel(Channel channel) {
+                            channel.pipeline()
                                     .addLast(new HttpServerCodec(), new HttpObjectAggregator(BODY_MOST), new Listing());
                         }
                     })
@@ -109,8 +109,8 @@
     private Channel port(int address) throws InterruptedException {
         return server().childHandler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel c) {
-                        c.pipeline()
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline()
                                 .addLast(
                                         new HttpServerCodec(),
                                         new HttpObjectAggregator(BODY_MOST),
@@ -156,8 +156,8 @@
                 int address = ports.size();
                 ports.add(server().childHandler(new ChannelInitializer<Channel>() {
                             @Override
-                            protected void initChannel(Channel c) {
-                                c.pipeline()
+                            protected void initChannel(Channel channel) {
+                                channel.pipeline()
                                         .addLast(
                                                 new HttpServerCodec(),
                                                 new HttpObjectAggregator(BODY_MOST),
@@ -178,9 +178,9 @@
         }
     }
 
-    private static void reset(Channel c) {
-        c.config().setOption(ChannelOption.SO_LINGER, 0);
-        c.close();
+    private static void reset(Channel channel) {
+        channel.config().setOption(ChannelOption.SO_LINGER, 0);
+        channel.close();
     }
 
     // ---- upstreams
@@ -260,13 +260,13 @@
     }
 
     private void answer(Channel to, HttpResponseStatus status, String body, boolean declined) {
-        DefaultFullHttpResponse r = new DefaultFullHttpResponse(
+        DefaultFullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.US_ASCII));
-        HttpUtil.setContentLength(r, body.length());
+        HttpUtil.setContentLength(response, body.length());
         if (declined) {
-            r.headers().set("Srv-Declined", "1");
+            response.headers().set("Srv-Declined", "1");
         }
-        to.writeAndFlush(r);
+        to.writeAndFlush(response);
     }
 
     // ---- the register
@@ -303,35 +303,37 @@
         watchers.forEach(w -> line(w, text));
     }
 
-    private int portOf(Endpoint s) {
-        Integer address = fleet.addressOf(s.id());
+    private int portOf(Endpoint endpoint) {
+        Integer address = fleet.addressOf(endpoint.id());
         return address == null ? 0 : address;
     }
 
     private Map<String, Object> list(Iterable<Endpoint> servers, boolean all) {
         List<Map<String, Object>> entries = new ArrayList<>();
-        for (Endpoint s : servers) {
+        for (Endpoint endpoint : servers) {
             Map<String, Object> e = new LinkedHashMap<>();
-            e.put("uid", s.id());
+            e.put("uid", endpoint.id());
             e.put(
                     "endpoint",
-                    "127.0.0.1:" + ((InetSocketAddress) ports.get(portOf(s)).localAddress()).getPort());
+                    "127.0.0.1:"
+                            + ((InetSocketAddress) ports.get(portOf(endpoint)).localAddress()).getPort());
             e.put(
                     "state",
-                    switch (s.state()) {
+                    switch (endpoint.state()) {
                         case UP -> "in_service";
                         case DRAINING -> "terminating";
                         default -> "terminated";
                     });
             e.put(
                     "boot_ms",
-                    s.startedAt() <= 0
+                    endpoint.startedAt() <= 0
                             ? 0
-                            : (unixBegan + s.startedAt() - loadbalancer.simulator.world.World.dayStart()) / 1000.0);
-            e.put("capacity_hint", s.weight());
-            e.put("pod_group", s.cell());
-            e.put("az", plan.zones().get(s.zone()));
-            e.put("model", plan.kinds().get(s.kind()).name());
+                            : (unixBegan + endpoint.startedAt() - loadbalancer.simulator.world.World.dayStart())
+                                    / 1000.0);
+            e.put("capacity_hint", endpoint.weight());
+            e.put("pod_group", endpoint.cell());
+            e.put("az", plan.zones().get(endpoint.zone()));
+            e.put("model", plan.kinds().get(endpoint.kind()).name());
             entries.add(e);
         }
         Map<String, Object> out = new LinkedHashMap<>();
@@ -357,9 +359,9 @@
     private final class Listing extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-            Channel c = context.channel();
+            Channel channel = context.channel();
             if (!fleet.discoveryAvailable()) {
-                c.close();
+                channel.close();
                 return;
             }
             if (!request.uri().contains("watch=1")) {
@@ -368,17 +370,17 @@
                         HttpResponseStatus.OK,
                         Unpooled.copiedBuffer(text(list(told.values(), true)), StandardCharsets.UTF_8));
                 HttpUtil.setContentLength(whole, whole.content().readableBytes());
-                c.writeAndFlush(whole);
+                channel.writeAndFlush(whole);
                 return;
             }
             DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             head.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
             HttpUtil.setTransferEncodingChunked(head, true);
-            c.writeAndFlush(head);
+            channel.writeAndFlush(head);
             // Whoever watches gets the whole list first: it may come from a register that counted otherwise.
-            line(c, text(list(told.values(), true)));
-            watchers.add(c);
-            c.closeFuture().addListener(closed -> watchers.remove(c));
+            line(channel, text(list(told.values(), true)));
+            watchers.add(channel);
+            channel.closeFuture().addListener(closed -> watchers.remove(channel));
         }
 
         @Override
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/Load.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/Load.java
@@ -130,27 +130,27 @@
         send(new Want(kind, key, intended, intended + kinds.get(kind).deadline(), random.below(plan.balancers.size())));
     }
 
-    private void send(Want w) {
-        long left = w.deadline - now();
+    private void send(Want pending) {
+        long left = pending.deadline - now();
         if (left < 1_000) {
-            done(w, 0);
+            done(pending, 0);
             return;
         }
-        w.ids.add("L" + ++number);
-        for (Channel c = idle.get(w.balancer).pollLast();
-                c != null;
-                c = idle.get(w.balancer).pollLast()) {
-            if (c.isActive()) {
-                c.pipeline().get(Talk.class).ask(w);
+        pending.ids.add("L" + ++number);
+        for (Channel channel = idle.get(pending.balancer).pollLast();
+                channel != null;
+                channel = idle.get(pending.balancer).pollLast()) {
+            if (channel.isActive()) {
+                channel.pipeline().get(Talk.class).ask(pending);
                 return;
             }
         }
         if (connections >= CONNECTIONS_MOST) {
-            done(w, 0);
+            done(pending, 0);
             return;
         }
         connections++;
-        Talk talk = new Talk(w);
+        Talk talk = new Talk(pending);
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
@@ -158,41 +158,43 @@
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1_000)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel c) {
-                        c.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(BODY_MOST), talk);
-                        c.closeFuture().addListener(closed -> connections--);
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(BODY_MOST), talk);
+                        channel.closeFuture().addListener(closed -> connections--);
                     }
                 })
-                .connect(plan.balancers.get(w.balancer))
+                .connect(plan.balancers.get(pending.balancer))
                 .addListener(connected -> {
                     if (!connected.isSuccess()) {
                         talk.want = null;
-                        again(w, -1);
+                        again(pending, -1);
                     }
                 });
     }
 
     // A refusal and a connection that never came up are harmless; anything else only for what may be repeated.
-    private void again(Want w, int status) {
-        boolean harmless = status == 503 || status == -1 || kinds.get(w.kind).effect() == Idempotency.IDEMPOTENT;
-        if (harmless && w.ids.size() < plan.tries) {
-            w.balancer = (w.balancer + 1) % plan.balancers.size();
-            long wait = Math.round(random.exponential(20_000.0 * w.ids.size()));
-            loop.schedule(() -> send(w), wait, TimeUnit.MICROSECONDS);
+    private void again(Want pending, int status) {
+        boolean harmless =
+                status == 503 || status == -1 || kinds.get(pending.kind).effect() == Idempotency.IDEMPOTENT;
+        if (harmless && pending.ids.size() < plan.tries) {
+            pending.balancer = (pending.balancer + 1) % plan.balancers.size();
+            long wait = Math.round(random.exponential(20_000.0 * pending.ids.size()));
+            loop.schedule(() -> send(pending), wait, TimeUnit.MICROSECONDS);
         } else {
-            done(w, Math.max(0, status));
+            done(pending, Math.max(0, status));
         }
     }
 
-    private void done(Want w, int status) {
+    private void done(Want pending, int status) {
         open--;
-        long micros = now() - w.intended;
+        long micros = now() - pending.intended;
         boolean served = status == 200;
         statuses.merge(status, 1L, Long::sum);
         if (served) {
-            latencies[w.kind].recordValue(Math.max(1, Math.min(LONGEST, micros)));
+            latencies[pending.kind].recordValue(Math.max(1, Math.min(LONGEST, micros)));
         }
-        outcomes.add(new Outcome(w.kind, w.intended / 1_000_000, served, micros, status, List.copyOf(w.ids)));
+        outcomes.add(new Outcome(
+                pending.kind, pending.intended / 1_000_000, served, micros, status, List.copyOf(pending.ids)));
     }
 
     private final class Talk extends SimpleChannelInboundHandler<FullHttpResponse> {
@@ -211,51 +213,52 @@
             }
         }
 
-        void ask(Want w) {
-            want = w;
-            WorldPlan.RequestKind kind = kinds.get(w.kind);
+        void ask(Want pending) {
+            want = pending;
+            WorldPlan.RequestKind kind = kinds.get(pending.kind);
             boolean safe = kind.effect() == Idempotency.IDEMPOTENT;
-            byte[] body = safe ? new byte[0] : ("{\"seat\":\"" + w.key + "\"}").getBytes(StandardCharsets.US_ASCII);
-            DefaultFullHttpRequest r = new DefaultFullHttpRequest(
+            byte[] body =
+                    safe ? new byte[0] : ("{\"seat\":\"" + pending.key + "\"}").getBytes(StandardCharsets.US_ASCII);
+            DefaultFullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
                     safe ? HttpMethod.GET : HttpMethod.POST,
-                    "/api/" + w.key,
+                    "/api/" + pending.key,
                     Unpooled.wrappedBuffer(body));
-            r.headers()
+            request.headers()
                     .set(HttpHeaderNames.HOST, "lab")
-                    .set("Req-Id", w.ids.get(w.ids.size() - 1))
+                    .set("Req-Id", pending.ids.get(pending.ids.size() - 1))
                     .set("Req-Kind", kind.name())
-                    .set("Req-Deadline-Ms", Math.max(1, (w.deadline - now()) / 1000));
+                    .set("Req-Deadline-Ms", Math.max(1, (pending.deadline - now()) / 1000));
             if (!safe) {
-                HttpUtil.setContentLength(r, body.length);
+                HttpUtil.setContentLength(request, body.length);
             }
-            channel.writeAndFlush(r);
+            channel.writeAndFlush(request);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse answer) {
-            Want w = want;
+            Want pending = want;
             want = null;
             if (HttpUtil.isKeepAlive(answer)) {
-                if (w != null) {
-                    idle.get(w.balancer).addLast(channel);
+                if (pending != null) {
+                    idle.get(pending.balancer).addLast(channel);
                 }
             } else {
                 context.close();
             }
-            if (w != null && answer.status().code() == 200) {
-                done(w, 200);
-            } else if (w != null) {
-                again(w, answer.status().code());
+            if (pending != null && answer.status().code() == 200) {
+                done(pending, 200);
+            } else if (pending != null) {
+                again(pending, answer.status().code());
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            Want w = want;
+            Want pending = want;
             want = null;
-            if (w != null) {
-                again(w, 0);
+            if (pending != null) {
+                again(pending, 0);
             }
         }
 
