--- a/simulator/src/main/java/loadbalancer/simulator/sockets/MatrixPage.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/MatrixPage.java
@@ -41,36 +41,37 @@
                 + " Hover for the case."
                 + "</p>");
         Map<String, List<KillMatrix.Result>> strips = new LinkedHashMap<>();
-        for (KillMatrix.Result r : results) {
+        for (KillMatrix.Result result : results) {
             strips.computeIfAbsent(
-                            r.of().kind() + ", " + KillMatrix.word(r.of().side()) + ", "
-                                    + KillMatrix.word(r.of().what()),
+                            result.of().kind() + ", "
+                                    + KillMatrix.word(result.of().side()) + ", "
+                                    + KillMatrix.word(result.of().what()),
                             k -> new ArrayList<>())
-                    .add(r);
+                    .add(result);
         }
         strips.forEach((name, cells) -> {
             out.append("<div>").append(name).append("</div><div class=s>");
-            for (KillMatrix.Result r : cells) {
+            for (KillMatrix.Result result : cells) {
                 out.append("<i class=")
                         .append(
-                                r.wrong() != null
+                                result.wrong() != null
                                         ? "w"
-                                        : switch (r.client().status()) {
+                                        : switch (result.client().status()) {
                                             case 200 -> "a";
                                             case 502 -> "b";
                                             case 503 -> "d";
                                             default -> "c";
                                         })
                         .append(" title=\"byte ")
-                        .append(r.of().offset() < 0 ? "end" : r.of().offset())
+                        .append(result.of().offset() < 0 ? "end" : result.of().offset())
                         .append(": ran ")
-                        .append(r.ran())
+                        .append(result.ran())
                         .append(", ")
-                        .append(r.client().status())
+                        .append(result.client().status())
                         .append(' ')
-                        .append(r.client().end())
+                        .append(result.client().end())
                         .append(", ")
-                        .append(r.client().micros() / 1000)
+                        .append(result.client().micros() / 1000)
                         .append(" ms\"></i>");
             }
             out.append("</div>\n");
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/SiteSettings.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/SiteSettings.java
@@ -22,38 +22,38 @@
         settings.put("Locality", rank % plan.zones().size());
         settings.put("Kinds", plan.kinds().stream().map(WorldPlan.Kind::name).toList());
         List<Map<String, Object>> classes = new ArrayList<>();
-        for (WorldPlan.RequestKind k : plan.classes()) {
+        for (WorldPlan.RequestKind kind : plan.classes()) {
             classes.add(Map.of(
                     "Name",
-                    k.name(),
+                    kind.name(),
                     "Idempotency",
-                    ProtocolNames.of(k.effect()),
+                    ProtocolNames.of(kind.effect()),
                     "GoalTime",
-                    k.latencyObjectiveMicros(),
+                    kind.latencyObjectiveMicros(),
                     "GiveUp",
-                    k.deadline(),
+                    kind.deadline(),
                     "Gain",
-                    k.priorityWeight(),
+                    kind.priorityWeight(),
                     "KeyTtl",
                     5_000_000));
         }
         settings.put("Classes", classes);
-        WorldPlan.Rules r = plan.rules();
+        WorldPlan.Rules rules = plan.rules();
         settings.put(
                 "Limits",
                 Map.of(
                         "TryLimit",
-                        r.maxAttempts(),
+                        rules.maxAttempts(),
                         "MayDuplicate",
-                        r.hedgingAllowed(),
+                        rules.hedgingAllowed(),
                         "Cancel",
-                        r.cancel(),
+                        rules.cancel(),
                         "Probes",
-                        r.probes(),
+                        rules.probes(),
                         "DialTimeout",
                         plan.fleet().connectTimeoutMicros(),
                         "MaxRetryAfter",
-                        r.maxRetryAfterMicros(),
+                        rules.maxRetryAfterMicros(),
                         "IdleClose",
                         plan.fleet().idleTimeoutMicros()));
         double slowStartInitialWeight = plan.kinds().stream()
@@ -68,19 +68,19 @@
                 "Rules",
                 Map.of(
                         "AnswerSlack",
-                        r.responseSlackMicros(),
+                        rules.responseSlackMicros(),
                         "DrainGrace",
-                        r.drainGracePeriodMicros(),
+                        rules.drainGracePeriodMicros(),
                         "AskWithin",
-                        r.pollIntervalMicros(),
+                        rules.pollIntervalMicros(),
                         "ColdFrom",
                         Math.max(0.01, Math.min(1, slowStartInitialWeight)),
                         "RampTime",
                         Math.round(ramp),
                         "OverloadFactor",
-                        r.overloadFactor(),
+                        rules.overloadFactor(),
                         "Fall",
-                        r.overloadWindowMicros()));
+                        rules.overloadWindowMicros()));
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("name", "demo-" + rank);
         all.put("listen", "127.0.0.1:0");
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/StandInEndpoint.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/StandInEndpoint.java
@@ -33,9 +33,9 @@
         listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         daemon(() -> {
             while (!listener.isClosed()) {
-                Socket s = listener.accept();
-                open.add(s);
-                daemon(() -> serve(s));
+                Socket socket = listener.accept();
+                open.add(socket);
+                daemon(() -> serve(socket));
             }
         });
     }
@@ -45,7 +45,7 @@
     }
 
     private static void daemon(Work work) {
-        Thread t = new Thread(
+        Thread thread = new Thread(
                 () -> {
                     try {
                         work.run();
@@ -54,13 +54,13 @@
                     }
                 },
                 "box");
-        t.setDaemon(true);
-        t.start();
+        thread.setDaemon(true);
+        thread.start();
     }
 
-    private void serve(Socket s) throws IOException {
-        try (s) {
-            InputStream in = new BufferedInputStream(s.getInputStream());
+    private void serve(Socket socket) throws IOException {
+        try (socket) {
+            InputStream in = new BufferedInputStream(socket.getInputStream());
             String head = head(in);
             if (head == null) {
                 return;
@@ -71,11 +71,11 @@
                 return; // broken off: it never runs
             }
             ran.merge(String.valueOf(header(head, "req-id")), 1, Integer::sum);
-            s.getOutputStream().write(answers.apply(head));
-            s.shutdownOutput();
+            socket.getOutputStream().write(answers.apply(head));
+            socket.shutdownOutput();
             in.readAllBytes(); // closed with bytes unread it would be a reset
         } finally {
-            open.remove(s);
+            open.remove(socket);
         }
     }
 
@@ -119,8 +119,8 @@
     @Override
     public void close() throws IOException {
         listener.close();
-        for (Socket s : open) {
-            s.close();
+        for (Socket socket : open) {
+            socket.close();
         }
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/variants/MeteredPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/MeteredPolicy.java
@@ -41,6 +41,12 @@
     private final Meter meter;
     private final LongSupplier clock;
 
+    /**
+     * Measures a policy.
+     *
+     * @param meter sums up the time; may be shared by policies on one thread
+     * @param clock in nanoseconds
+     */
     public MeteredPolicy(LoadBalancingPolicy policy, Meter meter, LongSupplier clock) {
         this.policy = policy;
         this.meter = meter;
--- a/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
@@ -69,9 +69,9 @@
         this.names = names;
         this.random = random;
         this.begin = begin;
-        for (RoutingSpec.Pool p : use.spec().pools()) {
-            modules.put(p.name(), module.apply(p.name()));
-            states.put(p.name(), new HashMap<>());
+        for (RoutingSpec.Pool pool : use.spec().pools()) {
+            modules.put(pool.name(), module.apply(pool.name()));
+            states.put(pool.name(), new HashMap<>());
         }
     }
 
@@ -181,8 +181,8 @@
     }
 
     private void settle() {
-        for (Runnable r = later.poll(); r != null; r = later.poll()) {
-            r.run();
+        for (Runnable task = later.poll(); task != null; task = later.poll()) {
+            task.run();
         }
     }
 
@@ -193,11 +193,11 @@
         begin(now, to);
         Map<String, List<Endpoint>> own = new LinkedHashMap<>();
         modules.keySet().forEach(p -> own.put(p, new ArrayList<>()));
-        for (Endpoint s : list) {
-            String pool = names.kindPools.get(s.kind());
+        for (Endpoint endpoint : list) {
+            String pool = names.kindPools.get(endpoint.kind());
             if (own.containsKey(pool)) {
-                own.get(pool).add(s);
-                poolOf.put(s.id(), pool);
+                own.get(pool).add(endpoint);
+                poolOf.put(endpoint.id(), pool);
             }
         }
         own.forEach((pool, some) -> {
@@ -251,7 +251,7 @@
         double least = worths.stream().mapToDouble(w -> w).min().orElse(1);
         double most = worths.stream().mapToDouble(w -> w).max().orElse(1);
         double rank = most > least ? (worths.get(kind) - least) / (most - least) : 1;
-        RequestRouter.RoutingDecision v = front.arrive(
+        RequestRouter.RoutingDecision decision = front.arrive(
                 now,
                 new RequestRouter.Arrival(
                         new Route.Request(
@@ -264,12 +264,12 @@
                         rank,
                         clientRetry,
                         random.uniform()));
-        if (v.ticket() == null) {
-            to.refuse(id, v.retryAfter());
+        if (decision.ticket() == null) {
+            to.refuse(id, decision.retryAfter());
             return;
         }
-        open.put(id, new Open(v.ticket()));
-        String pool = v.ticket().pool();
+        open.put(id, new Open(decision.ticket()));
+        String pool = decision.ticket().pool();
         modules.get(pool).request(now, id, kind, tenant, key, timeLeft, work, clientRetry, actions(pool));
         settle();
     }
@@ -285,11 +285,11 @@
             LoadReport load,
             Actions to) {
         begin(now, to);
-        Open o = open.get(id);
-        if (o == null) {
+        Open request = open.get(id);
+        if (request == null) {
             return;
         }
-        String pool = o.ticket.pool();
+        String pool = request.ticket.pool();
         if (outcome == AttemptOutcome.OK) {
             over(id, End.SERVED);
         }
@@ -300,9 +300,9 @@
     @Override
     public void streamStarted(long now, String id, int attempt, Actions to) {
         begin(now, to);
-        Open o = open.get(id);
-        if (o != null) {
-            modules.get(o.ticket.pool()).streamStarted(now, id, attempt, actions(o.ticket.pool()));
+        Open request = open.get(id);
+        if (request != null) {
+            modules.get(request.ticket.pool()).streamStarted(now, id, attempt, actions(request.ticket.pool()));
         }
         settle();
     }
@@ -310,10 +310,10 @@
     @Override
     public void clientGone(long now, String id, Actions to) {
         begin(now, to);
-        Open o = open.get(id);
-        if (o != null) {
+        Open request = open.get(id);
+        if (request != null) {
             over(id, End.GONE);
-            modules.get(o.ticket.pool()).clientGone(now, id, actions(o.ticket.pool()));
+            modules.get(request.ticket.pool()).clientGone(now, id, actions(request.ticket.pool()));
         }
         settle();
     }
@@ -333,9 +333,9 @@
         begin(now, to);
         List<String> due = new ArrayList<>();
         for (Iterator<Wake> i = wakes.iterator(); i.hasNext(); ) {
-            Wake w = i.next();
-            if (w.at <= now) {
-                due.add(w.pool);
+            Wake wake = i.next();
+            if (wake.at <= now) {
+                due.add(wake.pool);
                 i.remove();
             }
         }
--- a/simulator/src/main/java/loadbalancer/simulator/variants/RoutingSpec.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/RoutingSpec.java
@@ -74,15 +74,16 @@
             long time) {
         int told = Math.max(1, (int) Math.round(settings.balancers() * use.toldTimes) + use.toldMore);
         List<RoutingConfig.PoolPlan> all = new ArrayList<>();
-        for (Pool p : pools) {
-            double each = Math.max(1, upstreams.getOrDefault(p.name, 1)) / (double) settings.balancers();
-            ConcurrencyLimit.Kind kind = use.limit != null ? use.limit : p.limit;
-            int least = Math.max(1, (int) Math.round(p.least * each));
-            int start = Math.max(least, (int) Math.round(p.start * each));
+        for (Pool pool : pools) {
+            double each = Math.max(1, upstreams.getOrDefault(pool.name, 1)) / (double) settings.balancers();
+            ConcurrencyLimit.Kind kind = use.limit != null ? use.limit : pool.limit;
+            int least = Math.max(1, (int) Math.round(pool.least * each));
+            int start = Math.max(least, (int) Math.round(pool.start * each));
             ConcurrencyLimit.Plan limit = kind == null || use.without.contains("limits")
                     ? null
-                    : new ConcurrencyLimit.Plan(kind, start, least, Math.max(start, (int) Math.round(p.most * each)));
-            all.add(new RoutingConfig.PoolPlan(p.name, limit, p.fullStrength));
+                    : new ConcurrencyLimit.Plan(
+                            kind, start, least, Math.max(start, (int) Math.round(pool.most * each)));
+            all.add(new RoutingConfig.PoolPlan(pool.name, limit, pool.fullStrength));
         }
         List<RoutingConfig.RoutePlan> ways = new ArrayList<>();
         for (int i = 0; i < routes.size(); i++) {
@@ -117,28 +118,32 @@
         return new Rate(perSecond, Math.max(1, perSecond), Math.max(perSecond, ceiling));
     }
 
-    private RoutingConfig.RoutePlan route(Way w, Use use, int place, long time) {
-        double moved = w.steps == 0 || time < w.stepsFrom || use.without.contains("steps")
+    private RoutingConfig.RoutePlan route(Way route, Use use, int place, long time) {
+        double moved = route.steps == 0 || time < route.stepsFrom || use.without.contains("steps")
                 ? 0
-                : Math.min(1, Math.floor((time - w.stepsFrom) * (double) w.steps / w.stepsLength + 1) / w.steps);
+                : Math.min(
+                        1,
+                        Math.floor((time - route.stepsFrom) * (double) route.steps / route.stepsLength + 1)
+                                / route.steps);
         List<RoutingConfig.Spill> spills = use.without.contains("spill")
                 ? List.of()
-                : w.spill.stream()
-                        .map(s -> new RoutingConfig.Spill(s, w.spillMost))
+                : route.spill.stream()
+                        .map(s -> new RoutingConfig.Spill(s, route.spillMost))
                         .toList();
         List<RoutingConfig.Way> ways = new ArrayList<>();
-        for (int i = 0; i < w.to.size(); i++) {
-            double weight = w.steps == 0 ? w.weights.get(i) : i == 0 ? 1 - moved : i == w.to.size() - 1 ? moved : 0;
-            ways.add(new RoutingConfig.Way(w.to.get(i), weight, spills));
+        for (int i = 0; i < route.to.size(); i++) {
+            double weight =
+                    route.steps == 0 ? route.weights.get(i) : i == 0 ? 1 - moved : i == route.to.size() - 1 ? moved : 0;
+            ways.add(new RoutingConfig.Way(route.to.get(i), weight, spills));
         }
-        RoutingConfig.Retries retries = w.retryShare < 0 || use.without.contains("retries")
+        RoutingConfig.Retries retries = route.retryShare < 0 || use.without.contains("retries")
                 ? null
-                : new RoutingConfig.Retries(w.retryShare, 1, RETRY_WINDOW, w.countClients);
+                : new RoutingConfig.Retries(route.retryShare, 1, RETRY_WINDOW, route.countClients);
         return new RoutingConfig.RoutePlan(
-                new Route(w.name, PathTemplate.of("/**"), Set.of(), Map.of(), Set.of(), w.classes, place),
+                new Route(route.name, PathTemplate.of("/**"), Set.of(), Map.of(), Set.of(), route.classes, place),
                 ways,
-                w.spare,
-                w.returnPerSecond,
+                route.spare,
+                route.returnPerSecond,
                 retries,
                 null,
                 0);
@@ -147,9 +152,11 @@
     /** The steps that have been taken by that time of the day: the plan changes with them. */
     int step(long time) {
         int sum = 0;
-        for (Way w : routes) {
-            if (w.steps > 0 && time >= w.stepsFrom) {
-                sum += (int) Math.min(w.steps, Math.floor((time - w.stepsFrom) * (double) w.steps / w.stepsLength + 1));
+        for (Way route : routes) {
+            if (route.steps > 0 && time >= route.stepsFrom) {
+                sum += (int) Math.min(
+                        route.steps,
+                        Math.floor((time - route.stepsFrom) * (double) route.steps / route.stepsLength + 1));
             }
         }
         return sum;
--- a/simulator/src/main/java/loadbalancer/simulator/variants/TextbookPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/TextbookPolicy.java
@@ -116,13 +116,13 @@
         if (kind == EndpointListKind.SNAPSHOT) {
             servers.keySet().retainAll(list.stream().map(Endpoint::id).toList());
         }
-        for (Endpoint s : list) {
-            Server known = servers.get(s.id());
-            Server next = new Server(s);
-            if (known != null && known.entry.startedAt() == s.startedAt()) {
+        for (Endpoint endpoint : list) {
+            Server known = servers.get(endpoint.id());
+            Server next = new Server(endpoint);
+            if (known != null && known.entry.startedAt() == endpoint.startedAt()) {
                 next.inFlight = known.inFlight;
             }
-            servers.put(s.id(), next);
+            servers.put(endpoint.id(), next);
         }
         up = servers.values().stream()
                 .filter(s -> s.entry.state() == EndpointState.UP)
@@ -153,22 +153,22 @@
             long work,
             boolean clientRetry,
             Actions out) {
-        Open o = new Open(kind, now + timeLeft);
-        open.put(id, o);
-        send(id, o, now, out);
+        Open request = new Open(kind, now + timeLeft);
+        open.put(id, request);
+        send(id, request, now, out);
     }
 
-    private void send(String id, Open o, long now, Actions out) {
+    private void send(String id, Open open, long now, Actions out) {
         if (up.isEmpty()) {
-            finish(id, o, out);
+            finish(id, open, out);
             return;
         }
         int chosen = -1;
         for (int i = 0; i < COLD_DRAWS; i++) {
             chosen = chooser.choose(view, random);
-            Server s = up.get(chosen);
-            boolean again = up.size() > 1 && o.tried.contains(s);
-            if (!again && random.uniform() < promisedWarmth(s.entry, now)) {
+            Server server = up.get(chosen);
+            boolean again = up.size() > 1 && open.tried.contains(server);
+            if (!again && random.uniform() < promisedWarmth(server.entry, now)) {
                 break;
             }
             chosen = -1;
@@ -177,10 +177,10 @@
             chosen = warmest(now);
         }
         chooser.dispatched(chosen);
-        Server s = up.get(chosen);
-        s.inFlight++;
-        o.tried.add(s);
-        out.send(id, s.entry.id(), 0);
+        Server server = up.get(chosen);
+        server.inFlight++;
+        open.tried.add(server);
+        out.send(id, server.entry.id(), 0);
     }
 
     private int warmest(long now) {
@@ -194,18 +194,19 @@
         return from;
     }
 
-    private double promisedWarmth(Endpoint s, long now) {
-        SafetyBounds b = settings.bounds();
-        long age = now - s.startedAt();
-        if (s.startedAt() <= 0 || age >= b.slowStartDurationMicros()) {
+    private double promisedWarmth(Endpoint endpoint, long now) {
+        SafetyBounds bounds = settings.bounds();
+        long age = now - endpoint.startedAt();
+        if (endpoint.startedAt() <= 0 || age >= bounds.slowStartDurationMicros()) {
             return 1;
         }
-        return b.slowStartInitialWeight() * Math.max(0.1, age / (double) b.slowStartDurationMicros());
+        return bounds.slowStartInitialWeight() * Math.max(0.1, age / (double) bounds.slowStartDurationMicros());
     }
 
-    private void finish(String id, Open o, Actions out) {
+    private void finish(String id, Open request, Actions out) {
         open.remove(id);
-        boolean harmless = !o.mayHaveRun || settings.classes().get(o.kind).effect() == Idempotency.IDEMPOTENT;
+        boolean harmless =
+                !request.mayHaveRun || settings.classes().get(request.kind).effect() == Idempotency.IDEMPOTENT;
         if (harmless) {
             out.refuse(id, 0);
         } else {
@@ -223,40 +224,40 @@
             boolean closed,
             LoadReport load,
             Actions out) {
-        Open o = open.get(id);
-        if (o == null || attempt >= o.tried.size()) {
+        Open request = open.get(id);
+        if (request == null || attempt >= request.tried.size()) {
             return;
         }
-        Server s = o.tried.get(attempt);
-        s.inFlight = Math.max(0, s.inFlight - 1);
-        Server listed = servers.get(s.entry.id());
-        if (listed != null && listed != s && listed.entry.startedAt() == s.entry.startedAt()) {
+        Server server = request.tried.get(attempt);
+        server.inFlight = Math.max(0, server.inFlight - 1);
+        Server listed = servers.get(server.entry.id());
+        if (listed != null && listed != server && listed.entry.startedAt() == server.entry.startedAt()) {
             listed.inFlight = Math.max(0, listed.inFlight - 1);
         }
-        o.mayHaveRun |= !outcome.neverRan();
+        request.mayHaveRun |= !outcome.neverRan();
         if (closed) {
             open.remove(id);
             return;
         }
-        boolean may = outcome.neverRan() || settings.classes().get(o.kind).effect() == Idempotency.IDEMPOTENT;
+        boolean may = outcome.neverRan() || settings.classes().get(request.kind).effect() == Idempotency.IDEMPOTENT;
         if (may
                 && outcome != AttemptOutcome.NOT_SENT
-                && now < o.deadline
-                && o.tried.size() < settings.limits().maxAttempts()) {
-            send(id, o, now, out);
+                && now < request.deadline
+                && request.tried.size() < settings.limits().maxAttempts()) {
+            send(id, request, now, out);
         } else {
-            finish(id, o, out);
+            finish(id, request, out);
         }
     }
 
     @Override
     public void clientGone(long now, String id, Actions out) {
-        Open o = open.remove(id);
-        if (o != null && !o.tried.isEmpty()) {
-            Server s = o.tried.get(o.tried.size() - 1);
-            s.inFlight = Math.max(0, s.inFlight - 1);
+        Open request = open.remove(id);
+        if (request != null && !request.tried.isEmpty()) {
+            Server server = request.tried.get(request.tried.size() - 1);
+            server.inFlight = Math.max(0, server.inFlight - 1);
             if (settings.limits().cancellationAllowed()) {
-                out.cancel(id, o.tried.size() - 1);
+                out.cancel(id, request.tried.size() - 1);
             }
         }
     }
--- a/simulator/src/main/java/loadbalancer/simulator/variants/Variants.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/Variants.java
@@ -49,19 +49,19 @@
      *
      * @throws IllegalArgumentException for a policy that there isn't
      */
-    public static PolicyFactory policyFactory(Variant v) {
-        if (v.policy.equals(OWN)) {
+    public static PolicyFactory policyFactory(Variant variant) {
+        if (variant.policy.equals(OWN)) {
             return (settings, seed, truth) -> new JsqDasPolicy(settings, seed);
         }
-        if (!names().contains(v.policy)) {
-            throw new IllegalArgumentException("no policy '" + v.policy + "'");
+        if (!names().contains(variant.policy)) {
+            throw new IllegalArgumentException("no policy '" + variant.policy + "'");
         }
         return (settings, seed, truth) -> {
             RandomStream random = new RandomStreams(seed).of("policy", 0, "choice");
             Seer seer = new Seer(truth, settings.zone());
-            Chooser chooser = v.policy.equals(SEER)
+            Chooser chooser = variant.policy.equals(SEER)
                     ? seer
-                    : Choosers.named(v.policy.equals(LEAST_IN_FLIGHT) ? "jsq" : v.policy, v.figures);
+                    : Choosers.named(variant.policy.equals(LEAST_IN_FLIGHT) ? "jsq" : variant.policy, variant.figures);
             TextbookPolicy policy = new TextbookPolicy(settings, chooser, random, truth);
             seer.sees(policy);
             return policy;
@@ -69,9 +69,9 @@
     }
 
     /** The same for worlds of that plan, with the variant's front where it has one. */
-    public static PolicyFactory policyFactory(Variant v, WorldPlan plan) {
-        PolicyFactory inner = policyFactory(v);
-        if (v.front == null) {
+    public static PolicyFactory policyFactory(Variant variant, WorldPlan plan) {
+        PolicyFactory inner = policyFactory(variant);
+        if (variant.front == null) {
             return inner;
         }
         RoutedPolicy.Names names = new RoutedPolicy.Names(
@@ -84,7 +84,7 @@
         return (settings, seed, truth) -> {
             RandomStreams streams = new RandomStreams(seed);
             return new RoutedPolicy(
-                    v.front,
+                    variant.front,
                     settings,
                     names,
                     streams.of("front", 0, "advice"),
--- a/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
@@ -92,12 +92,12 @@
             endpoints.clear();
         }
         List<Endpoint> effective = new ArrayList<>(servers.size());
-        for (Endpoint s : servers) {
-            endpoints.put(s.id(), s);
+        for (Endpoint endpoint : servers) {
+            endpoints.put(endpoint.id(), endpoint);
             effective.add(
-                    operatorDrained.containsKey(s.id()) && s.state() == EndpointState.UP
-                            ? s.in(EndpointState.DRAINING)
-                            : s);
+                    operatorDrained.containsKey(endpoint.id()) && endpoint.state() == EndpointState.UP
+                            ? endpoint.in(EndpointState.DRAINING)
+                            : endpoint);
         }
         if (kind != EndpointListKind.UNAVAILABLE) {
             world.observer.endpointsNotified(this, kind, effective, now);
@@ -107,8 +107,8 @@
 
     /** An operator takes an upstream out, or puts it back as freshly started. */
     void setOperatorDrained(String id, boolean out, long now) {
-        Endpoint s = endpoints.get(id);
-        if (!alive || s == null) {
+        Endpoint endpoint = endpoints.get(id);
+        if (!alive || endpoint == null) {
             return;
         }
         if (out) {
@@ -116,112 +116,120 @@
         } else {
             operatorDrained.remove(id);
         }
-        Endpoint effective = out ? s.in(EndpointState.DRAINING) : s.startedAt(now);
+        Endpoint effective = out ? endpoint.in(EndpointState.DRAINING) : endpoint.startedAt(now);
         world.observer.endpointsNotified(this, EndpointListKind.LOCAL_OVERRIDE, List.of(effective), now);
         policy.endpoints(now, EndpointListKind.LOCAL_OVERRIDE, List.of(effective), this);
     }
 
-    void accept(BalancerRequest t, long timeLeftMicros, boolean clientRetry, long now) {
-        requests.put(t.id(), t);
-        world.observer.requestAccepted(t, now);
-        t.deadlineTimer = world.simulation.timer(
-                t.deadline() + world.plan.rules().responseSlackMicros() + 1, at -> deadlinePassed(t, at));
-        ClientRequest c = t.clientRequest();
+    void accept(BalancerRequest request, long timeLeftMicros, boolean clientRetry, long now) {
+        requests.put(request.id(), request);
+        world.observer.requestAccepted(request, now);
+        request.deadlineTimer = world.simulation.timer(
+                request.deadline() + world.plan.rules().responseSlackMicros() + 1, at -> deadlinePassed(request, at));
+        ClientRequest clientRequest = request.clientRequest();
         policy.request(
                 now,
-                t.id(),
-                c.kind,
-                c.tenant,
-                c.key < 0 ? null : Integer.toHexString(c.key),
+                request.id(),
+                clientRequest.kind,
+                clientRequest.tenant,
+                clientRequest.key < 0 ? null : Integer.toHexString(clientRequest.key),
                 timeLeftMicros,
                 -1,
                 clientRetry,
                 this);
     }
 
-    private void deadlinePassed(BalancerRequest t, long now) {
-        if (alive && !t.answered && !t.clientGone) {
-            world.observer.deadlineMissed(t, now);
-            t.clientGone = true;
-            world.clients.attemptEnded(t, Clients.End.SILENT, 0, now);
-            policy.clientGone(now, t.id(), this);
-            releaseIfFinished(t);
+    private void deadlinePassed(BalancerRequest request, long now) {
+        if (alive && !request.answered && !request.clientGone) {
+            world.observer.deadlineMissed(request, now);
+            request.clientGone = true;
+            world.clients.attemptEnded(request, Clients.End.SILENT, 0, now);
+            policy.clientGone(now, request.id(), this);
+            releaseIfFinished(request);
         }
     }
 
-    void abandon(BalancerRequest t, long now) {
-        if (alive && !t.answered && !t.clientGone) {
-            t.clientGone = true;
-            t.step(now, "the client left");
-            t.deadlineTimer.cancel();
-            policy.clientGone(now, t.id(), this);
-            releaseIfFinished(t);
+    void abandon(BalancerRequest request, long now) {
+        if (alive && !request.answered && !request.clientGone) {
+            request.clientGone = true;
+            request.step(now, "the client left");
+            request.deadlineTimer.cancel();
+            policy.clientGone(now, request.id(), this);
+            releaseIfFinished(request);
         }
     }
 
     /** The outcome of an attempt has come. */
-    void outcome(Attempt a, AttemptOutcome outcome, long now) {
-        if (!alive || !a.inFlight()) {
+    void outcome(Attempt attempt, AttemptOutcome outcome, long now) {
+        if (!alive || !attempt.inFlight()) {
             return;
         }
-        BalancerRequest t = a.request();
-        if (a.timeout != null) {
-            a.timeout.cancel();
+        BalancerRequest request = attempt.request();
+        if (attempt.timeout != null) {
+            attempt.timeout.cancel();
         }
-        a.markEnded(outcome);
-        t.attemptsInFlight--;
-        t.step(now, "attempt " + a.number() + " " + outcome);
-        world.observer.attemptEnded(a, outcome, now);
+        attempt.markEnded(outcome);
+        request.attemptsInFlight--;
+        request.step(now, "attempt " + attempt.number() + " " + outcome);
+        world.observer.attemptEnded(attempt, outcome, now);
         boolean reusable =
                 outcome == AttemptOutcome.OK || outcome == AttemptOutcome.ERROR || outcome == AttemptOutcome.FULL;
-        if (reusable && a.upstream.alive()) {
+        if (reusable && attempt.upstream.alive()) {
             idleConnections
-                    .computeIfAbsent(a.upstream, u -> new IdleConnections())
+                    .computeIfAbsent(attempt.upstream, u -> new IdleConnections())
                     .release(now);
         } else if (outcome != AttemptOutcome.NOT_SENT && outcome != AttemptOutcome.CONNECT_FAILED) {
-            a.upstream.connected(-1);
+            attempt.upstream.connected(-1);
         }
-        if (outcome == AttemptOutcome.OK && !t.answered && !t.clientGone) {
-            answer(t, Clients.End.SERVED, 0, now);
+        if (outcome == AttemptOutcome.OK && !request.answered && !request.clientGone) {
+            answer(request, Clients.End.SERVED, 0, now);
         }
-        policy.outcome(now, t.id(), a.number(), outcome, now - a.sentAt(), t.answered || t.clientGone, null, this);
-        releaseIfFinished(t);
+        policy.outcome(
+                now,
+                request.id(),
+                attempt.number(),
+                outcome,
+                now - attempt.sentAt(),
+                request.answered || request.clientGone,
+                null,
+                this);
+        releaseIfFinished(request);
     }
 
-    private void releaseIfFinished(BalancerRequest t) {
-        if ((t.answered || t.clientGone) && t.attemptsInFlight == 0) {
-            requests.remove(t.id());
-            finishedRequests.put(t.id(), t);
+    private void releaseIfFinished(BalancerRequest request) {
+        if ((request.answered || request.clientGone) && request.attemptsInFlight == 0) {
+            requests.remove(request.id());
+            finishedRequests.put(request.id(), request);
         }
     }
 
-    private void answer(BalancerRequest t, Clients.End end, long retryAfter, long now) {
-        t.answered = true;
-        t.deadlineTimer.cancel();
-        t.step(now, "answered " + end);
-        world.observer.requestAnswered(t, end, retryAfter, now);
-        world.clients.attemptEnded(t, end, retryAfter, now);
+    private void answer(BalancerRequest request, Clients.End end, long retryAfter, long now) {
+        request.answered = true;
+        request.deadlineTimer.cancel();
+        request.step(now, "answered " + end);
+        world.observer.requestAnswered(request, end, retryAfter, now);
+        world.clients.attemptEnded(request, end, retryAfter, now);
     }
 
     /** The process dies: what it holds is its clients' to repeat. */
     void kill(long now) {
         alive = false;
         subscriber.end();
-        for (BalancerRequest t : List.copyOf(requests.values())) {
-            for (Attempt a : t.attempts) {
-                if (a.inFlight()) {
-                    if (a.timeout != null) {
-                        a.timeout.cancel();
+        for (BalancerRequest request : List.copyOf(requests.values())) {
+            for (Attempt attempt : request.attempts) {
+                if (attempt.inFlight()) {
+                    if (attempt.timeout != null) {
+                        attempt.timeout.cancel();
                     }
-                    a.upstream.connected(-1);
-                    a.upstream.abandon(a);
-                    a.markEnded(AttemptOutcome.CANCELLED);
+                    attempt.upstream.connected(-1);
+                    attempt.upstream.abandon(attempt);
+                    attempt.markEnded(AttemptOutcome.CANCELLED);
                 }
             }
-            t.deadlineTimer.cancel();
-            if (!t.answered && !t.clientGone) {
-                t.clientGone = true;
-                world.clients.attemptEnded(t, Clients.End.CUT, 0, now);
+            request.deadlineTimer.cancel();
+            if (!request.answered && !request.clientGone) {
+                request.clientGone = true;
+                world.clients.attemptEnded(request, Clients.End.CUT, 0, now);
             }
         }
         requests.clear();
@@ -244,37 +252,38 @@
     @Override
     public void send(String request, String server, long timeout) {
         long now = world.simulation.now();
-        BalancerRequest t = requests.get(request);
-        Upstream u = world.currentUpstream(server);
-        if (t == null || u == null || !endpoints.containsKey(server)) {
+        BalancerRequest balancerRequest = requests.get(request);
+        Upstream upstream = world.currentUpstream(server);
+        if (balancerRequest == null || upstream == null || !endpoints.containsKey(server)) {
             world.observer.invalidAction(
                     this,
                     "send of " + request + " to " + server
-                            + (t == null ? ": no such request is open" : ": never listed"),
-                    t,
+                            + (balancerRequest == null ? ": no such request is open" : ": never listed"),
+                    balancerRequest,
                     now);
             return;
         }
-        Attempt a = new Attempt(t, t.attempts.size(), server, u, now);
-        t.step(now, "sent to " + server + " as attempt " + a.number());
-        world.observer.attemptStarting(a, now);
-        t.attempts.add(a);
-        t.attemptsInFlight++;
-        long left = t.deadline() - now;
-        if (t.answered
-                || t.clientGone
+        Attempt attempt = new Attempt(balancerRequest, balancerRequest.attempts.size(), server, upstream, now);
+        balancerRequest.step(now, "sent to " + server + " as attempt " + attempt.number());
+        world.observer.attemptStarting(attempt, now);
+        balancerRequest.attempts.add(attempt);
+        balancerRequest.attemptsInFlight++;
+        long left = balancerRequest.deadline() - now;
+        if (balancerRequest.answered
+                || balancerRequest.clientGone
                 || left <= 0
-                || a.number() >= world.plan.rules().maxAttempts()) {
-            world.simulation.after(0, at -> outcome(a, AttemptOutcome.NOT_SENT, at));
+                || attempt.number() >= world.plan.rules().maxAttempts()) {
+            world.simulation.after(0, at -> outcome(attempt, AttemptOutcome.NOT_SENT, at));
             return;
         }
-        a.timeout = world.simulation.timer(now + (timeout == 0 ? left : Math.max(0, Math.min(timeout, left))), at -> {
-            u.abandon(a);
-            outcome(a, AttemptOutcome.TIMEOUT, at);
-        });
-        IdleConnections l = idleConnections.computeIfAbsent(u, x -> new IdleConnections());
-        boolean newConnection = !l.take(u, now, world.plan.fleet().idleTimeoutMicros());
-        world.deliver(a, newConnection, now);
+        attempt.timeout =
+                world.simulation.timer(now + (timeout == 0 ? left : Math.max(0, Math.min(timeout, left))), at -> {
+                    upstream.abandon(attempt);
+                    outcome(attempt, AttemptOutcome.TIMEOUT, at);
+                });
+        IdleConnections idle = idleConnections.computeIfAbsent(upstream, x -> new IdleConnections());
+        boolean newConnection = !idle.take(upstream, now, world.plan.fleet().idleTimeoutMicros());
+        world.deliver(attempt, newConnection, now);
     }
 
     @Override
@@ -289,28 +298,31 @@
 
     private void close(String request, Clients.End end, long retryAfter) {
         long now = world.simulation.now();
-        BalancerRequest t = requests.getOrDefault(request, finishedRequests.get(request));
-        if (t == null) {
+        BalancerRequest balancerRequest = requests.getOrDefault(request, finishedRequests.get(request));
+        if (balancerRequest == null) {
             world.observer.invalidAction(this, end + " of " + request + ": no such request was taken", null, now);
             return;
         }
-        if (t.answered) {
-            world.observer.answeredTwice(t, end, now);
-        } else if (!t.clientGone) {
-            answer(t, end, retryAfter, now);
-            releaseIfFinished(t);
+        if (balancerRequest.answered) {
+            world.observer.answeredTwice(balancerRequest, end, now);
+        } else if (!balancerRequest.clientGone) {
+            answer(balancerRequest, end, retryAfter, now);
+            releaseIfFinished(balancerRequest);
         }
     }
 
     @Override
     public void cancel(String request, int attempt) {
-        BalancerRequest t = requests.get(request);
-        if (t == null || attempt < 0 || attempt >= t.attempts.size()) {
+        BalancerRequest balancerRequest = requests.get(request);
+        if (balancerRequest == null || attempt < 0 || attempt >= balancerRequest.attempts.size()) {
             world.observer.invalidAction(
-                    this, "cancel of " + request + "/" + attempt + ": never sent", t, world.simulation.now());
+                    this,
+                    "cancel of " + request + "/" + attempt + ": never sent",
+                    balancerRequest,
+                    world.simulation.now());
             return;
         }
-        Attempt a = t.attempts.get(attempt);
+        Attempt a = balancerRequest.attempts.get(attempt);
         if (a.inFlight()) {
             a.upstream.abandon(a);
             world.simulation.after(0, at -> outcome(a, AttemptOutcome.CANCELLED, at));
@@ -319,9 +331,9 @@
 
     @Override
     public void probe(String server) {
-        Upstream u = world.currentUpstream(server);
-        if (u != null) {
-            world.probe(this, server, u, world.simulation.now());
+        Upstream upstream = world.currentUpstream(server);
+        if (upstream != null) {
+            world.probe(this, server, upstream, world.simulation.now());
         }
     }
 
@@ -347,10 +359,10 @@
 
     @Override
     public void closeIdle(String server) {
-        Upstream u = world.currentUpstream(server);
-        IdleConnections l = u == null ? null : idleConnections.get(u);
-        if (l != null) {
-            l.closeAll(u);
+        Upstream upstream = world.currentUpstream(server);
+        IdleConnections idle = upstream == null ? null : idleConnections.get(upstream);
+        if (idle != null) {
+            idle.closeAll(upstream);
         }
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/world/Clients.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Clients.java
@@ -68,12 +68,12 @@
         this.zones = world.streams.of("clients", 0, "zones");
         this.keys = world.streams.of("clients", 0, "keys");
         this.works = world.streams.of("clients", 0, "work");
-        WorldPlan.Clients c = plan.clients();
-        retries = (int) c.retries().draw(figures);
-        attemptTimeoutFraction = c.attemptTimeoutFraction().draw(figures);
-        backoff = c.backoff().draw(figures);
-        retryAfterCompliance = c.retryAfterCompliance().draw(figures);
-        abandonFraction = c.abandonFraction().draw(figures);
+        WorldPlan.Clients clients = plan.clients();
+        retries = (int) clients.retries().draw(figures);
+        attemptTimeoutFraction = clients.attemptTimeoutFraction().draw(figures);
+        backoff = clients.backoff().draw(figures);
+        retryAfterCompliance = clients.retryAfterCompliance().draw(figures);
+        abandonFraction = clients.abandonFraction().draw(figures);
         swing = plan.load().swing().draw(figures);
         kindShares = cumulated(plan.classes().stream()
                 .mapToDouble(k -> k.share().draw(figures))
@@ -114,17 +114,17 @@
 
     private static double[] cumulated(double[] weights) {
         double sum = Arrays.stream(weights).sum();
-        double[] c = new double[weights.length];
+        double[] cumulated = new double[weights.length];
         double cumulative = 0;
-        for (int i = 0; i < c.length; i++) {
+        for (int i = 0; i < cumulated.length; i++) {
             cumulative += weights[i] / sum;
-            c[i] = cumulative;
+            cumulated[i] = cumulative;
         }
-        return c;
+        return cumulated;
     }
 
-    private static int sampleIndex(double[] cumulated, double u) {
-        int at = Arrays.binarySearch(cumulated, u);
+    private static int sampleIndex(double[] cumulated, double draw) {
+        int at = Arrays.binarySearch(cumulated, draw);
         return Math.min(cumulated.length - 1, at < 0 ? -at - 1 : at + 1);
     }
 
@@ -229,20 +229,20 @@
                 : hotDraw < hotKeyShare
                         ? keyShares.length - 1 - (int) (keyDraw * Math.min(hotKeys, keyShares.length))
                         : sampleIndex(keyShares, keyDraw);
-        WorldPlan.RequestKind k = plan.classes().get(kind);
+        WorldPlan.RequestKind requestKind = plan.classes().get(kind);
         double work =
-                switch (k.spread()) {
+                switch (requestKind.spread()) {
                     case EXPONENTIAL -> ofWork.exponential(workMeans[kind]);
                     case LOGNORMAL -> ofWork.lognormal(workMeans[kind], variations[kind]);
                     case PARETO -> ofWork.pareto(workMeans[kind], variations[kind]);
                     case FIXED -> workMeans[kind];
                 };
-        ClientRequest r = new ClientRequest(
-                number++, kind, tenant, zone, key, work, now, now + k.deadline(), overQuota(tenant, now));
+        ClientRequest request = new ClientRequest(
+                number++, kind, tenant, zone, key, work, now, now + requestKind.deadline(), overQuota(tenant, now));
         open++;
         world.offeredWork += work;
-        world.observer.requestIssued(r, now);
-        attempt(r, now);
+        world.observer.requestIssued(request, now);
+        attempt(request, now);
     }
 
     private boolean overQuota(int tenant, long now) {
@@ -260,36 +260,46 @@
         return false;
     }
 
-    private void attempt(ClientRequest r, long now) {
-        WorldPlan.RequestKind k = plan.classes().get(r.kind);
-        long attemptTimeoutMicros = Math.min(Math.round(attemptTimeoutFraction * k.deadline()), r.deadline - now);
+    private void attempt(ClientRequest request, long now) {
+        WorldPlan.RequestKind kind = plan.classes().get(request.kind);
+        long attemptTimeoutMicros =
+                Math.min(Math.round(attemptTimeoutFraction * kind.deadline()), request.deadline - now);
         if (attemptTimeoutMicros <= 0) {
-            finish(r, false, now);
+            finish(request, false, now);
             return;
         }
-        int attemptNumber = r.attempts++;
-        long serial = r.number * 16 + Math.min(15, attemptNumber);
-        BalancerSlot slot = world.pickSlot(r.zone, IndexedRandom.uniform(world.randomSeed, serial, 1));
+        int attemptNumber = request.attempts++;
+        long serial = request.number * 16 + Math.min(15, attemptNumber);
+        BalancerSlot slot = world.pickSlot(request.zone, IndexedRandom.uniform(world.randomSeed, serial, 1));
         long requestDelay = slot == null ? 0 : world.network.client(serial, 0);
         world.simulation.after(requestDelay, at -> {
-            Balancer b = slot == null ? null : slot.serving();
-            if (b == null) {
-                ended(r, End.UNREACHABLE, 0, at + world.network.client(serial, 1), serial);
+            Balancer balancer = slot == null ? null : slot.serving();
+            if (balancer == null) {
+                ended(request, End.UNREACHABLE, 0, at + world.network.client(serial, 1), serial);
                 return;
             }
             if (requestDelay >= attemptTimeoutMicros) { // given up before it arrived
-                ended(r, End.SILENT, 0, at, serial);
+                ended(request, End.SILENT, 0, at, serial);
                 return;
             }
-            BalancerRequest t = new BalancerRequest(
-                    "r" + r.number + "." + attemptNumber, serial, r, b, at, now + attemptTimeoutMicros);
-            b.accept(t, attemptTimeoutMicros - requestDelay, plan.clients().marksRetries() && attemptNumber > 0, at);
-            if (!t.answered && IndexedRandom.uniform(world.randomSeed, serial, 2) < abandonFraction) {
+            BalancerRequest balancerRequest = new BalancerRequest(
+                    "r" + request.number + "." + attemptNumber,
+                    serial,
+                    request,
+                    balancer,
+                    at,
+                    now + attemptTimeoutMicros);
+            balancer.accept(
+                    balancerRequest,
+                    attemptTimeoutMicros - requestDelay,
+                    plan.clients().marksRetries() && attemptNumber > 0,
+                    at);
+            if (!balancerRequest.answered && IndexedRandom.uniform(world.randomSeed, serial, 2) < abandonFraction) {
                 double part = IndexedRandom.uniform(world.randomSeed, serial, 3);
                 world.simulation.after(Math.round(part * attemptTimeoutMicros), leaves -> {
-                    if (!t.answered && !t.clientGone && b.alive()) {
-                        b.abandon(t, leaves);
-                        ended(r, End.LEFT, 0, leaves, serial);
+                    if (!balancerRequest.answered && !balancerRequest.clientGone && balancer.alive()) {
+                        balancer.abandon(balancerRequest, leaves);
+                        ended(request, End.LEFT, 0, leaves, serial);
                     }
                 });
             }
@@ -297,54 +307,54 @@
     }
 
     /** A try has ended at its balancer; the client hears of it after its way back. */
-    void attemptEnded(BalancerRequest t, End end, long retryAfter, long now) {
-        ended(t.clientRequest(), end, retryAfter, now + world.network.client(t.serial, 1), t.serial);
+    void attemptEnded(BalancerRequest request, End end, long retryAfter, long now) {
+        ended(request.clientRequest(), end, retryAfter, now + world.network.client(request.serial, 1), request.serial);
     }
 
-    private void ended(ClientRequest r, End end, long retryAfter, long receivedAt, long serial) {
+    private void ended(ClientRequest request, End end, long retryAfter, long receivedAt, long serial) {
         world.simulation.at(receivedAt, now -> {
-            if (r.finished) {
+            if (request.finished) {
                 return;
             }
-            if (end == End.SERVED || end == End.LEFT || !mayRetry(r, end)) {
-                finish(r, end == End.SERVED, now);
+            if (end == End.SERVED || end == End.LEFT || !mayRetry(request, end)) {
+                finish(request, end == End.SERVED, now);
                 return;
             }
-            double mean = backoff * (1L << Math.min(MAX_BACKOFF_DOUBLINGS, r.attempts - 1));
+            double mean = backoff * (1L << Math.min(MAX_BACKOFF_DOUBLINGS, request.attempts - 1));
             double wait = withoutBackoff ? 1_000 : mean * IndexedRandom.exponential(world.randomSeed, serial, 4);
             if (retryAfter > 0
                     && !withoutBackoff
                     && IndexedRandom.uniform(world.randomSeed, serial, 5) < retryAfterCompliance) {
                 wait = Math.max(wait, Math.min(retryAfter, plan.rules().maxRetryAfterMicros()));
             }
-            if (now + wait >= r.deadline) {
-                finish(r, false, now);
+            if (now + wait >= request.deadline) {
+                finish(request, false, now);
             } else {
-                world.simulation.at(now + Math.round(wait), at -> attempt(r, at));
+                world.simulation.at(now + Math.round(wait), at -> attempt(request, at));
             }
         });
     }
 
-    private boolean mayRetry(ClientRequest r, End end) {
-        if (r.attempts > Math.min(15, retries + extraRetries)) {
+    private boolean mayRetry(ClientRequest request, End end) {
+        if (request.attempts > Math.min(15, retries + extraRetries)) {
             return false;
         }
-        boolean safe = plan.classes().get(r.kind).effect() != Idempotency.NON_IDEMPOTENT;
+        boolean safe = plan.classes().get(request.kind).effect() != Idempotency.NON_IDEMPOTENT;
         return safe || end == End.REFUSED || end == End.UNREACHABLE;
     }
 
-    private void finish(ClientRequest r, boolean served, long now) {
-        r.finished = true;
+    private void finish(ClientRequest request, boolean served, long now) {
+        request.finished = true;
         open--;
-        world.observer.requestFinished(r, served, now);
+        world.observer.requestFinished(request, served, now);
     }
 
     /** Slots of a zone, or of all where the zone has none. */
     static List<BalancerSlot> of(List<BalancerSlot> all, int zone) {
         List<BalancerSlot> own = new ArrayList<>();
-        for (BalancerSlot s : all) {
-            if (s.zone == zone) {
-                own.add(s);
+        for (BalancerSlot slot : all) {
+            if (slot.zone == zone) {
+                own.add(slot);
             }
         }
         return own.isEmpty() ? all : own;
--- a/simulator/src/main/java/loadbalancer/simulator/world/IndexedRandom.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/IndexedRandom.java
@@ -10,12 +10,12 @@
 
     /** Uniform in [0, 1). */
     static double uniform(long seed, long number, long concern) {
-        long z = seed + number * 0x9e3779b97f4a7c15L + concern * 0xd1b54a32d192ed03L;
-        z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
-        z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
-        z ^= z >>> 31;
-        z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
-        return ((z ^ z >>> 27) >>> 11) * 0x1.0p-53;
+        long mixed = seed + number * 0x9e3779b97f4a7c15L + concern * 0xd1b54a32d192ed03L;
+        mixed = (mixed ^ mixed >>> 30) * 0xbf58476d1ce4e5b9L;
+        mixed = (mixed ^ mixed >>> 27) * 0x94d049bb133111ebL;
+        mixed ^= mixed >>> 31;
+        mixed = (mixed ^ mixed >>> 30) * 0xbf58476d1ce4e5b9L;
+        return ((mixed ^ mixed >>> 27) >>> 11) * 0x1.0p-53;
     }
 
     /** Exponential with mean 1. */
@@ -25,8 +25,8 @@
 
     /** Standard normal (Box and Muller). */
     static double gaussian(long seed, long number, long concern) {
-        double u = 1 - uniform(seed, number, 2 * concern);
-        double v = uniform(seed, number, 2 * concern + 1);
-        return Math.sqrt(-2 * StrictMath.log(u)) * StrictMath.cos(2 * Math.PI * v);
+        double radius = 1 - uniform(seed, number, 2 * concern);
+        double angle = uniform(seed, number, 2 * concern + 1);
+        return Math.sqrt(-2 * StrictMath.log(radius)) * StrictMath.cos(2 * Math.PI * angle);
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/world/LiveFleet.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/LiveFleet.java
@@ -16,6 +16,7 @@
     /** Hears how a request ended at its upstream. */
     @FunctionalInterface
     public interface Replies {
+        /** Called once for each request, from within {@link LiveFleet#advance} or {@link LiveFleet#accept}. */
         void ended(long request, AttemptOutcome outcome);
     }
 
@@ -55,21 +56,21 @@
 
     /** Whether the process at that address takes connections; one that is silent takes them and says nothing. */
     public boolean listens(int address) {
-        Upstream u = world.upstreamAt(address);
-        return u != null && u.alive() && !u.overloaded();
+        Upstream upstream = world.upstreamAt(address);
+        return upstream != null && upstream.alive() && !upstream.overloaded();
     }
 
     /** Whether it says nothing. */
     public boolean silent(int address) {
-        Upstream u = world.upstreamAt(address);
-        return u != null && u.silent();
+        Upstream upstream = world.upstreamAt(address);
+        return upstream != null && upstream.silent();
     }
 
     /** The list as the register has it now, by id, with the address of each. */
     public Map<Endpoint, Integer> list() {
         Map<Endpoint, Integer> all = new LinkedHashMap<>();
-        for (Endpoint s : world.discovery.list()) {
-            all.put(s, world.addressOf(s.id()));
+        for (Endpoint endpoint : world.discovery.list()) {
+            all.put(endpoint, world.addressOf(endpoint.id()));
         }
         return all;
     }
@@ -92,21 +93,23 @@
      * @param fresh over a connection that has not been used before
      */
     public void accept(long request, int address, int kind, int key, boolean fresh) {
-        Upstream u = world.upstreamAt(address);
-        WorldPlan.RequestKind k = world.plan.classes().get(kind);
-        double mean = k.work().midpoint();
+        Upstream upstream = world.upstreamAt(address);
+        WorldPlan.RequestKind requestKind = world.plan.classes().get(kind);
+        double mean = requestKind.work().midpoint();
         double work =
-                switch (k.spread()) {
+                switch (requestKind.spread()) {
                     case EXPONENTIAL -> works.exponential(mean);
-                    case LOGNORMAL -> works.lognormal(mean, k.variation().midpoint());
-                    case PARETO -> works.pareto(mean, k.variation().midpoint());
+                    case LOGNORMAL -> works.lognormal(
+                            mean, requestKind.variation().midpoint());
+                    case PARETO -> works.pareto(mean, requestKind.variation().midpoint());
                     case FIXED -> mean;
                 };
         long now = world.simulation.now();
-        ClientRequest c = new ClientRequest(request, kind, 0, 0, key, work, now, now + FAR, false);
-        BalancerRequest t = new BalancerRequest(Long.toString(request), request, c, null, now, now + FAR);
-        Attempt a = new Attempt(t, 0, u.id, u, now);
-        u.accept(a, fresh, now);
+        ClientRequest clientRequest = new ClientRequest(request, kind, 0, 0, key, work, now, now + FAR, false);
+        BalancerRequest balancerRequest =
+                new BalancerRequest(Long.toString(request), request, clientRequest, null, now, now + FAR);
+        Attempt attempt = new Attempt(balancerRequest, 0, upstream.id, upstream, now);
+        upstream.accept(attempt, fresh, now);
     }
 
     /** Capacity of all that run at the start, in requests a second of the classes' mean work. */
--- a/simulator/src/main/java/loadbalancer/simulator/world/Observer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Observer.java
@@ -5,7 +5,7 @@
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
 
-/** Hears of every event of a world as it happens: whoever judges or measures. It changes nothing. */
+/** Receives every event of a world as it happens, on the thread that plays it. It must not change the world. */
 public interface Observer {
     /** A balancer has taken a request: it owes one final answer. */
     void requestAccepted(BalancerRequest request, long now);
@@ -25,16 +25,20 @@
     /** The time for a final answer is over and there was none. */
     void deadlineMissed(BalancerRequest request, long now);
 
-    /** A balancer has been told of upstreams. */
+    /** A balancer has been notified of endpoints. */
     void endpointsNotified(Balancer balancer, EndpointListKind kind, List<Endpoint> servers, long now);
 
-    /** Whether that balancer has been told of the upstream's last start. */
+    /** Whether that balancer has been notified of the upstream's last start. */
     boolean knowsStart(Balancer balancer, Upstream upstream);
 
-    /** A cold upstream was sent too much and fell over; {@code endpointsNotified}: the share from balancers that knew. */
+    /**
+     * A process in slow start was sent more than the rule allows and is overloaded.
+     *
+     * @param notifiedFraction fraction of its requests that came from balancers notified of its start
+     */
     void upstreamOverloaded(Upstream upstream, double notifiedFraction, long now);
 
-    /** A cold upstream has been sent that part of what it bears in the rule's window; 1: all of it. */
+    /** A process in slow start has been sent that fraction of what the rule allows within its window. */
     void coldLoad(Upstream upstream, double fraction, long now);
 
     /** A module asks for what can't be. */
--- a/simulator/src/main/java/loadbalancer/simulator/world/Rack.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Rack.java
@@ -33,16 +33,16 @@
         }
         double wanted = 0;
         double all = 0;
-        for (Upstream u : members) {
-            wanted += u.busyCores() * u.speed;
-            all += u.nominal();
+        for (Upstream upstream : members) {
+            wanted += upstream.busyCores() * upstream.speed;
+            all += upstream.nominal();
         }
         double next = wanted <= limit * all ? 1 : limit * all / wanted;
         if (next != factor) {
             factor = next;
-            for (Upstream u : List.copyOf(members)) {
-                if (u != member) {
-                    u.recomputeRate(now);
+            for (Upstream upstream : List.copyOf(members)) {
+                if (upstream != member) {
+                    upstream.recomputeRate(now);
                 }
             }
         }
--- a/simulator/src/main/java/loadbalancer/simulator/world/SimulatedDiscovery.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/SimulatedDiscovery.java
@@ -61,13 +61,13 @@
     private long calls;
 
     SimulatedDiscovery(World world, RandomStream random) {
-        WorldPlan.Discovery d = world.plan.discovery();
+        WorldPlan.Discovery discovery = world.plan.discovery();
         this.world = world;
         this.random = random;
-        this.capacity = d.capacity().draw(random);
-        this.entriesPerCall = d.entriesPerCall().draw(random);
-        this.publishIntervalMicros = Math.max(1, Math.round(d.period().draw(random)));
-        this.deliverySpreadMicros = Math.round(d.spread().draw(random));
+        this.capacity = discovery.capacity().draw(random);
+        this.entriesPerCall = discovery.entriesPerCall().draw(random);
+        this.publishIntervalMicros = Math.max(1, Math.round(discovery.period().draw(random)));
+        this.deliverySpreadMicros = Math.round(discovery.spread().draw(random));
     }
 
     List<Endpoint> list() {
@@ -133,100 +133,100 @@
         if (changes.size() > MAX_CHANGES) {
             changes.pollFirstEntry();
         }
-        for (Subscriber s : List.copyOf(watchers)) {
-            if (s.watching && s.balancer.alive()) {
-                push(s, now);
+        for (Subscriber subscriber : List.copyOf(watchers)) {
+            if (subscriber.watching && subscriber.balancer.alive()) {
+                push(subscriber, now);
             } else {
-                watchers.remove(s);
+                watchers.remove(subscriber);
             }
         }
     }
 
-    private void push(Subscriber s, long now) {
-        int generation = s.generation;
+    private void push(Subscriber subscriber, long now) {
+        int generation = subscriber.generation;
         long delayMicros = Math.round(random.uniform() * deliverySpreadMicros) + 100;
         world.simulation.after(delayMicros, at -> {
-            if (s.watching && s.generation == generation && s.version < version) {
-                deliver(s, at);
+            if (subscriber.watching && subscriber.generation == generation && subscriber.version < version) {
+                deliver(subscriber, at);
             }
         });
     }
 
     /** Where lists are pushed, a balancer is subscribed from its start, and again after each break. */
-    void balancerStarted(Subscriber s) {
+    void balancerStarted(Subscriber subscriber) {
         if (!world.plan.discovery().ask()) {
-            call(s, true);
+            call(subscriber, true);
         }
     }
 
-    private void scheduleReconnect(Subscriber s) {
+    private void scheduleReconnect(Subscriber subscriber) {
         if (!world.plan.discovery().ask()) {
-            int generation = s.generation;
+            int generation = subscriber.generation;
             world.simulation.after(RECONNECT_DELAY_MICROS, at -> {
-                if (s.generation == generation && s.balancer.alive()) {
-                    call(s, true);
+                if (subscriber.generation == generation && subscriber.balancer.alive()) {
+                    call(subscriber, true);
                 }
             });
         }
     }
 
     /** A call: it waits its turn, and fails when it has waited too long or the register is down. */
-    void call(Subscriber s, boolean watch) {
+    void call(Subscriber subscriber, boolean watch) {
         long now = world.simulation.now();
         calls++;
-        s.polledAt = now;
-        s.end();
-        int generation = s.generation;
+        subscriber.polledAt = now;
+        subscriber.end();
+        int generation = subscriber.generation;
         long timeout = world.plan.discovery().timeout();
         double cost = 1 + entries.size() / entriesPerCall;
         long begin = Math.max(now, freeAt);
         if (down || begin - now > timeout) {
-            world.simulation.after(down ? 1_000 : timeout, at -> fail(s, generation, at));
+            world.simulation.after(down ? 1_000 : timeout, at -> fail(subscriber, generation, at));
             return;
         }
         freeAt = begin + Math.round(cost / capacity * 1e6);
         world.simulation.at(freeAt, at -> {
-            if (s.generation != generation || !s.balancer.alive()) {
+            if (subscriber.generation != generation || !subscriber.balancer.alive()) {
                 return;
             }
             if (down) {
-                fail(s, generation, at);
+                fail(subscriber, generation, at);
                 return;
             }
-            s.failed = false;
-            s.polledAt = at;
+            subscriber.failed = false;
+            subscriber.polledAt = at;
             if (watch) {
-                s.watching = true;
-                watchers.add(s);
+                subscriber.watching = true;
+                watchers.add(subscriber);
             }
             if (!watch) {
-                s.version = 0;
+                subscriber.version = 0;
             }
-            deliver(s, at);
+            deliver(subscriber, at);
         });
     }
 
-    private void fail(Subscriber s, int generation, long now) {
-        if (s.generation == generation) {
-            s.failed = true;
-            s.balancer.endpointsChanged(EndpointListKind.UNAVAILABLE, List.of(), now);
-            scheduleReconnect(s);
+    private void fail(Subscriber subscriber, int generation, long now) {
+        if (subscriber.generation == generation) {
+            subscriber.failed = true;
+            subscriber.balancer.endpointsChanged(EndpointListKind.UNAVAILABLE, List.of(), now);
+            scheduleReconnect(subscriber);
         }
     }
 
-    private void deliver(Subscriber s, long now) {
-        boolean gap = s.version == 0 || !changes.isEmpty() && s.version < changes.firstKey() - 1;
-        long from = s.version;
-        s.version = version;
+    private void deliver(Subscriber subscriber, long now) {
+        boolean gap = subscriber.version == 0 || !changes.isEmpty() && subscriber.version < changes.firstKey() - 1;
+        long from = subscriber.version;
+        subscriber.version = version;
         if (gap) {
-            s.balancer.endpointsChanged(EndpointListKind.SNAPSHOT, list(), now);
+            subscriber.balancer.endpointsChanged(EndpointListKind.SNAPSHOT, list(), now);
         } else {
             List<Endpoint> changedEntries =
                     new ArrayList<>(changes.tailMap(from, false).values());
             if (duplicateEntries) {
                 changedEntries.addAll(List.copyOf(changedEntries));
             }
-            s.balancer.endpointsChanged(EndpointListKind.DELTA, changedEntries, now);
+            subscriber.balancer.endpointsChanged(EndpointListKind.DELTA, changedEntries, now);
         }
     }
 
@@ -235,12 +235,12 @@
         down = now;
         if (now) {
             long at = world.simulation.now();
-            for (Subscriber s : List.copyOf(watchers)) {
-                if (s.watching) {
-                    s.end();
-                    s.failed = true;
-                    s.balancer.endpointsChanged(EndpointListKind.UNAVAILABLE, List.of(), at);
-                    scheduleReconnect(s);
+            for (Subscriber subscriber : List.copyOf(watchers)) {
+                if (subscriber.watching) {
+                    subscriber.end();
+                    subscriber.failed = true;
+                    subscriber.balancer.endpointsChanged(EndpointListKind.UNAVAILABLE, List.of(), at);
+                    scheduleReconnect(subscriber);
                 }
             }
             watchers.clear();
--- a/simulator/src/main/java/loadbalancer/simulator/world/Timeline.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Timeline.java
@@ -56,19 +56,20 @@
     void install() {
         List<WorldPlan.Fault> faults = world.plan.faults();
         for (int i = 0; i < faults.size(); i++) {
-            WorldPlan.Fault t = faults.get(i);
-            RandomStream random = world.streams.of("trouble", i, t.kind());
-            long from = World.DAY_START + Math.round(t.at().draw(random));
-            long length = Math.round(t.length().draw(random));
-            double part = t.fraction().draw(random);
-            double size = t.size().draw(random);
-            double extra = t.extra().draw(random);
-            if (t.kind().equals("burst")) {
+            WorldPlan.Fault fault = faults.get(i);
+            RandomStream random = world.streams.of("trouble", i, fault.kind());
+            long from = World.DAY_START + Math.round(fault.at().draw(random));
+            long length = Math.round(fault.length().draw(random));
+            double part = fault.fraction().draw(random);
+            double size = fault.size().draw(random);
+            double extra = fault.extra().draw(random);
+            if (fault.kind().equals("burst")) {
                 world.clients.raiseMaxBurst(size);
             }
-            faultIntervals.add(new FaultInterval(t.kind(), from - World.DAY_START, from + length - World.DAY_START));
-            of = t.pool();
-            install(t.kind(), from, length, part, size, extra, random);
+            faultIntervals.add(
+                    new FaultInterval(fault.kind(), from - World.DAY_START, from + length - World.DAY_START));
+            of = fault.pool();
+            install(fault.kind(), from, length, part, size, extra, random);
         }
         world.faultIntervals(faultIntervals);
     }
@@ -114,9 +115,9 @@
                     now -> world.clients.setHotKeys(0, 1));
             case "deploy" -> deploy(from, length, part, size, Math.round(extra * SECOND), random);
             case "same_address" -> world.simulation.at(from, now -> {
-                for (Upstream u : picked(part, random)) {
-                    end(u, false, now);
-                    begin(u, u.address, 0, now);
+                for (Upstream upstream : picked(part, random)) {
+                    end(upstream, false, now);
+                    begin(upstream, upstream.address, 0, now);
                 }
             });
             case "rack_lost" -> rackLost(from, length, size > 0, random);
@@ -168,10 +169,10 @@
             case "tenant_flood" -> world.simulation.at(
                     from, now -> world.clients.flood((int) Math.round(extra), size, now + length));
             case "clock_step" -> world.simulation.at(from, now -> {
-                for (Upstream u : picked(part, random)) {
-                    if (u.reportedStart() > 0) {
-                        u.shiftReportedStart(Math.round(extra * SECOND));
-                        world.discovery.changed(world.endpoint(u, EndpointState.UP), 0);
+                for (Upstream upstream : picked(part, random)) {
+                    if (upstream.reportedStart() > 0) {
+                        upstream.shiftReportedStart(Math.round(extra * SECOND));
+                        world.discovery.changed(world.endpoint(upstream, EndpointState.UP), 0);
                     }
                 }
             });
@@ -191,9 +192,10 @@
                 java.util.stream.IntStream.range(0, world.plan.classes().size()).toArray();
         int[] tenants =
                 java.util.stream.IntStream.range(0, world.plan.tenants().size()).toArray();
-        for (Balancer b : world.processes()) {
-            if (b.alive()) {
-                b.policy().reconfigure(now, world.settings(b.rank, b.zone, attempts), classes, tenants);
+        for (Balancer balancer : world.processes()) {
+            if (balancer.alive()) {
+                balancer.policy()
+                        .reconfigure(now, world.settings(balancer.rank, balancer.zone, attempts), classes, tenants);
             }
         }
     }
@@ -227,11 +229,11 @@
 
     private List<Upstream> picked(double part, String pool, RandomStream random) {
         List<Upstream> running = new ArrayList<>();
-        for (Upstream u : world.upstreams) {
-            boolean meant =
-                    pool == null || world.plan.kinds().get(u.kindNumber).pool().equals(pool);
-            if (meant && u.alive() && !u.draining()) {
-                running.add(u);
+        for (Upstream upstream : world.upstreams) {
+            boolean meant = pool == null
+                    || world.plan.kinds().get(upstream.kindNumber).pool().equals(pool);
+            if (meant && upstream.alive() && !upstream.draining()) {
+                running.add(upstream);
             }
         }
         long salt = random.bits();
@@ -240,36 +242,36 @@
         return new ArrayList<>(running.subList(0, running.isEmpty() ? 0 : many));
     }
 
-    private void gone(Upstream u, boolean silently) {
-        WorldPlan.Discovery d = world.plan.discovery();
-        Range late = silently ? d.silentFailureNotice() : d.noticeDelay();
-        world.discovery.changed(world.endpoint(u, EndpointState.GONE), Math.round(late.midpoint()));
+    private void gone(Upstream upstream, boolean silently) {
+        WorldPlan.Discovery discovery = world.plan.discovery();
+        Range late = silently ? discovery.silentFailureNotice() : discovery.noticeDelay();
+        world.discovery.changed(world.endpoint(upstream, EndpointState.GONE), Math.round(late.midpoint()));
     }
 
-    private void end(Upstream u, boolean silently, long now) {
-        u.terminate(now);
-        world.processes().forEach(b -> b.connectionsLost(u));
-        gone(u, silently);
+    private void end(Upstream upstream, boolean silently, long now) {
+        upstream.terminate(now);
+        world.processes().forEach(b -> b.connectionsLost(upstream));
+        gone(upstream, silently);
     }
 
     /** A successor of {@code u} at that address under a new id; it starts after {@code late} µs. */
-    private void begin(Upstream u, int address, long late, long now) {
+    private void begin(Upstream upstream, int address, long late, long now) {
         world.simulation.at(now + late, at -> {
-            Upstream next = world.start(u.kindNumber, u.rack, address, at);
+            Upstream next = world.start(upstream.kindNumber, upstream.rack, address, at);
             world.discovery.changed(
                     world.endpoint(next, EndpointState.UP),
                     Math.round(world.plan.discovery().registrationDelay().midpoint()));
         });
     }
 
-    private void restart(Upstream u, long late, long now) {
-        if (!u.alive()) {
+    private void restart(Upstream upstream, long late, long now) {
+        if (!upstream.alive()) {
             return;
         }
-        u.terminate(now);
-        world.processes().forEach(b -> b.connectionsLost(u));
+        upstream.terminate(now);
+        world.processes().forEach(b -> b.connectionsLost(upstream));
         world.simulation.at(now + late, at -> {
-            Upstream next = world.restart(u, at);
+            Upstream next = world.restart(upstream, at);
             world.discovery.changed(
                     world.endpoint(next, EndpointState.UP),
                     Math.round(world.plan.discovery().registrationDelay().midpoint()));
@@ -282,19 +284,19 @@
             int many = Math.max(1, (int) Math.round(batch * all.size() / Math.max(part, 0.01)));
             int rounds = (all.size() + many - 1) / many;
             for (int i = 0; i < all.size(); i++) {
-                Upstream u = all.get(i);
+                Upstream upstream = all.get(i);
                 world.simulation.at(begin + length * (i / many) / Math.max(1, rounds), now -> {
-                    if (!u.alive()) {
+                    if (!upstream.alive()) {
                         return;
                     }
-                    u.startDraining();
+                    upstream.startDraining();
                     world.discovery.changed(
-                            world.endpoint(u, EndpointState.DRAINING),
+                            world.endpoint(upstream, EndpointState.DRAINING),
                             Math.round(world.plan.discovery().noticeDelay().midpoint()));
                     world.simulation.at(now + drain, then -> {
-                        if (u.alive()) {
-                            end(u, false, then);
-                            begin(u, world.freshAddress(), 0, then);
+                        if (upstream.alive()) {
+                            end(upstream, false, then);
+                            begin(upstream, world.freshAddress(), 0, then);
                         }
                     });
                 });
@@ -312,22 +314,22 @@
                     if (!world.racks.isEmpty()) {
                         lost.addAll(world.racks.get(number).members);
                     }
-                    for (Upstream u : lost) {
+                    for (Upstream upstream : lost) {
                         if (silently) {
-                            u.setSilent(true);
-                            gone(u, true);
+                            upstream.setSilent(true);
+                            gone(upstream, true);
                         } else {
-                            end(u, false, now);
+                            end(upstream, false, now);
                         }
                     }
                 },
                 now -> {
-                    for (Upstream u : lost) {
-                        if (u.alive()) {
-                            u.terminate(now);
-                            world.processes().forEach(b -> b.connectionsLost(u));
+                    for (Upstream upstream : lost) {
+                        if (upstream.alive()) {
+                            upstream.terminate(now);
+                            world.processes().forEach(b -> b.connectionsLost(upstream));
                         }
-                        Upstream next = world.restart(u, now);
+                        Upstream next = world.restart(upstream, now);
                         world.discovery.changed(
                                 world.endpoint(next, EndpointState.UP),
                                 Math.round(world.plan
@@ -363,18 +365,19 @@
     }
 
     private void balancersKilled(long from, long length, double part, RandomStream random) {
-        for (BalancerSlot s : slots(part, random)) {
+        for (BalancerSlot slot : slots(part, random)) {
             world.simulation.at(from, now -> {
-                Balancer b = s.serving();
-                if (b != null) {
-                    b.kill(now);
-                    world.simulation.at(now + world.failureDetectionMicros, at -> s.admitted(s.serving() != null));
+                Balancer balancer = slot.serving();
+                if (balancer != null) {
+                    balancer.kill(now);
+                    world.simulation.at(
+                            now + world.failureDetectionMicros, at -> slot.admitted(slot.serving() != null));
                 }
             });
             world.simulation.at(from + length, now -> {
-                if (s.serving() == null) {
-                    world.startBalancer(s, null);
-                    world.simulation.at(now + world.failureDetectionMicros, at -> s.admitted(true));
+                if (slot.serving() == null) {
+                    world.startBalancer(slot, null);
+                    world.simulation.at(now + world.failureDetectionMicros, at -> slot.admitted(true));
                 }
             });
         }
@@ -384,21 +387,21 @@
     private void balancersRestarted(long from, long length, double part, long start, RandomStream random) {
         List<BalancerSlot> chosen = slots(part, random);
         for (int i = 0; i < chosen.size(); i++) {
-            BalancerSlot s = chosen.get(i);
+            BalancerSlot slot = chosen.get(i);
             world.simulation.at(from + length * i / chosen.size(), now -> {
-                Balancer old = s.serving();
+                Balancer old = slot.serving();
                 if (old == null) {
                     return;
                 }
-                s.admitted(false);
+                slot.admitted(false);
                 world.simulation.at(now + longestDeadline(), at -> {
                     if (old.alive()) {
                         old.kill(at);
                     }
                 });
                 world.simulation.at(now + longestDeadline() + start, at -> {
-                    world.startBalancer(s, null);
-                    s.admitted(true);
+                    world.startBalancer(slot, null);
+                    slot.admitted(true);
                 });
             });
         }
@@ -414,13 +417,13 @@
     private void balancersUpgraded(long from, long length, double part, RandomStream random) {
         List<BalancerSlot> chosen = slots(part, random);
         for (int i = 0; i < chosen.size(); i++) {
-            BalancerSlot s = chosen.get(i);
+            BalancerSlot slot = chosen.get(i);
             world.simulation.at(from + length * i / chosen.size(), now -> {
-                Balancer old = s.serving();
+                Balancer old = slot.serving();
                 if (old == null) {
                     return;
                 }
-                Balancer next = world.startBalancer(s, old.policy().learnedState(now));
+                Balancer next = world.startBalancer(slot, old.policy().learnedState(now));
                 old.policy().share(0.5);
                 next.policy().share(0.5);
                 world.simulation.at(now + longestDeadline() + 700_000, at -> {
@@ -439,18 +442,18 @@
                 from,
                 length,
                 now -> {
-                    for (Upstream u : picked(part, random)) {
-                        out.add(u.id);
-                        for (Balancer b : List.copyOf(world.processes())) {
-                            b.setOperatorDrained(u.id, true, now);
+                    for (Upstream upstream : picked(part, random)) {
+                        out.add(upstream.id);
+                        for (Balancer balancer : List.copyOf(world.processes())) {
+                            balancer.setOperatorDrained(upstream.id, true, now);
                         }
-                        world.simulation.at(now + length / 2, at -> restart(u, SECOND / 2, at));
+                        world.simulation.at(now + length / 2, at -> restart(upstream, SECOND / 2, at));
                     }
                 },
                 now -> {
                     for (String id : out) {
-                        for (Balancer b : List.copyOf(world.processes())) {
-                            b.setOperatorDrained(id, false, now);
+                        for (Balancer balancer : List.copyOf(world.processes())) {
+                            balancer.setOperatorDrained(id, false, now);
                         }
                     }
                 });
--- a/simulator/src/main/java/loadbalancer/simulator/world/Upstream.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Upstream.java
@@ -210,11 +210,11 @@
     double backlog(long now) {
         advanceVirtualTime(now);
         double sum = 0;
-        for (Job j : serving) {
-            sum += Math.max(0, j.end - virtualTime);
+        for (Job job : serving) {
+            sum += Math.max(0, job.end - virtualTime);
         }
-        for (Job j : waiting) {
-            sum += j.work;
+        for (Job job : waiting) {
+            sum += job.work;
         }
         return sum;
     }
@@ -226,37 +226,37 @@
     // ---- what happens to it
 
     /** A whole request has come. */
-    void accept(Attempt a, boolean freshConnection, long now) {
+    void accept(Attempt attempt, boolean freshConnection, long now) {
         if (silent) {
             return;
         }
         if (!alive || overloaded) {
-            world.reply(a, this, AttemptOutcome.RESET, now);
+            world.reply(attempt, this, AttemptOutcome.RESET, now);
             return;
         }
-        RequestWork work = world.workOf(a);
+        RequestWork work = world.workOf(attempt);
         boolean known = keyKnown(work.key(), now);
         double needed =
                 work.work() * (known ? 1 - world.keyAffinityGain : 1) + (freshConnection ? world.handshakeWork : 0);
-        recordColdSend(a, now);
+        recordColdSend(attempt, now);
         if (overloaded) {
-            world.reply(a, this, AttemptOutcome.RESET, now);
+            world.reply(attempt, this, AttemptOutcome.RESET, now);
         } else if (draining) {
-            world.reply(a, this, AttemptOutcome.FULL, now);
-        } else if (IndexedRandom.uniform(world.randomSeed, a.serial(), 7) < failingFraction + errorFraction) {
+            world.reply(attempt, this, AttemptOutcome.FULL, now);
+        } else if (IndexedRandom.uniform(world.randomSeed, attempt.serial(), 7) < failingFraction + errorFraction) {
             world.simulation.after(FAILURE_RESPONSE_MICROS, t -> {
                 if (responsive()) {
-                    world.reply(a, this, AttemptOutcome.ERROR, t);
+                    world.reply(attempt, this, AttemptOutcome.ERROR, t);
                 }
             });
         } else if (serving.size() < slots) {
             advanceVirtualTime(now);
-            begin(new Job(a, needed));
+            begin(new Job(attempt, needed));
             reschedule(now);
         } else if (waiting.size() < queueCapacity) {
-            waiting.add(new Job(a, needed));
+            waiting.add(new Job(attempt, needed));
         } else {
-            world.reply(a, this, AttemptOutcome.FULL, now);
+            world.reply(attempt, this, AttemptOutcome.FULL, now);
         }
     }
 
@@ -269,10 +269,10 @@
     }
 
     /** Nobody waits for that attempt any more: running work goes on, waiting work is dropped at some sites. */
-    void abandon(Attempt a) {
+    void abandon(Attempt attempt) {
         if (cancelDropProbability) {
             for (Iterator<Job> i = waiting.iterator(); i.hasNext(); ) {
-                if (i.next().attempt == a) {
+                if (i.next().attempt == attempt) {
                     i.remove();
                     return;
                 }
@@ -340,13 +340,13 @@
 
     // The rule on cold upstreams: a budget over a window of that length, in requests of mean work, refused ones
     // included. How heavy a request turns out to be is nothing that a balancer could know.
-    private void recordColdSend(Attempt a, long now) {
+    private void recordColdSend(Attempt attempt, long now) {
         if (slowStartWeight(now) >= 1) {
             coldSends.clear();
             return;
         }
         WorldPlan.Rules rules = world.plan.rules();
-        coldSends.add(new ColdSend(now, world.observer.knowsStart(a.balancer(), this)));
+        coldSends.add(new ColdSend(now, world.observer.knowsStart(attempt.balancer(), this)));
         while (now - coldSends.peek().at > rules.overloadWindowMicros()) {
             coldSends.poll();
         }
@@ -405,11 +405,11 @@
     }
 
     private void breakAll(long now) {
-        for (Job j : serving) {
-            world.reply(j.attempt, this, AttemptOutcome.RESET, now);
+        for (Job job : serving) {
+            world.reply(job.attempt, this, AttemptOutcome.RESET, now);
         }
-        for (Job j : waiting) {
-            world.reply(j.attempt, this, AttemptOutcome.RESET, now);
+        for (Job job : waiting) {
+            world.reply(job.attempt, this, AttemptOutcome.RESET, now);
         }
         serving.clear();
         waiting.clear();
--- a/simulator/src/main/java/loadbalancer/simulator/world/World.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/World.java
@@ -96,14 +96,14 @@
         randomSeed = streams.seed("chance", 0);
         RandomStream figures = streams.of("world", 0, "figures");
         network = new Network(plan, streams.of("network", 0, "delays"), streams.seed("network", 0));
-        WorldPlan.Fleet f = plan.fleet();
-        connectionsPerCore = f.connectionsPerCore().draw(figures);
-        keysPerCore = f.keysPerCore().draw(figures);
-        connectionOverhead = f.connectionOverhead().draw(figures);
-        handshakeWork = f.handshakeWork().draw(figures);
-        handshakeRtts = f.handshakeRtts().draw(figures);
-        keyAffinityGain = f.keyAffinityGain().draw(figures);
-        keyRetentionMicros = Math.round(f.keyRetentionMicros().draw(figures));
+        WorldPlan.Fleet fleet = plan.fleet();
+        connectionsPerCore = fleet.connectionsPerCore().draw(figures);
+        keysPerCore = fleet.keysPerCore().draw(figures);
+        connectionOverhead = fleet.connectionOverhead().draw(figures);
+        handshakeWork = fleet.handshakeWork().draw(figures);
+        handshakeRtts = fleet.handshakeRtts().draw(figures);
+        keyAffinityGain = fleet.keyAffinityGain().draw(figures);
+        keyRetentionMicros = Math.round(fleet.keyRetentionMicros().draw(figures));
         failureDetectionMicros = Math.round(plan.clients().noticeDelay().draw(figures));
         kindSpeed =
                 plan.kinds().stream().mapToDouble(k -> k.speed().draw(figures)).toArray();
@@ -116,12 +116,12 @@
                 .toArray();
         int balancers = Math.max(1, (int) Math.round(plan.balancers().draw(figures)));
         int count = Math.max(0, (int) Math.round(plan.upstreams().draw(figures)));
-        double limitedShare = f.limitedRacks().draw(figures);
-        double rackLimit = f.rackLimit().draw(figures);
+        double limitedShare = fleet.limitedRacks().draw(figures);
+        double rackLimit = fleet.rackLimit().draw(figures);
         build(count, limitedShare, rackLimit);
         discovery = new SimulatedDiscovery(this, streams.of("register", 0, "figures"));
-        for (Upstream u : upstreams) {
-            discovery.addInitial(endpoint(u, EndpointState.UP));
+        for (Upstream upstream : upstreams) {
+            discovery.addInitial(endpoint(upstream, EndpointState.UP));
         }
         clients = new Clients(this, streams.of("clients", 0, "figures"));
         for (int i = 0; i < balancers; i++) {
@@ -153,8 +153,8 @@
                 start(kind, rack, nextAddress++, 0);
             }
         }
-        for (Upstream u : upstreams) {
-            nominalCapacity += u.nominal();
+        for (Upstream upstream : upstreams) {
+            nominalCapacity += upstream.nominal();
         }
     }
 
@@ -179,12 +179,12 @@
                 startedAt));
     }
 
-    private Upstream add(Upstream u) {
-        upstreams.add(u);
-        addresses.put(u.address, u);
-        addressOf.put(u.id, u.address);
-        byId.put(u.id, u);
-        return u;
+    private Upstream add(Upstream upstream) {
+        upstreams.add(upstream);
+        addresses.put(upstream.address, upstream);
+        addressOf.put(upstream.id, upstream.address);
+        byId.put(upstream.id, upstream);
+        return upstream;
     }
 
     void faultIntervals(List<Timeline.FaultInterval> drawn) {
@@ -212,8 +212,15 @@
         return nextAddress++;
     }
 
-    Endpoint endpoint(Upstream u, EndpointState state) {
-        return new Endpoint(u.id, state, u.reportedStart(), 1, u.rack.number, u.kindNumber, u.zone);
+    Endpoint endpoint(Upstream upstream, EndpointState state) {
+        return new Endpoint(
+                upstream.id,
+                state,
+                upstream.reportedStart(),
+                1,
+                upstream.rack.number,
+                upstream.kindNumber,
+                upstream.zone);
     }
 
     /** The process that serves at the address of that id; null for ids that never were. */
@@ -229,7 +236,7 @@
 
     /** The same with another number of attempts, at most the plan's. */
     PolicySettings settings(int rank, int zone, int attempts) {
-        WorldPlan.Rules r = plan.rules();
+        WorldPlan.Rules rules = plan.rules();
         List<RequestClass> kinds = plan.classes().stream()
                 .map(k -> new RequestClass(
                         k.effect(),
@@ -257,7 +264,7 @@
                 .mapToDouble(k -> k.slowStartDurationMicros().max())
                 .max()
                 .orElse(0);
-        WorldPlan.Goal g = plan.goal();
+        WorldPlan.Goal goal = plan.goal();
         return new PolicySettings(
                 slots.size(),
                 rank,
@@ -265,27 +272,27 @@
                 kinds,
                 tenants,
                 0.1,
-                new ServiceObjective(g.whole(), g.worstWindow(), g.worstClass(), g.worstTenant()),
+                new ServiceObjective(goal.whole(), goal.worstWindow(), goal.worstClass(), goal.worstTenant()),
                 new TrafficCosts(plan.prices().crossZone(), plan.prices().handshake()),
                 false,
                 plan.discovery().ask() ? DiscoveryMode.POLL : DiscoveryMode.PUSH,
                 LoadReporting.NONE,
                 keyAffinityGain > 0 && plan.load().keys().max() > 0,
                 new SiteLimits(
-                        Math.min(attempts, r.maxAttempts()),
-                        r.hedgingAllowed(),
-                        r.cancel(),
-                        r.probes(),
+                        Math.min(attempts, rules.maxAttempts()),
+                        rules.hedgingAllowed(),
+                        rules.cancel(),
+                        rules.probes(),
                         plan.fleet().connectTimeoutMicros(),
-                        r.maxRetryAfterMicros()),
+                        rules.maxRetryAfterMicros()),
                 new SafetyBounds(
-                        r.responseSlackMicros(),
-                        r.drainGracePeriodMicros(),
-                        r.pollIntervalMicros(),
+                        rules.responseSlackMicros(),
+                        rules.drainGracePeriodMicros(),
+                        rules.pollIntervalMicros(),
                         Math.max(0.01, Math.min(1, slowStartInitialWeight)),
                         Math.round(ramp),
-                        r.overloadFactor(),
-                        r.overloadWindowMicros(),
+                        rules.overloadFactor(),
+                        rules.overloadWindowMicros(),
                         0),
                 5_000);
     }
@@ -298,8 +305,8 @@
     /** Plays the day to its end. */
     public Costs run() {
         simulation.runUntil(DAY_START);
-        for (BalancerSlot s : slots) {
-            startBalancer(s, null);
+        for (BalancerSlot slot : slots) {
+            startBalancer(slot, null);
         }
         new Timeline(this).install();
         clients.begin();
@@ -307,8 +314,8 @@
         long last = end + MAX_LINGER_MICROS;
         for (long t = DAY_START + SECOND; t <= last; t += SECOND) {
             simulation.runUntil(t);
-            for (Balancer b : processes) {
-                b.closeExpiredConnections(t);
+            for (Balancer balancer : processes) {
+                balancer.closeExpiredConnections(t);
             }
             if (t <= end) {
                 everySecond.run();
@@ -339,29 +346,29 @@
         long now = simulation.now();
         LoadBalancingPolicy policy = policyFactory.create(
                 settings(slot.rank, slot.zone), streams.seed("balancer", slot.rank * 1000L + incarnation), this);
-        Balancer b = new Balancer(this, slot.rank, slot.zone, incarnation, policy);
+        Balancer balancer = new Balancer(this, slot.rank, slot.zone, incarnation, policy);
         processes.removeIf(p -> !p.alive());
-        processes.add(b);
-        slot.serving(b);
-        b.start(discovery.list(), now);
-        discovery.balancerStarted(b.subscriber);
+        processes.add(balancer);
+        slot.serving(balancer);
+        balancer.start(discovery.list(), now);
+        discovery.balancerStarted(balancer.subscriber);
         if (learnedState != null) {
             policy.restore(now, learnedState);
         }
-        return b;
+        return balancer;
     }
 
-    BalancerSlot pickSlot(int zone, double u) {
+    BalancerSlot pickSlot(int zone, double draw) {
         List<BalancerSlot> own = admitted(zone, true);
         List<BalancerSlot> from = own.isEmpty() ? admitted(zone, false) : own;
-        return from.isEmpty() ? null : from.get((int) (u * from.size()));
+        return from.isEmpty() ? null : from.get((int) (draw * from.size()));
     }
 
     private List<BalancerSlot> admitted(int zone, boolean only) {
         List<BalancerSlot> some = new ArrayList<>();
-        for (BalancerSlot s : slots) {
-            if (s.admitted() && (!only || s.zone == zone)) {
-                some.add(s);
+        for (BalancerSlot slot : slots) {
+            if (slot.admitted() && (!only || slot.zone == zone)) {
+                some.add(slot);
             }
         }
         return some;
@@ -373,80 +380,86 @@
 
     // ---- messages
 
-    RequestWork workOf(Attempt a) {
-        ClientRequest c = a.request().clientRequest();
-        double noise = attemptNoise[c.kind];
+    RequestWork workOf(Attempt attempt) {
+        ClientRequest request = attempt.request().clientRequest();
+        double noise = attemptNoise[request.kind];
         double variance = StrictMath.log(1 + noise * noise);
         double times = noise <= 0
                 ? 1
-                : StrictMath.exp(Math.sqrt(variance) * IndexedRandom.gaussian(randomSeed, a.serial, 11) - variance / 2);
-        return new RequestWork(c.work * times, c.key);
+                : StrictMath.exp(
+                        Math.sqrt(variance) * IndexedRandom.gaussian(randomSeed, attempt.serial, 11) - variance / 2);
+        return new RequestWork(request.work * times, request.key);
     }
 
     /** Carries an attempt to its upstream, over a new connection where {@code newConnection}. */
-    void deliver(Attempt a, boolean newConnection, long now) {
-        Upstream u = a.upstream;
-        Balancer b = a.balancer();
-        crossings += b.zone != u.zone ? 1 : 0;
-        boolean blocked = blocked(b, u);
-        long requestDelay = network.between(b.zone, u.zone, a.serial, 0);
+    void deliver(Attempt attempt, boolean newConnection, long now) {
+        Upstream upstream = attempt.upstream;
+        Balancer balancer = attempt.balancer();
+        crossings += balancer.zone != upstream.zone ? 1 : 0;
+        boolean blocked = blocked(balancer, upstream);
+        long requestDelay = network.between(balancer.zone, upstream.zone, attempt.serial, 0);
         long handshakeDelay = 0;
         if (newConnection) {
             handshakes++;
             long connect = plan.fleet().connectTimeoutMicros();
-            long round = network.between(b.zone, u.zone, a.serial, 2) + network.between(u.zone, b.zone, a.serial, 3);
-            if (blocked || !u.alive() || u.overloaded() || u.full() || round > connect) {
+            long round = network.between(balancer.zone, upstream.zone, attempt.serial, 2)
+                    + network.between(upstream.zone, balancer.zone, attempt.serial, 3);
+            if (blocked || !upstream.alive() || upstream.overloaded() || upstream.full() || round > connect) {
                 long outcomeDelay = blocked ? connect : Math.min(round, connect);
-                simulation.after(outcomeDelay, at -> b.outcome(a, AttemptOutcome.CONNECT_FAILED, at));
+                simulation.after(outcomeDelay, at -> balancer.outcome(attempt, AttemptOutcome.CONNECT_FAILED, at));
                 return;
             }
-            u.connected(1);
+            upstream.connected(1);
             handshakeDelay = Math.round(round * handshakeRtts);
         }
         if (!blocked) {
-            u.arriving(1);
+            upstream.arriving(1);
             simulation.after(handshakeDelay + requestDelay, at -> {
-                u.arriving(-1);
-                if (!blocked(b, u)) {
-                    u.accept(a, newConnection, at);
+                upstream.arriving(-1);
+                if (!blocked(balancer, upstream)) {
+                    upstream.accept(attempt, newConnection, at);
                 }
             });
         }
     }
 
-    private boolean blocked(Balancer b, Upstream u) {
-        return u.silent() || network.cut(b.zone, u.zone) || network.cut(u.zone, b.zone);
+    private boolean blocked(Balancer balancer, Upstream upstream) {
+        return upstream.silent()
+                || network.cut(balancer.zone, upstream.zone)
+                || network.cut(upstream.zone, balancer.zone);
     }
 
     /** An upstream's word on an attempt travels back. */
-    void reply(Attempt a, Upstream u, AttemptOutcome outcome, long now) {
+    void reply(Attempt attempt, Upstream upstream, AttemptOutcome outcome, long now) {
         if (replyListener != null) {
-            replyListener.accept(a, outcome);
+            replyListener.accept(attempt, outcome);
             return;
         }
-        Balancer b = a.balancer();
-        if (network.cut(u.zone, b.zone)) {
+        Balancer balancer = attempt.balancer();
+        if (network.cut(upstream.zone, balancer.zone)) {
             return;
         }
-        simulation.after(network.between(u.zone, b.zone, a.serial, 1), at -> b.outcome(a, outcome, at));
+        simulation.after(
+                network.between(upstream.zone, balancer.zone, attempt.serial, 1),
+                at -> balancer.outcome(attempt, outcome, at));
     }
 
     /** An upstream has done that work; nobody may want it any more. */
-    void workDone(Attempt a, double work) {
-        if (!a.inFlight() || a.request().clientGone || a.request().answered) {
+    void workDone(Attempt attempt, double work) {
+        if (!attempt.inFlight() || attempt.request().clientGone || attempt.request().answered) {
             wastedWork += work;
         }
     }
 
-    void probe(Balancer b, String id, Upstream u, long now) {
+    void probe(Balancer balancer, String id, Upstream upstream, long now) {
         probes++;
-        long round = network.mean(b.zone, u.zone) + network.mean(u.zone, b.zone);
-        boolean lost = blocked(b, u);
+        long round = network.mean(balancer.zone, upstream.zone) + network.mean(upstream.zone, balancer.zone);
+        boolean lost = blocked(balancer, upstream);
         long outcomeDelay = lost ? plan.fleet().connectTimeoutMicros() : round;
         AttemptOutcome outcome = lost
                 ? AttemptOutcome.TIMEOUT
-                : !u.alive() || u.overloaded() ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK;
-        simulation.after(outcomeDelay, at -> b.probeEnded(id, outcome, outcomeDelay, at));
+                : !upstream.alive() || upstream.overloaded() ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK;
+        simulation.after(outcomeDelay, at -> balancer.probeEnded(id, outcome, outcomeDelay, at));
     }
 
     void log(int rank, String line) {
--- a/simulator/src/main/java/loadbalancer/simulator/world/WorldPlan.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/WorldPlan.java
@@ -48,17 +48,34 @@
     }
 
     /**
-     * Demand. {@code level}: first tries' work as a share of the fleet's capacity; {@code swing}: by how much the
-     * shape rises and falls; {@code quota}: the tenants' allowances together, as a share of capacity.
+     * Demand over the day.
+     *
+     * @param level work of first attempts, as a fraction of the fleet's capacity
+     * @param swing by which fraction the shape rises and falls
+     * @param zoneSkew how unevenly zones bring requests, 0 for evenly
+     * @param keys number of different keys, and {@code keyZipf} the exponent of their popularity
+     * @param quota all tenants' allowances together, as a fraction of capacity
      */
     public record Load(Range level, Shape shape, Range swing, Range zoneSkew, Range keys, Range keyZipf, Range quota) {}
 
-    /** One-way delays in µs; {@code jitter} is the mean of an exponential part, as a share of the delay. */
+    /**
+     * One-way delays between zones, in µs.
+     *
+     * @param jitter mean of the exponential part, as a fraction of the delay
+     * @param loss probability that a message is lost and sent again
+     */
     public record Network(Range same, Range cross, Range client, Range jitter, double loss) {}
 
     /**
-     * Clients. {@code retries}: further tries; {@code attemptTimeoutFraction}: a try's patience as a share of the deadline;
-     * {@code noticeDelay}: after what time a front notices a dead or new balancer.
+     * Behaviour of clients; times in µs.
+     *
+     * @param retries attempts after the first
+     * @param attemptTimeoutFraction timeout of one attempt, as a fraction of the deadline
+     * @param backoff mean of the first wait between attempts; it doubles with each
+     * @param retryAfterCompliance fraction of clients that heed advice on when to come back
+     * @param abandonFraction fraction of attempts whose client leaves before the answer
+     * @param noticeDelay after what time clients' routing notices a dead or new balancer
+     * @param marksRetries whether attempts after the first say that they are
      */
     public record Clients(
             Range retries,
@@ -69,7 +86,19 @@
             Range noticeDelay,
             boolean marksRetries) {}
 
-    /** The register. {@code capacity}: calls per second; {@code entriesPerCall}: lines that cost as much as a call. */
+    /**
+     * The discovery service; times in µs.
+     *
+     * @param ask balancers poll; else lists are pushed
+     * @param noticeDelay until an end that the service sees is listed
+     * @param silentFailureNotice until the end of a process that vanished without a sign is listed
+     * @param registrationDelay until a new process is listed
+     * @param period between rounds of publishing
+     * @param spread up to which a push is delayed
+     * @param capacity calls per second
+     * @param entriesPerCall entries that cost as much as a call
+     * @param timeout after which a waiting call fails
+     */
     public record Discovery(
             boolean ask,
             Range noticeDelay,
@@ -119,8 +148,16 @@
             Range keysPerCore) {}
 
     /**
-     * A kind of upstream; {@code cancelDropProbability}: the chance that a world's upstreams drop cancelled waiting work;
-     * {@code pool}: the pool that upstreams of this kind belong to, for variants with a front.
+     * A kind of upstream.
+     *
+     * @param speed of a core, in standard cores
+     * @param slotsPerCore requests served at once, and {@code queuePerCore} those that wait beyond them
+     * @param crowding by which fraction each request per core beyond {@code crowdingThreshold} slows all
+     * @param slowStartInitialWeight fraction of capacity at the start
+     * @param slowStartDurationMicros time, or work at full capacity, until all of it is there
+     * @param errors fraction of requests that fail
+     * @param cancelDropProbability that a world's upstreams drop cancelled work which still waits
+     * @param pool to which upstreams of this kind belong, for variants with routing
      */
     public record Kind(
             String name,
@@ -194,9 +231,11 @@
     public record Tenant(String name, double share, Range usage) {}
 
     /**
-     * Something that goes wrong. {@code at} and {@code length} in µs; what {@code fraction}, {@code size} and
-     * {@code extra} mean goes with the kind, see docs/laboratory.md; {@code pool} names the pool whose upstreams it
-     * concerns, null: any.
+     * Something that goes wrong.
+     *
+     * @param at when it begins, in µs of the day, and {@code length} for how long
+     * @param fraction of what it concerns; what this, {@code size} and {@code extra} mean goes with the kind
+     * @param pool whose upstreams it concerns; null: any
      */
     public record Fault(String kind, Range at, Range length, Range fraction, Range size, Range extra, String pool) {
         /** One that may concern any upstream. */
--- a/simulator/src/test/java/loadbalancer/simulator/cli/SimulatorCommandTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/cli/SimulatorCommandTest.java
@@ -95,9 +95,9 @@
     @Test
     void allExperimentsOfTheRepositoryAreSound() throws IOException {
         try (Stream<Path> files = Files.list(EXPERIMENTS)) {
-            for (Path f : files.filter(p -> p.toString().endsWith(".toml")).toList()) {
-                Experiment e = ExperimentReader.read(f);
-                assertTrue(!e.question().isEmpty(), f + " asks something");
+            for (Path file : files.filter(p -> p.toString().endsWith(".toml")).toList()) {
+                Experiment experiment = ExperimentReader.read(file);
+                assertTrue(!experiment.question().isEmpty(), file + " asks something");
             }
         }
     }
@@ -105,8 +105,8 @@
     /** A fixed sample of what the README's command plays: the module keeps the rules on a rough day. */
     @Test
     void theBookingDayKeepsItsPromises() throws IOException {
-        Experiment e = ExperimentReader.read(EXPERIMENTS.resolve("booking-day.toml"));
-        var results = Runner.run(e, 4, (done, all) -> {});
+        Experiment experiment = ExperimentReader.read(EXPERIMENTS.resolve("booking-day.toml"));
+        var results = Runner.run(experiment, 4, (done, all) -> {});
         results.verdicts().forEach(v -> assertTrue(v.holds(), v.toString()));
     }
 }
--- a/simulator/src/test/java/loadbalancer/simulator/engine/SimulationTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/engine/SimulationTest.java
@@ -22,13 +22,13 @@
     void whatIsLeftHappensInOrder(
             @ForAll @Size(max = 3000) List<@IntRange(max = 200) Integer> times,
             @ForAll @IntRange(min = 1, max = 7) int each) {
-        Simulation s = new Simulation();
+        Simulation simulation = new Simulation();
         List<Planned> expected = new ArrayList<>();
         List<Planned> happened = new ArrayList<>();
         List<Simulation.Timer> off = new ArrayList<>();
         for (int i = 0; i < times.size(); i++) {
             Planned p = new Planned(times.get(i), i);
-            Simulation.Timer timer = s.timer(p.time, now -> {
+            Simulation.Timer timer = simulation.timer(p.time, now -> {
                 assertEquals(p.time, now);
                 happened.add(p);
             });
@@ -39,48 +39,48 @@
             }
         }
         off.forEach(Simulation.Timer::cancel);
-        s.runUntil(1000);
+        simulation.runUntil(1000);
         expected.sort(Comparator.comparingInt(Planned::time).thenComparingInt(Planned::order));
         assertEquals(expected, happened);
-        assertEquals(0, s.waiting());
+        assertEquals(0, simulation.waiting());
     }
 
     @Test
     void anEventMayScheduleAtItsOwnInstantAndThatHappensAfterWhatWaitsThere() {
-        Simulation s = new Simulation();
+        Simulation simulation = new Simulation();
         List<String> happened = new ArrayList<>();
-        s.at(5, now -> {
+        simulation.at(5, now -> {
             happened.add("first");
-            s.at(5, then -> happened.add("third"));
+            simulation.at(5, then -> happened.add("third"));
         });
-        s.at(5, now -> happened.add("second"));
-        s.runUntil(5);
+        simulation.at(5, now -> happened.add("second"));
+        simulation.runUntil(5);
         assertEquals(List.of("first", "second", "third"), happened);
     }
 
     @Test
     void aTimerCancelledInTheEventThatFiresItLeavesTheCountsRight() {
-        Simulation s = new Simulation();
+        Simulation simulation = new Simulation();
         Simulation.Timer[] own = new Simulation.Timer[1];
-        own[0] = s.timer(3, now -> own[0].cancel());
-        Simulation.Timer other = s.timer(4, now -> {});
-        s.runUntil(3);
+        own[0] = simulation.timer(3, now -> own[0].cancel());
+        Simulation.Timer other = simulation.timer(4, now -> {});
+        simulation.runUntil(3);
         assertFalse(own[0].pending());
         other.cancel();
         other.cancel();
         for (int i = 0; i < 5000; i++) {
-            s.timer(10, now -> {}).cancel();
+            simulation.timer(10, now -> {}).cancel();
         }
-        assertTrue(s.waiting() < 2500, "called-off timers are swept: " + s.waiting());
-        s.runUntil(20);
-        assertEquals(0, s.waiting());
+        assertTrue(simulation.waiting() < 2500, "called-off timers are swept: " + simulation.waiting());
+        simulation.runUntil(20);
+        assertEquals(0, simulation.waiting());
     }
 
     @Test
     void thePastCannotBeScheduled() {
-        Simulation s = new Simulation();
-        s.runUntil(10);
-        assertThrows(IllegalArgumentException.class, () -> s.at(9, now -> {}));
+        Simulation simulation = new Simulation();
+        simulation.runUntil(10);
+        assertThrows(IllegalArgumentException.class, () -> simulation.at(9, now -> {}));
     }
 
     @Test
@@ -101,14 +101,14 @@
 
     @Test
     void drawsHaveTheMeansAndSpreadsThatAreAskedFor() {
-        RandomStream d = new RandomStreams(3).of("test", 0, "moments");
+        RandomStream random = new RandomStreams(3).of("test", 0, "moments");
         int n = 400_000;
         double[] sums = new double[6];
         for (int i = 0; i < n; i++) {
-            double e = d.exponential(2);
-            double l = d.lognormal(3, 1.5);
-            double p = d.pareto(4, 0.5);
-            double g = d.gaussian();
+            double e = random.exponential(2);
+            double l = random.lognormal(3, 1.5);
+            double p = random.pareto(4, 0.5);
+            double g = random.gaussian();
             sums[0] += e;
             sums[1] += e * e;
             sums[2] += l;
--- a/simulator/src/test/java/loadbalancer/simulator/experiment/ExperimentReaderTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/experiment/ExperimentReaderTest.java
@@ -51,11 +51,11 @@
 
     @Test
     void aSoundOneIsReadWithItsUnits() throws IOException {
-        Experiment e = ExperimentReader.read(file("sound.toml", SOUND));
-        assertEquals(5_000_000, e.plan().length());
-        assertEquals(100, e.plan().network().same().from());
-        assertEquals("sound", e.name());
-        assertEquals(2, e.variants().size());
+        Experiment experiment = ExperimentReader.read(file("sound.toml", SOUND));
+        assertEquals(5_000_000, experiment.plan().length());
+        assertEquals(100, experiment.plan().network().same().from());
+        assertEquals("sound", experiment.name());
+        assertEquals(2, experiment.variants().size());
     }
 
     @ParameterizedTest
@@ -98,9 +98,9 @@
     void anIncludeIsLaidUnderTheFileAndFaultsInItNameIt() throws IOException {
         file("base.toml", SOUND.replace("level = 0.5", "level = 0.25"));
         Path over = file("over.toml", "include = \"base.toml\"\n[world]\nlength = \"9s\"\n");
-        Experiment e = ExperimentReader.read(over);
-        assertEquals(9_000_000, e.plan().length());
-        assertEquals(0.25, e.plan().load().level().from());
+        Experiment experiment = ExperimentReader.read(over);
+        assertEquals(9_000_000, experiment.plan().length());
+        assertEquals(0.25, experiment.plan().load().level().from());
         file("base.toml", SOUND.replace("level = 0.5", "level = true"));
         String said =
                 assertThrows(Faults.class, () -> ExperimentReader.read(over)).getMessage();
@@ -110,8 +110,9 @@
     @Test
     void anIncludeThatLoopsIsCaught() throws IOException {
         file("a.toml", "include = \"b.toml\"\n");
-        Path b = file("b.toml", "include = \"a.toml\"\n");
-        String said = assertThrows(Faults.class, () -> ExperimentReader.read(b)).getMessage();
+        Path file = file("b.toml", "include = \"a.toml\"\n");
+        String said =
+                assertThrows(Faults.class, () -> ExperimentReader.read(file)).getMessage();
         assertTrue(said.contains("loops"), said);
     }
 
--- a/simulator/src/test/java/loadbalancer/simulator/faultinjection/FaultedStreamTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/faultinjection/FaultedStreamTest.java
@@ -27,11 +27,11 @@
         int at = 0;
         for (int i = 0; at < all.length; i++) {
             int n = pieces.length == 0 ? all.length : Math.min(all.length - at, pieces[i % pieces.length]);
-            for (FaultedStream.Step s : lane.take(Arrays.copyOfRange(all, at, at + n))) {
+            for (FaultedStream.Step step : lane.take(Arrays.copyOfRange(all, at, at + n))) {
                 out.append(
-                        s instanceof FaultedStream.Pass p
+                        step instanceof FaultedStream.Pass p
                                 ? new String(p.bytes(), StandardCharsets.ISO_8859_1)
-                                : "<" + ((FaultedStream.Do) s).what() + ">");
+                                : "<" + ((FaultedStream.Do) step).what() + ">");
             }
             at += n;
         }
--- a/simulator/src/test/java/loadbalancer/simulator/fleet/ChurnTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/fleet/ChurnTest.java
@@ -55,22 +55,24 @@
     void aMachineDrainsThenGoesThenComesBackWhateverElseHits() {
         Map<Integer, String> state = new HashMap<>();
         Map<Integer, Long> since = new HashMap<>();
-        for (Churn.Event e : events(11, 2)) {
-            for (int machine : e.machines()) {
+        for (Churn.Event event : events(11, 2)) {
+            for (int machine : event.machines()) {
                 String before = state.getOrDefault(machine, "in_service");
-                if (e.what() == Churn.What.CONFIGURATION) {
+                if (event.what() == Churn.What.CONFIGURATION) {
                     assertEquals("in_service", before);
                     continue;
                 }
                 String expected = before.equals("in_service")
                         ? "terminating"
                         : before.equals("terminating") ? "terminated" : "in_service";
-                assertEquals(expected, e.state());
-                if (!e.state().equals("terminating")) {
-                    assertEquals(e.state().equals("terminated") ? 2_000_000L : 1_000_000L, e.at() - since.get(machine));
+                assertEquals(expected, event.state());
+                if (!event.state().equals("terminating")) {
+                    assertEquals(
+                            event.state().equals("terminated") ? 2_000_000L : 1_000_000L,
+                            event.at() - since.get(machine));
                 }
-                state.put(machine, e.state());
-                since.put(machine, e.at());
+                state.put(machine, event.state());
+                since.put(machine, event.at());
             }
         }
         assertFalse(state.isEmpty());
@@ -84,16 +86,16 @@
         List<Churn.Event> zones =
                 new Churn(machines(60), new Churn.Rates(0, 0, 0.01, 0, 1, 1_000, 1_000), 5).events(LENGTH);
         assertTrue(!zones.isEmpty() && zones.stream().allMatch(e -> e.machines().size() == 20), zones.toString());
-        Machines m = machines(10);
-        assertEquals(3, m.racks());
-        assertEquals(10, m.rackFrom(3));
-        assertEquals(10, m.zoneFrom(3));
+        Machines machines = machines(10);
+        assertEquals(3, machines.racks());
+        assertEquals(10, machines.rackFrom(3));
+        assertEquals(10, machines.zoneFrom(3));
     }
 
     @Test
     void whatIsToldNamesTheStartAndKeepsItAfterwards() {
-        Machines m = machines(4);
-        Churn churn = new Churn(m, rates(1), 1);
+        Machines machines = machines(4);
+        Churn churn = new Churn(machines, rates(1), 1);
         String back = json(churn, new Churn.Event(0, Churn.What.MACHINE, List.of(2), "in_service", 1, true), 1_234);
         assertTrue(back.contains("\"boot_ms\":1234"), back);
         String changed =
@@ -101,7 +103,7 @@
         assertTrue(changed.contains("\"boot_ms\":1234") && changed.contains("\"capacity_hint\":0.75"), changed);
     }
 
-    private static String json(Churn churn, Churn.Event e, long unixMs) {
-        return new String(churn.changes(e, unixMs).get(0).json(), StandardCharsets.US_ASCII);
+    private static String json(Churn churn, Churn.Event event, long unixMs) {
+        return new String(churn.changes(event, unixMs).get(0).json(), StandardCharsets.US_ASCII);
     }
 }
--- a/simulator/src/test/java/loadbalancer/simulator/fleet/FleetReaderTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/fleet/FleetReaderTest.java
@@ -117,8 +117,8 @@
     @Test
     void theRunsOfTheRepositoryAreSound() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("../experiments/fleet"))) {
-            for (Path f : files.filter(p -> p.toString().endsWith(".toml")).toList()) {
-                assertTrue(!FleetReader.read(f).question().isEmpty(), f + " asks something");
+            for (Path file : files.filter(p -> p.toString().endsWith(".toml")).toList()) {
+                assertTrue(!FleetReader.read(file).question().isEmpty(), file + " asks something");
             }
         }
     }
--- a/simulator/src/test/java/loadbalancer/simulator/fleet/FleetShortTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/fleet/FleetShortTest.java
@@ -62,26 +62,26 @@
                 .events(LENGTH);
     }
 
-    private static void assertEachChangeReachedEachBalancerOnce(FleetPlan plan, int size, Map<String, Double> f) {
+    private static void assertEachChangeReachedEachBalancerOnce(FleetPlan plan, int size, Map<String, Double> figures) {
         int changes = events(plan).size();
         assertTrue(changes >= 8, "the seed gives " + changes);
-        assertEquals(size, f.get("start_calls_count"));
-        assertEquals((double) size * UPSTREAMS, f.get("entries_held_count"));
-        assertEquals(changes, f.get("changes_count"));
-        assertEquals((double) changes * size, f.get("in_force_pairs_count"));
+        assertEquals(size, figures.get("start_calls_count"));
+        assertEquals((double) size * UPSTREAMS, figures.get("entries_held_count"));
+        assertEquals(changes, figures.get("changes_count"));
+        assertEquals((double) changes * size, figures.get("in_force_pairs_count"));
         // An entry takes under 200 bytes, a line 120 around them with its chunk; the rest is empty lines.
         double entries =
                 events(plan).stream().mapToInt(e -> e.machines().size()).sum();
-        assertEquals(entries, f.get("changed_entries_count"));
-        assertTrue(f.get("line_per_change_bytes") <= 120 + 200 * entries / changes, f.toString());
-        assertTrue(f.get("list_bytes") <= 200.0 * UPSTREAMS, f.toString());
-        assertTrue(f.get("decisions_count") > 0, f.toString());
+        assertEquals(entries, figures.get("changed_entries_count"));
+        assertTrue(figures.get("line_per_change_bytes") <= 120 + 200 * entries / changes, figures.toString());
+        assertTrue(figures.get("list_bytes") <= 200.0 * UPSTREAMS, figures.toString());
+        assertTrue(figures.get("decisions_count") > 0, figures.toString());
     }
 
-    private static void assertBetween(double least, double most, String figure, Map<String, Double> f) {
+    private static void assertBetween(double least, double most, String figure, Map<String, Double> figures) {
         assertTrue(
-                f.get(figure) >= least && f.get(figure) <= most,
-                figure + " between " + least + " and " + most + ": " + f);
+                figures.get(figure) >= least && figures.get(figure) <= most,
+                figure + " between " + least + " and " + most + ": " + figures);
     }
 
     // A call may be made twice where a machine is so busy that the first one times out.
@@ -90,37 +90,41 @@
     void whereListsAreAskedForAJointRestartCostsOneWholeListEach() throws IOException, InterruptedException {
         int size = 40;
         FleetPlan plan = plan("ask", "[restart]\n[outage]\nkind = \"down\"\nlength = \"1500ms\"");
-        Map<String, Double> f = figures(plan, size);
-        assertEachChangeReachedEachBalancerOnce(plan, size, f);
-        assertBetween(size, 2 * size, "restart_calls_count", f);
-        assertBetween(size, 2 * size, "restart_wholes_count", f);
-        assertBetween(size * f.get("list_bytes"), 2 * size * (f.get("list_bytes") + 400), "restart_sent_bytes", f);
-        assertEquals(0, f.get("restart_refused_count"));
-        assertBetween(size, 20 * size, "outage_during_calls_count", f);
-        assertBetween(size, 3 * size, "outage_after_calls_count", f);
-        assertEquals(0, f.get("outage_after_wholes_count"));
-        assertTrue(f.containsKey("outage_after_all_listed_ms"), f.toString());
+        Map<String, Double> figures = figures(plan, size);
+        assertEachChangeReachedEachBalancerOnce(plan, size, figures);
+        assertBetween(size, 2 * size, "restart_calls_count", figures);
+        assertBetween(size, 2 * size, "restart_wholes_count", figures);
+        assertBetween(
+                size * figures.get("list_bytes"),
+                2 * size * (figures.get("list_bytes") + 400),
+                "restart_sent_bytes",
+                figures);
+        assertEquals(0, figures.get("restart_refused_count"));
+        assertBetween(size, 20 * size, "outage_during_calls_count", figures);
+        assertBetween(size, 3 * size, "outage_after_calls_count", figures);
+        assertEquals(0, figures.get("outage_after_wholes_count"));
+        assertTrue(figures.containsKey("outage_after_all_listed_ms"), figures.toString());
     }
 
     @Test
     void whereListsArePushedARestartWithTheListAtHandCostsOnlyWhatChanged() throws IOException, InterruptedException {
         int size = 16;
         FleetPlan plan = plan("push", "[restart]\nknown = true\n[outage]\nkind = \"cut_off\"\nlength = \"1500ms\"");
-        Map<String, Double> f = figures(plan, size);
-        assertEachChangeReachedEachBalancerOnce(plan, size, f);
-        assertEquals(0, f.get("restart_wholes_count"));
-        assertBetween(size, 2 * size, "restart_calls_count", f);
-        assertBetween(1, 2 * size * 400, "restart_sent_bytes", f);
-        assertBetween(0, 3 * size, "outage_after_calls_count", f);
-        assertTrue(f.containsKey("outage_after_all_listed_ms"), f.toString());
+        Map<String, Double> figures = figures(plan, size);
+        assertEachChangeReachedEachBalancerOnce(plan, size, figures);
+        assertEquals(0, figures.get("restart_wholes_count"));
+        assertBetween(size, 2 * size, "restart_calls_count", figures);
+        assertBetween(1, 2 * size * 400, "restart_sent_bytes", figures);
+        assertBetween(0, 3 * size, "outage_after_calls_count", figures);
+        assertTrue(figures.containsKey("outage_after_all_listed_ms"), figures.toString());
     }
 
     @Test
     void beforeASlowDiscoveryChangesComeOverTheWatchesThatAreOpen() throws IOException, InterruptedException {
         int size = 8;
-        Map<String, Double> f =
+        Map<String, Double> figures =
                 figures(plan("ask", "[outage]\nkind = \"slow\"\nlength = \"1s\"\ncall_time = \"50ms\""), size);
-        assertBetween(0, 2 * size, "outage_during_calls_count", f);
-        assertTrue(f.containsKey("outage_after_all_listed_ms"), f.toString());
+        assertBetween(0, 2 * size, "outage_during_calls_count", figures);
+        assertTrue(figures.containsKey("outage_after_all_listed_ms"), figures.toString());
     }
 }
--- a/simulator/src/test/java/loadbalancer/simulator/fleet/StandInDiscoveryTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/fleet/StandInDiscoveryTest.java
@@ -76,30 +76,31 @@
     }
 
     private StandInDiscovery discovery(long callTime, long callTimeout, int kept) throws IOException {
-        StandInDiscovery d = new StandInDiscovery(machines.all(), new FleetPlan.Discovery(callTime, callTimeout, kept));
-        open.add(d::close);
-        return d;
+        StandInDiscovery discovery =
+                new StandInDiscovery(machines.all(), new FleetPlan.Discovery(callTime, callTimeout, kept));
+        open.add(discovery::close);
+        return discovery;
     }
 
     private StandInDiscovery discovery() throws IOException {
         return discovery(0, 2_000_000, 100);
     }
 
-    private Asked ask(StandInDiscovery d, String uri) throws IOException {
-        Asked a = new Asked(d, uri);
+    private Asked ask(StandInDiscovery discovery, String uri) throws IOException {
+        Asked a = new Asked(discovery, uri);
         open.add(0, a);
         return a;
     }
 
-    private long publish(StandInDiscovery d, int machine, String state) {
-        return d.publish(List.of(machines.entry(machine, state, 1, 0)));
+    private long publish(StandInDiscovery discovery, int machine, String state) {
+        return discovery.publish(List.of(machines.entry(machine, state, 1, 0)));
     }
 
     private static List<String> uids(String list) {
         List<String> all = new ArrayList<>();
-        Matcher m = UID.matcher(list);
-        while (m.find()) {
-            all.add(m.group(1));
+        Matcher matcher = UID.matcher(list);
+        while (matcher.find()) {
+            all.add(matcher.group(1));
         }
         return all;
     }
@@ -121,112 +122,112 @@
 
     @Test
     void theWholeListHoldsAllThatRuns() throws IOException {
-        StandInDiscovery d = discovery();
-        publish(d, 1, "terminating");
-        publish(d, 2, "terminated");
-        String list = ask(d, "/api/targets").line();
+        StandInDiscovery discovery = discovery();
+        publish(discovery, 1, "terminating");
+        publish(discovery, 2, "terminated");
+        String list = ask(discovery, "/api/targets").line();
         assertTrue(list.startsWith("{\"rev\":3,\"all\":true,"), list);
         assertEquals(4, uids(list).size());
         assertFalse(uids(list).contains(machines.uid(2)));
         assertTrue(list.contains("\"state\":\"terminating\""), list);
-        assertEquals(list.length(), d.listBytes());
-        assertTrue(ask(d, "/api/other").until("\r\n").startsWith("HTTP/1.1 404"));
-        assertTrue(ask(d, "/api/targets?watch=1&from=x").until("\r\n").startsWith("HTTP/1.1 400"));
+        assertEquals(list.length(), discovery.listBytes());
+        assertTrue(ask(discovery, "/api/other").until("\r\n").startsWith("HTTP/1.1 404"));
+        assertTrue(ask(discovery, "/api/targets?watch=1&from=x").until("\r\n").startsWith("HTTP/1.1 400"));
     }
 
     @Test
     void aWatchHearsEachChangeOnceAndEmptyLinesBetween() throws IOException {
-        StandInDiscovery d = discovery();
-        Asked watch = ask(d, "/api/targets?watch=1&from=0");
+        StandInDiscovery discovery = discovery();
+        Asked watch = ask(discovery, "/api/targets?watch=1&from=0");
         assertEquals(5, uids(watch.line()).size());
-        publish(d, 0, "terminating");
+        publish(discovery, 0, "terminating");
         String change = watch.line();
         assertTrue(change.startsWith("{\"rev\":2,\"all\":false,"), change);
         assertEquals(List.of(machines.uid(0)), uids(change));
         watch.until("1\r\n\n\r\n"); // a chunk that holds an empty line
-        assertTrue(d.counts().beats() >= 1);
-        assertEquals(1, d.watches());
+        assertTrue(discovery.counts().beats() >= 1);
+        assertEquals(1, discovery.watches());
         watch.close();
-        await(() -> d.watches() == 0);
+        await(() -> discovery.watches() == 0);
     }
 
     @Test
     void whoComesWithAKnownRevisionHearsWhatChangedSinceEachMachineOnce() throws IOException {
-        StandInDiscovery d = discovery();
-        publish(d, 3, "terminating");
-        publish(d, 3, "terminated");
-        publish(d, 4, "terminating");
-        String since = ask(d, "/api/targets?watch=1&from=1").line();
+        StandInDiscovery discovery = discovery();
+        publish(discovery, 3, "terminating");
+        publish(discovery, 3, "terminated");
+        publish(discovery, 4, "terminating");
+        String since = ask(discovery, "/api/targets?watch=1&from=1").line();
         assertTrue(since.startsWith("{\"rev\":4,\"all\":false,"), since);
         assertEquals(List.of(machines.uid(3), machines.uid(4)), uids(since));
         assertTrue(since.contains("\"terminated\""), since);
-        String nothing = ask(d, "/api/targets?watch=1&from=4").line();
+        String nothing = ask(discovery, "/api/targets?watch=1&from=4").line();
         assertEquals("{\"rev\":4,\"all\":false,\"targets\":[]}\n", nothing);
     }
 
     @Test
     void anOldOrUnheardOfRevisionGetsTheWholeList() throws IOException {
-        StandInDiscovery d = discovery(0, 2_000_000, 2);
+        StandInDiscovery discovery = discovery(0, 2_000_000, 2);
         for (int i = 0; i < 4; i++) {
-            publish(d, i, "terminating");
+            publish(discovery, i, "terminating");
         }
-        assertTrue(ask(d, "/api/targets?watch=1&from=3").line().contains("\"all\":false"));
-        String old = ask(d, "/api/targets?watch=1&from=2").line();
+        assertTrue(ask(discovery, "/api/targets?watch=1&from=3").line().contains("\"all\":false"));
+        String old = ask(discovery, "/api/targets?watch=1&from=2").line();
         assertTrue(old.startsWith("{\"rev\":5,\"all\":true,"), old);
         assertEquals(5, uids(old).size());
-        assertTrue(ask(d, "/api/targets?watch=1&from=77").line().contains("\"all\":true"));
-        assertEquals(2, d.counts().wholes());
+        assertTrue(ask(discovery, "/api/targets?watch=1&from=77").line().contains("\"all\":true"));
+        assertEquals(2, discovery.counts().wholes());
     }
 
     @Test
     void aSlowOneTakesCallsOneAfterAnotherAndRefusesWhoWaitedTooLong() throws IOException {
-        StandInDiscovery d = discovery(0, 100_000, 100);
-        d.slow(2_000_000);
-        Asked first = ask(d, "/api/targets");
-        await(() -> d.counts().calls() == 1);
-        Asked second = ask(d, "/api/targets");
+        StandInDiscovery discovery = discovery(0, 100_000, 100);
+        discovery.slow(2_000_000);
+        Asked first = ask(discovery, "/api/targets");
+        await(() -> discovery.counts().calls() == 1);
+        Asked second = ask(discovery, "/api/targets");
         assertTrue(first.until("\r\n").startsWith("HTTP/1.1 200"));
         assertTrue(second.until("\r\n").startsWith("HTTP/1.1 503"));
-        assertEquals(1, d.counts().refused());
-        assertTrue(d.counts().longestMicros() > 100_000);
-        d.back();
-        assertTrue(ask(d, "/api/targets").until("\r\n").startsWith("HTTP/1.1 200"));
+        assertEquals(1, discovery.counts().refused());
+        assertTrue(discovery.counts().longestMicros() > 100_000);
+        discovery.back();
+        assertTrue(ask(discovery, "/api/targets").until("\r\n").startsWith("HTTP/1.1 200"));
     }
 
     @Test
     void whenItGoesDownWatchesEndAndCallsAreReset() throws IOException {
-        StandInDiscovery d = discovery();
-        Asked watch = ask(d, "/api/targets?watch=1&from=0");
+        StandInDiscovery discovery = discovery();
+        Asked watch = ask(discovery, "/api/targets?watch=1&from=0");
         watch.line();
-        d.down();
+        discovery.down();
         assertTrue(watch.ends());
-        publish(d, 0, "terminating");
+        publish(discovery, 0, "terminating");
         boolean ended;
-        try (Asked call = new Asked(d, "/api/targets")) {
+        try (Asked call = new Asked(discovery, "/api/targets")) {
             ended = call.ends();
         } catch (IOException e) {
             ended = true; // reset before the call was written
         }
         assertTrue(ended);
-        await(() -> d.counts().refused() == 1);
-        d.back();
-        assertTrue(ask(d, "/api/targets?watch=1&from=1").line().startsWith("{\"rev\":2,\"all\":false,"));
+        await(() -> discovery.counts().refused() == 1);
+        discovery.back();
+        assertTrue(ask(discovery, "/api/targets?watch=1&from=1").line().startsWith("{\"rev\":2,\"all\":false,"));
     }
 
     @Test
     void cutOffItSaysNothingAndBackItTellsWatchesWhatTheyMissed() throws IOException {
-        StandInDiscovery d = discovery();
-        Asked watch = ask(d, "/api/targets?watch=1&from=0");
+        StandInDiscovery discovery = discovery();
+        Asked watch = ask(discovery, "/api/targets?watch=1&from=0");
         watch.line();
-        d.cutOff();
-        Asked call = ask(d, "/api/targets");
-        await(() -> d.counts().silent() == 1);
-        long lines = d.counts().lines();
-        publish(d, 0, "terminating");
-        publish(d, 1, "terminating");
-        assertEquals(lines, d.counts().lines());
-        assertEquals(1, d.watches());
-        d.back();
+        discovery.cutOff();
+        Asked call = ask(discovery, "/api/targets");
+        await(() -> discovery.counts().silent() == 1);
+        long lines = discovery.counts().lines();
+        publish(discovery, 0, "terminating");
+        publish(discovery, 1, "terminating");
+        assertEquals(lines, discovery.counts().lines());
+        assertEquals(1, discovery.watches());
+        discovery.back();
         assertTrue(call.ends(), "what came meanwhile is reset");
         String missed = watch.line();
         assertTrue(missed.startsWith("{\"rev\":3,\"all\":false,"), missed);
--- a/simulator/src/test/java/loadbalancer/simulator/queue/TheoryTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/queue/TheoryTest.java
@@ -19,7 +19,7 @@
     private static final double WIDER = 5.89 / 2.571; // Student's t for 5 degrees: 99.8% over 95%
 
     private static Interval mean(
-            String policy, int servers, int cores, double lambda, double fastShare, int d, long jobs) {
+            String policy, int servers, int cores, double lambda, double fastShare, int sampled, long jobs) {
         return Interval.of(IntStream.rangeClosed(1, SEEDS)
                 .mapToDouble(seed -> QueueModel.run(new QueueModel.Setting(
                                 policy,
@@ -29,8 +29,8 @@
                                 fastShare,
                                 fastShare < 1 ? 1.95 : 1,
                                 fastShare < 1 ? 0.6 : 1,
-                                d,
-                                d / 2,
+                                sampled,
+                                sampled / 2,
                                 jobs,
                                 seed))
                         .meanResponse())
@@ -54,8 +54,8 @@
     /** The limit is for infinitely many servers: a thousand may lie up to a hundredth from it. */
     @ParameterizedTest
     @CsvSource({"2, 0.7", "2, 0.9", "2, 0.95", "3, 0.7", "3, 0.9", "3, 0.95"})
-    void theShortestOfSeveralQueuesTendsToMitzenmachersLimit(int d, double load) {
-        holds(mean("jsq-d", 1000, 1, load, 1, d, 400_000), Theory.jsqD(d, load), 0.01);
+    void theShortestOfSeveralQueuesTendsToMitzenmachersLimit(int sampled, double load) {
+        holds(mean("jsq-d", 1000, 1, load, 1, sampled, 400_000), Theory.jsqD(sampled, load), 0.01);
     }
 
     @ParameterizedTest
@@ -79,9 +79,9 @@
 
     @Test
     void accomplishmentFindsTheFastServersAtHighLoad() {
-        QueueModel.Result r =
+        QueueModel.Result result =
                 QueueModel.run(new QueueModel.Setting("jsq-das", 300, 1, 0.9, 0.3, 1.95, 0.6, 4, 2, 900_000, 5));
-        assertTrue(r.fastIdentified() > 0.99, "found " + r.fastIdentified());
+        assertTrue(result.fastIdentified() > 0.99, "found " + result.fastIdentified());
     }
 
     @Test
--- a/simulator/src/test/java/loadbalancer/simulator/rules/RuleCheckerTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/rules/RuleCheckerTest.java
@@ -43,12 +43,12 @@
             if (kind == EndpointListKind.CACHED) {
                 out.watch(true);
             }
-            for (Endpoint s : servers) {
-                if (s.state() == EndpointState.UP) {
-                    up.put(s.id(), s);
-                    cold = s.startedAt() > 0 ? s : cold;
+            for (Endpoint endpoint : servers) {
+                if (endpoint.state() == EndpointState.UP) {
+                    up.put(endpoint.id(), endpoint);
+                    cold = endpoint.startedAt() > 0 ? endpoint : cold;
                 } else if (rule != Rule.DRAIN) {
-                    up.remove(s.id());
+                    up.remove(endpoint.id());
                 }
             }
         }
@@ -165,10 +165,12 @@
 
     @Test
     void aBrokenRuleShowsTheRequestTheTimeAndTheChainThatLedThere() {
-        RuleViolation b = play(Rule.DUPLICATE).violations().get(0);
-        assertTrue(b.at() > 1_000_000 && b.subject().startsWith("r"), b.toString());
+        RuleViolation violation = play(Rule.DUPLICATE).violations().get(0);
+        assertTrue(violation.at() > 1_000_000 && violation.subject().startsWith("r"), violation.toString());
         assertTrue(
-                b.events().get(0).contains("sent to ") && b.events().get(1).contains("attempt 0 ERROR"), b.toString());
-        assertFalse(b.description().isEmpty());
+                violation.events().get(0).contains("sent to ")
+                        && violation.events().get(1).contains("attempt 0 ERROR"),
+                violation.toString());
+        assertFalse(violation.description().isEmpty());
     }
 }
--- a/simulator/src/test/java/loadbalancer/simulator/sockets/LiveSiteTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/sockets/LiveSiteTest.java
@@ -84,8 +84,8 @@
                 load.run(() -> {});
                 assertTrue(load.outcomes().size() > 120, load.outcomes().size() + " requests");
                 assertEquals(List.of(), new DemoPage(plan, load, site.ledger()).violations());
-                for (Load.Outcome o : load.outcomes()) {
-                    assertTrue(o.served() || o.status() != 200);
+                for (Load.Outcome outcome : load.outcomes()) {
+                    assertTrue(outcome.served() || outcome.status() != 200);
                 }
                 assertTrue(new DemoPage(plan, load, site.ledger()).html("q").contains("<polyline"));
             }
--- a/simulator/src/test/java/loadbalancer/simulator/world/HardCasesTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/world/HardCasesTest.java
@@ -104,13 +104,13 @@
             0.1);
 
     private static Day fronted(WorldPlan plan) {
-        Variants.Variant v = new Variants.Variant(
+        Variants.Variant variant = new Variants.Variant(
                 "front",
                 "balance",
                 new Choosers.Figures(4, 2, 0.5),
                 new RoutingSpec.Use(FRONT, null, Set.of(), 1, 0),
                 false);
-        return Day.play(plan, 4, Variants.policyFactory(v, plan));
+        return Day.play(plan, 4, Variants.policyFactory(variant, plan));
     }
 
     @ParameterizedTest
@@ -137,7 +137,7 @@
     @Test
     void whereListsArePushedADeathIsHeardOf() {
         WorldPlan asked = Worlds.small(0.4, 6, Idempotency.IDEMPOTENT, Worlds.fault("death", 3, 4, 0.34, 0, 0));
-        WorldPlan.Discovery d = asked.discovery();
+        WorldPlan.Discovery discovery = asked.discovery();
         WorldPlan pushed = new WorldPlan(
                 asked.length(),
                 asked.balancers(),
@@ -148,14 +148,14 @@
                 asked.clients(),
                 new WorldPlan.Discovery(
                         false,
-                        d.noticeDelay(),
-                        d.silentFailureNotice(),
-                        d.registrationDelay(),
-                        d.period(),
-                        d.spread(),
-                        d.capacity(),
-                        d.entriesPerCall(),
-                        d.timeout()),
+                        discovery.noticeDelay(),
+                        discovery.silentFailureNotice(),
+                        discovery.registrationDelay(),
+                        discovery.period(),
+                        discovery.spread(),
+                        discovery.capacity(),
+                        discovery.entriesPerCall(),
+                        discovery.timeout()),
                 asked.rules(),
                 asked.goal(),
                 asked.prices(),
@@ -196,8 +196,8 @@
         List<Long> outcomesAfter = new ArrayList<>();
         Recorder recorder = new Recorder() {
             @Override
-            public void attemptEnded(Attempt a, AttemptOutcome outcome, long now) {
-                if (!a.balancer().alive()) {
+            public void attemptEnded(Attempt attempt, AttemptOutcome outcome, long now) {
+                if (!attempt.balancer().alive()) {
                     outcomesAfter.add(now);
                 }
             }
@@ -226,8 +226,8 @@
                 (settings, seed, truth) -> new JsqDasPolicy(settings, seed),
                 new Recorder());
         world.run();
-        for (Balancer b : world.processes()) {
-            assertEquals(0, b.open());
+        for (Balancer balancer : world.processes()) {
+            assertEquals(0, balancer.open());
         }
         assertTrue(world.simulation.waiting() < 1024, "the calendar holds " + world.simulation.waiting());
     }
@@ -237,9 +237,9 @@
         List<String> targets = new ArrayList<>();
         Recorder recorder = new Recorder() {
             @Override
-            public void attemptEnded(Attempt a, AttemptOutcome outcome, long now) {
-                if (outcome == AttemptOutcome.OK && !a.endpointId().equals(a.upstream.id())) {
-                    targets.add(a.endpointId());
+            public void attemptEnded(Attempt attempt, AttemptOutcome outcome, long now) {
+                if (outcome == AttemptOutcome.OK && !attempt.endpointId().equals(attempt.upstream.id())) {
+                    targets.add(attempt.endpointId());
                 }
             }
         };
@@ -259,20 +259,21 @@
         List<Long> ends = new ArrayList<>();
         Recorder recorder = new Recorder() {
             @Override
-            public void attemptEnded(Attempt a, AttemptOutcome outcome, long now) {
+            public void attemptEnded(Attempt attempt, AttemptOutcome outcome, long now) {
                 ends.add(now);
             }
         };
         WorldPlan plan = Worlds.small(0.0001, 1, Idempotency.IDEMPOTENT);
         World world = new World(plan, 1, (settings, seed, truth) -> new JsqDasPolicy(settings, seed), recorder);
-        Upstream u = world.upstreams.get(0);
-        Balancer b = new Balancer(world, 0, u.zone, 0, new JsqDasPolicy(world.settings(0, 0), 1));
+        Upstream upstream = world.upstreams.get(0);
+        Balancer balancer = new Balancer(world, 0, upstream.zone, 0, new JsqDasPolicy(world.settings(0, 0), 1));
         world.simulation.at(100, now -> {
             for (int i = 0; i < jobs; i++) {
-                ClientRequest c = new ClientRequest(i, 0, 0, 0, -1, 20_000, now, now + Worlds.SECOND, false);
-                BalancerRequest t = new BalancerRequest("t" + i, i, c, b, now, now + Worlds.SECOND);
-                t.clientGone = true;
-                u.accept(new Attempt(t, 0, u.id(), u, now), false, now);
+                ClientRequest request = new ClientRequest(i, 0, 0, 0, -1, 20_000, now, now + Worlds.SECOND, false);
+                BalancerRequest balancerRequest =
+                        new BalancerRequest("t" + i, i, request, balancer, now, now + Worlds.SECOND);
+                balancerRequest.clientGone = true;
+                upstream.accept(new Attempt(balancerRequest, 0, upstream.id(), upstream, now), false, now);
             }
         });
         world.simulation.runUntil(10 * Worlds.SECOND);
--- a/simulator/src/test/java/loadbalancer/simulator/world/RandomWorldsTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/world/RandomWorldsTest.java
@@ -64,8 +64,8 @@
         }
         assertTrue(f.get("G") <= 1 && f.get("G") > -1, f.toString());
         // A policy may push a cold upstream over; none of these loses, repeats or doubles anything.
-        for (RuleViolation b : day.violations()) {
-            assertEquals(RuleViolation.Rule.COLD, b.rule(), b.toString());
+        for (RuleViolation violation : day.violations()) {
+            assertEquals(RuleViolation.Rule.COLD, violation.rule(), violation.toString());
         }
     }
 }
