--- a/simulator/src/main/java/loadbalancer/simulator/fleet/RoutesAxis.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/RoutesAxis.java
@@ -53,8 +53,9 @@
         List<String> missed = new ArrayList<>();
         figures.put(FleetRun.LOAD, Host.load());
         List<Route> routes = new ArrayList<>();
-        for (int i = 0; i < size; i++) {
-            routes.add(new Route("r" + i, PathTemplate.of(path(i)), Set.of("GET"), Map.of(), Set.of(), Set.of(), i));
+        for (int index = 0; index < size; index++) {
+            routes.add(new Route(
+                    "r" + index, PathTemplate.of(path(index)), Set.of("GET"), Map.of(), Set.of(), Set.of(), index));
         }
         figures.put("table_heap_per_route_bytes", Repeated.retained(() -> new RouteTable(routes)) / size);
         figures.put("table_made_ms", Repeated.millis(() -> new RouteTable(routes)));
@@ -86,8 +87,8 @@
         return new ScalePoint(name(), size, figures, missed);
     }
 
-    private static String path(int i) {
-        return "/service" + i % 97 + "/part" + i + (i % 3 == 0 ? "/{key}" : "/seats");
+    private static String path(int index) {
+        return "/service" + index % 97 + "/part" + index + (index % 3 == 0 ? "/{key}" : "/seats");
     }
 
     private static RoutingConfig plan(List<Route> routes) {
@@ -109,9 +110,9 @@
     private static void write(Path file, long size) throws IOException {
         try (Writer out = Files.newBufferedWriter(file)) {
             out.write("[front]\nunmatched = \"site\"\n");
-            for (int i = 0; i < size; i++) {
-                out.write("\n[[route]]\nname = \"r" + i + "\"\npath = \"" + path(i) + "\"\nmethods = [\"GET\"]\n"
-                        + "to = [{ pool = \"site\", weight = 1 }]\n");
+            for (int index = 0; index < size; index++) {
+                out.write("\n[[route]]\nname = \"r" + index + "\"\npath = \"" + path(index)
+                        + "\"\nmethods = [\"GET\"]\n" + "to = [{ pool = \"site\", weight = 1 }]\n");
             }
         }
     }
--- a/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
@@ -73,9 +73,9 @@
         this.names = names;
         this.random = random;
         this.begin = begin;
-        for (RoutingSpec.Pool p : use.spec().pools()) {
-            modules.put(p.name(), module.apply(p.name()));
-            states.put(p.name(), new HashMap<>());
+        for (RoutingSpec.Pool pool : use.spec().pools()) {
+            modules.put(pool.name(), module.apply(pool.name()));
+            states.put(pool.name(), new HashMap<>());
         }
     }
 
@@ -185,8 +185,8 @@
     }
 
     private void settle() {
-        for (Runnable r = later.poll(); r != null; r = later.poll()) {
-            r.run();
+        for (Runnable task = later.poll(); task != null; task = later.poll()) {
+            task.run();
         }
     }
 
@@ -197,11 +197,11 @@
         begin(now, to);
         Map<String, List<Endpoint>> own = new LinkedHashMap<>();
         modules.keySet().forEach(p -> own.put(p, new ArrayList<>()));
-        for (Endpoint s : list) {
-            String pool = names.kindPools.get(s.kind());
+        for (Endpoint endpoint : list) {
+            String pool = names.kindPools.get(endpoint.kind());
             if (own.containsKey(pool)) {
-                own.get(pool).add(s);
-                poolOf.put(s.id(), pool);
+                own.get(pool).add(endpoint);
+                poolOf.put(endpoint.id(), pool);
             }
         }
         own.forEach((pool, some) -> {
@@ -289,11 +289,11 @@
             LoadReport load,
             Actions to) {
         begin(now, to);
-        Open o = open.get(id);
-        if (o == null) {
+        Open request = open.get(id);
+        if (request == null) {
             return;
         }
-        String pool = o.ticket.pool();
+        String pool = request.ticket.pool();
         if (outcome == AttemptOutcome.OK) {
             over(id, LeaseEnd.SERVED);
         }
@@ -304,9 +304,9 @@
     @Override
     public void streamStarted(long now, String id, int attempt, Actions to) {
         begin(now, to);
-        Open o = open.get(id);
-        if (o != null) {
-            modules.get(o.ticket.pool()).streamStarted(now, id, attempt, actions(o.ticket.pool()));
+        Open request = open.get(id);
+        if (request != null) {
+            modules.get(request.ticket.pool()).streamStarted(now, id, attempt, actions(request.ticket.pool()));
         }
         settle();
     }
@@ -337,9 +337,9 @@
         begin(now, to);
         List<String> due = new ArrayList<>();
         for (Iterator<Wake> i = wakes.iterator(); i.hasNext(); ) {
-            Wake w = i.next();
-            if (w.at <= now) {
-                due.add(w.pool);
+            Wake wake = i.next();
+            if (wake.at <= now) {
+                due.add(wake.pool);
                 i.remove();
             }
         }
--- a/simulator/src/main/java/loadbalancer/simulator/variants/RoutingSpec.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/RoutingSpec.java
@@ -151,9 +151,11 @@
     /** The steps that have been taken by that time of the day: the plan changes with them. */
     int step(long time) {
         int sum = 0;
-        for (Way w : routes) {
-            if (w.steps > 0 && time >= w.stepsFrom) {
-                sum += (int) Math.min(w.steps, Math.floor((time - w.stepsFrom) * (double) w.steps / w.stepsLength + 1));
+        for (Way route : routes) {
+            if (route.steps > 0 && time >= route.stepsFrom) {
+                sum += (int) Math.min(
+                        route.steps,
+                        Math.floor((time - route.stepsFrom) * (double) route.steps / route.stepsLength + 1));
             }
         }
         return sum;
