--- a/core/src/main/java/loadbalancer/policy/PriorityTiers.java
+++ b/core/src/main/java/loadbalancer/policy/PriorityTiers.java
@@ -17,6 +17,8 @@
 
     private final PolicySettings settings;
     private final double[] weights;
+    private final double lowestWithinQuota;
+    private final double hedgingShedLevel;
 
     PriorityTiers(PolicySettings settings) {
         this.settings = settings;
@@ -25,6 +27,11 @@
                 .distinct()
                 .sorted()
                 .toArray();
+        this.lowestWithinQuota = settings.classes().stream()
+                .mapToDouble(each -> weight(each, false))
+                .min()
+                .getAsDouble();
+        this.hedgingShedLevel = Arrays.binarySearch(weights, lowestWithinQuota) + HEDGING_SHED_TOLERANCE;
     }
 
     private double weight(RequestClass requestClass, boolean lowPriority) {
@@ -39,10 +46,7 @@
 
     /** The lowest weight of a request within its tenant's quota. */
     double lowestWithinQuota() {
-        return settings.classes().stream()
-                .mapToDouble(each -> weight(each, false))
-                .min()
-                .getAsDouble();
+        return lowestWithinQuota;
     }
 
     /** The tier of a request that has arrived under these settings. */
@@ -52,6 +56,6 @@
 
     /** The shed level from which requests within their quota are rejected. */
     double hedgingShedLevel() {
-        return Arrays.binarySearch(weights, lowestWithinQuota()) + HEDGING_SHED_TOLERANCE;
+        return hedgingShedLevel;
     }
 }
