--- a/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
@@ -16,7 +16,7 @@
 import java.util.function.BiFunction;
 import java.util.function.Supplier;
 import loadbalancer.admin.AdminListener;
-import loadbalancer.admin.Operations;
+import loadbalancer.admin.OperatorActions;
 import loadbalancer.discovery.DiscoveryClient;
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.discovery.EndpointSubset;
@@ -96,30 +96,30 @@
         this.platform = platform;
         this.warmsUp = warmsUp;
         this.log = log;
-        DescriptorBudget descriptors = new DescriptorBudget(config.sockets());
+        DescriptorBudget descriptors = new DescriptorBudget(config.maxDescriptors());
         LoadBalancingPolicy policy = policies.apply(config.boot().settings(), config.seed());
         RequestDispatcher dispatcher = new RequestDispatcher(loop, config.boot(), policy, log);
         UpstreamConnectionPool upstreams =
-                new UpstreamConnectionPool(loop, config.boot(), descriptors, dispatcher::now);
-        EndpointSubset subset =
-                new EndpointSubset(config.upstreams(), config.boot().settings().rank());
+                new UpstreamConnectionPool(loop, config.boot(), descriptors, dispatcher::nowMicros);
+        EndpointSubset subset = new EndpointSubset(
+                config.maxEndpoints(), config.boot().settings().rank());
         discovery = new DiscoveryClient(
                 loop,
                 config.discovery(),
                 config.boot(),
                 subset,
-                config.known().version(),
-                dispatcher::now,
+                config.knownList().version(),
+                dispatcher::nowMicros,
                 this::endpointsListed,
                 log::accept);
         clients = new ClientListener(
-                loop, config.boot(), dispatcher, descriptors, upstreams::shedIdle, unreadTime::unread);
-        upstreams.shedBy(clients::shed);
+                loop, config.boot(), dispatcher, descriptors, upstreams::closeLongestIdle, unreadTime::unreadMicros);
+        upstreams.setReclaimer(clients::closeLeastNeeded);
         dispatcher.attach(upstreams, discovery);
-        membership = new Membership(subset, new OperatorDrains(), dispatcher::now, dispatcher::listed);
-        subset.onChange(held -> dispatcher.holdsPart(held));
+        membership = new Membership(subset, new OperatorDrains(), dispatcher::nowMicros, dispatcher::updateEndpoints);
+        subset.onChange(held -> dispatcher.updateSubset(held));
         new PartialListRetry(loop, membership, discovery, config.seed());
-        clients.note(subset::summary);
+        clients.setReadinessNote(subset::summary);
         pools = new BalancerPools(membership, dispatcher);
         reconfiguration = new Reconfiguration(
                 config,
@@ -156,7 +156,7 @@
         if (warmUpAddress != null) {
             Files.deleteIfExists(warmUpAddress.getPath());
         }
-        Channel warmUpListener = warmUpAddress == null ? null : clients.listenAside(warmUpAddress);
+        Channel warmUpListener = warmUpAddress == null ? null : clients.listenForWarmUp(warmUpAddress);
         loop.execute(() -> {
             applyKnownList();
             discovery.start();
@@ -183,7 +183,7 @@
     // process is ready: what comes meanwhile is queued in the policy, or rejected in time, as where no endpoint is
     // free.
     private void applyKnownList() {
-        EndpointList known = config().known();
+        EndpointList known = config().knownList();
         if (config().boot().settings().discovery() == DiscoveryMode.POLL) {
             endpointsListed(EndpointListKind.CACHED, known);
             return;
@@ -211,13 +211,13 @@
 
     private void warmUp(InetSocketAddress address, UnixDomainSocketAddress warmUpAddress, Channel warmUpListener) {
         WarmUp warmUp = new WarmUp(loop, config(), warmUpAddress, () -> {
-            clients.rehearse(null);
+            clients.setWarmUp(null);
             if (warmUpListener != null) {
                 warmUpListener.close();
             }
             restoreFromPredecessor();
         });
-        clients.rehearse(warmUp);
+        clients.setWarmUp(warmUp);
         warmUp.start(address);
     }
 
@@ -232,8 +232,8 @@
     }
 
     private void serveClients() {
-        clients.accept();
-        clients.ready();
+        clients.startAccepting();
+        clients.markReady();
         handover.announceServing();
     }
 
@@ -289,8 +289,8 @@
         return reconfiguration.config();
     }
 
-    /** Returns what operators may call, on the event loop's thread. */
-    public Operations operations() {
+    /** Returns what operators may do, for the event loop's thread. */
+    public OperatorActions operatorActions() {
         return operatorCalls;
     }
 
--- a/balancer/src/main/java/loadbalancer/process/Reconfiguration.java
+++ b/balancer/src/main/java/loadbalancer/process/Reconfiguration.java
@@ -68,11 +68,11 @@
         BalancerConfig next;
         try {
             next = read.get();
-            String missing = next.lacks(config);
+            String missing = next.missingKey(config);
             if (missing != null) {
-                throw new BalancerConfig.Bad("settings: " + missing + ": was there before and is missing");
+                throw new ProcessConfigException("settings: " + missing + ": was there before and is missing");
             }
-        } catch (BalancerConfig.Bad e) {
+        } catch (ProcessConfigException e) {
             log.warn("configuration rejected: " + e.getMessage(), "config", "kept");
             return;
         }
@@ -115,7 +115,7 @@
         OperatorConfig next;
         try {
             next = OperatorFileLoader.read(file, config.boot());
-        } catch (BalancerConfig.Bad e) {
+        } catch (ProcessConfigException e) {
             log.warn(e.getMessage(), "operator_file", "rejected");
             return false;
         }
@@ -131,7 +131,7 @@
         if (parts.pools.gateway() == null) {
             RoutingGateway gateway = createGateway();
             parts.pools.attach(gateway);
-            parts.clients.to(gateway);
+            parts.clients.setRequestHandler(gateway);
         }
         parts.pools.gateway().configure(next);
         int pools = next.pools().size();
@@ -151,15 +151,15 @@
                 parts.loop,
                 parts.policies,
                 config.seed(),
-                config.upstreams(),
+                config.maxEndpoints(),
                 parts.descriptors,
-                parts.clients::shed,
+                parts.clients::closeLeastNeeded,
                 log);
         return new RoutingGateway(
                 new SitePool(parts.dispatcher, parts.membership),
                 environment,
                 config.boot(),
-                parts.descriptors.forUpstreams(),
-                ClientListener.ROOM);
+                parts.descriptors.maxUpstreamConnections(),
+                ClientListener.MAX_BODY_MEMORY_BYTES);
     }
 }
--- a/balancer/src/test/java/loadbalancer/operator/OperatorReaderTest.java
+++ b/balancer/src/test/java/loadbalancer/operator/OperatorReaderTest.java
@@ -9,7 +9,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.toml.Faults;
+import loadbalancer.toml.ConfigException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -74,7 +74,7 @@
         try {
             OperatorReader.read(file, SITE);
             return List.of();
-        } catch (Faults e) {
+        } catch (ConfigException e) {
             return e.lines().stream()
                     .map(l -> l.replace(folder.toString() + "/", ""))
                     .toList();
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void aSoundFileIsReadInFull() throws IOException {
+    void aValidFileIsReadCompletely() throws IOException {
         OperatorConfig o = OperatorReader.read(Files.writeString(folder.resolve("operator.toml"), SOUND), SITE);
         assertEquals(
                 List.of("agents", "new", "site"),
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void whatChangesIsSaidInWords() throws IOException {
+    void changesAreDescribed() throws IOException {
         Path file = folder.resolve("operator.toml");
         OperatorConfig before = OperatorReader.read(Files.writeString(file, SOUND), SITE);
         assertEquals(List.of(), ConfigDiff.between(before, before));
