--- a/simulator/src/main/java/loadbalancer/simulator/cli/ListCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/ListCommand.java
@@ -10,7 +10,7 @@
 import loadbalancer.simulator.experiment.ExperimentReader;
 import loadbalancer.simulator.rules.Score;
 import loadbalancer.simulator.variants.Variants;
-import loadbalancer.simulator.world.Timeline;
+import loadbalancer.simulator.world.FaultKinds;
 import loadbalancer.toml.Faults;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
@@ -46,7 +46,7 @@
         }
         System.out.println("\npolicies: " + String.join(", ", Variants.names()));
         System.out.println("\ntroubles:");
-        Timeline.KINDS.entrySet().stream()
+        FaultKinds.DESCRIPTIONS.entrySet().stream()
                 .sorted(java.util.Map.Entry.comparingByKey())
                 .forEach(e -> System.out.printf("  %-20s %s%n", e.getKey(), e.getValue()));
         System.out.println("\nfigures: " + String.join(", ", figures));
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/WorldPlanReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/WorldPlanReader.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 import loadbalancer.policy.Idempotency;
 import loadbalancer.settings.ProtocolNames;
+import loadbalancer.simulator.world.FaultKinds;
 import loadbalancer.simulator.world.Range;
-import loadbalancer.simulator.world.Timeline;
 import loadbalancer.simulator.world.WorldPlan;
 import loadbalancer.toml.Section;
 import loadbalancer.toml.Section.Measure;
@@ -259,7 +259,7 @@
         List<String> pools =
                 ofFleet.stream().map(WorldPlan.Kind::pool).distinct().toList();
         List<WorldPlan.Fault> all = new ArrayList<>();
-        Map<String, String> kinds = Timeline.KINDS;
+        Map<String, String> kinds = FaultKinds.DESCRIPTIONS;
         for (Section section : root.tables("trouble")) {
             String kind = section.text("kind", null);
             if (!kinds.containsKey(kind)) {
--- a/simulator/src/main/java/loadbalancer/simulator/search/RandomSearch.java
+++ b/simulator/src/main/java/loadbalancer/simulator/search/RandomSearch.java
@@ -13,9 +13,9 @@
 import loadbalancer.simulator.rules.Day;
 import loadbalancer.simulator.variants.Variants;
 import loadbalancer.simulator.variants.Variants.Variant;
+import loadbalancer.simulator.world.FaultKinds;
 import loadbalancer.simulator.world.PolicyFactory;
 import loadbalancer.simulator.world.Range;
-import loadbalancer.simulator.world.Timeline;
 import loadbalancer.simulator.world.WorldPlan;
 import loadbalancer.simulator.world.WorldPlan.Fault;
 
@@ -88,7 +88,7 @@
     }
 
     private WorldPlan draw(RandomStream random) {
-        List<String> kinds = Timeline.KINDS.keySet().stream().sorted().toList();
+        List<String> kinds = FaultKinds.DESCRIPTIONS.keySet().stream().sorted().toList();
         long length = Math.max(experiment.plan().length(), 30 * SECOND);
         int many = 1 + random.below(TROUBLES);
         List<Fault> faults = new ArrayList<>();
--- a/simulator/src/test/java/loadbalancer/simulator/world/HardCasesTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/world/HardCasesTest.java
@@ -79,7 +79,7 @@
                 "tenant_flood"
             })
     void theModuleKeepsTheRulesThroughEachTrouble(String kind) {
-        assertTrue(Timeline.KINDS.containsKey(kind));
+        assertTrue(FaultKinds.DESCRIPTIONS.containsKey(kind));
         double size =
                 switch (kind) {
                     case "fast_errors", "garble", "grey", "hot_key", "deploy" -> 0.3;
@@ -91,7 +91,7 @@
             assertEquals("", rules(day), kind + " " + effect);
             assertTrue(day.figures().get("whole") > 0.3, kind + " " + effect + ": " + day.figures());
         }
-        assertEquals(Timeline.KINDS.size(), 26, "each kind of trouble is named above");
+        assertEquals(FaultKinds.DESCRIPTIONS.size(), 26, "each kind of trouble is named above");
     }
 
     private static final RoutingSpec FRONT = new RoutingSpec(
--- a/simulator/src/test/java/loadbalancer/simulator/world/RandomWorldsTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/world/RandomWorldsTest.java
@@ -19,7 +19,7 @@
 /** What holds of every world, whatever goes wrong in it and whoever decides. */
 class RandomWorldsTest {
     private static final List<String> KINDS =
-            Timeline.KINDS.keySet().stream().sorted().toList();
+            FaultKinds.DESCRIPTIONS.keySet().stream().sorted().toList();
     private static final List<String> POLICIES = List.of("balance", "random", "jsq-das", "least-in-flight", "seer");
 
     private static WorldPlan plan(int one, int other, int upstreams, int load) {
