--- a/simulator/src/main/java/loadbalancer/simulator/cli/ListCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/ListCommand.java
@@ -10,7 +10,7 @@
 import loadbalancer.simulator.experiment.ExperimentReader;
 import loadbalancer.simulator.rules.Score;
 import loadbalancer.simulator.variants.Variants;
-import loadbalancer.simulator.world.Timeline;
+import loadbalancer.simulator.world.FaultKinds;
 import loadbalancer.toml.ConfigException;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
@@ -32,12 +32,12 @@
             throw new IllegalArgumentException(folder + ": no such folder");
         }
         try (Stream<Path> files = Files.list(folder)) {
-            for (Path f :
+            for (Path file :
                     files.filter(p -> p.toString().endsWith(".toml")).sorted().toList()) {
                 try {
-                    Experiment e = ExperimentReader.read(f);
-                    figures = Score.names(e.plan());
-                    System.out.printf("%-40s %s%n", f, e.question());
+                    Experiment experiment = ExperimentReader.read(file);
+                    figures = Score.names(experiment.plan());
+                    System.out.printf("%-40s %s%n", file, experiment.question());
                 } catch (ConfigException faults) {
                     sound = false;
                     System.out.println(faults.getMessage());
@@ -46,7 +46,7 @@
         }
         System.out.println("\npolicies: " + String.join(", ", Variants.names()));
         System.out.println("\ntroubles:");
-        Timeline.KINDS.entrySet().stream()
+        FaultKinds.DESCRIPTIONS.entrySet().stream()
                 .sorted(java.util.Map.Entry.comparingByKey())
                 .forEach(e -> System.out.printf("  %-20s %s%n", e.getKey(), e.getValue()));
         System.out.println("\nfigures: " + String.join(", ", figures));
--- a/simulator/src/main/java/loadbalancer/simulator/variants/RoutingSpec.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/RoutingSpec.java
@@ -123,26 +123,28 @@
         return new RateLimit(perSecond, Math.max(1, perSecond), Math.max(perSecond, ceiling));
     }
 
-    private RouteConfig route(Way w, Use use, int place, long time) {
-        double moved = w.steps == 0 || time < w.stepsFrom || use.without.contains("steps")
+    private RouteConfig route(Way way, Use use, int place, long time) {
+        double moved = way.steps == 0 || time < way.stepsFrom || use.without.contains("steps")
                 ? 0
-                : Math.min(1, Math.floor((time - w.stepsFrom) * (double) w.steps / w.stepsLength + 1) / w.steps);
+                : Math.min(
+                        1, Math.floor((time - way.stepsFrom) * (double) way.steps / way.stepsLength + 1) / way.steps);
         List<SpillTarget> spills = use.without.contains("spill")
                 ? List.of()
-                : w.spill.stream().map(s -> new SpillTarget(s, w.spillMost)).toList();
+                : way.spill.stream().map(s -> new SpillTarget(s, way.spillMost)).toList();
         List<Destination> ways = new ArrayList<>();
-        for (int i = 0; i < w.to.size(); i++) {
-            double weight = w.steps == 0 ? w.weights.get(i) : i == 0 ? 1 - moved : i == w.to.size() - 1 ? moved : 0;
-            ways.add(new Destination(w.to.get(i), weight, spills));
+        for (int i = 0; i < way.to.size(); i++) {
+            double weight =
+                    way.steps == 0 ? way.weights.get(i) : i == 0 ? 1 - moved : i == way.to.size() - 1 ? moved : 0;
+            ways.add(new Destination(way.to.get(i), weight, spills));
         }
-        RetryBudgetConfig retries = w.retryShare < 0 || use.without.contains("retries")
+        RetryBudgetConfig retries = way.retryShare < 0 || use.without.contains("retries")
                 ? null
-                : new RetryBudgetConfig(w.retryShare, 1, RETRY_WINDOW, w.countClients);
+                : new RetryBudgetConfig(way.retryShare, 1, RETRY_WINDOW, way.countClients);
         return new RouteConfig(
-                new Route(w.name, PathTemplate.of("/**"), Set.of(), Map.of(), Set.of(), w.classes, place),
+                new Route(way.name, PathTemplate.of("/**"), Set.of(), Map.of(), Set.of(), way.classes, place),
                 ways,
-                w.spare,
-                w.returnPerSecond,
+                way.spare,
+                way.returnPerSecond,
                 retries,
                 null,
                 0);
@@ -151,9 +153,11 @@
     /** The steps that have been taken by that time of the day: the plan changes with them. */
     int step(long time) {
         int sum = 0;
-        for (Way w : routes) {
-            if (w.steps > 0 && time >= w.stepsFrom) {
-                sum += (int) Math.min(w.steps, Math.floor((time - w.stepsFrom) * (double) w.steps / w.stepsLength + 1));
+        for (Way route : routes) {
+            if (route.steps > 0 && time >= route.stepsFrom) {
+                sum += (int) Math.min(
+                        route.steps,
+                        Math.floor((time - route.stepsFrom) * (double) route.steps / route.stepsLength + 1));
             }
         }
         return sum;
--- a/simulator/src/test/java/loadbalancer/simulator/world/RandomWorldsTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/world/RandomWorldsTest.java
@@ -19,7 +19,7 @@
 /** What holds of every world, whatever goes wrong in it and whoever decides. */
 class RandomWorldsTest {
     private static final List<String> KINDS =
-            Timeline.KINDS.keySet().stream().sorted().toList();
+            FaultKinds.DESCRIPTIONS.keySet().stream().sorted().toList();
     private static final List<String> POLICIES = List.of("balance", "random", "jsq-das", "least-in-flight", "seer");
 
     private static WorldPlan plan(int one, int other, int upstreams, int load) {
@@ -64,8 +64,8 @@
         }
         assertTrue(f.get("G") <= 1 && f.get("G") > -1, f.toString());
         // A policy may push a cold upstream over; none of these loses, repeats or doubles anything.
-        for (RuleViolation b : day.violations()) {
-            assertEquals(RuleViolation.Rule.COLD, b.rule(), b.toString());
+        for (RuleViolation violation : day.violations()) {
+            assertEquals(RuleViolation.Rule.COLD, violation.rule(), violation.toString());
         }
     }
 }
