--- a/simulator/src/main/java/loadbalancer/simulator/world/Upstream.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Upstream.java
@@ -2,8 +2,6 @@
 
 import java.util.ArrayDeque;
 import java.util.Iterator;
-import java.util.LinkedHashMap;
-import java.util.Map;
 import java.util.PriorityQueue;
 import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.simulator.engine.RandomStream;
@@ -19,8 +17,6 @@
 public final class Upstream {
     private static final long FAILURE_RESPONSE_MICROS = 1_000; // µs that a failing process takes to say so
     private static final long SLOW_START_STEP_MICROS = 100_000;
-    private static final double BURST_DEVIATIONS = 2; // of a Poisson count above the cold budget
-    private static final double BURST_REQUESTS = 2; // and so many more
 
     /** Work of one attempt. */
     private static final class Job {
@@ -34,9 +30,6 @@
         }
     }
 
-    /** A send that reached a cold process. */
-    private record ColdSend(long at, boolean startKnown) {}
-
     final String id;
     final int address;
     final int zone;
@@ -52,13 +45,13 @@
     private final double slowStartInitialWeight;
     private final long slowStartDurationMicros;
     private final double errorFraction;
-    private final boolean cancelDropProbability;
+    private final boolean dropsCancelled;
     private final World world;
     private final PriorityQueue<Job> serving = new PriorityQueue<>(
             (x, y) -> x.end != y.end ? Double.compare(x.end, y.end) : Long.compare(x.attempt.serial, y.attempt.serial));
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
-    private final ArrayDeque<ColdSend> coldSends = new ArrayDeque<>();
-    private final Map<Integer, Long> keys;
+    private final ColdSendLimit coldSends;
+    private final KeyCache keys;
     private double virtualTime;
     private double progressRate;
     private long updatedAt;
@@ -105,16 +98,10 @@
         this.slowStartInitialWeight = kind.slowStartInitialWeight().draw(random);
         this.slowStartDurationMicros = Math.round(kind.slowStartDurationMicros().draw(random));
         this.errorFraction = kind.errors().draw(random);
-        this.cancelDropProbability = world.cancelDropProbability[kindNumber];
+        this.dropsCancelled = world.dropsCancelled[kindNumber];
         int keyCapacity = (int) Math.round(world.keysPerCore * cores);
-        this.keys = new LinkedHashMap<>(16, 0.75f, true) {
-            private static final long serialVersionUID = 1L;
-
-            @Override
-            protected boolean removeEldestEntry(Map.Entry<Integer, Long> eldest) {
-                return size() > keyCapacity;
-            }
-        };
+        this.keys = new KeyCache(keyCapacity, world.keyRetentionMicros);
+        this.coldSends = new ColdSendLimit(plan.rules());
         this.startedAt = startedAt;
         this.reportedStart = startedAt;
         rack.members.add(this);
@@ -235,7 +222,7 @@
             return;
         }
         RequestWork work = world.workOf(attempt);
-        boolean known = keyKnown(work.key(), now);
+        boolean known = keys.use(work.key(), now);
         double needed =
                 work.work() * (known ? 1 - world.keyAffinityGain : 1) + (freshConnection ? world.handshakeWork : 0);
         recordColdSend(attempt, now);
@@ -260,17 +247,9 @@
         }
     }
 
-    private boolean keyKnown(int key, long now) {
-        if (key < 0) {
-            return false;
-        }
-        Long lastUsed = keys.put(key, now);
-        return lastUsed != null && now - lastUsed <= world.keyRetentionMicros;
-    }
-
     /** Nobody waits for that attempt any more: running work goes on, waiting work is dropped at some sites. */
     void abandon(Attempt attempt) {
-        if (cancelDropProbability) {
+        if (dropsCancelled) {
             for (Iterator<Job> i = waiting.iterator(); i.hasNext(); ) {
                 if (i.next().attempt == attempt) {
                     i.remove();
@@ -338,30 +317,22 @@
         }
     }
 
-    // The rule on cold upstreams: a budget over a window of that length, in requests of mean work, refused ones
-    // included. How heavy a request turns out to be is nothing that a balancer could know.
     private void recordColdSend(Attempt attempt, long now) {
         if (slowStartWeight(now) >= 1) {
             coldSends.clear();
             return;
         }
-        WorldPlan.Rules rules = world.plan.rules();
-        coldSends.add(new ColdSend(now, world.observer.knowsStart(attempt.balancer(), this)));
-        while (now - coldSends.peek().at > rules.overloadWindowMicros()) {
-            coldSends.poll();
-        }
-        double budget = rules.overloadFactor() * capacity(now) * rules.overloadWindowMicros() / world.meanWork;
-        double maxColdSends = budget + BURST_DEVIATIONS * Math.sqrt(budget) + BURST_REQUESTS;
-        world.observer.coldLoad(this, coldSends.size() / maxColdSends, now);
-        if (coldSends.size() > maxColdSends) {
-            double startKnown = coldSends.stream().filter(ColdSend::startKnown).count();
+        coldSends.add(now, world.observer.knowsStart(attempt.balancer(), this));
+        double maxSends = coldSends.maxSends(capacity(now), world.meanWork);
+        world.observer.coldLoad(this, coldSends.size() / maxSends, now);
+        if (coldSends.size() > maxSends) {
             overloaded = true;
-            world.observer.upstreamOverloaded(this, startKnown / coldSends.size(), now);
+            world.observer.upstreamOverloaded(this, coldSends.notifiedFraction(), now);
             breakAll(now);
         }
     }
 
-    // ---- what troubles do to it
+    // ---- what faults do to it
 
     void slowdown(double times, long now) {
         advanceVirtualTime(now);
--- a/simulator/src/main/java/loadbalancer/simulator/world/World.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/World.java
@@ -41,7 +41,7 @@
     final long begin = DAY_START;
     final long randomSeed;
     final double[] kindSpeed;
-    final boolean[] cancelDropProbability;
+    final boolean[] dropsCancelled;
     final double connectionsPerCore;
     final double keysPerCore;
     final double connectionOverhead;
@@ -107,9 +107,9 @@
         failureDetectionMicros = Math.round(plan.clients().noticeDelay().draw(figures));
         kindSpeed =
                 plan.kinds().stream().mapToDouble(k -> k.speed().draw(figures)).toArray();
-        cancelDropProbability = new boolean[kindSpeed.length];
-        for (int i = 0; i < cancelDropProbability.length; i++) {
-            cancelDropProbability[i] = figures.chance(plan.kinds().get(i).cancelDropProbability());
+        dropsCancelled = new boolean[kindSpeed.length];
+        for (int i = 0; i < dropsCancelled.length; i++) {
+            dropsCancelled[i] = figures.chance(plan.kinds().get(i).cancelDropProbability());
         }
         attemptNoise = plan.classes().stream()
                 .mapToDouble(k -> k.attemptNoise().draw(figures))
