--- a/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
@@ -283,7 +283,7 @@
                 });
         IdleConnections idle = idleConnections.computeIfAbsent(upstream, x -> new IdleConnections());
         boolean newConnection = !idle.take(upstream, now, world.plan.fleet().idleTimeoutMicros());
-        world.deliver(attempt, newConnection, now);
+        world.transport.deliver(attempt, newConnection, now);
     }
 
     @Override
@@ -333,7 +333,7 @@
     public void probe(String server) {
         Upstream upstream = world.currentUpstream(server);
         if (upstream != null) {
-            world.probe(this, server, upstream, world.simulation.now());
+            world.transport.probe(this, server, upstream, world.simulation.now());
         }
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/world/LiveFleet.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/LiveFleet.java
@@ -35,7 +35,7 @@
                 },
                 new NoOpObserver());
         world.slots.clear();
-        world.replyListener = (a, outcome) -> replies.ended(a.request().serial, outcome);
+        world.transport.replyTo((attempt, outcome) -> replies.ended(attempt.request().serial, outcome));
         works = world.streams.of("live", 0, "work");
         world.simulation.runUntil(World.DAY_START);
         new Timeline(world).install();
--- a/simulator/src/main/java/loadbalancer/simulator/world/Upstream.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Upstream.java
@@ -218,22 +218,22 @@
             return;
         }
         if (!alive || overloaded) {
-            world.reply(attempt, this, AttemptOutcome.RESET, now);
+            world.transport.reply(attempt, this, AttemptOutcome.RESET, now);
             return;
         }
-        RequestWork work = world.workOf(attempt);
+        RequestWork work = world.transport.workOf(attempt);
         boolean known = keys.use(work.key(), now);
         double needed =
                 work.work() * (known ? 1 - world.keyAffinityGain : 1) + (freshConnection ? world.handshakeWork : 0);
         recordColdSend(attempt, now);
         if (overloaded) {
-            world.reply(attempt, this, AttemptOutcome.RESET, now);
+            world.transport.reply(attempt, this, AttemptOutcome.RESET, now);
         } else if (draining) {
-            world.reply(attempt, this, AttemptOutcome.FULL, now);
+            world.transport.reply(attempt, this, AttemptOutcome.FULL, now);
         } else if (IndexedRandom.uniform(world.randomSeed, attempt.serial(), 7) < failingFraction + errorFraction) {
             world.simulation.after(FAILURE_RESPONSE_MICROS, t -> {
                 if (responsive()) {
-                    world.reply(attempt, this, AttemptOutcome.ERROR, t);
+                    world.transport.reply(attempt, this, AttemptOutcome.ERROR, t);
                 }
             });
         } else if (serving.size() < slots) {
@@ -243,7 +243,7 @@
         } else if (waiting.size() < queueCapacity) {
             waiting.add(new Job(attempt, needed));
         } else {
-            world.reply(attempt, this, AttemptOutcome.FULL, now);
+            world.transport.reply(attempt, this, AttemptOutcome.FULL, now);
         }
     }
 
@@ -298,10 +298,10 @@
         Job job = serving.peek();
         if (job != null && job.end - virtualTime <= 1e-6 * Math.max(1, job.work) + progressRate) {
             serving.poll();
-            world.workDone(job.attempt, job.work);
+            world.transport.workDone(job.attempt, job.work);
             if (responsive()) {
                 boolean corrupted = IndexedRandom.uniform(world.randomSeed, job.attempt.serial, 8) < corruptingFraction;
-                world.reply(job.attempt, this, corrupted ? AttemptOutcome.ERROR : AttemptOutcome.OK, now);
+                world.transport.reply(job.attempt, this, corrupted ? AttemptOutcome.ERROR : AttemptOutcome.OK, now);
             }
             if (!waiting.isEmpty()) {
                 begin(waiting.poll());
@@ -377,10 +377,10 @@
 
     private void breakAll(long now) {
         for (Job job : serving) {
-            world.reply(job.attempt, this, AttemptOutcome.RESET, now);
+            world.transport.reply(job.attempt, this, AttemptOutcome.RESET, now);
         }
         for (Job job : waiting) {
-            world.reply(job.attempt, this, AttemptOutcome.RESET, now);
+            world.transport.reply(job.attempt, this, AttemptOutcome.RESET, now);
         }
         serving.clear();
         waiting.clear();
--- a/simulator/src/main/java/loadbalancer/simulator/world/World.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/World.java
@@ -4,32 +4,19 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
-import java.util.function.BiConsumer;
-import loadbalancer.policy.AttemptOutcome;
-import loadbalancer.policy.DiscoveryMode;
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointState;
-import loadbalancer.policy.KeyScope;
 import loadbalancer.policy.LoadBalancingPolicy;
-import loadbalancer.policy.LoadReporting;
 import loadbalancer.policy.PolicySettings;
-import loadbalancer.policy.RequestClass;
-import loadbalancer.policy.SafetyBounds;
-import loadbalancer.policy.ServiceObjective;
-import loadbalancer.policy.SiteLimits;
-import loadbalancer.policy.TenantQuota;
-import loadbalancer.policy.TrafficCosts;
 import loadbalancer.simulator.engine.RandomStream;
 import loadbalancer.simulator.engine.RandomStreams;
 import loadbalancer.simulator.engine.Simulation;
 
 /** One world, drawn from a plan by a seed, and its day from the first arrival to the last answer. */
-public final class World implements GroundTruth {
+public final class World {
     static final long DAY_START = 60_000_000; // µs: start times before the day are positive
     private static final long SECOND = 1_000_000;
     private static final long MAX_LINGER_MICROS = 10 * SECOND; // after the last arrival, at the most
-    private static final long NEVER = 1L << 60;
 
     final WorldPlan plan;
     final Simulation simulation = new Simulation();
@@ -37,6 +24,7 @@
     final Network network;
     final SimulatedDiscovery discovery;
     final Clients clients;
+    final MessageTransport transport;
     final Observer observer;
     final long begin = DAY_START;
     final long randomSeed;
@@ -58,19 +46,15 @@
     private final Map<String, Upstream> byId = new HashMap<>();
     private final List<Balancer> processes = new ArrayList<>();
     private final PolicyFactory policyFactory;
+    private final GroundTruth truth = new WorldTruth(this);
     private final List<String> logLines = new ArrayList<>();
-    private final double[] attemptNoise;
+    final double[] attemptNoise;
     double nominalCapacity;
     double meanWork;
     double offeredWork;
-    private double wastedWork;
-    private long handshakes;
-    private long crossings;
-    private long probes;
     private int nextId;
     private int nextAddress;
     private List<Timeline.FaultInterval> faultIntervals = List.of();
-    BiConsumer<Attempt, AttemptOutcome> replyListener; // hears of answers where no balancer of this world does
     private Runnable everySecond = () -> {};
 
     /** What the day cost beside what the observer saw; {@code capacity}: what the fleet does, µs of work per µs. */
@@ -95,6 +79,7 @@
         streams = new RandomStreams(seed);
         randomSeed = streams.seed("chance", 0);
         RandomStream figures = streams.of("world", 0, "figures");
+        transport = new MessageTransport(this);
         network = new Network(plan, streams.of("network", 0, "delays"), streams.seed("network", 0));
         WorldPlan.Fleet fleet = plan.fleet();
         connectionsPerCore = fleet.connectionsPerCore().draw(figures);
@@ -204,6 +189,11 @@
         return addresses.get(address);
     }
 
+    /** The upstream that was started under that id; null for ids that never were. */
+    Upstream upstreamById(String id) {
+        return byId.get(id);
+    }
+
     Integer addressOf(String id) {
         return addressOf.get(id);
     }
@@ -229,72 +219,14 @@
         return address == null ? null : addresses.get(address);
     }
 
-    /** What a module is told at its start. */
+    /** The settings of a balancer at its start. */
     PolicySettings settings(int rank, int zone) {
         return settings(rank, zone, plan.rules().maxAttempts());
     }
 
     /** The same with another number of attempts, at most the plan's. */
-    PolicySettings settings(int rank, int zone, int attempts) {
-        WorldPlan.Rules rules = plan.rules();
-        List<RequestClass> kinds = plan.classes().stream()
-                .map(k -> new RequestClass(
-                        k.effect(),
-                        KeyScope.ALL,
-                        5 * SECOND,
-                        k.latencyObjectiveMicros(),
-                        k.deadline(),
-                        0,
-                        k.priorityWeight(),
-                        k.lateFraction(),
-                        false,
-                        false,
-                        Set.of(),
-                        Set.of()))
-                .toList();
-        List<TenantQuota> tenants = new ArrayList<>();
-        for (double a : clients.allowances) {
-            tenants.add(new TenantQuota(Math.round(a)));
-        }
-        double slowStartInitialWeight = plan.kinds().stream()
-                .mapToDouble(k -> k.slowStartInitialWeight().min())
-                .min()
-                .orElse(1);
-        double ramp = plan.kinds().stream()
-                .mapToDouble(k -> k.slowStartDurationMicros().max())
-                .max()
-                .orElse(0);
-        WorldPlan.Goal goal = plan.goal();
-        return new PolicySettings(
-                slots.size(),
-                rank,
-                zone,
-                kinds,
-                tenants,
-                0.1,
-                new ServiceObjective(goal.whole(), goal.worstWindow(), goal.worstClass(), goal.worstTenant()),
-                new TrafficCosts(plan.prices().crossZone(), plan.prices().handshake()),
-                false,
-                plan.discovery().ask() ? DiscoveryMode.POLL : DiscoveryMode.PUSH,
-                LoadReporting.NONE,
-                keyAffinityGain > 0 && plan.load().keys().max() > 0,
-                new SiteLimits(
-                        Math.min(attempts, rules.maxAttempts()),
-                        rules.hedgingAllowed(),
-                        rules.cancel(),
-                        rules.probes(),
-                        plan.fleet().connectTimeoutMicros(),
-                        rules.maxRetryAfterMicros()),
-                new SafetyBounds(
-                        rules.responseSlackMicros(),
-                        rules.drainGracePeriodMicros(),
-                        rules.pollIntervalMicros(),
-                        Math.max(0.01, Math.min(1, slowStartInitialWeight)),
-                        Math.round(ramp),
-                        rules.overloadFactor(),
-                        rules.overloadWindowMicros(),
-                        0),
-                5_000);
+    PolicySettings settings(int rank, int zone, int maxAttempts) {
+        return WorldSettings.of(this, rank, zone, maxAttempts);
     }
 
     /** Calls {@code what} after each second of the day. */
@@ -326,10 +258,10 @@
         }
         return new Costs(
                 offeredWork,
-                wastedWork,
-                handshakes,
-                crossings,
-                probes,
+                transport.wastedWork(),
+                transport.handshakes(),
+                transport.crossings(),
+                transport.probes(),
                 discovery.calls(),
                 simulation.fired(),
                 clients.arrivalsPerSecond(),
@@ -345,7 +277,7 @@
         int incarnation = slot.nextIncarnation();
         long now = simulation.now();
         LoadBalancingPolicy policy = policyFactory.create(
-                settings(slot.rank, slot.zone), streams.seed("balancer", slot.rank * 1000L + incarnation), this);
+                settings(slot.rank, slot.zone), streams.seed("balancer", slot.rank * 1000L + incarnation), truth);
         Balancer balancer = new Balancer(this, slot.rank, slot.zone, incarnation, policy);
         processes.removeIf(p -> !p.alive());
         processes.add(balancer);
@@ -378,90 +310,6 @@
         return processes;
     }
 
-    // ---- messages
-
-    RequestWork workOf(Attempt attempt) {
-        ClientRequest request = attempt.request().clientRequest();
-        double noise = attemptNoise[request.kind];
-        double variance = StrictMath.log(1 + noise * noise);
-        double times = noise <= 0
-                ? 1
-                : StrictMath.exp(
-                        Math.sqrt(variance) * IndexedRandom.gaussian(randomSeed, attempt.serial, 11) - variance / 2);
-        return new RequestWork(request.work * times, request.key);
-    }
-
-    /** Carries an attempt to its upstream, over a new connection where {@code newConnection}. */
-    void deliver(Attempt attempt, boolean newConnection, long now) {
-        Upstream upstream = attempt.upstream;
-        Balancer balancer = attempt.balancer();
-        crossings += balancer.zone != upstream.zone ? 1 : 0;
-        boolean blocked = blocked(balancer, upstream);
-        long requestDelay = network.between(balancer.zone, upstream.zone, attempt.serial, 0);
-        long handshakeDelay = 0;
-        if (newConnection) {
-            handshakes++;
-            long connect = plan.fleet().connectTimeoutMicros();
-            long round = network.between(balancer.zone, upstream.zone, attempt.serial, 2)
-                    + network.between(upstream.zone, balancer.zone, attempt.serial, 3);
-            if (blocked || !upstream.alive() || upstream.overloaded() || upstream.full() || round > connect) {
-                long outcomeDelay = blocked ? connect : Math.min(round, connect);
-                simulation.after(outcomeDelay, at -> balancer.outcome(attempt, AttemptOutcome.CONNECT_FAILED, at));
-                return;
-            }
-            upstream.connected(1);
-            handshakeDelay = Math.round(round * handshakeRtts);
-        }
-        if (!blocked) {
-            upstream.arriving(1);
-            simulation.after(handshakeDelay + requestDelay, at -> {
-                upstream.arriving(-1);
-                if (!blocked(balancer, upstream)) {
-                    upstream.accept(attempt, newConnection, at);
-                }
-            });
-        }
-    }
-
-    private boolean blocked(Balancer balancer, Upstream upstream) {
-        return upstream.silent()
-                || network.cut(balancer.zone, upstream.zone)
-                || network.cut(upstream.zone, balancer.zone);
-    }
-
-    /** An upstream's word on an attempt travels back. */
-    void reply(Attempt attempt, Upstream upstream, AttemptOutcome outcome, long now) {
-        if (replyListener != null) {
-            replyListener.accept(attempt, outcome);
-            return;
-        }
-        Balancer balancer = attempt.balancer();
-        if (network.cut(upstream.zone, balancer.zone)) {
-            return;
-        }
-        simulation.after(
-                network.between(upstream.zone, balancer.zone, attempt.serial, 1),
-                at -> balancer.outcome(attempt, outcome, at));
-    }
-
-    /** An upstream has done that work; nobody may want it any more. */
-    void workDone(Attempt attempt, double work) {
-        if (!attempt.inFlight() || attempt.request().clientGone || attempt.request().answered) {
-            wastedWork += work;
-        }
-    }
-
-    void probe(Balancer balancer, String id, Upstream upstream, long now) {
-        probes++;
-        long round = network.mean(balancer.zone, upstream.zone) + network.mean(upstream.zone, balancer.zone);
-        boolean lost = blocked(balancer, upstream);
-        long outcomeDelay = lost ? plan.fleet().connectTimeoutMicros() : round;
-        AttemptOutcome outcome = lost
-                ? AttemptOutcome.TIMEOUT
-                : !upstream.alive() || upstream.overloaded() ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK;
-        simulation.after(outcomeDelay, at -> balancer.probeEnded(id, outcome, outcomeDelay, at));
-    }
-
     void log(int rank, String line) {
         if (logLines.size() < 500) {
             logLines.add(String.format(
@@ -497,48 +345,4 @@
     public static long dayStart() {
         return DAY_START;
     }
-
-    // ---- truth
-
-    @Override
-    public double responseTimeMicros(String upstream, int zone) {
-        Upstream u = currentUpstream(upstream);
-        if (u == null
-                || !u.responsive()
-                || u.overloaded()
-                || u.draining()
-                || network.cut(zone, u.zone)
-                || network.cut(u.zone, zone)) {
-            return NEVER;
-        }
-        long now = simulation.now();
-        double capacity = u.capacity(now) * (u.rack.limited() ? u.rack.factor() : 1);
-        double share = capacity / u.cores;
-        double serve = meanWork / share * Math.max(1, (u.requestsHeldOrArriving() + 1) / (double) u.cores);
-        double cold = u.slowStartWeight(now) < 1 ? 2 - u.slowStartWeight(now) : 1;
-        double time = 2.0 * network.mean(zone, u.zone) + serve * cold;
-        return u.failingFraction() > 0 ? time * (1 + 50 * u.failingFraction()) : time;
-    }
-
-    @Override
-    public double nominalCapacity(String upstream) {
-        Upstream u = byId.get(upstream);
-        return u == null ? 1 : u.nominal();
-    }
-
-    @Override
-    public boolean isFast(String upstream) {
-        Upstream u = byId.get(upstream);
-        double mean = 0;
-        for (double s : kindSpeed) {
-            mean += s / kindSpeed.length;
-        }
-        return u != null && kindSpeed[u.kindNumber] > mean;
-    }
-
-    @Override
-    public double slowStartWeight(String upstream) {
-        Upstream u = currentUpstream(upstream);
-        return u == null ? 1 : u.slowStartWeight(simulation.now());
-    }
 }
