--- a/simulator/src/main/java/loadbalancer/simulator/cli/ListCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/ListCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** {@code simulator list}: experiments, policies, troubles and figures that there are; checks the experiments too. */
+/** {@code simulator list}: experiments, policies, faults and figures that there are; checks the experiments too. */
 @Command(
         name = "list",
         mixinStandardHelpOptions = true,
--- a/simulator/src/main/java/loadbalancer/simulator/cli/ScaleCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/ScaleCommand.java
@@ -92,7 +92,7 @@
     }
 
     private void play(String size, WorldPlan sitePlan, Variant variant, int balancers, int upstreams) {
-        // The register's capacity is for the site's three balancers: a larger site has a larger one.
+        // The discovery service's capacity is for the site's three balancers: a larger site has a larger one.
         WorldPlan.Discovery discovery = sitePlan.discovery();
         double times = Math.max(1, balancers / 3.0) * Math.max(1, upstreams / 10.0);
         WorldPlan base =
@@ -158,7 +158,7 @@
                 day.figures().get("margin.answer_ms"));
     }
 
-    // Bytes of a module that knows the fleet and has served for a while.
+    // Bytes of a policy that knows the fleet and has served for a while.
     private static double memory(PolicyFactory policyFactory, PolicySettings settings, int upstreams) {
         List<Endpoint> fleet = IntStream.range(0, upstreams)
                 .mapToObj(i -> new Endpoint("u" + i, EndpointState.UP, 0, 1, i / 4, i % 2, i % 3))
--- a/simulator/src/main/java/loadbalancer/simulator/cli/SimulatorCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/SimulatorCommand.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ScopeType;
 
-/** The laboratory's command line. Exit codes: 0 all expectations hold, 1 one doesn't, 2 unusable input. */
+/** The simulator's command line. Exit codes: 0 all expectations hold, 1 one doesn't, 2 unusable input. */
 @Command(
         name = "simulator",
         mixinStandardHelpOptions = true,
--- a/simulator/src/main/java/loadbalancer/simulator/cli/SimulatorLog.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/SimulatorLog.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The laboratory's log, on standard error: plain lines, or JSON lines on request. */
+/** The simulator's log, on standard error: plain lines, or JSON lines on request. */
 final class SimulatorLog {
     private SimulatorLog() {}
 
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/Experiment.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/Experiment.java
@@ -5,7 +5,7 @@
 import loadbalancer.simulator.world.WorldPlan;
 
 /**
- * A question to the laboratory: a world with its troubles, the variants to play it under, on which seeds, and
+ * A question to the simulator: a world with its faults, the variants to play it under, on which seeds, and
  * what is expected to come of it.
  */
 public record Experiment(
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/Runner.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/Runner.java
@@ -16,7 +16,7 @@
 public final class Runner {
     private Runner() {}
 
-    /** Hears of progress: {@code done} days of {@code all}. It is called on the threads that play. */
+    /** Receives progress: {@code done} days of {@code all}. It is called on the threads that play. */
     @FunctionalInterface
     public interface Progress {
         /** {@code done} of {@code all} days have been played. */
@@ -26,7 +26,7 @@
     /**
      * Plays all variants on all seeds.
      *
-     * @throws IllegalStateException where a module failed; its cause is the failure
+     * @throws IllegalStateException where a policy failed; its cause is the failure
      */
     public static Results run(Experiment experiment, int threads, Progress progress) {
         ExecutorService pool = Executors.newFixedThreadPool(Math.max(1, threads));
--- a/simulator/src/main/java/loadbalancer/simulator/faultinjection/FaultedStream.java
+++ b/simulator/src/main/java/loadbalancer/simulator/faultinjection/FaultedStream.java
@@ -16,13 +16,13 @@
     private static final long GOLDEN = 0x9e3779b97f4a7c15L;
 
     /** What is to be done next. */
-    public sealed interface Step permits Pass, Do {}
+    public sealed interface Step permits Pass, Perform {}
 
     /** Bytes to be passed on. */
     public record Pass(byte[] bytes) implements Step {}
 
     /** Something to be done before what follows; after all but {@code PAUSE} nothing follows. */
-    public record Do(FaultType what) implements Step {}
+    public record Perform(FaultType what) implements Step {}
 
     private final List<StreamFault> pending;
     private final Framing framing;
@@ -34,7 +34,7 @@
     private long offset;
     private boolean over;
 
-    /** The lane of that connection and direction, under those of the faults that concern it. */
+    /** The stream of that connection and direction, under those of the faults that concern it. */
     public FaultedStream(int connection, boolean up, List<StreamFault> faults) {
         this.name = connection + (up ? " up" : " down");
         this.framing = new Framing(!up);
@@ -138,7 +138,7 @@
         pending.remove(fault);
         flush(run, steps);
         trace.add(name + " " + fault.what().name().toLowerCase(Locale.ROOT).replace('_', '-') + " at " + offset);
-        steps.add(new Do(fault.what()));
+        steps.add(new Perform(fault.what()));
         over = fault.what() != FaultType.PAUSE;
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/Churn.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/Churn.java
@@ -42,7 +42,7 @@
     private final Machines machines;
     private final Rates rates;
     private final long seed;
-    private final long[] boots; // ms since 1970, as last told
+    private final long[] boots; // ms since 1970, as last listed
 
     Churn(Machines machines, Rates rates, long seed) {
         this.machines = machines;
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/FleetRun.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/FleetRun.java
@@ -391,7 +391,7 @@
         }
     }
 
-    // ---- trouble
+    // ---- fault
 
     private void restart(StandInDiscovery discovery, HollowFleet fleet) throws InterruptedException {
         discovery.forgetPeak();
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/HollowBalancer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/HollowBalancer.java
@@ -21,13 +21,13 @@
 import loadbalancer.settings.SettingsReader;
 
 /**
- * A balancer without listener and upstreams: the client of discovery, the membership and the module are the real ones,
+ * A balancer without listener and upstreams: the client of discovery, the membership and the policy are the real ones,
  * joined as in the balancer. Requests, where there are any, come from a clock, and whatever is sent is answered at
  * once. It ends with its event loop, as a process does: its sockets close and nothing is said.
  */
 final class HollowBalancer implements LoadBalancingPolicy.Actions {
     private static final long LIST_MS = 10_000; // as the balancer: how long a start waits for a push
-    private static final long LATENCY_US = 2_000; // of what is answered at once, as the module is told
+    private static final long LATENCY_US = 2_000; // of what is answered at once, as the policy is notified
 
     private final EventLoop loop;
     private final FleetPlan.Fleet plan;
@@ -91,7 +91,7 @@
         return unixAtStart + (System.nanoTime() - nanosAtStart) / 1000;
     }
 
-    /** The revision that the module has, by discovery's own word; 0 for none yet. */
+    /** The revision that the policy has, by discovery's own word; 0 for none yet. */
     long rev() {
         return listed ? rev : 0;
     }
@@ -139,7 +139,7 @@
         attempts.remove(id);
     }
 
-    // As in the balancer: the module is not re-entrant, what happens while it is at work waits.
+    // As in the balancer: the policy is not re-entrant, what happens while it is at work waits.
     private void hand(LongConsumer event) {
         waiting.add(event);
         if (handing) {
@@ -155,7 +155,7 @@
         }
     }
 
-    // ---- the module's actions
+    // ---- the policy's actions
 
     @Override
     public void send(String request, String server, long timeout) {
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/HollowFleet.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/HollowFleet.java
@@ -105,7 +105,7 @@
         }
     }
 
-    /** How many have that revision or a later one in their module's hands. */
+    /** How many have that revision or a later one in their policy's hands. */
     int at(long rev) {
         return (int) balancers.stream().filter(b -> b.rev() >= rev).count();
     }
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/StandInDiscovery.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/StandInDiscovery.java
@@ -498,7 +498,7 @@
         loop.schedule(() -> beat(watch), left, TimeUnit.NANOSECONDS);
     }
 
-    // ---- what is told, in bytes
+    // ---- lists and changes, in bytes
 
     private ByteBuf whole() {
         if (whole == null) {
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/Tally.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/Tally.java
@@ -9,12 +9,12 @@
     final Histogram inForce = new Histogram(LONGEST_US, 3);
     private final StandInDiscovery discovery;
     private long windowFrom = Long.MAX_VALUE;
-    long lists; // whole ones handed to modules
+    long lists; // whole ones handed to policies
     long changes; // lists of changes
     long entries; // in all of them
     long failed; // calls and watches
     long unread; // lists that the client could not read
-    long decided; // requests that a module sent somewhere
+    long decided; // requests that a policy sent somewhere
     long refused; // and that it refused or failed
     String complaint; // the last that a client had
 
@@ -35,7 +35,7 @@
         windowFrom = System.nanoTime();
     }
 
-    /** A module has what was published up to {@code rev}, having had {@code before}. */
+    /** A policy has what was published up to {@code rev}, having had {@code before}. */
     void inForce(long before, long rev) {
         long now = System.nanoTime();
         for (long r = Math.max(before + 1, rev - 100_000); r <= rev; r++) {
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/TenantsAxis.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/TenantsAxis.java
@@ -17,7 +17,7 @@
 import loadbalancer.simulator.policies.NoOpActions;
 
 /**
- * Tenants in the settings and in quotas: what reading them, the module's books and the token buckets keep and cost, and
+ * Tenants in the settings and in quotas: what reading them, the policy's books and the token buckets keep and cost, and
  * whether a balancer by the {@code run} line starts with them.
  */
 final class TenantsAxis implements Axis {
--- a/simulator/src/main/java/loadbalancer/simulator/policies/NoOpActions.java
+++ b/simulator/src/main/java/loadbalancer/simulator/policies/NoOpActions.java
@@ -2,7 +2,7 @@
 
 import loadbalancer.policy.LoadBalancingPolicy;
 
-/** Takes what a module asks for and does nothing: callers override what they care for. */
+/** Takes what a policy asks for and does nothing: callers override what they care for. */
 public class NoOpActions implements LoadBalancingPolicy.Actions {
     @Override
     public void send(String request, String server, long timeout) {}
--- a/simulator/src/main/java/loadbalancer/simulator/queue/QueueModel.java
+++ b/simulator/src/main/java/loadbalancer/simulator/queue/QueueModel.java
@@ -30,7 +30,7 @@
 
 /**
  * The paper's bare model: Poisson arrivals, exponential service, first come first served at each server, one
- * dispatcher that hears of every job. It runs on the same {@link Simulation} and {@link RandomStream} as the whole
+ * dispatcher that is notified of every job. It runs on the same {@link Simulation} and {@link RandomStream} as the whole
  * service, so what theory says of it checks those too. A unit of time is {@value #UNIT} simulated microseconds.
  *
  * <p>Model and policies: Gardner and Stephens, "Smart Dispatching in Heterogeneous Systems", sections 2 to 4.
@@ -284,7 +284,7 @@
         }
     }
 
-    /** The program's own module, told of the fleet without kinds or weights and with deadlines out of reach. */
+    /** The program's own policy, told of the fleet without kinds or weights and with deadlines out of reach. */
     private final class ByModule extends NoOpActions implements Dispatcher {
         private final LoadBalancingPolicy policy;
 
--- /dev/null
+++ b/simulator/src/main/java/loadbalancer/simulator/queue/package-info.java
@@ -0,0 +1,2 @@
+/** The bare queueing model that policies are compared with theory on. */
+package loadbalancer.simulator.queue;
--- /dev/null
+++ b/simulator/src/main/java/loadbalancer/simulator/report/package-info.java
@@ -0,0 +1,2 @@
+/** Results as a table, as JSON and as pages. */
+package loadbalancer.simulator.report;
--- a/simulator/src/main/java/loadbalancer/simulator/rules/RuleChecker.java
+++ b/simulator/src/main/java/loadbalancer/simulator/rules/RuleChecker.java
@@ -28,7 +28,7 @@
     private static final int MAX_VIOLATIONS = 100;
     private static final double MIN_NOTIFIED_FRACTION = 2 / 3.0;
 
-    /** What one balancer has been told of one upstream. */
+    /** What one balancer has been notified of about one upstream. */
     private static final class NotifiedEndpoint {
         private EndpointState state = EndpointState.UP;
         private long endsSince;
--- a/simulator/src/main/java/loadbalancer/simulator/rules/Score.java
+++ b/simulator/src/main/java/loadbalancer/simulator/rules/Score.java
@@ -14,7 +14,7 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Counts what a day was worth, as the operators do: worth answered within the aim over worth asked for, over the
+ * Scores a day as the operators do: priority weight served within the latency objective over the weight asked for, over the
  * whole day, in the worst 10 s, for the worst class and the worst tenant within its share, less the prices.
  */
 public final class Score {
@@ -282,7 +282,7 @@
         return f;
     }
 
-    // While troubles last, or over the whole day where there are none: work served in time, of what the fleet can do.
+    // While faults last, or over the whole day where there are none: work served in time, of what the fleet can do.
     private double goodput(List<Timeline.FaultInterval> faultIntervals, double capacity) {
         int[] span = span(faultIntervals);
         return sum(done, span[0], span[1]) / (Math.max(1, span[1] - span[0]) * capacity * SECOND);
@@ -327,7 +327,7 @@
         return worst;
     }
 
-    // From the end of the last trouble until two seconds running are back near the level of before the first.
+    // From the end of the last fault until two seconds running are back near the level of before the first.
     private double recovery(List<Timeline.FaultInterval> faultIntervals) {
         if (faultIntervals.isEmpty()) {
             return 0;
--- a/simulator/src/main/java/loadbalancer/simulator/search/RandomSearch.java
+++ b/simulator/src/main/java/loadbalancer/simulator/search/RandomSearch.java
@@ -20,15 +20,15 @@
 import loadbalancer.simulator.world.WorldPlan.Fault;
 
 /**
- * Draws worlds with random troubles, plays them, and keeps those in which a rule breaks or a collapse stays when
+ * Draws worlds with random faults, plays them, and keeps those in which a rule breaks or a collapse stays when
  * its cause has gone. A find is shrunk by delta debugging (Zeller): whatever can go without losing it goes.
  */
 public final class RandomSearch {
     private static final long SECOND = 1_000_000;
     private static final int TROUBLES = 5;
-    private static final long CALM = 12 * SECOND; // after the last trouble, to recover in
+    private static final long CALM = 12 * SECOND; // after the last fault, to recover in
     private static final int LAST = 4; // s at the end that show a collapse
-    private static final double COLLAPSED = 0.5; // of the worth before the first trouble, or without any
+    private static final double COLLAPSED = 0.5; // of the weight served before the first fault, or without any
     private static final int MOST_RUNS = 60;
 
     /** A world that shows something; {@code runs}: days played to make it as small as it is. */
@@ -150,7 +150,7 @@
         if (after >= COLLAPSED * before) {
             return null;
         }
-        // The load may be what ends it: the same world without troubles tells.
+        // The load may be what ends it: the same world without faults tells.
         double calm = atTheEnd(Day.play(plan.with(List.of()), seed, policyFactory));
         return after < COLLAPSED * calm ? "a collapse that outlives its cause" : null;
     }
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/Exchange.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/Exchange.java
@@ -29,7 +29,7 @@
             try {
                 socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
             } catch (IOException e) {
-                return read(socket, began, "reset"); // what was said before is still worth reading
+                return read(socket, began, "reset"); // what was said before is read all the same
             }
             return read(socket, began, "closed");
         } catch (IOException e) {
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/FaultInjectionServer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/FaultInjectionServer.java
@@ -111,9 +111,9 @@
     public List<String> trace() {
         return loop.submit(() -> {
                     List<String> all = new ArrayList<>(refused);
-                    pairs.values().forEach(p -> {
-                        all.addAll(p.up.lane.trace());
-                        all.addAll(p.down.lane.trace());
+                    pairs.values().forEach(pass -> {
+                        all.addAll(pass.up.stream.trace());
+                        all.addAll(pass.down.stream.trace());
                     });
                     return all;
                 })
@@ -125,7 +125,7 @@
     public long bytes(int connection, boolean up) {
         return loop.submit(() -> {
                     Pair pair = pairs.get(connection);
-                    return pair == null ? 0L : up ? pair.up.lane.bytes() : pair.down.lane.bytes();
+                    return pair == null ? 0L : up ? pair.up.stream.bytes() : pair.down.stream.bytes();
                 })
                 .syncUninterruptibly()
                 .getNow();
@@ -136,8 +136,8 @@
         return loop.submit(() -> {
                     Pair pair = pairs.get(connection);
                     return pair != null
-                            && !(pair.up.lane.trace().isEmpty()
-                                    && pair.down.lane.trace().isEmpty());
+                            && !(pair.up.stream.trace().isEmpty()
+                                    && pair.down.stream.trace().isEmpty());
                 })
                 .syncUninterruptibly()
                 .getNow();
@@ -186,13 +186,13 @@
     private final class Pair {
         private final Channel client;
         private final Channel server;
-        private final Way up;
-        private final Way down;
+        private final Direction up;
+        private final Direction down;
 
         Pair(int number, Channel client) {
             this.client = client;
-            up = new Way(number, true);
-            down = new Way(number, false);
+            up = new Direction(number, true);
+            down = new Direction(number, false);
             ChannelFuture connected = new Bootstrap()
                     .group(loop)
                     .channel(NioSocketChannel.class)
@@ -235,9 +235,9 @@
             down.resume();
         }
 
-        /** One direction: what its lane gives goes out in order, each after what is due before it. */
-        private final class Way {
-            private final FaultedStream lane;
+        /** One direction: what its stream gives goes out in order, each after what is due before it. */
+        private final class Direction {
+            private final FaultedStream stream;
             private final int pieces;
             private final double delay;
             private final double rate;
@@ -250,19 +250,19 @@
             private boolean ended;
             private int held;
 
-            Way(int number, boolean isUp) {
-                lane = new FaultedStream(number, isUp, script);
+            Direction(int number, boolean isUp) {
+                stream = new FaultedStream(number, isUp, script);
                 pieces = (int) amount(script, number, isUp, FaultType.PIECES);
                 delay = amount(script, number, isUp, FaultType.DELAY);
                 rate = amount(script, number, isUp, FaultType.RATE);
             }
 
             void came(byte[] bytes) {
-                for (FaultedStream.Step step : lane.take(bytes)) {
-                    if (step instanceof FaultedStream.Pass p) {
-                        pass(p.bytes());
+                for (FaultedStream.Step step : stream.take(bytes)) {
+                    if (step instanceof FaultedStream.Pass pass) {
+                        pass(pass.bytes());
                     } else {
-                        FaultType what = ((FaultedStream.Do) step).what();
+                        FaultType what = ((FaultedStream.Perform) step).what();
                         later(0, () -> strike(what));
                     }
                 }
@@ -362,9 +362,9 @@
         }
 
         private final class Reader extends ChannelInboundHandlerAdapter {
-            private final Way way;
+            private final Direction way;
 
-            Reader(Way way) {
+            Reader(Direction way) {
                 this.way = way;
             }
 
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/KillMatrix.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/KillMatrix.java
@@ -21,7 +21,7 @@
 
 /**
  * Breaks the connection of one request after another at every byte, on the side of the client or of the upstream, and
- * counts how often each ran and what its client got. Each worker has a real balancer, a box and two servers of faults
+ * counts how often each ran and what its client got. Each worker has a real balancer, a stand-in endpoint and two servers of faults
  * of its own, and does one thing at a time.
  */
 public final class KillMatrix {
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/LiveSite.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/LiveSite.java
@@ -43,8 +43,8 @@
 import loadbalancer.simulator.world.WorldPlan;
 
 /**
- * A site on loopback: every upstream of a world behind a port of its own, with the simulated model and its troubles,
- * and the register that lists them. Each run of a request is in the ledger. One event loop; all state is the loop's.
+ * A site on loopback: every upstream of a world behind a port of its own, with the simulated model and its faults,
+ * and the discovery service that lists them. Each run of a request is in the ledger. One event loop; all state is the loop's.
  */
 public final class LiveSite implements AutoCloseable {
     private static final long STEP_US = 1_000;
@@ -122,7 +122,7 @@
                 .channel();
     }
 
-    /** Where the register listens. */
+    /** Where the discovery service listens. */
     public InetSocketAddress register() {
         return register;
     }
@@ -137,7 +137,7 @@
         return loop.submit(() -> Map.copyOf(ran)).syncUninterruptibly().getNow();
     }
 
-    /** The list as balancers should know it at their start, in the register's form. */
+    /** The list as balancers should know it at their start, in the discovery service's form. */
     public Map<String, Object> known() {
         return loop.submit(() -> list(told.values(), true))
                 .syncUninterruptibly()
@@ -269,7 +269,7 @@
         to.writeAndFlush(response);
     }
 
-    // ---- the register
+    // ---- the discovery service
 
     private void publish() {
         Map<String, Endpoint> now = new LinkedHashMap<>();
@@ -377,7 +377,7 @@
             head.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
             HttpUtil.setTransferEncodingChunked(head, true);
             channel.writeAndFlush(head);
-            // Whoever watches gets the whole list first: it may come from a register that counted otherwise.
+            // Whoever watches gets the whole list first: it may come from a discovery service that counted otherwise.
             line(channel, text(list(told.values(), true)));
             watchers.add(channel);
             channel.closeFuture().addListener(closed -> watchers.remove(channel));
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/package-info.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/package-info.java
@@ -1,2 +1,2 @@
-/** The laboratory on sockets: stand-ins, faults between connections and load, all on loopback. */
+/** The simulator on sockets: stand-ins, faults between connections and load, all on loopback. */
 package loadbalancer.simulator.sockets;
--- /dev/null
+++ b/simulator/src/main/java/loadbalancer/simulator/stats/package-info.java
@@ -0,0 +1,2 @@
+/** Statistics: confidence intervals and batch means. */
+package loadbalancer.simulator.stats;
--- a/simulator/src/main/java/loadbalancer/simulator/variants/MeteredPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/MeteredPolicy.java
@@ -8,9 +8,9 @@
 import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.LoadReport;
 
-/** A module with a meter: how long its calls took, by a clock that the caller brings. */
+/** A policy with a meter: how long its calls took, by a clock that the caller brings. */
 public final class MeteredPolicy implements LoadBalancingPolicy {
-    /** What the calls of all modules that share it took, in ns. */
+    /** What the calls of all policies that share it took, in ns. */
     public static final class Meter {
         private long decisions;
         private long lists;
@@ -21,12 +21,12 @@
             return decisions;
         }
 
-        /** News of the list. */
+        /** Changes of the endpoint list. */
         public long listNanos() {
             return lists;
         }
 
-        /** How often there was news of the list. */
+        /** How often the endpoint list changed. */
         public long lists() {
             return listCalls;
         }
--- a/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
@@ -21,8 +21,8 @@
 import loadbalancer.simulator.engine.RandomStream;
 
 /**
- * A front before several pools, each with a module of its own, played as one module: what the balancer does on
- * sockets. The kind of an upstream tells its pool. One module, the first pool's, speaks with discovery; all hear.
+ * A front before several pools, each with a policy of its own, played as one policy: what the balancer does on
+ * sockets. The kind of an upstream tells its pool. One policy, the first pool's, speaks with discovery; all hear.
  */
 final class RoutedPolicy implements LoadBalancingPolicy {
     /** What the world's numbers stand for. */
@@ -75,7 +75,7 @@
         }
     }
 
-    // ---- the pools' modules ask
+    // ---- the pools' policies ask
 
     private final class ToWorld implements Actions {
         private final String pool;
--- a/simulator/src/main/java/loadbalancer/simulator/variants/RoutingSpec.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/RoutingSpec.java
@@ -113,7 +113,7 @@
                 new RoutingConfig.Advice(ADVICE_LEAST, settings.limits().maxRetryAfterMicros()));
     }
 
-    // A second's worth may come at once: shares are counted over a second as well.
+    // A second's tokens may be spent at once: quotas are counted over a second as well.
     private static Rate rate(double perSecond, double ceiling) {
         return new Rate(perSecond, Math.max(1, perSecond), Math.max(perSecond, ceiling));
     }
--- a/simulator/src/main/java/loadbalancer/simulator/variants/TextbookPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/TextbookPolicy.java
@@ -21,7 +21,7 @@
 import loadbalancer.simulator.world.GroundTruth;
 
 /**
- * A textbook policy made into a whole module: the chooser picks among the listed servers by this balancer's own
+ * A textbook policy made into a whole policy: the chooser picks among the listed servers by this balancer's own
  * attempts in flight; a request goes again where its class allows, to another server, while attempts are left.
  * It neither sheds load nor learns health. Cold servers are met in proportion to their warmth as the rules
  * promise it, or textbook policies would push each of them over.
--- a/simulator/src/main/java/loadbalancer/simulator/variants/Variants.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/Variants.java
@@ -15,10 +15,10 @@
 
 /** The policies that worlds can be played under, by name. */
 public final class Variants {
-    /** The program's own module. */
+    /** The program's own policy. */
     public static final String OWN = "balance";
     /** The one that sees the true state of all upstreams. */
-    public static final String SEER = "seer";
+    public static final String ORACLE = "seer";
 
     private static final String LEAST_IN_FLIGHT = "least-in-flight";
 
@@ -26,10 +26,10 @@
      * A variant of an experiment: its name, the policy, and the figures of a sampling one.
      *
      * @param front what stands before the pools, and how this variant uses it; null: nothing, and all is one pool
-     * @param calm it is played without the troubles: what they cost is the difference to it
+     * @param calm it is played without the faults: what they cost is the difference to it
      */
     public record Variant(String name, String policy, Choosers.Figures figures, RoutingSpec.Use front, boolean calm) {
-        /** A variant without a front, under all troubles. */
+        /** A variant without a front, under all faults. */
         public Variant(String name, String policy, Choosers.Figures figures) {
             this(name, policy, figures, null, false);
         }
@@ -39,13 +39,13 @@
 
     /** All names that {@link #policyFactory} takes. */
     public static List<String> names() {
-        List<String> names = new ArrayList<>(List.of(OWN, SEER, LEAST_IN_FLIGHT));
+        List<String> names = new ArrayList<>(List.of(OWN, ORACLE, LEAST_IN_FLIGHT));
         names.addAll(Choosers.NAMES);
         return names;
     }
 
     /**
-     * What makes a variant's modules.
+     * What makes a variant's policies.
      *
      * @throws IllegalArgumentException for a policy that there isn't
      */
@@ -58,12 +58,12 @@
         }
         return (settings, seed, truth) -> {
             RandomStream random = new RandomStreams(seed).of("policy", 0, "choice");
-            Seer seer = new Seer(truth, settings.zone());
-            Chooser chooser = variant.policy.equals(SEER)
-                    ? seer
+            Oracle oracle = new Oracle(truth, settings.zone());
+            Chooser chooser = variant.policy.equals(ORACLE)
+                    ? oracle
                     : Choosers.named(variant.policy.equals(LEAST_IN_FLIGHT) ? "jsq" : variant.policy, variant.figures);
             TextbookPolicy policy = new TextbookPolicy(settings, chooser, random, truth);
-            seer.sees(policy);
+            oracle.observe(policy);
             return policy;
         };
     }
@@ -94,17 +94,17 @@
     }
 
     /** Sends to where the answer would come first, given the true state. */
-    private static final class Seer implements Chooser {
+    private static final class Oracle implements Chooser {
         private final GroundTruth truth;
         private final int zone;
         private TextbookPolicy policy;
 
-        Seer(GroundTruth truth, int zone) {
+        Oracle(GroundTruth truth, int zone) {
             this.truth = truth;
             this.zone = zone;
         }
 
-        void sees(TextbookPolicy own) {
+        void observe(TextbookPolicy own) {
             policy = own;
         }
 
--- a/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
@@ -12,7 +12,7 @@
 import loadbalancer.policy.LoadBalancingPolicy;
 
 /**
- * One process of a balancer: carries out what its module asks for, on the simulated network. It decides nothing.
+ * One process of a balancer: carries out what its policy asks for, on the simulated network. It decides nothing.
  * A restarted balancer is a new object.
  */
 public final class Balancer implements LoadBalancingPolicy.Actions {
@@ -28,7 +28,7 @@
     private final Map<Upstream, IdleConnections> idleConnections = new HashMap<>();
     private final Map<String, Endpoint> endpoints = new HashMap<>();
     private final Map<String, EndpointState> operatorDrained = new HashMap<>();
-    // The latest that are over: a second answer to one of these is told from one to what never was.
+    // The latest that are over: a second answer to one of these is told apart from one to a request that never was.
     private final Map<String, BalancerRequest> finishedRequests = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
@@ -58,7 +58,7 @@
         return incarnation;
     }
 
-    /** When it counts as told that the upstream drains or is gone, whatever reached it; or the largest long. */
+    /** When it counts as notified that the upstream drains or is gone, whatever reached it; or the largest long. */
     public long deemedNotifiedAt(String id) {
         return subscriber.deemedNotifiedAt(
                 world.discovery.endListedAt(id), world.plan.rules().pollIntervalMicros());
@@ -247,7 +247,7 @@
         idleConnections.forEach((u, l) -> l.expire(u, now, world.plan.fleet().idleTimeoutMicros()));
     }
 
-    // ---- what the module asks for
+    // ---- what the policy asks for
 
     @Override
     public void send(String request, String server, long timeout) {
--- a/simulator/src/main/java/loadbalancer/simulator/world/BalancerRequest.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/BalancerRequest.java
@@ -32,7 +32,7 @@
         this.deadline = deadline;
     }
 
-    /** The id that the module knows it by. */
+    /** The id that the policy knows it by. */
     public String id() {
         return id;
     }
--- a/simulator/src/main/java/loadbalancer/simulator/world/ClientRequest.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/ClientRequest.java
@@ -45,7 +45,7 @@
         return work;
     }
 
-    /** By when it is worth anything, in µs. */
+    /** The deadline of the request, in µs. */
     public long deadline() {
         return deadline;
     }
--- a/simulator/src/main/java/loadbalancer/simulator/world/Clients.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Clients.java
@@ -306,7 +306,7 @@
         });
     }
 
-    /** A try has ended at its balancer; the client hears of it after its way back. */
+    /** A try has ended at its balancer; the client gets it after its way back. */
     void attemptEnded(BalancerRequest request, End end, long retryAfter, long now) {
         ended(request.clientRequest(), end, retryAfter, now + world.network.client(request.serial, 1), request.serial);
     }
--- a/simulator/src/main/java/loadbalancer/simulator/world/LiveFleet.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/LiveFleet.java
@@ -9,7 +9,7 @@
 
 /**
  * The upstreams of a world with its timeline, played by somebody else's clock: what answers behind real sockets is the
- * same model as in simulated time. It has no clients and no balancers; the register's list is there to be read. Not
+ * same model as in simulated time. It has no clients and no balancers; the discovery service's list is there to be read. Not
  * thread-safe; times are µs since the day began.
  */
 public final class LiveFleet {
@@ -25,7 +25,7 @@
     private final World world;
     private final RandomStream works;
 
-    /** Draws the world of {@code seed}; {@code replies} hears of each request's end. */
+    /** Draws the world of {@code seed}; {@code replies} is notified of each request's end. */
     public LiveFleet(WorldPlan plan, long seed, Replies replies) {
         world = new World(
                 plan,
@@ -66,7 +66,7 @@
         return upstream != null && upstream.silent();
     }
 
-    /** The list as the register has it now, by id, with the address of each. */
+    /** The list as the discovery service has it now, by id, with the address of each. */
     public Map<Endpoint, Integer> list() {
         Map<Endpoint, Integer> all = new LinkedHashMap<>();
         for (Endpoint endpoint : world.discovery.list()) {
@@ -80,7 +80,7 @@
         return world.addressOf(id);
     }
 
-    /** Whether the register answers. */
+    /** Whether the discovery service answers. */
     public boolean discoveryAvailable() {
         return !world.discovery.isDown();
     }
@@ -117,7 +117,7 @@
         return world.nominalCapacity / world.meanWork * 1e6;
     }
 
-    /** The day's troubles as they were drawn. */
+    /** The day's faults as they were drawn. */
     public List<Timeline.FaultInterval> faultIntervals() {
         return world.faultIntervals();
     }
--- a/simulator/src/main/java/loadbalancer/simulator/world/NoOpObserver.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/NoOpObserver.java
@@ -5,7 +5,7 @@
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
 
-/** Hears of everything and keeps nothing: for worlds that are judged by somebody else. */
+/** Receives everything and keeps nothing: for worlds that somebody else observes. */
 class NoOpObserver implements Observer {
     @Override
     public void requestAccepted(BalancerRequest request, long now) {}
--- a/simulator/src/main/java/loadbalancer/simulator/world/Observer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Observer.java
@@ -10,7 +10,7 @@
     /** A balancer has taken a request: it owes one final answer. */
     void requestAccepted(BalancerRequest request, long now);
 
-    /** A module asks for an attempt; it isn't among the request's attempts yet. */
+    /** A policy asks for an attempt; it isn't among the request's attempts yet. */
     void attemptStarting(Attempt attempt, long now);
 
     /** An attempt has ended. */
@@ -19,7 +19,7 @@
     /** A request has had its final answer. */
     void requestAnswered(BalancerRequest request, Clients.End end, long retryAfter, long now);
 
-    /** A module gives a second final answer. */
+    /** A policy gives a second final answer. */
     void answeredTwice(BalancerRequest request, Clients.End end, long now);
 
     /** The time for a final answer is over and there was none. */
@@ -41,7 +41,7 @@
     /** A process in slow start has been sent that fraction of what the rule allows within its window. */
     void coldLoad(Upstream upstream, double fraction, long now);
 
-    /** A module asks for what can't be. */
+    /** A policy asks for what can't be. */
     void invalidAction(Balancer balancer, String description, BalancerRequest request, long now);
 
     /** A client makes a first try. */
--- a/simulator/src/main/java/loadbalancer/simulator/world/SimulatedDiscovery.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/SimulatedDiscovery.java
@@ -17,7 +17,7 @@
     private static final long RECONNECT_DELAY_MICROS = 500_000; // µs after a break, where lists are pushed
     private static final int MAX_CHANGES = 256; // versions behind which a watch gets the whole list
 
-    /** A balancer's standing with the register. */
+    /** A balancer's standing with the discovery service. */
     static final class Subscriber {
         private final Balancer balancer;
         private boolean watching;
@@ -35,7 +35,7 @@
             generation++;
         }
 
-        /** When it counts as told of what was listed at {@code listedAt}, whatever reached it. */
+        /** When it counts as notified of what was listed at {@code listedAt}, whatever reached it. */
         long deemedNotifiedAt(long listedAt, long pollIntervalMicros) {
             if (watching || pollIntervalMicros <= 0 || listedAt == Long.MAX_VALUE) {
                 return Long.MAX_VALUE;
@@ -102,7 +102,7 @@
         return ends ? listedAt.getOrDefault(id, Long.MAX_VALUE) : Long.MAX_VALUE;
     }
 
-    /** Something changed; it is listed after {@code delayMicros} µs, at the register's next round. */
+    /** Something changed; it is listed after {@code delayMicros} µs, at the discovery service's next round. */
     void changed(Endpoint entry, long delayMicros) {
         long due = world.simulation.now() + delayMicros;
         long round = (due + publishIntervalMicros - 1) / publishIntervalMicros * publishIntervalMicros;
@@ -116,7 +116,7 @@
         }
         Endpoint known = entries.get(entry.id());
         if (known != null && known.startedAt() > entry.startedAt()) {
-            return; // news of a process that has been replaced meanwhile
+            return; // about a process that has been replaced meanwhile
         }
         if (entry.state() == EndpointState.GONE) {
             entries.remove(entry.id());
@@ -170,7 +170,7 @@
         }
     }
 
-    /** A call: it waits its turn, and fails when it has waited too long or the register is down. */
+    /** A call: it waits its turn, and fails when it has waited too long or the discovery service is down. */
     void call(Subscriber subscriber, boolean watch) {
         long now = world.simulation.now();
         calls++;
--- a/simulator/src/main/java/loadbalancer/simulator/world/Upstream.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Upstream.java
@@ -9,7 +9,7 @@
 
 /**
  * One process that serves requests. Those in its slots share its cores evenly; others wait their turn in a room of
- * fixed size, and beyond that are turned away unseen.
+ * fixed size, and beyond that are rejected.
  *
  * <p>Sharing is kept in virtual time: all in service progress at one rate, so each has a fixed virtual end and
  * only the rate changes (Parekh and Gallager's idea for fair queueing). A change costs O(log slots).
@@ -112,7 +112,7 @@
 
     // ---- what others see
 
-    /** Its id, as the register lists it. */
+    /** Its id, as the discovery service lists it. */
     public String id() {
         return id;
     }
--- a/simulator/src/main/java/loadbalancer/simulator/world/World.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/World.java
@@ -71,7 +71,7 @@
             int balancers,
             double capacity) {}
 
-    /** Draws a world; {@code observer} hears of all that happens in it. */
+    /** Draws a world; {@code observer} receives all that happens in it. */
     public World(WorldPlan plan, long seed, PolicyFactory policyFactory, Observer observer) {
         this.plan = plan;
         this.policyFactory = policyFactory;
@@ -176,7 +176,7 @@
         faultIntervals = List.copyOf(drawn);
     }
 
-    /** The day's troubles as they were drawn. */
+    /** The day's faults as they were drawn. */
     public List<Timeline.FaultInterval> faultIntervals() {
         return faultIntervals;
     }
@@ -272,7 +272,7 @@
 
     // ---- balancers
 
-    /** Starts a process of that balancer, with the list as {@code former} or the register last had it. */
+    /** Starts a process of that balancer, with the list as {@code former} or the discovery service last had it. */
     Balancer startBalancer(BalancerSlot slot, Map<String, double[]> learnedState) {
         int incarnation = slot.nextIncarnation();
         long now = simulation.now();
@@ -319,7 +319,7 @@
 
     // ---- what a report shows
 
-    /** Log lines of the modules, the first few hundred. */
+    /** Log lines of the policies, the first few hundred. */
     public List<String> logLines() {
         return logLines;
     }
--- a/simulator/src/main/java/loadbalancer/simulator/world/WorldPlan.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/WorldPlan.java
@@ -244,7 +244,7 @@
         }
     }
 
-    /** The same world with other troubles. */
+    /** The same world with other faults. */
     public WorldPlan with(List<Fault> others) {
         return new WorldPlan(
                 length, balancers, upstreams, zones, load, network, clients, discovery, rules, goal, prices, fleet,
--- a/simulator/src/main/java/loadbalancer/simulator/world/WorldSettings.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/WorldSettings.java
@@ -73,7 +73,7 @@
                 .toList();
     }
 
-    // The bounds promise the slowest start of any kind: balancers are not told of kinds.
+    // The bounds promise the slowest start of any kind: balancers do not know kinds.
     private static SafetyBounds bounds(WorldPlan plan) {
         WorldPlan.Rules rules = plan.rules();
         double slowStartInitialWeight = plan.kinds().stream()
--- a/simulator/src/test/java/loadbalancer/simulator/faultinjection/FaultedStreamTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/faultinjection/FaultedStreamTest.java
@@ -31,7 +31,7 @@
                 out.append(
                         step instanceof FaultedStream.Pass p
                                 ? new String(p.bytes(), StandardCharsets.ISO_8859_1)
-                                : "<" + ((FaultedStream.Do) step).what() + ">");
+                                : "<" + ((FaultedStream.Perform) step).what() + ">");
             }
             at += n;
         }
