--- a/balancer/src/test/java/loadbalancer/logs/LoggingTest.java
+++ b/balancer/src/test/java/loadbalancer/logs/LoggingTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void textReadsAsItAlwaysDidAndJsonHoldsTheFigures() throws IOException {
+    void textOmitsFieldsAndJsonHoldsThem() throws IOException {
         AsyncLogWriter sink = new AsyncLogWriter(written, "load-balancer: ");
         Log log = Log.to(Slf4jProvider.logger("load-balancer", sink));
         log.event("set-down s1", "call", "set-down", "known", true);
@@ -42,23 +42,23 @@
     }
 
     @Test
-    void aReaderThatStopsReadingCostsLinesAndNoTime() throws InterruptedException {
+    void aStalledReaderDropsLinesWithoutBlockingCallers() throws InterruptedException {
         CountDownLatch reads = new CountDownLatch(1);
         AsyncLogWriter sink = new AsyncLogWriter(
                 new OutputStream() {
                     @Override
-                    public void write(int b) {
-                        written.write(b);
+                    public void write(int value) {
+                        written.write(value);
                     }
 
                     @Override
-                    public void write(byte[] b, int off, int len) {
+                    public void write(byte[] bytes, int offset, int length) {
                         try {
                             reads.await();
                         } catch (InterruptedException e) {
                             Thread.currentThread().interrupt();
                         }
-                        written.write(b, off, len);
+                        written.write(bytes, offset, length);
                     }
                 },
                 "");
--- a/balancer/src/test/java/loadbalancer/operator/OperatorReaderTest.java
+++ b/balancer/src/test/java/loadbalancer/operator/OperatorReaderTest.java
@@ -9,13 +9,13 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.toml.Faults;
+import loadbalancer.toml.ConfigException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 class OperatorReaderTest {
-    static final OperatorConfig.Site SITE =
-            new OperatorConfig.Site(List.of("read", "book"), List.of("shyamal-travels", "teesta-line"), 3, 1_500_000);
+    static final SiteConfig SITE =
+            new SiteConfig(List.of("read", "book"), List.of("shyamal-travels", "teesta-line"), 3, 1_500_000);
 
     static final String SOUND =
             """
@@ -74,7 +74,7 @@
         try {
             OperatorReader.read(file, SITE);
             return List.of();
-        } catch (Faults e) {
+        } catch (ConfigException e) {
             return e.lines().stream()
                     .map(l -> l.replace(folder.toString() + "/", ""))
                     .toList();
@@ -116,22 +116,30 @@
     }
 
     @Test
-    void aSoundFileIsReadInFull() throws IOException {
+    void aValidFileIsReadCompletely() throws IOException {
         OperatorConfig o = OperatorReader.read(Files.writeString(folder.resolve("operator.toml"), SOUND), SITE);
         assertEquals(
                 List.of("agents", "new", "site"),
                 o.pools().stream().map(PoolSpec::name).toList());
         assertEquals(
-                new PoolSpec.Overrides(2, 80_000L, 20_000_000L, false),
-                o.pool("agents").settings());
-        assertEquals(512 * 1024, o.pool("agents").memory());
-        assertEquals(8, o.front().pools().get(1).fullStrength());
-        assertEquals(3, o.front().instances(), "as the platform says");
-        assertEquals(1_500_000, o.front().retryAfter().most(), "and the settings' bound");
-        assertEquals(1, o.front().quotas().others().perSecond(), 1e-9);
-        assertEquals(800_000, o.front().routes().get(0).deadline());
+                new PoolOverrides(2, 80_000L, 20_000_000L, false),
+                o.pool("agents").overrides());
+        assertEquals(512 * 1024, o.pool("agents").maxBodyBytes());
+        assertEquals(8, o.routing().pools().get(1).fullStrength());
+        assertEquals(3, o.routing().instances(), "as the platform says");
+        assertEquals(1_500_000, o.routing().retryAfter().maxMicros(), "and the settings' bound");
+        assertEquals(1, o.routing().quotas().others().perSecond(), 1e-9);
+        assertEquals(800_000, o.routing().routes().get(0).deadlineMicros());
         assertEquals(
-                0.5, o.front().routes().get(0).ways().get(1).spills().get(0).most());
+                0.5,
+                o.routing()
+                        .routes()
+                        .get(0)
+                        .destinations()
+                        .get(1)
+                        .spillTargets()
+                        .get(0)
+                        .maxShare());
         assertTrue(o.log().json());
         assertEquals(List.of(), o.notes());
         OperatorConfig loose = OperatorReader.read(
@@ -151,10 +159,10 @@
     }
 
     @Test
-    void whatChangesIsSaidInWords() throws IOException {
+    void changesAreDescribed() throws IOException {
         Path file = folder.resolve("operator.toml");
         OperatorConfig before = OperatorReader.read(Files.writeString(file, SOUND), SITE);
-        assertEquals(List.of(), ConfigVocabulary.changes(before, before));
+        assertEquals(List.of(), ConfigDiff.between(before, before));
         List<String> expected = new ArrayList<>(List.of(
                 "pool agents: limit: gradient from 16, 4 to 200 -> 30 at once",
                 "pool fresh: new, upstreams 127.0.0.1:9009, limit none",
@@ -178,6 +186,6 @@
                                 .replace("\"800ms\"", "\"1s\"")
                                 .replace("\"100/s\"", "\"120/s\"")),
                 SITE);
-        assertEquals(expected, ConfigVocabulary.changes(before, next));
+        assertEquals(expected, ConfigDiff.between(before, next));
     }
 }
--- a/balancer/src/test/java/loadbalancer/process/FakeUpstream.java
+++ b/balancer/src/test/java/loadbalancer/process/FakeUpstream.java
@@ -22,7 +22,7 @@
 /** The other side of a connection, for tests: hands each request over, and answers what the test says. */
 public final class FakeUpstream implements Closeable {
     /** A request as it came, and the connection to answer on. */
-    public record Got(String head, byte[] body, Socket socket, int connection) {
+    public record ReceivedRequest(String head, byte[] body, Socket socket, int connection) {
         public String line() {
             return head.substring(0, head.indexOf("\r\n"));
         }
@@ -75,14 +75,15 @@
     }
 
     private final ServerSocket server;
-    private final BlockingQueue<Got> requests = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ReceivedRequest> requests = new LinkedBlockingQueue<>();
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final AtomicInteger connections = new AtomicInteger();
     private final List<Thread> readers = new CopyOnWriteArrayList<>();
+    private final Thread acceptor;
 
     public FakeUpstream() throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        run(() -> {
+        acceptor = run(() -> {
             while (true) {
                 Socket socket = server.accept();
                 sockets.add(socket);
@@ -96,7 +97,7 @@
         void run() throws IOException;
     }
 
-    private void run(Work work) {
+    private Thread run(Work work) {
         Thread thread = new Thread(() -> {
             try {
                 work.run();
@@ -107,6 +108,7 @@
         thread.setDaemon(true);
         readers.add(thread);
         thread.start();
+        return thread;
     }
 
     private void read(Socket socket, int number) throws IOException {
@@ -116,10 +118,10 @@
             if (head == null) {
                 return;
             }
-            Got got = new Got(head, new byte[0], socket, number);
+            ReceivedRequest got = new ReceivedRequest(head, new byte[0], socket, number);
             String length = got.header("Content-Length");
             byte[] body = in.readNBytes(length == null ? 0 : Integer.parseInt(length));
-            requests.add(new Got(head, body, socket, number));
+            requests.add(new ReceivedRequest(head, body, socket, number));
             if (head.contains("watch=1")) {
                 return; // the test reads the rest, if anything
             }
@@ -148,8 +150,8 @@
     }
 
     /** The next request; fails where none comes. */
-    public Got next() throws InterruptedException {
-        Got got = requests.poll(20, TimeUnit.SECONDS);
+    public ReceivedRequest next() throws InterruptedException {
+        ReceivedRequest got = requests.poll(20, TimeUnit.SECONDS);
         if (got == null) {
             throw new AssertionError("no request came");
         }
@@ -160,9 +162,15 @@
         return requests.isEmpty();
     }
 
+    /** Refuses connections from its return on: while a thread is still in accept(), the kernel goes on taking them. */
     @Override
     public void close() throws IOException {
         server.close();
+        try {
+            acceptor.join();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
         for (Socket socket : sockets) {
             socket.close();
         }
--- a/balancer/src/test/java/loadbalancer/upstream/UpstreamConnectionPoolTest.java
+++ b/balancer/src/test/java/loadbalancer/upstream/UpstreamConnectionPoolTest.java
@@ -23,51 +23,51 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Connections to upstreams: their rest, their drains and their probes. */
+/** Connections to upstreams: idle time-outs, drains and probes. */
 class UpstreamConnectionPoolTest extends BalancerFixture {
     private final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
 
     @Test
-    void idleConnectionsAreClosedWellBeforeTheUpstreamWould() throws IOException, InterruptedException {
+    void idleConnectionsAreClosedBeforeTheUpstreamWouldCloseThem() throws IOException, InterruptedException {
         start(Map.of("IdleClose", 400_000), 1024);
         try (Client client = new Client(at)) {
             client.send(IDEMPOTENT);
-            FakeUpstream.Got got = upstream.next();
+            FakeUpstream.ReceivedRequest got = upstream.next();
             got.answer(200, "", "ok");
             assertEquals(200, client.status());
-            assertTrue(closesSoon(got));
+            assertTrue(isClosedSoon(got));
         }
     }
 
     @Test
     @Timeout(60)
-    void nothingIsSentToAnUpstreamThatHasGone() throws IOException, InterruptedException {
+    void nothingIsSentAfterTheDrainGracePeriod() throws IOException, InterruptedException {
         start(Map.of(), 1024);
-        onLoop(() -> module.actions.fetchList());
+        onLoop(() -> policy.actions.fetchList());
         discovery.next().answer(200, "", "{\"rev\":50,\"all\":true,\"targets\":[]}");
-        assertEquals("SNAPSHOT []", module.next());
-        // The grace is over at last; the module of this test goes on sending all the same.
+        assertEquals("SNAPSHOT []", policy.next());
+        // The grace period ends at last; the policy of this test goes on sending all the same.
         try (Client client = new Client(at)) {
-            String told = "OK closed";
-            while (told.startsWith("OK")) {
+            String outcome = "OK closed";
+            while (outcome.startsWith("OK")) {
                 client.send(IDEMPOTENT);
-                told = module.told.poll(10, TimeUnit.MILLISECONDS);
-                while (told == null) {
+                outcome = policy.events.poll(10, TimeUnit.MILLISECONDS);
+                while (outcome == null) {
                     if (!upstream.isEmpty()) {
                         upstream.next().answer(200, "", "ok");
                     }
-                    told = module.told.poll(10, TimeUnit.MILLISECONDS);
+                    outcome = policy.events.poll(10, TimeUnit.MILLISECONDS);
                 }
                 client.status();
             }
-            assertEquals("NOT_SENT", told);
+            assertEquals("NOT_SENT", outcome);
         }
     }
 
-    /** Its connections come up only once the test accepts: its queue of waiting connections is full. */
+    /** Connections are established only once the test accepts: the listener's backlog is full. */
     @Test
     @Timeout(60)
-    void anAttemptThatStillWaitsForItsConnectionIsNotSentAfterTheGrace() throws IOException, InterruptedException {
+    void attemptThatWaitsForItsConnectionIsNotSentAfterTheDrainGracePeriod() throws IOException, InterruptedException {
         List<Socket> fillers = new ArrayList<>();
         List<Client> clients = new ArrayList<>();
         try (ServerSocket slow = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -77,37 +77,22 @@
             endpoint = "127.0.0.1:" + slow.getLocalPort();
             start(Map.of("DialTimeout", 30_000_000), 1024);
             clients.add(new Client(at).send(IDEMPOTENT.replace("r1", "r0")));
-            assertEquals("0 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
-            onLoop(() -> module.actions.fetchList());
+            assertEquals("0 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
+            onLoop(() -> policy.actions.fetchList());
             discovery.next().answer(200, "", "{\"rev\":50,\"all\":true,\"targets\":[]}");
-            assertEquals("SNAPSHOT []", module.next());
-            String told = null;
-            while (told == null) { // until new attempts show that the grace is over
+            assertEquals("SNAPSHOT []", policy.next());
+            String outcome = null;
+            while (outcome == null) { // until new attempts show that the grace period is over
                 clients.add(new Client(at).send(IDEMPOTENT.replace("r1", "r" + clients.size())));
-                told = module.told.poll(100, TimeUnit.MILLISECONDS);
+                outcome = policy.events.poll(100, TimeUnit.MILLISECONDS);
             }
-            assertEquals("NOT_SENT", told);
-            Thread accepting = new Thread(() -> {
-                try {
-                    while (true) {
-                        accepted.add(slow.accept());
-                    }
-                } catch (IOException e) {
-                    Thread.currentThread().interrupt();
-                }
-            });
-            accepting.start();
+            assertEquals("NOT_SENT", outcome);
+            acceptAll(slow);
             for (int i = 1; i < clients.size(); i++) {
-                assertEquals("NOT_SENT", module.next());
-            }
-            Socket taken;
-            int ports = 0;
-            for (int i = 0; i < fillers.size(); i++) {
-                taken = accepted.poll(20, TimeUnit.SECONDS);
-                ports += taken == null ? 0 : 1;
+                assertEquals("NOT_SENT", policy.next());
             }
-            assertEquals(fillers.size(), ports);
-            taken = accepted.poll(20, TimeUnit.SECONDS);
+            assertFillersAreAccepted(fillers.size());
+            Socket taken = accepted.poll(20, TimeUnit.SECONDS);
             taken.setSoTimeout(20_000);
             assertEquals(-1, taken.getInputStream().read(), "nothing was written");
         } finally {
@@ -120,12 +105,33 @@
         }
     }
 
-    /** Also where the module cancels nothing, as it must not everywhere. */
+    private void acceptAll(ServerSocket listener) {
+        Thread accepting = new Thread(() -> {
+            try {
+                while (true) {
+                    accepted.add(listener.accept());
+                }
+            } catch (IOException e) {
+                Thread.currentThread().interrupt();
+            }
+        });
+        accepting.start();
+    }
+
+    private void assertFillersAreAccepted(int fillers) throws InterruptedException {
+        int ports = 0;
+        for (int i = 0; i < fillers; i++) {
+            ports += accepted.poll(20, TimeUnit.SECONDS) == null ? 0 : 1;
+        }
+        assertEquals(fillers, ports);
+    }
+
+    /** Also where the policy cancels nothing, as it may not everywhere. */
     @Test
     @Timeout(60)
-    void whatWaitsForItsConnectionIsGivenUpOnceItsClientHasLeft() throws IOException, InterruptedException {
+    void attemptThatWaitsForItsConnectionIsCancelledOnceItsClientHasLeft() throws IOException, InterruptedException {
         List<Socket> fillers = new ArrayList<>();
-        module.cancels = false;
+        policy.cancelsForGoneClients = false;
         try (ServerSocket slow = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             while (fill(fillers, slow.getLocalPort())) {
                 assertTrue(fillers.size() < 50, "the queue never fills");
@@ -133,11 +139,11 @@
             endpoint = "127.0.0.1:" + slow.getLocalPort();
             start(Map.of("DialTimeout", 30_000_000), 1024);
             try (Client client = new Client(at)) {
-                client.send(IDEMPOTENT.replace("20000", "500000")); // its time is not what ends it
-                assertEquals("0 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
+                client.send(IDEMPOTENT.replace("20000", "500000")); // its deadline is not what ends it
+                assertEquals("0 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
             }
-            assertEquals("gone", module.next());
-            assertEquals("NOT_SENT closed", module.next());
+            assertEquals("gone", policy.next());
+            assertEquals("NOT_SENT closed", policy.next());
         } finally {
             for (Socket filler : fillers) {
                 filler.close();
@@ -145,23 +151,23 @@
         }
     }
 
-    /** It comes when the connection has been given to the next request: it must not be taken for its answer. */
+    /** It arrives when the next request has the connection: it must not be taken for the response to that one. */
     @Test
-    void aSecondAnswerThatComesLateIsNobodysAnswer() throws IOException, InterruptedException {
+    void lateDuplicateResponseBelongsToNoRequest() throws IOException, InterruptedException {
         start();
         CountDownLatch answered = new CountDownLatch(1);
         CountDownLatch held = new CountDownLatch(1);
         try (Client client = new Client(at);
                 Client next = new Client(at)) {
             client.send(IDEMPOTENT);
-            FakeUpstream.Got got = upstream.next();
-            module.server = null; // the next one is held, and sent once the first is served
+            FakeUpstream.ReceivedRequest got = upstream.next();
+            policy.endpointId = null; // the next one is queued, and sent once the first is served
             next.send(IDEMPOTENT.replace("r1", "r2"));
-            assertEquals("0 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
-            assertEquals("0 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
-            module.onOutcome = () -> {
-                module.onOutcome = () -> {};
-                module.actions.send("2", "s1", 0);
+            assertEquals("0 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
+            assertEquals("0 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
+            policy.onOutcome = () -> {
+                policy.onOutcome = () -> {};
+                policy.actions.send("2", "s1", 0);
                 answered.countDown();
                 try {
                     held.await();
@@ -174,7 +180,7 @@
             got.answer(200, "", "second");
             held.countDown();
             assertEquals(200, client.status());
-            FakeUpstream.Got other = upstream.next();
+            FakeUpstream.ReceivedRequest other = upstream.next();
             assertEquals("r2", other.header("Req-Id"));
             assertEquals(2, other.connection());
             other.answer(200, "", "its own");
@@ -196,13 +202,13 @@
     }
 
     @Test
-    void probesTellTheLoad() throws IOException, InterruptedException {
+    void probeReturnsTheLoadReport() throws IOException, InterruptedException {
         start();
-        onLoop(() -> module.actions.probe("s1"));
-        FakeUpstream.Got got = upstream.next();
+        onLoop(() -> policy.actions.probe("s1"));
+        FakeUpstream.ReceivedRequest got = upstream.next();
         assertEquals("GET /-/load HTTP/1.1", got.line());
         assertNull(got.header("Req-Id"));
         got.answer(200, "", "TEXT inflight=3");
-        assertEquals("probed OK 3.0", module.next());
+        assertEquals("probed OK 3.0", policy.next());
     }
 }
--- a/balancer/src/test/java/loadbalancer/wire/AdapterTest.java
+++ b/balancer/src/test/java/loadbalancer/wire/SimulatorWireAdapterTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The wire: frames in, frames out, and plain complaints about what is malformed. */
-class AdapterTest {
+class SimulatorWireAdapterTest {
     private static final String SETTINGS = String.join(
             "\t",
             "Balancers=2",
@@ -52,7 +52,7 @@
 
     private static String run(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Adapter(JsqDasPolicy::new, new BufferedReader(new StringReader(input)), out).run();
+        new SimulatorWireAdapter(JsqDasPolicy::new, new BufferedReader(new StringReader(input)), out).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void listNumbersAreResolvedInTheOrderOfEvents() throws IOException {
+    void listBuffersAreResolvedInTheOrderOfEvents() throws IOException {
         String out = run("TICK\t1\n" + enlist("balancer/0", SETTINGS)
                 + "LIST\t0\t1\nITEM\t-\t10.0.0.9:80\tU\t1\t0\t0\t0\nSYNC\tComplete\t2\t0\n"
                 + inbound("a") + "GO\n");
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void oneProcessActsLikeSeveral() throws IOException {
+    void balancersOfOneProcessActLikeThoseOfSeveral() throws IOException {
         String one = "TICK\t1\n" + enlist("balancer/0", SETTINGS) + inbound("a") + inbound("b") + "GO\n";
         String two = "TICK\t1\n" + enlist("balancer/1", SETTINGS) + inbound("c") + inbound("d") + "GO\n";
         String both = "TICK\t1\n" + enlist("balancer/0", SETTINGS) + inbound("a") + inbound("b")
@@ -94,12 +94,12 @@
     }
 
     @Test
-    void aFailureInTheModuleIsReported() throws IOException {
+    void anExceptionOfThePolicyIsReported() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        Adapter.Factory broken = (settings, seed) -> {
+        SimulatorWireAdapter.PolicyFactory broken = (settings, seed) -> {
             throw new IllegalStateException("odd\tstate");
         };
-        new Adapter(
+        new SimulatorWireAdapter(
                         broken,
                         new BufferedReader(new StringReader("TICK\t1\n" + enlist("balancer/0", SETTINGS) + "GO\n")),
                         out)
@@ -175,7 +175,7 @@
     }
 
     @Test
-    void eventsForIdsNoLongerHeldArePassedOver() throws IOException {
+    void eventsForUnknownIdsAreIgnored() throws IOException {
         String out = run("TICK\t1\n" + enlist("balancer/0", SETTINGS)
                 + "RESPONSE\tz\t0\t10.0.0.1:80\t502\t1\t0\t-\nWITHDRAWN\tz\nACK_FIRST\tz\t0\t10.0.0.1:80\t5\n"
                 + "PROBE_RESULT\t10.0.0.1:80\t5\t200\t1,2\nMAIL\t1\tAAAA\nDUE\told\nGO\n");
@@ -194,7 +194,7 @@
                 "Prices.CrossZone=-1 | BootInfo: impossible crossZone: -1.0",
                 "Rules.OrderPause=-5 | BootInfo: impossible orderPause: -5",
             })
-    void impossiblePlacementAndOrderAreRefusedAtTheStart(String setting, String complaint) {
+    void impossiblePlacementAndOrderAreRejectedAtTheStart(String setting, String complaint) {
         String settings = SETTINGS + "\tAreas=a,b\tKinds=k\t" + setting.strip();
         String frames = "TICK\t1\n" + enlist("balancer/0", settings) + "GO\n";
         assertEquals(
@@ -203,7 +203,7 @@
     }
 
     @Test
-    void placementAndOrderReachTheModule() throws IOException {
+    void placementAndOrderReachThePolicy() throws IOException {
         String settings = SETTINGS + "\tAreas=a,b\tClasses.0.AllowedIn=1\tClasses.0.InOrder=true";
         String out = run("TICK\t1\n" + enlist("balancer/0", settings) + "LIST\t1\t1\n"
                 + "ITEM\t-\t10.0.0.7:80\tU\t1\t0\t0\t1\nSYNC\tPartial\t2\t1\n"
--- a/core/src/test/java/loadbalancer/policy/LibraryTest.java
+++ b/core/src/test/java/loadbalancer/policy/JsqDasPolicyTest.java
@@ -8,15 +8,14 @@
 import java.lang.reflect.Field;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.Collection;
 import java.util.List;
-import java.util.Map;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What users of the library rely on. */
-class LibraryTest {
+class JsqDasPolicyTest {
     private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
 
     @Test
@@ -66,11 +65,11 @@
                                         s.classes(),
                                         List.of(),
                                         1,
-                                        s.goal(),
-                                        s.prices(),
+                                        s.objective(),
+                                        s.costs(),
                                         false,
                                         s.discovery(),
-                                        s.reports(),
+                                        s.loadReporting(),
                                         false,
                                         s.limits(),
                                         s.bounds(),
@@ -81,7 +80,7 @@
     /** Settings unlike any deployment: sensible behaviour, every request answered. */
     @ParameterizedTest
     @CsvSource({
-        // servers, balancers, aim, deadline, attempts, copies, rate a second, latency
+        // endpoints, balancers, latency objective, deadline, attempts, hedging, rate per second, latency
         "1, 1, 600000, 1200000, 3, true, 20, 20000",
         "60, 12, 600000, 1200000, 3, true, 200, 40000",
         "5, 2, 4000, 10000, 3, true, 500, 1000",
@@ -89,18 +88,18 @@
         "6, 1, 600000, 1200000, 1, false, 50, 30000",
     })
     void oddSettingsAreServed(
-            int servers,
+            int endpoints,
             int balancers,
             long latencyObjectiveMicros,
             long deadline,
             int attempts,
-            boolean copies,
+            boolean hedging,
             int rate,
             long latency) {
         for (Idempotency effect : Idempotency.values()) {
             RequestClass kind =
                     new RequestClass(effect, KeyScope.CELL, deadline, latencyObjectiveMicros, deadline, 0, 1, 0, false);
-            PolicySettings base = Harness.settings(balancers, copies, DiscoveryMode.PUSH, List.of(), kind);
+            PolicySettings base = Harness.settings(balancers, hedging, DiscoveryMode.PUSH, List.of(), kind);
             Harness harness = new Harness(
                     new PolicySettings(
                             balancers,
@@ -109,22 +108,22 @@
                             base.classes(),
                             List.of(),
                             1,
-                            base.goal(),
-                            base.prices(),
+                            base.objective(),
+                            base.costs(),
                             false,
                             base.discovery(),
                             LoadReporting.NONE,
                             false,
-                            new SiteLimits(attempts, copies, false, false, 1000, 0),
+                            new SiteLimits(attempts, hedging, false, false, 1000, 0),
                             base.bounds(),
                             1_000),
                     9);
-            harness.list(EndpointListKind.CACHED, Harness.fleet(servers));
+            harness.list(EndpointListKind.CACHED, Harness.fleet(endpoints));
             for (int i = 0; i < 400; i++) {
                 harness.request("r" + i, 0, 0, deadline);
                 harness.pass(1_000_000 / rate);
                 harness.sends.stream()
-                        .filter(s -> !s.ended && harness.now - s.at >= latency)
+                        .filter(s -> !s.ended && harness.now - s.sentAt >= latency)
                         .toList()
                         .forEach(s -> harness.end(s, AttemptOutcome.OK));
             }
@@ -147,7 +146,7 @@
             harness.sends.stream()
                     .filter(s -> !s.ended)
                     .toList()
-                    .forEach(s -> harness.end(s, s.number % 7 == 6 ? AttemptOutcome.ERROR : AttemptOutcome.OK));
+                    .forEach(s -> harness.end(s, s.attempt % 7 == 6 ? AttemptOutcome.ERROR : AttemptOutcome.OK));
             if (i % 50 == 0) { // machines come and go under new names
                 harness.list(
                         EndpointListKind.SNAPSHOT, List.of(Harness.up("a" + i), Harness.up("b" + i), Harness.up("c")));
@@ -159,30 +158,39 @@
             assertTrue(sent == null || sent.ended);
         }
         harness.list(EndpointListKind.SNAPSHOT, List.of(new Endpoint("c", EndpointState.UP, 0, 1, 0, 0, 0)));
-        assertEquals(0, size(harness.policy, "open"));
-        assertTrue(size(harness.policy, "nodes") <= 1);
+        assertEquals(0, components(harness.policy).openRequests.all().size());
+        assertTrue(components(harness.policy).endpoints.all().size() <= 1);
     }
 
     @Test
-    void theReadmeQuotesLogLinesThatTheModuleWrites() throws IOException {
-        String rules = Files.readString(Path.of("src/main/java/loadbalancer/policy/JsqDasPolicy.java"));
+    void theReadmeQuotesLogLinesThatThePolicyWrites() throws IOException {
+        String rules = sourcesOfThePolicy();
         String page = Files.readString(Path.of("../README.md"));
         for (String line : List.of(
-                "overload: refusing, level ",
+                "overload: rejecting requests, shed level ",
                 "ejected ",
                 " ms after failures",
                 "recovered ",
                 "discovery failed ",
-                " times, asking again")) {
-            assertTrue(rules.contains(line), "the module writes: " + line);
+                " times, polling again")) {
+            assertTrue(rules.contains(line), "the policy writes: " + line);
             assertTrue(page.contains(line.strip()), "the README names: " + line);
         }
     }
 
-    private static int size(Object policy, String field) throws ReflectiveOperationException {
-        Field f = policy.getClass().getDeclaredField(field);
-        f.setAccessible(true);
-        Object value = f.get(policy);
-        return value instanceof Map ? ((Map<?, ?>) value).size() : ((Collection<?>) value).size();
+    private static String sourcesOfThePolicy() throws IOException {
+        StringBuilder sources = new StringBuilder();
+        try (Stream<Path> files = Files.list(Path.of("src/main/java/loadbalancer/policy"))) {
+            for (Path file : files.toList()) {
+                sources.append(Files.readString(file));
+            }
+        }
+        return sources.toString();
+    }
+
+    private static PolicyComponents components(Object policy) throws ReflectiveOperationException {
+        Field components = policy.getClass().getDeclaredField("components");
+        components.setAccessible(true);
+        return (PolicyComponents) components.get(policy);
     }
 }
--- a/core/src/test/java/loadbalancer/policy/DispatchTest.java
+++ b/core/src/test/java/loadbalancer/policy/JsqDasSelectorTest.java
@@ -13,11 +13,11 @@
 import org.junit.jupiter.api.Test;
 
 /** The ordinary path is JSQ-DAS. */
-class DispatchTest {
+class JsqDasSelectorTest {
     private static final PolicySettings IDEMPOTENT =
             Harness.settings(Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL));
 
-    /** Six servers, as many as a subset holds, three of them of a heavier kind, so that p is one half. */
+    /** Six endpoints, as many as a subset has, three of them of a kind of greater weight, so that p is one half. */
     private static Harness halves(long seed) {
         List<Endpoint> list = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
@@ -27,11 +27,10 @@
     }
 
     @Test
-    void withoutCountsEachBalancerRanksInAnOrderOfItsOwn() {
-        // Ranked by listed weight, all balancers sent their first requests to the same half of the servers.
+    void withoutAccomplishmentEachBalancerRanksInAnOrderOfItsOwn() {
         Map<String, Integer> first = new HashMap<>();
         for (int seed = 0; seed < 2000; seed++) {
-            first.merge(halves(seed).request("r", 0).server, 1, Integer::sum);
+            first.merge(halves(seed).request("r", 0).endpoint, 1, Integer::sum);
         }
         assertEquals(Set.of("s0", "s1", "s2", "s3", "s4", "s5"), first.keySet());
         for (int count : first.values()) {
@@ -50,7 +49,7 @@
                 Harness.Sent sent = harness.request("w" + i, 0);
                 harness.now += 1000;
                 harness.end(sent, AttemptOutcome.OK);
-                order.add(sent.server);
+                order.add(sent.endpoint);
             }
             Map<String, Integer> counts = new HashMap<>();
             order.forEach(s -> counts.merge(s, 1, Integer::sum));
@@ -59,7 +58,7 @@
                     .map(Map.Entry::getKey)
                     .toList();
             if (new HashSet<>(counts.values()).size() == counts.size()) {
-                wins.merge(ranked.indexOf(harness.request("x", 0).server), 1, Integer::sum);
+                wins.merge(ranked.indexOf(harness.request("x", 0).endpoint), 1, Integer::sum);
             }
         }
         double all = wins.values().stream().mapToInt(Integer::intValue).sum();
@@ -71,21 +70,21 @@
 
     @Test
     void theShortestSampledQueueWins() {
-        // Every server of the top set is given work; then the empty ones of the rest must win.
+        // Every endpoint of the top group is given work; then the empty ones of the rest must win.
         for (int seed = 0; seed < 50; seed++) {
             Harness harness = halves(seed);
             Set<String> busy = new HashSet<>();
             for (int i = 0; i < 3; i++) {
-                busy.add(harness.request("r" + i, 0).server);
+                busy.add(harness.request("r" + i, 0).endpoint);
             }
             if (busy.size() == 3) {
-                assertTrue(!busy.contains(harness.request("next", 0).server));
+                assertTrue(!busy.contains(harness.request("next", 0).endpoint));
             }
         }
     }
 
     @Test
-    void twoServersAndFewerThanSampledAreUsedToo() {
+    void fewerEndpointsThanAreSampledAreUsedToo() {
         for (int size = 1; size <= 3; size++) {
             Harness harness = new Harness(IDEMPOTENT, 7).list(EndpointListKind.CACHED, Harness.fleet(size));
             assertNotNull(harness.request("r", 0));
@@ -112,16 +111,16 @@
     }
 
     @Test
-    void aFastFailureKeepsItsSlotAndEarnsNoRank() {
+    void aFastFailureKeepsItsSlotAndEarnsNoAccomplishment() {
         Harness harness = new Harness(IDEMPOTENT, 3).list(EndpointListKind.CACHED, Harness.fleet(4));
         harness.warmUp(40, 0, 50_000);
         Harness.Sent bad = harness.request("bad", 0);
         harness.now += 500;
         harness.end(bad, AttemptOutcome.ERROR); // the retry goes elsewhere
         assertEquals(2, harness.sentFor("bad").size());
-        assertTrue(!harness.sentFor("bad").get(1).server.equals(bad.server));
-        for (int i = 0; i < 2; i++) { // two other servers are empty: the failed one's slot still counts
-            assertTrue(!harness.request("n" + i, 0).server.equals(bad.server));
+        assertTrue(!harness.sentFor("bad").get(1).endpoint.equals(bad.endpoint));
+        for (int i = 0; i < 2; i++) { // two other endpoints are empty: the failed one's slot still counts
+            assertTrue(!harness.request("n" + i, 0).endpoint.equals(bad.endpoint));
         }
     }
 }
--- a/core/src/test/java/loadbalancer/policy/FurtherRulesTest.java
+++ b/core/src/test/java/loadbalancer/policy/OrderAndPlacementTest.java
@@ -10,24 +10,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Order by key and placement. */
-class FurtherRulesTest {
+/** Ordered delivery by key, and placement. */
+class OrderAndPlacementTest {
     private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
 
-    private static RequestClass ordered(Idempotency effect) {
-        return new RequestClass(
-                effect,
-                KeyScope.ALL,
-                2_000_000,
-                Harness.AIM,
-                Harness.DEADLINE,
-                0,
-                1,
-                0.3,
-                false,
-                true,
-                Set.of(),
-                Set.of());
+    private static RequestClass ordered(Idempotency idempotency) {
+        return Harness.kind(idempotency, true, Set.of(), Set.of());
     }
 
     private static RequestClass bound(Set<Integer> zones, Set<Integer> kinds) {
@@ -35,7 +23,7 @@
                 Idempotency.IDEMPOTENT,
                 KeyScope.ALL,
                 0,
-                Harness.AIM,
+                Harness.LATENCY_OBJECTIVE,
                 Harness.DEADLINE,
                 0,
                 1,
@@ -53,12 +41,12 @@
     }
 
     @Test
-    void aKeysRequestsGoOneByOneInTheOrderTaken() {
+    void requestsOfAKeyAreSentOneByOneInTheOrderOfArrival() {
         Harness harness = fleet(ordered(Idempotency.IDEMPOTENT_WITH_KEY), ordered(Idempotency.IDEMPOTENT));
         Harness.Sent first = harness.keyed("a", 0, "k");
         assertNull(harness.keyed("b", 1, "k"), "all ordered classes share their keys");
         assertNull(harness.keyed("c", 0, "k"));
-        assertTrue(harness.keyed("other", 0, "l") != null, "another key is not held up");
+        assertTrue(harness.keyed("other", 0, "l") != null, "another key is not delayed");
         assertTrue(harness.request("none", 0) != null, "nor is a request without a key");
         harness.pass(30_000);
         harness.end(first, AttemptOutcome.OK);
@@ -72,21 +60,21 @@
     @EnumSource(
             value = AttemptOutcome.class,
             names = {"TIMEOUT", "RESET", "CANCELLED"})
-    void aKeyRestsAfterAnAttemptThatMayStillRun(AttemptOutcome outcome) {
+    void aKeySequencePausesAfterAnAttemptThatMayStillRun(AttemptOutcome outcome) {
         Harness harness = fleet(ordered(Idempotency.NON_IDEMPOTENT));
         Harness.Sent first = harness.keyed("a", 0, "k");
         harness.keyed("b", 0, "k");
         harness.pass(30_000);
         harness.end(first, outcome);
         assertEquals("failed", harness.finals.get("a"));
-        harness.pass(Harness.PAUSE - 10_000);
+        harness.pass(Harness.KEY_SEQUENCE_PAUSE - 10_000);
         assertEquals(0, harness.sentFor("b").size(), "the key rests");
         harness.pass(50_000);
         assertEquals(1, harness.sentFor("b").size(), "then the next one goes");
     }
 
     @Test
-    void theKeyRestsAlsoWhenTheClientHasLeft() {
+    void aKeySequencePausesAlsoWhenTheClientHasLeft() {
         Harness harness = fleet(ordered(Idempotency.IDEMPOTENT));
         Harness.Sent first = harness.keyed("a", 0, "k");
         harness.keyed("b", 0, "k");
@@ -95,21 +83,21 @@
         harness.pass(50_000);
         assertEquals(0, harness.sentFor("b").size(), "its attempt has no outcome yet");
         harness.end(first, AttemptOutcome.CANCELLED);
-        harness.pass(Harness.PAUSE - 10_000);
+        harness.pass(Harness.KEY_SEQUENCE_PAUSE - 10_000);
         assertEquals(0, harness.sentFor("b").size());
         harness.pass(50_000);
         assertEquals(1, harness.sentFor("b").size());
     }
 
     @Test
-    void theOneThatHasTheTurnIsTriedAgainWithoutAWait() {
+    void theFirstRequestOfAKeyIsRetriedWithoutAPause() {
         Harness harness = fleet(ordered(Idempotency.IDEMPOTENT));
         harness.end(harness.keyed("a", 0, "k"), AttemptOutcome.RESET);
         assertEquals(2, harness.sentFor("a").size());
     }
 
     @Test
-    void aRequestWhoseTurnNeverComesIsAnsweredInTime() {
+    void aRequestThatNeverBecomesTheFirstOfItsKeyIsAnsweredInTime() {
         Harness harness = fleet(ordered(Idempotency.IDEMPOTENT));
         harness.keyed("a", 0, "k");
         long from = harness.now;
@@ -120,25 +108,25 @@
     }
 
     @Test
-    void aBoundClassGoesNowhereElse() {
+    void aClassWithPlacementIsSentNowhereElse() {
         Harness harness = fleet(IDEMPOTENT, bound(Set.of(1), Set.of()), bound(Set.of(), Set.of(0)));
         for (int i = 0; i < 40; i++) { // zones and kinds alternate over the fleet
-            assertEquals(1, harness.request("z" + i, 1).server.charAt(1) % 2);
-            assertEquals(0, harness.request("k" + i, 2).server.charAt(1) % 2);
+            assertEquals(1, harness.request("z" + i, 1).endpoint.charAt(1) % 2);
+            assertEquals(0, harness.request("k" + i, 2).endpoint.charAt(1) % 2);
             harness.pass(10_000);
         }
         harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, AttemptOutcome.ERROR));
         harness.pass(Harness.DEADLINE);
         harness.sends.stream()
                 .filter(s -> s.request.startsWith("z"))
-                .forEach(s -> assertEquals(1, s.server.charAt(1) % 2, "retries and copies too"));
+                .forEach(s -> assertEquals(1, s.endpoint.charAt(1) % 2, "retries and hedged attempts too"));
         harness.sends.stream()
                 .filter(s -> s.request.startsWith("k"))
-                .forEach(s -> assertEquals(0, s.server.charAt(1) % 2, "retries and copies too"));
+                .forEach(s -> assertEquals(0, s.endpoint.charAt(1) % 2, "retries and hedged attempts too"));
     }
 
     @Test
-    void aBoundRequestWaitsForAServerOfItsOwnWithoutHoldingUpOthers() {
+    void aRequestWithPlacementWaitsWithoutDelayingOthers() {
         Harness harness = new Harness(Harness.settings(IDEMPOTENT, bound(Set.of(7), Set.of())), 3)
                 .list(EndpointListKind.CACHED, List.of());
         harness.request("bound", 1);
@@ -147,11 +135,11 @@
         assertEquals(1, harness.sentFor("free").size());
         assertEquals(0, harness.sentFor("bound").size());
         harness.list(EndpointListKind.DELTA, List.of(new Endpoint("own", EndpointState.UP, 0, 1, 0, 0, 7)));
-        assertEquals("own", harness.sentFor("bound").get(0).server);
+        assertEquals("own", harness.sentFor("bound").get(0).endpoint);
         harness.request("bound2", 1);
         harness.list(EndpointListKind.DELTA, List.of(new Endpoint("own", EndpointState.GONE, 0, 1, 0, 0, 7)));
         harness.request("bound3", 1);
         harness.pass(Harness.DEADLINE);
-        assertEquals("refused", harness.finals.get("bound3"), "held, then answered in time");
+        assertEquals("refused", harness.finals.get("bound3"), "queued, then answered in time");
     }
 }
--- a/core/src/test/java/loadbalancer/policy/PollScheduleTest.java
+++ b/core/src/test/java/loadbalancer/policy/PollScheduleTest.java
@@ -1,5 +1,7 @@
 package loadbalancer.policy;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
@@ -8,9 +10,9 @@
 
 /** When discovery is asked again after calls that failed: by the standing terms, however often it has failed. */
 class PollScheduleTest {
-    private static final long TOLD = 6_000_000; // after discovery can be reached again
+    private static final long NOTIFIED_WITHIN = 6_000_000; // after discovery can be reached again
     private static final long WAITING = 2_000_000; // that a call takes which fails by waiting
-    private static final long TRY = 2_750_000; // what Staleness leaves for a failed try when a watch falls silent
+    private static final long SILENT_WATCH_SLACK = 2_750_000; // left for a failed poll when a watch falls silent
     private static final long MARGIN = 500_000;
     private static final int CALLS = 12;
     private static final int SEEDS = 200;
@@ -38,29 +40,31 @@
 
     /** Discovery comes back just as a call has failed, and the next call fails as well, by waiting. */
     @Test
-    void discoveryIsReachedAgainInTimeForASecondTryHoweverLongItWasDown() {
+    void discoveryIsReachedInTimeForASecondPollHoweverLongItWasDown() {
         for (long seed = 0; seed < SEEDS; seed++) {
             long[] pauses = pauses(seed);
             for (int i = 1; i < CALLS; i++) {
                 long second = pauses[i - 1] + WAITING + pauses[i];
-                assertTrue(second <= TOLD, "the second try begins " + second + " us after failure " + i);
+                assertTrue(second <= NOTIFIED_WITHIN, "the second poll begins " + second + " us after failure " + i);
             }
         }
     }
 
-    /** Staleness gives a silent watch up so early that one failed try fits in before the grace is over. */
+    /** A silent watch is given up so early that one failed poll fits in before the notification is late. */
     @Test
-    void afterAWatchThatFellSilentASecondTryFitsIntoTheTimeThatTellingLeaves() {
+    void afterASilentWatchASecondPollFitsIntoTheNotificationTime() {
         for (long seed = 0; seed < SEEDS; seed++) {
             long[] pauses = pauses(seed);
             long second = pauses[0] + WAITING + pauses[1];
-            assertTrue(second <= TRY + MARGIN, "the second try begins " + second + " us after the silence was noticed");
+            assertTrue(
+                    second <= SILENT_WATCH_SLACK + MARGIN,
+                    "the second poll begins " + second + " us after the silence was noticed");
         }
     }
 
     /** A fleet doesn't come all at once: its calls are spread over most of the longest pause. */
     @Test
-    void aFleetIsSpreadAndDoesNotHammer() {
+    void thePollsOfAFleetAreSpread() {
         for (int call = 4; call < CALLS; call++) {
             TreeSet<Long> at = new TreeSet<>();
             double sum = 0;
@@ -73,4 +77,31 @@
             assertTrue(sum / SEEDS >= 1_200_000, "every " + sum / SEEDS + " us");
         }
     }
+
+    @Test
+    void discoveryIsPolledAgainAfterErrorsAndSilenceAtABoundedRate() {
+        Harness harness = new Harness(
+                        Harness.settings(
+                                2,
+                                true,
+                                DiscoveryMode.POLL,
+                                List.of(),
+                                Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL)),
+                        3)
+                .list(EndpointListKind.CACHED, Harness.fleet(2));
+        assertEquals(1, harness.watches);
+        harness.pass(7_000_000); // silence: asked again within AskWithin
+        assertEquals(2, harness.watches);
+        for (int i = 0; i < 20; i++) { // 20 s of errors
+            harness.list(EndpointListKind.UNAVAILABLE, List.of());
+            harness.pass(1_000_000);
+        }
+        assertTrue(harness.watches >= 5 && harness.watches <= 16, "asked " + harness.watches + " times in 27 s");
+        int before = harness.watches;
+        harness.list(EndpointListKind.DELTA, List.of());
+        harness.pass(60_000_000);
+        assertEquals(before, harness.watches, "subscribed: nothing more to ask");
+        Harness empty = new Harness(Harness.settings(Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL)), 3);
+        assertNull(empty.list(EndpointListKind.CACHED, List.of()).request("r", 0));
+    }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/cli/ListCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/ListCommand.java
@@ -11,7 +11,7 @@
 import loadbalancer.simulator.rules.Score;
 import loadbalancer.simulator.variants.Variants;
 import loadbalancer.simulator.world.FaultKinds;
-import loadbalancer.toml.Faults;
+import loadbalancer.toml.ConfigException;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
@@ -38,7 +38,7 @@
                     Experiment experiment = ExperimentReader.read(file);
                     figures = Score.names(experiment.plan());
                     System.out.printf("%-40s %s%n", file, experiment.question());
-                } catch (Faults faults) {
+                } catch (ConfigException faults) {
                     sound = false;
                     System.out.println(faults.getMessage());
                 }
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/ExperimentReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/ExperimentReader.java
@@ -12,10 +12,11 @@
 import loadbalancer.simulator.variants.Variants;
 import loadbalancer.simulator.variants.Variants.Variant;
 import loadbalancer.simulator.world.WorldPlan;
-import loadbalancer.toml.Faults;
+import loadbalancer.toml.ConfigException;
+import loadbalancer.toml.Measure;
 import loadbalancer.toml.Section;
-import loadbalancer.toml.Section.Measure;
 import loadbalancer.toml.Source;
+import loadbalancer.toml.Suggestion;
 
 /** Reads experiments, strictly: every fault is named, with file and line, before anything runs. */
 public final class ExperimentReader {
@@ -24,7 +25,7 @@
     /**
      * Reads the experiment in {@code file} with all that it includes.
      *
-     * @throws Faults with all that is wrong with it
+     * @throws ConfigException with all that is wrong with it
      */
     public static Experiment read(Path file) throws IOException {
         Source source = Source.read(file);
@@ -35,12 +36,12 @@
         long firstSeed = Math.round(head.number("first_seed", Measure.NUMBER, 1));
         int seeds = (int) head.number("seeds", Measure.COUNT, 5);
         List<String> expected = head.texts("expect", List.of());
-        head.done();
+        head.rejectUnknownKeys();
         WorldPlan plan = WorldPlanReader.read(root);
         RoutingSpec front = root.has("front") ? RoutingReader.read(root.table("front"), plan) : null;
         List<Variant> variants = variants(root, plan, front);
-        root.done();
-        source.check();
+        root.rejectUnknownKeys();
+        source.throwIfFaulty();
         List<String> figures = Score.names(plan);
         List<String> names = variants.stream().map(Variant::name).toList();
         List<Expectation> expectations = new ArrayList<>();
@@ -51,7 +52,7 @@
                 source.fault("experiment.expect", wrong.getMessage());
             }
         }
-        source.check();
+        source.throwIfFaulty();
         return new Experiment(name, question, plan, firstSeed, seeds, variants, expectations);
     }
 
@@ -66,7 +67,7 @@
                 section.fault(
                         "policy",
                         "no policy '" + policy + "'; there are " + String.join(", ", Variants.names())
-                                + Section.meant(policy, Variants.names()));
+                                + Suggestion.didYouMean(policy, Variants.names()));
             }
             if (!names.add(name)) {
                 section.fault("name", "two variants are called '" + name + "'");
@@ -79,7 +80,7 @@
             double share = section.number("fast_share", Measure.SHARE, Math.min(1, fast));
             RoutingSpec.Use use = RoutingReader.use(section, front);
             boolean calm = section.flag("calm", false);
-            section.done();
+            section.rejectUnknownKeys();
             all.add(new Variant(
                     name,
                     policy,
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/WorldPlanReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/WorldPlanReader.java
@@ -9,8 +9,9 @@
 import loadbalancer.simulator.world.FaultKinds;
 import loadbalancer.simulator.world.Range;
 import loadbalancer.simulator.world.WorldPlan;
+import loadbalancer.toml.Measure;
 import loadbalancer.toml.Section;
-import loadbalancer.toml.Section.Measure;
+import loadbalancer.toml.Suggestion;
 
 /**
  * Reads the world of an experiment. Here, and in {@link RoutingReader}, the words of experiment files stand beside the
@@ -37,7 +38,7 @@
         if (zones.isEmpty()) {
             world.fault("zones", "'zones' is empty: one at least is wanted");
         }
-        world.done();
+        world.rejectUnknownKeys();
         WorldPlan.Load load = load(root);
         WorldPlan.Network network = network(root);
         WorldPlan.Clients clients = clients(root);
@@ -75,7 +76,7 @@
                 range(section, "keys", Measure.NUMBER, NONE),
                 range(section, "key_zipf", Measure.NUMBER, NONE),
                 range(section, "quota", Measure.NUMBER, ONE));
-        section.done();
+        section.rejectUnknownKeys();
         return load;
     }
 
@@ -87,7 +88,7 @@
                 range(section, "client", Measure.TIME, Range.of(500)),
                 range(section, "jitter", Measure.SHARE, NONE),
                 section.number("loss", Measure.SHARE, 0));
-        section.done();
+        section.rejectUnknownKeys();
         return network;
     }
 
@@ -101,7 +102,7 @@
                 range(section, "impatient", Measure.SHARE, NONE),
                 range(section, "notice", Measure.TIME, Range.of(2_000_000)),
                 section.flag("marks_retry", false));
-        section.done();
+        section.rejectUnknownKeys();
         return clients;
     }
 
@@ -121,7 +122,7 @@
                 range(section, "capacity", Measure.NUMBER, Range.of(1000)),
                 range(section, "call_lines", Measure.COUNT, Range.of(1000)),
                 section.time("timeout", 2_000_000));
-        section.done();
+        section.rejectUnknownKeys();
         return discovery;
     }
 
@@ -138,7 +139,7 @@
                 section.flag("cancel", true),
                 section.flag("probes", true),
                 section.time("max_retry_after", 1_500_000));
-        section.done();
+        section.rejectUnknownKeys();
         return rules;
     }
 
@@ -153,7 +154,7 @@
         if (Math.abs(sum - 1) > 1e-6) {
             section.fault("whole", "the weights of [goal] add up to " + sum + ", not to 1");
         }
-        section.done();
+        section.rejectUnknownKeys();
         return goal;
     }
 
@@ -165,7 +166,7 @@
                 section.number("probe", Measure.SHARE, 0),
                 section.number("late_fail", Measure.SHARE, 0),
                 section.number("handshake", Measure.SHARE, 0));
-        section.done();
+        section.rejectUnknownKeys();
         return prices;
     }
 
@@ -184,7 +185,7 @@
                 range(section, "key_gain", Measure.SHARE, NONE),
                 range(section, "key_memory", Measure.TIME, NONE),
                 range(section, "keys_per_core", Measure.NUMBER, NONE));
-        section.done();
+        section.rejectUnknownKeys();
         return fleet;
     }
 
@@ -207,7 +208,7 @@
                     range(section, "errors", Measure.SHARE, NONE),
                     section.number("cancel_drops", Measure.SHARE, 0),
                     section.text("pool", WorldPlan.Kind.SITE)));
-            section.done();
+            section.rejectUnknownKeys();
         }
         if (all.isEmpty()) {
             root.fault("kind", "no [[kind]] of upstream: one at least is wanted");
@@ -235,7 +236,7 @@
                     section.number("worth", Measure.NUMBER, 1),
                     section.number("late_worth", Measure.SHARE, 0),
                     section.word("effect", ProtocolNames.IDEMPOTENCY, Idempotency.IDEMPOTENT)));
-            section.done();
+            section.rejectUnknownKeys();
         }
         if (all.isEmpty()) {
             root.fault("class", "no [[class]] of requests: one at least is wanted");
@@ -250,7 +251,7 @@
                     section.text("name", null),
                     section.number("share", Measure.SHARE),
                     range(section, "usage", Measure.NUMBER, ONE)));
-            section.done();
+            section.rejectUnknownKeys();
         }
         return all;
     }
@@ -268,7 +269,7 @@
                         "no trouble '" + kind + "'; there are "
                                 + String.join(
                                         ", ", kinds.keySet().stream().sorted().toList())
-                                + Section.meant(kind, kinds.keySet()));
+                                + Suggestion.didYouMean(kind, kinds.keySet()));
             }
             WorldPlan.Fault fault = new WorldPlan.Fault(
                     kind,
@@ -280,10 +281,11 @@
                     section.has("of") ? section.text("of", null) : null);
             if (fault.pool() != null && !pools.contains(fault.pool())) {
                 section.fault(
-                        "of", "no [[kind]] is of pool '" + fault.pool() + "'" + Section.meant(fault.pool(), pools));
+                        "of",
+                        "no [[kind]] is of pool '" + fault.pool() + "'" + Suggestion.didYouMean(fault.pool(), pools));
             }
             all.add(fault);
-            section.done();
+            section.rejectUnknownKeys();
         }
         return all;
     }
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/FleetReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/FleetReader.java
@@ -7,10 +7,11 @@
 import java.util.List;
 import java.util.Set;
 import loadbalancer.discovery.EndpointSubset;
-import loadbalancer.toml.Faults;
+import loadbalancer.toml.ConfigException;
+import loadbalancer.toml.Measure;
 import loadbalancer.toml.Section;
-import loadbalancer.toml.Section.Measure;
 import loadbalancer.toml.Source;
+import loadbalancer.toml.Suggestion;
 
 /** Reads the files of scale runs, strictly: every fault is named, with file and line, before anything runs. */
 public final class FleetReader {
@@ -24,7 +25,7 @@
     /**
      * Reads the file with all that it includes.
      *
-     * @throws Faults with all that is wrong with it
+     * @throws ConfigException with all that is wrong with it
      * @throws IOException where it can't be read
      */
     public static FleetPlan read(Path file) throws IOException {
@@ -34,24 +35,24 @@
         String name = head.text("name", file.getFileName().toString().replace(".toml", ""));
         String question = head.text("question", "");
         long seed = whole(head, "seed", 1);
-        head.done();
+        head.rejectUnknownKeys();
         FleetPlan.Fleet fleet = fleet(root.table("fleet"));
         Churn.Rates churn = churn(root.table("churn"));
-        Section discoverySection = root.table("discovery");
-        FleetPlan.Discovery discovery = new FleetPlan.Discovery(
-                discoverySection.time("call_time", 0), discoverySection.time("call_timeout", 2_000_000), (int)
-                        discoverySection.number("kept", Measure.COUNT, 1_000));
-        discoverySection.done();
+        Section d = root.table("discovery");
+        FleetPlan.Discovery discovery =
+                new FleetPlan.Discovery(d.time("call_time", 0), d.time("call_timeout", 2_000_000), (int)
+                        d.number("kept", Measure.COUNT, 1_000));
+        d.rejectUnknownKeys();
         FleetPlan.Restart restart = null;
         if (root.has("restart")) {
-            Section restartSection = root.table("restart");
-            restart = new FleetPlan.Restart(restartSection.flag("known", false));
-            restartSection.done();
+            Section r = root.table("restart");
+            restart = new FleetPlan.Restart(r.flag("known", false));
+            r.rejectUnknownKeys();
         }
         FleetPlan.Outage outage = root.has("outage") ? outage(root.table("outage")) : null;
         List<FleetPlan.Sweep> sweeps = sweeps(root);
-        root.done();
-        source.check();
+        root.rejectUnknownKeys();
+        source.throwIfFaulty();
         return new FleetPlan(name, question, seed, fleet, churn, discovery, restart, outage, sweeps);
     }
 
@@ -77,8 +78,8 @@
                 section.time("idle", 10_000_000),
                 section.time("length", 20_000_000),
                 section.time("reach", 60_000_000),
-                count(section, "upstreams_most", EndpointSubset.most(RUN_HEAP)));
-        section.done();
+                count(section, "upstreams_most", EndpointSubset.maxEndpointsForHeap(RUN_HEAP)));
+        section.rejectUnknownKeys();
         return fleet;
     }
 
@@ -91,7 +92,7 @@
                 section.number("speed", Measure.NUMBER, 1),
                 section.time("drain", 2_000_000),
                 section.time("gone", 1_000_000));
-        section.done();
+        section.rejectUnknownKeys();
         return rates;
     }
 
@@ -100,7 +101,7 @@
                 section.word("kind", FleetPlan.Kind.class, null),
                 section.time("length", 10_000_000),
                 section.time("call_time", 100_000));
-        section.done();
+        section.rejectUnknownKeys();
         return outage;
     }
 
@@ -125,13 +126,13 @@
                 section.fault(
                         "name",
                         "no axis '" + name + "'; there are " + String.join(", ", Axes.names())
-                                + Section.meant(name, Axes.names()));
+                                + Suggestion.didYouMean(name, Axes.names()));
             }
             if (!names.add(String.valueOf(name))) {
                 section.fault("name", "the axis '" + name + "' is there already");
             }
             all.add(new FleetPlan.Sweep(String.valueOf(name), sizes(section)));
-            section.done();
+            section.rejectUnknownKeys();
         }
         if (all.isEmpty()) {
             root.fault("axis", "no [[axis]]: one at least is wanted, with its name and sizes");
--- a/simulator/src/main/java/loadbalancer/simulator/queue/QueueModel.java
+++ b/simulator/src/main/java/loadbalancer/simulator/queue/QueueModel.java
@@ -30,8 +30,8 @@
 
 /**
  * The paper's bare model: Poisson arrivals, exponential service, first come first served at each server, one
- * dispatcher that is notified of every job. It runs on the same {@link Simulation} and {@link RandomStream} as the whole
- * service, so what theory says of it checks those too. A unit of time is {@value #UNIT} simulated microseconds.
+ * dispatcher that is notified of every job. It runs on the same {@link Simulation} and {@link RandomStream} as the
+ * whole service, so what theory says of it checks those too. A unit of time is {@value #UNIT} simulated microseconds.
  *
  * <p>Model and policies: Gardner and Stephens, "Smart Dispatching in Heterogeneous Systems", sections 2 to 4.
  */
@@ -337,7 +337,7 @@
         }
 
         @Override
-        public void refuse(String request, long retryAfter) {
+        public void reject(String request, long retryAfter) {
             refused++;
         }
 
--- a/simulator/src/main/java/loadbalancer/simulator/rules/Score.java
+++ b/simulator/src/main/java/loadbalancer/simulator/rules/Score.java
@@ -14,8 +14,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Scores a day as the operators do: priority weight served within the latency objective over the weight asked for, over the
- * whole day, in the worst 10 s, for the worst class and the worst tenant within its share, less the prices.
+ * Scores a day as the operators do: priority weight served within the latency objective over the weight asked for, over
+ * the whole day, in the worst 10 s, for the worst class and the worst tenant within its share, less the prices.
  */
 public final class Score {
     private static final long SECOND = 1_000_000;
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/LiveSite.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/LiveSite.java
@@ -44,7 +44,8 @@
 
 /**
  * A site on loopback: every upstream of a world behind a port of its own, with the simulated model and its faults,
- * and the discovery service that lists them. Each run of a request is in the ledger. One event loop; all state is the loop's.
+ * and the discovery service that lists them. Each run of a request is in the ledger. One event loop; all state is the
+ * loop's.
  */
 public final class LiveSite implements AutoCloseable {
     private static final long STEP_US = 1_000;
@@ -283,7 +284,7 @@
         });
         told.values().forEach(s -> {
             if (!now.containsKey(s.id())) {
-                changes.add(s.in(EndpointState.GONE));
+                changes.add(s.withState(EndpointState.GONE));
             }
         });
         if (changes.isEmpty()) {
--- a/simulator/src/main/java/loadbalancer/simulator/variants/TextbookPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/TextbookPolicy.java
@@ -206,9 +206,9 @@
     private void finish(String id, Open request, Actions out) {
         open.remove(id);
         boolean harmless =
-                !request.mayHaveRun || settings.classes().get(request.kind).effect() == Idempotency.IDEMPOTENT;
+                !request.mayHaveRun || settings.classes().get(request.kind).idempotency() == Idempotency.IDEMPOTENT;
         if (harmless) {
-            out.refuse(id, 0);
+            out.reject(id, 0);
         } else {
             out.fail(id);
         }
@@ -239,7 +239,8 @@
             open.remove(id);
             return;
         }
-        boolean may = outcome.neverRan() || settings.classes().get(request.kind).effect() == Idempotency.IDEMPOTENT;
+        boolean may =
+                outcome.neverRan() || settings.classes().get(request.kind).idempotency() == Idempotency.IDEMPOTENT;
         if (may
                 && outcome != AttemptOutcome.NOT_SENT
                 && now < request.deadline
--- a/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
@@ -96,7 +96,7 @@
             endpoints.put(endpoint.id(), endpoint);
             effective.add(
                     operatorDrained.containsKey(endpoint.id()) && endpoint.state() == EndpointState.UP
-                            ? endpoint.in(EndpointState.DRAINING)
+                            ? endpoint.withState(EndpointState.DRAINING)
                             : endpoint);
         }
         if (kind != EndpointListKind.UNAVAILABLE) {
@@ -116,7 +116,7 @@
         } else {
             operatorDrained.remove(id);
         }
-        Endpoint effective = out ? endpoint.in(EndpointState.DRAINING) : endpoint.startedAt(now);
+        Endpoint effective = out ? endpoint.withState(EndpointState.DRAINING) : endpoint.withStartedAt(now);
         world.observer.endpointsNotified(this, EndpointListKind.LOCAL_OVERRIDE, List.of(effective), now);
         policy.endpoints(now, EndpointListKind.LOCAL_OVERRIDE, List.of(effective), this);
     }
@@ -287,7 +287,7 @@
     }
 
     @Override
-    public void refuse(String request, long retryAfter) {
+    public void reject(String request, long retryAfter) {
         close(request, Clients.End.REFUSED, retryAfter);
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/world/LiveFleet.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/LiveFleet.java
@@ -9,8 +9,8 @@
 
 /**
  * The upstreams of a world with its timeline, played by somebody else's clock: what answers behind real sockets is the
- * same model as in simulated time. It has no clients and no balancers; the discovery service's list is there to be read. Not
- * thread-safe; times are µs since the day began.
+ * same model as in simulated time. It has no clients and no balancers; the discovery service's list is there to be
+ * read. Not thread-safe; times are µs since the day began.
  */
 public final class LiveFleet {
     /** Hears how a request ended at its upstream. */
--- a/simulator/src/main/java/loadbalancer/simulator/world/Observer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Observer.java
@@ -31,11 +31,8 @@
     /** Whether that balancer has been notified of the upstream's last start. */
     boolean knowsStart(Balancer balancer, Upstream upstream);
 
-    /**
-     * A process in slow start was sent more than the rule allows and is overloaded.
-     *
-     * @param notifiedFraction fraction of its requests that came from balancers notified of its start
-     */
+    /** A cold upstream was sent too much and fell over; {@code endpointsNotified}: the share from balancers that
+     * knew. */
     void upstreamOverloaded(Upstream upstream, double notifiedFraction, long now);
 
     /** A process in slow start has been sent that fraction of what the rule allows within its window. */
--- a/simulator/src/main/java/loadbalancer/simulator/world/World.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/World.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointState;
+import loadbalancer.policy.LearnedState;
 import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.PolicySettings;
 import loadbalancer.simulator.engine.RandomStream;
@@ -272,8 +273,8 @@
 
     // ---- balancers
 
-    /** Starts a process of that balancer, with the list as {@code former} or the discovery service last had it. */
-    Balancer startBalancer(BalancerSlot slot, Map<String, double[]> learnedState) {
+    /** Starts a process of that balancer; {@code learnedState} is its predecessor's, or null. */
+    Balancer startBalancer(BalancerSlot slot, LearnedState learnedState) {
         int incarnation = slot.nextIncarnation();
         long now = simulation.now();
         LoadBalancingPolicy policy = policyFactory.create(
--- a/simulator/src/main/java/loadbalancer/simulator/world/WorldPlan.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/WorldPlan.java
@@ -67,15 +67,9 @@
     public record Network(Range same, Range cross, Range client, Range jitter, double loss) {}
 
     /**
-     * Behaviour of clients; times in µs.
-     *
-     * @param retries attempts after the first
-     * @param attemptTimeoutFraction timeout of one attempt, as a fraction of the deadline
-     * @param backoff mean of the first wait between attempts; it doubles with each
-     * @param retryAfterCompliance fraction of clients that heed advice on when to come back
-     * @param abandonFraction fraction of attempts whose client leaves before the answer
-     * @param noticeDelay after what time clients' routing notices a dead or new balancer
-     * @param marksRetries whether attempts after the first say that they are
+     * Clients. {@code retries}: further tries; {@code attemptTimeoutFraction}: a try's patience as a share of the
+     * deadline;
+     * {@code noticeDelay}: after what time a front notices a dead or new balancer.
      */
     public record Clients(
             Range retries,
@@ -148,16 +142,9 @@
             Range keysPerCore) {}
 
     /**
-     * A kind of upstream.
-     *
-     * @param speed of a core, in standard cores
-     * @param slotsPerCore requests served at once, and {@code queuePerCore} those that wait beyond them
-     * @param crowding by which fraction each request per core beyond {@code crowdingThreshold} slows all
-     * @param slowStartInitialWeight fraction of capacity at the start
-     * @param slowStartDurationMicros time, or work at full capacity, until all of it is there
-     * @param errors fraction of requests that fail
-     * @param cancelDropProbability that a world's upstreams drop cancelled work which still waits
-     * @param pool to which upstreams of this kind belong, for variants with routing
+     * A kind of upstream; {@code cancelDropProbability}: the chance that a world's upstreams drop cancelled
+     * waiting work;
+     * {@code pool}: the pool that upstreams of this kind belong to, for variants with a front.
      */
     public record Kind(
             String name,
