--- a/simulator/src/main/java/loadbalancer/simulator/rules/Score.java
+++ b/simulator/src/main/java/loadbalancer/simulator/rules/Score.java
@@ -216,7 +216,7 @@
 
     /** All figures of the day by name; shares from 0 to 1, times in the unit that the name ends with. */
     Map<String, Double> figures(World.Costs costs, long brokenRules, List<Timeline.FaultInterval> faultIntervals) {
-        Map<String, Double> f = new LinkedHashMap<>();
+        Map<String, Double> figures = new LinkedHashMap<>();
         double allAsked = sum(asked, 0, seconds);
         double whole = ratio(sum(got, 0, seconds), allAsked);
         double window = worstWindow();
@@ -230,56 +230,69 @@
                 + prices.probe() * costs.probes() / first
                 + prices.waste() * ratio0(costs.wastedWork(), costs.offeredWork())
                 + prices.lateFail() * ratio0(lateLost, allAsked);
-        f.put(
+        figures.put(
                 "G",
                 goal.whole() * whole
                         + goal.worstWindow() * window
                         + goal.worstClass() * worstClass
                         + goal.worstTenant() * worstTenant
                         - price);
-        f.put("rules.broken", (double) brokenRules);
-        f.put("whole", whole);
-        f.put("worst_window", window);
-        f.put("worst_class", worstClass);
-        f.put("worst_tenant", worstTenant);
-        f.put("price", price);
-        f.put("served", served / first);
-        f.put("refused", ends.getOrDefault(Clients.End.REFUSED, 0L) / Math.max(1.0, taken));
-        f.put("failed", ends.getOrDefault(Clients.End.FAILED, 0L) / Math.max(1.0, taken));
-        f.put("attempts", sends / Math.max(1.0, taken));
-        f.put("further_attempts", further / Math.max(1.0, taken));
-        for (AttemptOutcome o : AttemptOutcome.values()) {
-            f.put(
-                    "attempts." + o.name().toLowerCase(java.util.Locale.ROOT),
-                    outcomes.getOrDefault(o, 0L) / Math.max(1.0, sends));
+        figures.put("rules.broken", (double) brokenRules);
+        figures.put("whole", whole);
+        figures.put("worst_window", window);
+        figures.put("worst_class", worstClass);
+        figures.put("worst_tenant", worstTenant);
+        figures.put("price", price);
+        putAttempts(figures);
+        putClassesAndTenants(figures);
+        putCosts(figures, costs, faultIntervals);
+        return figures;
+    }
+
+    private void putAttempts(Map<String, Double> figures) {
+        figures.put("served", served / Math.max(1.0, firstTries));
+        figures.put("refused", ends.getOrDefault(Clients.End.REFUSED, 0L) / Math.max(1.0, taken));
+        figures.put("failed", ends.getOrDefault(Clients.End.FAILED, 0L) / Math.max(1.0, taken));
+        figures.put("attempts", sends / Math.max(1.0, taken));
+        figures.put("further_attempts", further / Math.max(1.0, taken));
+        for (AttemptOutcome outcome : AttemptOutcome.values()) {
+            figures.put(
+                    "attempts." + outcome.name().toLowerCase(java.util.Locale.ROOT),
+                    outcomes.getOrDefault(outcome, 0L) / Math.max(1.0, sends));
         }
+    }
+
+    private void putClassesAndTenants(Map<String, Double> figures) {
         for (int i = 0; i < latencies.length; i++) {
             String name = plan.classes().get(i).name();
-            f.put("class." + name, ratio(classes[i][1], classes[i][0]));
-            f.put("p50_ms." + name, latencies[i].getValueAtPercentile(50) / 1000.0);
-            f.put("p99_ms." + name, latencies[i].getValueAtPercentile(99) / 1000.0);
+            figures.put("class." + name, ratio(classes[i][1], classes[i][0]));
+            figures.put("p50_ms." + name, latencies[i].getValueAtPercentile(50) / 1000.0);
+            figures.put("p99_ms." + name, latencies[i].getValueAtPercentile(99) / 1000.0);
         }
         for (int i = 0; i < tenants.length; i++) {
-            f.put("tenant." + plan.tenants().get(i).name(), ratio(tenants[i][1], tenants[i][0]));
+            figures.put("tenant." + plan.tenants().get(i).name(), ratio(tenants[i][1], tenants[i][0]));
         }
-        f.put("goodput", goodput(faultIntervals, costs.capacity()));
-        f.put("least_goodput", leastGoodput(faultIntervals, costs.capacity()));
-        f.put("served_per_s", served / (double) Math.max(1, seconds));
-        f.put("flaps", (double) flaps);
-        f.put("recovery_s", recovery(faultIntervals));
-        f.put("wasted", ratio0(costs.wastedWork(), costs.offeredWork()));
-        f.put("handshakes", costs.handshakes() / first);
-        f.put("crossings", costs.crossings() / first);
-        f.put("probes", costs.probes() / first);
-        f.put("register_calls", (double) costs.registerCalls());
-        f.put("lists", (double) lists);
-        f.put("fallen", (double) fallen);
-        f.put("margin.cold", 1 - coldPressure);
-        f.put("margin.drain_ms", (plan.rules().drainGracePeriodMicros() - latestToDraining) / 1000.0);
-        f.put("margin.answer_ms", leastAnswerMargin / 1000.0);
-        f.put("requests", (double) firstTries);
-        f.put("events", (double) costs.events());
-        return f;
+    }
+
+    private void putCosts(Map<String, Double> figures, World.Costs costs, List<Timeline.FaultInterval> faultIntervals) {
+        double first = Math.max(1, firstTries);
+        figures.put("goodput", goodput(faultIntervals, costs.capacity()));
+        figures.put("least_goodput", leastGoodput(faultIntervals, costs.capacity()));
+        figures.put("served_per_s", served / (double) Math.max(1, seconds));
+        figures.put("flaps", (double) flaps);
+        figures.put("recovery_s", recovery(faultIntervals));
+        figures.put("wasted", ratio0(costs.wastedWork(), costs.offeredWork()));
+        figures.put("handshakes", costs.handshakes() / first);
+        figures.put("crossings", costs.crossings() / first);
+        figures.put("probes", costs.probes() / first);
+        figures.put("register_calls", (double) costs.registerCalls());
+        figures.put("lists", (double) lists);
+        figures.put("fallen", (double) fallen);
+        figures.put("margin.cold", 1 - coldPressure);
+        figures.put("margin.drain_ms", (plan.rules().drainGracePeriodMicros() - latestToDraining) / 1000.0);
+        figures.put("margin.answer_ms", leastAnswerMargin / 1000.0);
+        figures.put("requests", (double) firstTries);
+        figures.put("events", (double) costs.events());
     }
 
     // While faults last, or over the whole day where there are none: work served in time, of what the fleet can do.
