--- a/balancer/src/main/java/loadbalancer/dispatch/PolicyActions.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/PolicyActions.java
@@ -6,7 +6,7 @@
 import loadbalancer.logs.Log;
 import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.LoadReporting;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 import loadbalancer.upstream.UpstreamConnectionPool;
 
 /**
@@ -21,7 +21,7 @@
     private final LoadBalancingPolicy policy;
     private final Log log;
     private final AttemptRunner attempts;
-    private SettingsReader.Boot siteSettings;
+    private BootSettings siteSettings;
     private UpstreamConnectionPool connections;
     private DiscoveryClient discovery; // null where there is none
 
@@ -31,7 +31,7 @@
             OpenRequests openRequests,
             PolicyEventQueue events,
             LoadBalancingPolicy policy,
-            SettingsReader.Boot siteSettings,
+            BootSettings siteSettings,
             Log log) {
         this.loop = loop;
         this.clock = clock;
@@ -53,7 +53,7 @@
         attempts.attach(pool);
     }
 
-    void reconfigure(SettingsReader.Boot next) {
+    void reconfigure(BootSettings next) {
         siteSettings = next;
     }
 
--- a/balancer/src/main/java/loadbalancer/dispatch/RequestDispatcher.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/RequestDispatcher.java
@@ -11,7 +11,7 @@
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.LearnedStateCodec;
 import loadbalancer.policy.LoadBalancingPolicy;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 import loadbalancer.transport.InboundRequest;
 import loadbalancer.upstream.UpstreamConnectionPool;
 
@@ -32,11 +32,11 @@
     private final PolicyEventQueue events;
     private final PolicyActions actions;
     private final SlowStartQuota slowStartQuota;
-    private SettingsReader.Boot siteSettings;
+    private BootSettings siteSettings;
     private UpstreamConnectionPool connections;
 
     /** Creates a dispatcher that works once connections are attached. */
-    public RequestDispatcher(EventLoop loop, SettingsReader.Boot siteSettings, LoadBalancingPolicy policy, Log log) {
+    public RequestDispatcher(EventLoop loop, BootSettings siteSettings, LoadBalancingPolicy policy, Log log) {
         this.loop = loop;
         this.siteSettings = siteSettings;
         this.policy = policy;
@@ -149,8 +149,8 @@
     }
 
     /** Takes new settings for requests that arrive from here on; classes and tenants are matched by name. */
-    public void reconfigure(SettingsReader.Boot next) {
-        SettingsReader.Boot previous = siteSettings;
+    public void reconfigure(BootSettings next) {
+        BootSettings previous = siteSettings;
         siteSettings = next;
         actions.reconfigure(next);
         events.submit(nowMicros -> policy.reconfigure(
--- a/balancer/src/main/java/loadbalancer/dispatch/SlowStartQuota.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/SlowStartQuota.java
@@ -3,7 +3,7 @@
 import loadbalancer.discovery.EndpointSubset;
 import loadbalancer.logs.Log;
 import loadbalancer.policy.LoadBalancingPolicy;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 
 /**
  * Gives the policy the multiple of the balancer's ordinary quota that it may send to endpoints in slow start: two
@@ -30,7 +30,7 @@
     }
 
     /** The balancer holds that subset of the endpoints from here on. */
-    void setSubset(EndpointSubset subset, SettingsReader.Boot siteSettings) {
+    void setSubset(EndpointSubset subset, BootSettings siteSettings) {
         int balancers = siteSettings.settings().balancers();
         long parts = subset.subset().partCount();
         subsetFactor = Math.min(parts, balancers);
--- a/balancer/src/main/java/loadbalancer/handover/HandoverDocument.java
+++ b/balancer/src/main/java/loadbalancer/handover/HandoverDocument.java
@@ -10,7 +10,7 @@
 import loadbalancer.discovery.DiscoveryFormat;
 import loadbalancer.discovery.DiscoveryFormatException;
 import loadbalancer.discovery.EndpointList;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 
 /**
  * The wire form of all that a process hands to its successor: the state of the site's pool, and by name that of each
@@ -69,7 +69,7 @@
      * @param settings the receiver's, which number zones, endpoint kinds and request classes
      * @throws HandoverFormatException where it is not in the form of a pool's state
      */
-    public HandoverState site(SettingsReader.Boot settings) throws HandoverFormatException {
+    public HandoverState site(BootSettings settings) throws HandoverFormatException {
         return decode(fields, settings);
     }
 
@@ -91,7 +91,7 @@
      * @param settings the pool's own at the receiver
      * @throws HandoverFormatException where it is not in the form of a pool's state
      */
-    public Optional<HandoverState> pool(String name, SettingsReader.Boot settings) throws HandoverFormatException {
+    public Optional<HandoverState> pool(String name, BootSettings settings) throws HandoverFormatException {
         return pools().get(name) instanceof Map<?, ?> pool ? Optional.of(decode(pool, settings)) : Optional.empty();
     }
 
@@ -99,7 +99,7 @@
         return fields.get(POOLS) instanceof Map<?, ?> pools ? pools : Map.of();
     }
 
-    private static HandoverState decode(Map<?, ?> fields, SettingsReader.Boot settings) throws HandoverFormatException {
+    private static HandoverState decode(Map<?, ?> fields, BootSettings settings) throws HandoverFormatException {
         return new HandoverState(
                 drained(fields), restoredAt(fields), endpoints(fields, settings), learned(fields, settings), settings);
     }
@@ -122,8 +122,7 @@
         return restoredAt;
     }
 
-    private static EndpointList endpoints(Map<?, ?> fields, SettingsReader.Boot settings)
-            throws HandoverFormatException {
+    private static EndpointList endpoints(Map<?, ?> fields, BootSettings settings) throws HandoverFormatException {
         try {
             return DiscoveryFormat.read(fields.get(ENDPOINTS), settings);
         } catch (DiscoveryFormatException e) {
@@ -132,7 +131,7 @@
     }
 
     // Figures of request classes stand in the order of the sender's classes: under other classes they say nothing.
-    private static Map<String, double[]> learned(Map<?, ?> fields, SettingsReader.Boot settings)
+    private static Map<String, double[]> learned(Map<?, ?> fields, BootSettings settings)
             throws HandoverFormatException {
         boolean sameClasses = settings.classes().equals(fields.get(CLASSES));
         Map<String, double[]> learned = new LinkedHashMap<>();
--- a/balancer/src/main/java/loadbalancer/handover/HandoverState.java
+++ b/balancer/src/main/java/loadbalancer/handover/HandoverState.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.Set;
 import loadbalancer.discovery.EndpointList;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 
 /**
  * What a process hands to its successor of one pool.
@@ -19,4 +19,4 @@
         Map<String, Long> restoredAtMicros,
         EndpointList endpoints,
         Map<String, double[]> learnedState,
-        SettingsReader.Boot settings) {}
+        BootSettings settings) {}
--- a/balancer/src/main/java/loadbalancer/http/ClientListener.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientListener.java
@@ -17,7 +17,7 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import loadbalancer.dispatch.RequestHandler;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 import loadbalancer.transport.BodyMemoryBudget;
 import loadbalancer.transport.ChannelBufferSettings;
 
@@ -49,7 +49,7 @@
      */
     public ClientListener(
             EventLoop loop,
-            SettingsReader.Boot siteSettings,
+            BootSettings siteSettings,
             RequestHandler requestHandler,
             ClientConnectionBudget budget,
             BooleanSupplier closeIdleUpstream,
@@ -154,7 +154,7 @@
     // ---- requests
 
     /** Reads requests by new settings from here on. */
-    public void reconfigure(SettingsReader.Boot next) {
+    public void reconfigure(BootSettings next) {
         requestHandler.reconfigure(next);
     }
 
--- a/balancer/src/main/java/loadbalancer/http/ClientRequestHandler.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientRequestHandler.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 import loadbalancer.dispatch.RequestHandler;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 import loadbalancer.transport.BodyStream;
 import loadbalancer.transport.HeaderNames;
 import loadbalancer.transport.InboundRequest;
@@ -28,13 +28,13 @@
 
     private final ServingState servingState;
     private final LongSupplier unreadMicros;
-    private SettingsReader.Boot siteSettings;
+    private BootSettings siteSettings;
     private RequestHandler requestHandler;
     private WarmUpTraffic warmUp; // null where none is running
 
     ClientRequestHandler(
             ServingState servingState,
-            SettingsReader.Boot siteSettings,
+            BootSettings siteSettings,
             RequestHandler requestHandler,
             LongSupplier unreadMicros) {
         this.servingState = servingState;
@@ -43,7 +43,7 @@
         this.unreadMicros = unreadMicros;
     }
 
-    void reconfigure(SettingsReader.Boot next) {
+    void reconfigure(BootSettings next) {
         siteSettings = next;
     }
 
--- a/balancer/src/main/java/loadbalancer/http/InboundRequestParser.java
+++ b/balancer/src/main/java/loadbalancer/http/InboundRequestParser.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpRequest;
 import java.util.List;
 import loadbalancer.policy.Idempotency;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 import loadbalancer.transport.BodyStream;
 import loadbalancer.transport.HeaderNames;
 import loadbalancer.transport.InboundRequest;
@@ -35,8 +35,7 @@
      * @param body the whole body, or none of it where {@code bodyRemainder} is not null
      * @throws IllegalArgumentException where it can't be taken; the message is the reason for the client
      */
-    static InboundRequest parse(
-            HttpRequest head, byte[] body, BodyStream bodyRemainder, SettingsReader.Boot siteSettings) {
+    static InboundRequest parse(HttpRequest head, byte[] body, BodyStream bodyRemainder, BootSettings siteSettings) {
         HttpHeaders headers = head.headers();
         requireSingleValues(headers);
         String id = headers.get(HeaderNames.REQUEST_ID, "");
--- a/balancer/src/main/java/loadbalancer/process/BalancerConfig.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerConfig.java
@@ -8,7 +8,7 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 import loadbalancer.discovery.EndpointList;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 
 /**
  * The configuration of a balancer, as {@link BalancerConfigReader} reads it. Immutable.
@@ -33,7 +33,7 @@
         int maxDescriptors,
         int maxEndpoints,
         EndpointList knownList,
-        SettingsReader.Boot boot,
+        BootSettings boot,
         Map<String, String> settings) {
     /** Lists in the settings whose entries may become more or fewer. */
     private static final List<String> ENTRY_LISTS = List.of("Classes", "Realms");
--- a/balancer/src/main/java/loadbalancer/process/BalancerConfigReader.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerConfigReader.java
@@ -20,6 +20,7 @@
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.discovery.EndpointSubset;
 import loadbalancer.discovery.ListReader;
+import loadbalancer.settings.BootSettings;
 import loadbalancer.settings.SettingsReader;
 import loadbalancer.settings.SocketAddresses;
 
@@ -208,7 +209,7 @@
     }
 
     /** By what settings the list is read, and how many endpoints of it may be kept. */
-    private record ListLimits(SettingsReader.Boot boot, int maxEndpoints) {}
+    private record ListLimits(BootSettings boot, int maxEndpoints) {}
 
     /** Reads the list of endpoints as it was known. */
     private interface KnownListReader {
@@ -223,7 +224,7 @@
         String admin = optionalText(environment, ADMIN_VARIABLE, fields, ADMIN);
         InetSocketAddress adminAddress = admin == null ? null : address(ADMIN, admin);
         Map<String, String> settings = settings(fields.get(SETTINGS));
-        SettingsReader.Boot boot = SettingsReader.read(
+        BootSettings boot = SettingsReader.read(
                 settings, (path, error) -> new ProcessConfigException(SETTINGS + ": " + path + ": " + error));
         Map<?, ?> limits = fields.get(LIMITS) instanceof Map<?, ?> given ? given : Map.of();
         int maxEndpoints = maxEndpoints(limits.get(MAX_ENDPOINTS));
--- a/balancer/src/main/java/loadbalancer/process/BalancerPools.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerPools.java
@@ -7,7 +7,7 @@
 import loadbalancer.handover.HandoverFormatException;
 import loadbalancer.handover.HandoverState;
 import loadbalancer.routing.RoutingGateway;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 
 /**
  * The site's pool and, once an operator file is in use, the pools that the file defines: what concerns all of them goes
@@ -53,14 +53,14 @@
     }
 
     /** Makes the site's pool and the others go by new settings. */
-    void reconfigure(SettingsReader.Boot settings) {
+    void reconfigure(BootSettings settings) {
         if (gateway != null) {
             gateway.reconfigure(settings);
         }
     }
 
     /** Returns what a successor starts from. */
-    HandoverDocument handoverDocument(SettingsReader.Boot settings) {
+    HandoverDocument handoverDocument(BootSettings settings) {
         OperatorDrains drains = membership.drains();
         HandoverState site = new HandoverState(
                 drains.drained(), drains.restoredAtMicros(), membership.listed(), dispatcher.learnedState(), settings);
@@ -73,7 +73,7 @@
      * @return what was restored of the site's pool
      * @throws HandoverFormatException where the state of a pool cannot be read; those before it are restored
      */
-    HandoverState restore(HandoverDocument document, SettingsReader.Boot settings) throws HandoverFormatException {
+    HandoverState restore(HandoverDocument document, BootSettings settings) throws HandoverFormatException {
         HandoverState site = document.site(settings);
         membership.restoreState(site.drained(), site.restoredAtMicros(), site.endpoints());
         dispatcher.restore(site.learnedState());
--- a/balancer/src/main/java/loadbalancer/process/HandoverParticipant.java
+++ b/balancer/src/main/java/loadbalancer/process/HandoverParticipant.java
@@ -13,7 +13,7 @@
 import loadbalancer.handover.HandoverState;
 import loadbalancer.logs.Log;
 import loadbalancer.policy.EndpointState;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 
 /**
  * A process's part in a handover: as a successor it restores the predecessor's state, as a predecessor it gives its
@@ -33,7 +33,7 @@
     private final HandoverLink link;
     private final BalancerPools pools;
     private final DescriptorBudget descriptors;
-    private final Supplier<SettingsReader.Boot> settings;
+    private final Supplier<BootSettings> settings;
     private final Log log;
     private Future<?> descriptorReports; // null while there is no other process
 
@@ -48,7 +48,7 @@
             Path directory,
             BalancerPools pools,
             DescriptorBudget descriptors,
-            Supplier<SettingsReader.Boot> settings,
+            Supplier<BootSettings> settings,
             Log log) {
         this.loop = loop;
         this.pools = pools;
--- a/balancer/src/main/java/loadbalancer/process/OperatorFileLoader.java
+++ b/balancer/src/main/java/loadbalancer/process/OperatorFileLoader.java
@@ -5,7 +5,7 @@
 import loadbalancer.operator.OperatorConfig;
 import loadbalancer.operator.OperatorReader;
 import loadbalancer.operator.SiteConfig;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 import loadbalancer.toml.ConfigException;
 
 /**
@@ -20,7 +20,7 @@
      *
      * @throws ProcessConfigException where it cannot be used
      */
-    static OperatorConfig read(Path file, SettingsReader.Boot settings) {
+    static OperatorConfig read(Path file, BootSettings settings) {
         try {
             return OperatorReader.read(file, site(settings));
         } catch (ConfigException e) {
@@ -30,7 +30,7 @@
         }
     }
 
-    private static SiteConfig site(SettingsReader.Boot settings) {
+    private static SiteConfig site(BootSettings settings) {
         return new SiteConfig(
                 settings.classes(),
                 settings.tenants().isEmpty() ? null : settings.tenants(),
--- a/balancer/src/main/java/loadbalancer/process/Reconfiguration.java
+++ b/balancer/src/main/java/loadbalancer/process/Reconfiguration.java
@@ -16,7 +16,7 @@
 import loadbalancer.routing.PoolEnvironment;
 import loadbalancer.routing.RoutingGateway;
 import loadbalancer.routing.SitePool;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 import loadbalancer.upstream.UpstreamConnectionPool;
 
 /**
@@ -55,7 +55,7 @@
     }
 
     /** Returns the settings in force; on any thread. */
-    SettingsReader.Boot settings() {
+    BootSettings settings() {
         return config.boot();
     }
 
@@ -76,13 +76,13 @@
             log.warn("configuration rejected: " + e.getMessage(), "config", "kept");
             return;
         }
-        SettingsReader.Boot before = config.boot();
+        BootSettings before = config.boot();
         config = next;
         log.accept(describe(next, before));
         parts.loop.execute(() -> apply(next, before));
     }
 
-    private static String describe(BalancerConfig next, SettingsReader.Boot before) {
+    private static String describe(BalancerConfig next, BootSettings before) {
         String line = "configuration reloaded: discovery at "
                 + next.discovery().getAddress().getHostAddress() + ":"
                 + next.discovery().getPort();
@@ -92,8 +92,8 @@
                         + String.join(", ", next.boot().classes());
     }
 
-    private void apply(BalancerConfig next, SettingsReader.Boot before) {
-        SettingsReader.Boot settings = next.boot();
+    private void apply(BalancerConfig next, BootSettings before) {
+        BootSettings settings = next.boot();
         if (!settings.equals(before)) {
             parts.membership.renumber(before, settings);
             parts.dispatcher.reconfigure(settings);
--- a/balancer/src/main/java/loadbalancer/process/WarmUp.java
+++ b/balancer/src/main/java/loadbalancer/process/WarmUp.java
@@ -20,7 +20,7 @@
 import loadbalancer.policy.Idempotency;
 import loadbalancer.policy.JsqDasPolicy;
 import loadbalancer.policy.LoadBalancingPolicy;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 import loadbalancer.transport.HeaderNames;
 import loadbalancer.transport.InboundRequest;
 import loadbalancer.upstream.UpstreamConnectionPool;
@@ -52,7 +52,7 @@
     private static final long REQUEST_TIMEOUT_MICROS = 1_000_000;
 
     private final EventLoop loop;
-    private final SettingsReader.Boot settings;
+    private final BootSettings settings;
     private final Runnable then;
     private final String token;
     private final int requests;
--- a/balancer/src/main/java/loadbalancer/routing/PoolRegistry.java
+++ b/balancer/src/main/java/loadbalancer/routing/PoolRegistry.java
@@ -11,7 +11,7 @@
 import java.util.function.Predicate;
 import loadbalancer.dispatch.RequestDispatcher;
 import loadbalancer.operator.PoolSpec;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 
 /**
  * The pools beside the site's own, by name, and those that an operator file has removed and that still owe answers.
@@ -28,7 +28,7 @@
     }
 
     /** Adds the pool, or changes the one of that name; one that can't change in place is drained and replaced. */
-    void put(PoolSpec spec, SettingsReader.Boot site, PoolLimits limits) {
+    void put(PoolSpec spec, BootSettings site, PoolLimits limits) {
         UpstreamPool pool = pools.get(spec.name());
         if (pool != null && pool.canBecome(spec)) {
             pool.setLimits(limits);
@@ -71,7 +71,7 @@
     }
 
     /** The site's settings have changed: all pools follow. */
-    void reconfigure(SettingsReader.Boot site) {
+    void reconfigure(BootSettings site) {
         pools.values().forEach(pool -> pool.reconfigure(pool.spec(), site));
     }
 
--- a/balancer/src/main/java/loadbalancer/routing/PoolSettings.java
+++ b/balancer/src/main/java/loadbalancer/routing/PoolSettings.java
@@ -5,23 +5,23 @@
 import loadbalancer.policy.DiscoveryMode;
 import loadbalancer.policy.PolicySettings;
 import loadbalancer.policy.SiteLimits;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 
 /** Derives a pool's settings from the platform's and from the pool's overrides in the operator file. */
 final class PoolSettings {
     private PoolSettings() {}
 
     /** The platform's settings with the pool's overrides applied. */
-    static SettingsReader.Boot derive(SettingsReader.Boot site, PoolSpec spec) {
+    static BootSettings derive(BootSettings site, PoolSpec spec) {
         Long idleCloseMicros = spec.overrides().idleCloseMicros();
-        return new SettingsReader.Boot(
+        return new BootSettings(
                 policySettings(site.settings(), spec),
                 site.loadFields(),
                 site.classes(),
                 site.tenants(),
                 site.zones(),
                 site.kinds(),
-                idleCloseMicros == null ? site.idleClose() : idleCloseMicros);
+                idleCloseMicros == null ? site.idleCloseMicros() : idleCloseMicros);
     }
 
     private static PolicySettings policySettings(PolicySettings site, PoolSpec spec) {
--- a/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
@@ -28,7 +28,7 @@
 import loadbalancer.router.RoutingRequest;
 import loadbalancer.routes.PathTemplate;
 import loadbalancer.routes.RouteRequest;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 import loadbalancer.transport.HeaderNames;
 import loadbalancer.transport.InboundRequest;
 
@@ -54,7 +54,7 @@
     private final RoutedReply.Listener replies = new RouterFeedback();
     private OperatorConfig operator;
     private RequestRouter router;
-    private SettingsReader.Boot boot;
+    private BootSettings boot;
     private List<String> routedHeaders = List.of();
     private double[] ranks = new double[0];
     private long replacements;
@@ -66,11 +66,7 @@
      * @param maxBodyBytes bytes of request bodies that all pools may hold together
      */
     public RoutingGateway(
-            SitePool site,
-            PoolEnvironment environment,
-            SettingsReader.Boot boot,
-            int maxConnections,
-            long maxBodyBytes) {
+            SitePool site, PoolEnvironment environment, BootSettings boot, int maxConnections, long maxBodyBytes) {
         this.loop = environment.loop();
         this.site = site;
         this.boot = boot;
@@ -121,7 +117,7 @@
     }
 
     /** The platform's settings have changed. */
-    public void reconfigure(SettingsReader.Boot next) {
+    public void reconfigure(BootSettings next) {
         boot = next;
         pools.reconfigure(next);
         ranks = PriorityRanks.of(next.settings().classes());
--- a/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
+++ b/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
@@ -17,7 +17,7 @@
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
 import loadbalancer.routes.TrafficSplit;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 import loadbalancer.upstream.UpstreamConnectionPool;
 
 /**
@@ -33,14 +33,14 @@
     private final PoolConnectionBudget connections;
     private final PoolMemoryBudget memory;
     private PoolSpec spec;
-    private SettingsReader.Boot boot;
+    private BootSettings boot;
 
     /**
      * Creates a pool that has no endpoints until {@link #start}.
      *
      * @param site the platform's settings, which the pool's own overrides are applied to
      */
-    UpstreamPool(PoolEnvironment environment, PoolSpec spec, SettingsReader.Boot site, PoolLimits limits) {
+    UpstreamPool(PoolEnvironment environment, PoolSpec spec, BootSettings site, PoolLimits limits) {
         this.environment = environment;
         this.spec = spec;
         connections = new PoolConnectionBudget(environment.connections(), limits.maxConnections());
@@ -107,7 +107,7 @@
      *
      * @param next an entry for which {@link #canBecome} is true
      */
-    void reconfigure(PoolSpec next, SettingsReader.Boot site) {
+    void reconfigure(PoolSpec next, BootSettings site) {
         PoolSpec former = spec;
         spec = next;
         applySettings(PoolSettings.derive(site, next));
@@ -118,11 +118,11 @@
         }
     }
 
-    private void applySettings(SettingsReader.Boot next) {
+    private void applySettings(BootSettings next) {
         if (next.equals(boot)) {
             return;
         }
-        SettingsReader.Boot former = boot;
+        BootSettings former = boot;
         boot = next;
         membership.renumber(former, next);
         dispatcher.reconfigure(next);
@@ -163,7 +163,7 @@
         dispatcher.restore(state.learnedState());
     }
 
-    SettingsReader.Boot boot() {
+    BootSettings boot() {
         return boot;
     }
 
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamConnectionPool.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamConnectionPool.java
@@ -12,7 +12,7 @@
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.policy.EndpointState;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 import loadbalancer.transport.InboundRequest;
 
 /**
@@ -28,11 +28,11 @@
     private final UpstreamConnector connector;
     private final IdleConnectionEvictor evictor;
     private final Map<String, UpstreamEndpoint> endpoints = new HashMap<>();
-    private SettingsReader.Boot siteSettings;
+    private BootSettings siteSettings;
 
     /** Creates a pool that reaches each endpoint at its own address; {@code clock} gives microseconds. */
     public UpstreamConnectionPool(
-            EventLoop loop, SettingsReader.Boot siteSettings, ConnectionBudget budget, LongSupplier clock) {
+            EventLoop loop, BootSettings siteSettings, ConnectionBudget budget, LongSupplier clock) {
         this(loop, siteSettings, budget, clock, null);
     }
 
@@ -44,7 +44,7 @@
      */
     public UpstreamConnectionPool(
             EventLoop loop,
-            SettingsReader.Boot siteSettings,
+            BootSettings siteSettings,
             ConnectionBudget budget,
             LongSupplier clock,
             UnixDomainSocketAddress fixedAddress) {
@@ -65,7 +65,7 @@
     }
 
     /** Takes new settings from here on. */
-    public void reconfigure(SettingsReader.Boot next) {
+    public void reconfigure(BootSettings next) {
         siteSettings = next;
         connector.reconfigure(next);
     }
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamConnector.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamConnector.java
@@ -12,7 +12,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
 import loadbalancer.policy.AttemptOutcome;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 import loadbalancer.transport.ChannelBufferSettings;
 
 /**
@@ -29,12 +29,12 @@
     private final UnixDomainSocketAddress fixedAddress; // null: each endpoint's own
     private final Bootstrap bootstrap;
     private BooleanSupplier reclaimer;
-    private SettingsReader.Boot siteSettings;
+    private BootSettings siteSettings;
     private long idleTimeoutMicros;
 
     UpstreamConnector(
             EventLoop loop,
-            SettingsReader.Boot siteSettings,
+            BootSettings siteSettings,
             ConnectionBudget budget,
             LongSupplier clock,
             UnixDomainSocketAddress fixedAddress) {
@@ -51,9 +51,10 @@
                 .group(loop);
     }
 
-    void reconfigure(SettingsReader.Boot next) {
+    void reconfigure(BootSettings next) {
         siteSettings = next;
-        idleTimeoutMicros = next.idleClose() > 0 ? (long) (next.idleClose() * IDLE_TIMEOUT_FRACTION) : Long.MAX_VALUE;
+        idleTimeoutMicros =
+                next.idleCloseMicros() > 0 ? (long) (next.idleCloseMicros() * IDLE_TIMEOUT_FRACTION) : Long.MAX_VALUE;
     }
 
     /** {@code next} closes a connection that is in no use where the budget is spent; false where it can't. */
--- a/balancer/src/main/java/loadbalancer/wire/HostedBalancer.java
+++ b/balancer/src/main/java/loadbalancer/wire/HostedBalancer.java
@@ -1,7 +1,7 @@
 package loadbalancer.wire;
 
 import loadbalancer.policy.LoadBalancingPolicy;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 
 /** One of the balancers that an adapter hosts: its name on the wire, its policy and its settings. */
-record HostedBalancer(String name, LoadBalancingPolicy policy, SettingsReader.Boot boot) {}
+record HostedBalancer(String name, LoadBalancingPolicy policy, BootSettings boot) {}
--- a/balancer/src/main/java/loadbalancer/wire/SimulatorWireAdapter.java
+++ b/balancer/src/main/java/loadbalancer/wire/SimulatorWireAdapter.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.PolicySettings;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 
 /**
  * Hosts the balancers of a simulation and answers its batches: each batch holds the events of one instant, each reply
@@ -98,7 +98,7 @@
     private void start(Frame frame, String target, ActionEncoder reply) {
         frame.text(1, "InitSeed");
         long seed = frame.number(1, "InitSeed");
-        SettingsReader.Boot boot = WireSettings.read(frame, 2);
+        BootSettings boot = WireSettings.read(frame, 2);
         String name = required(target, frame);
         reply.setBalancer(name);
         balancers.put(name, new HostedBalancer(name, policyFactory.create(boot.settings(), seed), boot));
--- a/balancer/src/main/java/loadbalancer/wire/WireSettings.java
+++ b/balancer/src/main/java/loadbalancer/wire/WireSettings.java
@@ -2,6 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
+import loadbalancer.settings.BootSettings;
 import loadbalancer.settings.SettingsReader;
 
 /** Reads what a balancer is started with from the path=value pairs of an ENLIST message. */
@@ -9,7 +10,7 @@
     private WireSettings() {}
 
     /** Reads the fields from {@code firstPair} on. */
-    static SettingsReader.Boot read(Frame frame, int firstPair) {
+    static BootSettings read(Frame frame, int firstPair) {
         Map<String, String> values = new HashMap<>();
         for (int i = firstPair; i <= frame.size(); i++) {
             String pair = frame.raw(i, "BootInfo");
--- a/balancer/src/test/java/loadbalancer/handover/HandoverCodecTest.java
+++ b/balancer/src/test/java/loadbalancer/handover/HandoverCodecTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Stream;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
@@ -18,8 +18,8 @@
 
 /** The wire form of what processes say to each other, and what is made of that of other releases. */
 class HandoverCodecTest {
-    private static final SettingsReader.Boot SETTINGS =
-            new SettingsReader.Boot(null, List.of(), List.of("read"), List.of(), List.of(), List.of(), 0);
+    private static final BootSettings SETTINGS =
+            new BootSettings(null, List.of(), List.of("read"), List.of(), List.of(), List.of(), 0);
     private static final String STATE = "{\"out\":[\"s1\"],\"back\":{\"s2\":7},\"list\":{\"rev\":1,\"targets\":[]},"
             + "\"classes\":[\"read\"],\"learnt\":{\"own\":[0.5],\"server s1\":[1]}}";
 
--- a/discovery/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/discovery/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -32,7 +32,7 @@
 import loadbalancer.policy.DiscoveryMode;
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.SafetyBounds;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 import loadbalancer.staleness.ListStaleness;
 
 /**
@@ -51,7 +51,7 @@
     private final EventLoop loop;
     private final Set<Call> calls = new LinkedHashSet<>(); // under way
     private InetSocketAddress address;
-    private SettingsReader.Boot settings;
+    private BootSettings settings;
     private final EndpointSubset subset;
     private final BiConsumer<EndpointListKind, EndpointList> listener;
     private final Consumer<String> log;
@@ -73,7 +73,7 @@
     public DiscoveryClient(
             EventLoop loop,
             InetSocketAddress address,
-            SettingsReader.Boot settings,
+            BootSettings settings,
             EndpointSubset subset,
             long version,
             LongSupplier clockMicros,
@@ -119,7 +119,7 @@
     }
 
     /** Reads lists by new settings from here on. */
-    public void reconfigure(SettingsReader.Boot next) {
+    public void reconfigure(BootSettings next) {
         settings = next;
         SafetyBounds bounds = next.settings().bounds();
         staleness.reconfigure(bounds.drainGracePeriodMicros(), bounds.pollIntervalMicros());
--- a/discovery/src/main/java/loadbalancer/discovery/DiscoveryFormat.java
+++ b/discovery/src/main/java/loadbalancer/discovery/DiscoveryFormat.java
@@ -7,6 +7,7 @@
 import java.util.Map;
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointState;
+import loadbalancer.settings.BootSettings;
 import loadbalancer.settings.SettingsReader;
 import loadbalancer.settings.SocketAddresses;
 
@@ -56,7 +57,7 @@
      * @param settings by which names of zones and kinds become numbers
      * @throws DiscoveryFormatException where it is not such a list
      */
-    public static EndpointList read(Object json, SettingsReader.Boot settings) {
+    public static EndpointList read(Object json, BootSettings settings) {
         if (!(json instanceof Map<?, ?> list) || !(list.get(ENTRIES) instanceof List<?> entries)) {
             throw new DiscoveryFormatException("no list of targets");
         }
@@ -109,7 +110,7 @@
      *
      * @throws DiscoveryFormatException where its state or address cannot be read
      */
-    static EndpointList.Entry entry(Map<?, ?> entry, SettingsReader.Boot settings) {
+    static EndpointList.Entry entry(Map<?, ?> entry, BootSettings settings) {
         EndpointState state = state(entry);
         InetSocketAddress address = state == EndpointState.GONE && entry.get(ADDRESS) == null ? null : address(entry);
         double weight = number(entry.get(WEIGHT), DEFAULT_WEIGHT);
@@ -144,7 +145,7 @@
      * @param settings by which numbers of zones and kinds become names
      * @return the list as a JSON writer takes it
      */
-    public static Map<String, Object> write(EndpointList list, SettingsReader.Boot settings) {
+    public static Map<String, Object> write(EndpointList list, BootSettings settings) {
         List<Map<String, Object>> entries = new ArrayList<>();
         for (EndpointList.Entry entry : list.entries()) {
             entries.add(write(entry, settings));
@@ -156,7 +157,7 @@
         return fields;
     }
 
-    private static Map<String, Object> write(EndpointList.Entry entry, SettingsReader.Boot settings) {
+    private static Map<String, Object> write(EndpointList.Entry entry, BootSettings settings) {
         Endpoint endpoint = entry.endpoint();
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put(ID, endpoint.id());
--- a/discovery/src/main/java/loadbalancer/discovery/ListReader.java
+++ b/discovery/src/main/java/loadbalancer/discovery/ListReader.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 import loadbalancer.subset.AdaptiveSample;
 import loadbalancer.subset.Subset;
 
@@ -44,7 +44,7 @@
 
     private final JsonParser parser;
     private final ByteArrayFeeder feeder; // null where the parser has its source
-    private final Supplier<SettingsReader.Boot> settings;
+    private final Supplier<BootSettings> settings;
     private final EndpointSubset subset;
     private final Deque<Object> openContainers = new ArrayDeque<>(); // maps and lists, the innermost first
     private final Deque<String> fieldNames = new ArrayDeque<>(); // of what comes next in each open map
@@ -58,7 +58,7 @@
      * @param settings the settings in force, by which names of zones and kinds become numbers
      * @param subset which part of a list is kept
      */
-    ListReader(Supplier<SettingsReader.Boot> settings, EndpointSubset subset) {
+    ListReader(Supplier<BootSettings> settings, EndpointSubset subset) {
         this.settings = settings;
         this.subset = subset;
         try {
@@ -69,7 +69,7 @@
         feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
     }
 
-    private ListReader(JsonParser parser, SettingsReader.Boot settings, EndpointSubset subset) {
+    private ListReader(JsonParser parser, BootSettings settings, EndpointSubset subset) {
         this.parser = parser;
         this.feeder = null;
         this.settings = () -> settings;
@@ -82,7 +82,7 @@
      * @throws DiscoveryFormatException where it is not a list
      * @throws IOException where it cannot be read, or is not JSON
      */
-    public static EndpointList readOne(JsonParser parser, SettingsReader.Boot settings, EndpointSubset subset)
+    public static EndpointList readOne(JsonParser parser, BootSettings settings, EndpointSubset subset)
             throws IOException {
         if (parser.currentToken() != JsonToken.START_OBJECT) {
             throw new DiscoveryFormatException("no list of targets");
--- a/discovery/src/main/java/loadbalancer/discovery/Membership.java
+++ b/discovery/src/main/java/loadbalancer/discovery/Membership.java
@@ -14,7 +14,7 @@
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.EndpointState;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 import loadbalancer.subset.Subset;
 
 /**
@@ -235,7 +235,7 @@
     }
 
     /** Numbers zones and kinds by other settings: their numbers change with the settings, their names do not. */
-    public void renumber(SettingsReader.Boot before, SettingsReader.Boot next) {
+    public void renumber(BootSettings before, BootSettings next) {
         if (before.zones().equals(next.zones()) && before.kinds().equals(next.kinds())) {
             return;
         }
@@ -244,7 +244,7 @@
         publishOverride(listed.values().stream().map(this::withDrains).toList());
     }
 
-    private static Endpoint renumbered(Endpoint endpoint, SettingsReader.Boot before, SettingsReader.Boot next) {
+    private static Endpoint renumbered(Endpoint endpoint, BootSettings before, BootSettings next) {
         return new Endpoint(
                 endpoint.id(),
                 endpoint.state(),
--- a/discovery/src/main/java/loadbalancer/settings/SettingsReader.java
+++ b/discovery/src/main/java/loadbalancer/settings/SettingsReader.java
@@ -22,26 +22,6 @@
 public final class SettingsReader {
     private final SettingValues values;
 
-    /**
-     * What a balancer is started with.
-     *
-     * @param settings of the policy, which knows classes, tenants, zones and kinds by their numbers
-     * @param loadFields names of the values in a load report, in their order on the simulator's wire
-     * @param classes names of the request classes, by number
-     * @param tenants names of the tenants, by number
-     * @param zones names of the zones, by number
-     * @param kinds names of the kinds of hardware, by number
-     * @param idleClose microseconds after which an endpoint closes an idle connection; 0: never
-     */
-    public record Boot(
-            PolicySettings settings,
-            List<String> loadFields,
-            List<String> classes,
-            List<String> tenants,
-            List<String> zones,
-            List<String> kinds,
-            long idleClose) {}
-
     private SettingsReader(SettingValues values) {
         this.values = values;
     }
@@ -52,10 +32,11 @@
      * @param error makes the exception for a path and what is wrong there
      * @throws RuntimeException that {@code error} makes, where a setting is missing, malformed or impossible
      */
-    public static Boot read(Map<String, String> values, BiFunction<String, String, ? extends RuntimeException> error) {
+    public static BootSettings read(
+            Map<String, String> values, BiFunction<String, String, ? extends RuntimeException> error) {
         SettingValues typed = new SettingValues(values, error);
         try {
-            return new Boot(
+            return new BootSettings(
                     new SettingsReader(typed).policySettings(),
                     typed.list("Stats.Fields"),
                     typed.each("Classes", "Name"),
--- a/discovery/src/test/java/loadbalancer/discovery/Lists.java
+++ b/discovery/src/test/java/loadbalancer/discovery/Lists.java
@@ -6,13 +6,14 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
+import loadbalancer.settings.BootSettings;
 import loadbalancer.settings.SettingsReader;
 
 /** Lists and settings for tests. */
 final class Lists {
     private Lists() {}
 
-    static SettingsReader.Boot boot() {
+    static BootSettings boot() {
         Map<String, String> values = new HashMap<>();
         SettingsReader.flatten(
                 "",
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/HollowBalancer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/HollowBalancer.java
@@ -18,7 +18,7 @@
 import loadbalancer.policy.EndpointListKind;
 import loadbalancer.policy.JsqDasPolicy;
 import loadbalancer.policy.LoadBalancingPolicy;
-import loadbalancer.settings.SettingsReader;
+import loadbalancer.settings.BootSettings;
 
 /**
  * A balancer without listener and upstreams: the client of discovery, the membership and the policy are the real ones,
@@ -56,7 +56,7 @@
             long seed,
             EndpointList known,
             Tally tally) {
-        SettingsReader.Boot boot = Site.boot(plan, rank, many);
+        BootSettings boot = Site.boot(plan, rank, many);
         this.loop = loop;
         this.plan = plan;
         this.rank = rank;
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/Site.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/Site.java
@@ -5,6 +5,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import loadbalancer.policy.Idempotency;
+import loadbalancer.settings.BootSettings;
 import loadbalancer.settings.ProtocolNames;
 import loadbalancer.settings.SettingsReader;
 import loadbalancer.simulator.world.Range;
@@ -87,7 +88,7 @@
     }
 
     /** The same as a hollow balancer reads it. */
-    static SettingsReader.Boot boot(FleetPlan.Fleet fleet, int rank, int many) {
+    static BootSettings boot(FleetPlan.Fleet fleet, int rank, int many) {
         Map<String, String> flat = new TreeMap<>();
         SettingsReader.flatten("", settings(fleet, rank, many), flat);
         return SettingsReader.read(flat, (path, what) -> new IllegalStateException(path + ": " + what));
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/TenantsAxis.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/TenantsAxis.java
@@ -14,6 +14,7 @@
 import loadbalancer.policy.EndpointState;
 import loadbalancer.policy.JsqDasPolicy;
 import loadbalancer.policy.PolicySettings;
+import loadbalancer.settings.BootSettings;
 import loadbalancer.settings.SettingsReader;
 import loadbalancer.simulator.policies.NoOpActions;
 
@@ -90,7 +91,7 @@
         return new ScalePoint(name(), size, figures, missed);
     }
 
-    private static SettingsReader.Boot boot(Map<String, Object> settings) {
+    private static BootSettings boot(Map<String, Object> settings) {
         Map<String, String> flat = new HashMap<>();
         SettingsReader.flatten("", settings, flat);
         return SettingsReader.read(flat, (path, what) -> new IllegalStateException(path + ": " + what));
