--- a/balancer/src/test/java/loadbalancer/process/BalancerProcessTest.java
+++ b/balancer/src/test/java/loadbalancer/process/BalancerProcessTest.java
@@ -11,6 +11,7 @@
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.util.Map;
+import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -26,8 +27,14 @@
             port = free.getLocalPort();
         }
         balancer = new BalancerProcess(config(1024, settings(), port), (s, seed) -> policy, false, line -> {});
+        CountDownLatch startHasReturned = new CountDownLatch(1);
+        balancer.loop().submit(() -> startHasReturned.await(20, TimeUnit.SECONDS)); // no bind is done before that
         Thread.currentThread().interrupt();
-        assertThrows(IOException.class, balancer::start);
+        try {
+            assertThrows(IOException.class, balancer::start);
+        } finally {
+            startHasReturned.countDown();
+        }
         assertTrue(Thread.interrupted());
         balancer.loop().submit(() -> {}).get(20, TimeUnit.SECONDS); // the listener is registered, which queues its bind
         balancer.loop().submit(() -> {}).get(20, TimeUnit.SECONDS); // and the bind has been carried out
