--- a/balancer/src/main/java/loadbalancer/dispatch/PolicyActions.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/PolicyActions.java
@@ -58,19 +58,19 @@
     }
 
     @Override
-    public void send(String request, String server, long timeout) {
+    public void send(String request, String endpoint, long timeoutMicros) {
         OpenRequest openRequest = openRequests.find(request);
         if (openRequest != null) {
-            attempts.start(openRequest, server, timeout);
+            attempts.start(openRequest, endpoint, timeoutMicros);
         }
     }
 
     @Override
-    public void reject(String request, long retryAfter) {
+    public void reject(String request, long retryAfterMicros) {
         OpenRequest openRequest = openRequests.find(request);
         if (openRequest != null && !openRequest.closed) {
             openRequests.close(openRequest);
-            openRequest.responder.reject(retryAfter);
+            openRequest.responder.reject(retryAfterMicros);
             openRequests.removeIfDone(openRequest);
         }
     }
@@ -94,14 +94,14 @@
     }
 
     @Override
-    public void probe(String server) {
+    public void probe(String endpoint) {
         long sentAtMicros = clock.nowMicros();
         boolean loadReport = siteSettings.settings().loadReporting() != LoadReporting.NONE;
         connections.probe(
-                server,
+                endpoint,
                 loadReport,
-                (outcome, response, load) -> events.submit(
-                        nowMicros -> policy.probed(nowMicros, server, outcome, nowMicros - sentAtMicros, load, this)));
+                (outcome, response, load) -> events.submit(nowMicros ->
+                        policy.probed(nowMicros, endpoint, outcome, nowMicros - sentAtMicros, load, this)));
     }
 
     @Override
@@ -119,8 +119,8 @@
     }
 
     @Override
-    public void closeIdle(String server) {
-        connections.closeIdle(server);
+    public void closeIdle(String endpoint) {
+        connections.closeIdle(endpoint);
     }
 
     /** Real balancers exchange no messages. */
@@ -130,8 +130,9 @@
     }
 
     @Override
-    public void wakeAfter(long delay) {
-        loop.schedule(() -> events.submit(nowMicros -> policy.wake(nowMicros, this)), delay, TimeUnit.MICROSECONDS);
+    public void wakeAfter(long delayMicros) {
+        loop.schedule(
+                () -> events.submit(nowMicros -> policy.wake(nowMicros, this)), delayMicros, TimeUnit.MICROSECONDS);
     }
 
     @Override
--- a/balancer/src/main/java/loadbalancer/http/ClientConnection.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientConnection.java
@@ -261,9 +261,9 @@
         }
     }
 
-    // In a task, and not from within: many requests that get their responses at once would fill the stack, and keep all
-    // others
-    // waiting. Also, by then the end of the connection has been read where it came right behind the request, so that
+    // In a task of its own: many requests that get their responses at once would fill the stack, and keep all other
+    // clients waiting. Also, by then the end of the connection has been read where it came right behind the request, so
+    // that
     // nothing is forwarded for a client that left while its request waited to be read.
     private void scheduleNext() {
         if (state == ResponseState.IDLE && (refusal != null || !waiting.isEmpty())) {
--- a/balancer/src/main/java/loadbalancer/http/ServingState.java
+++ b/balancer/src/main/java/loadbalancer/http/ServingState.java
@@ -6,7 +6,7 @@
 final class ServingState {
     private boolean ready;
     private boolean stopping;
-    private long stoppedAtNanos;
+    private long stoppingSinceNanos;
     private Supplier<String> readinessNote = () -> null;
 
     boolean isReady() {
@@ -19,7 +19,7 @@
 
     /** Returns for how long the process has been stopping. */
     long stoppingNanos() {
-        return System.nanoTime() - stoppedAtNanos;
+        return System.nanoTime() - stoppingSinceNanos;
     }
 
     /** Returns what readiness checks say beside that it is ready, or null. */
@@ -38,6 +38,6 @@
     void startStopping() {
         ready = false;
         stopping = true;
-        stoppedAtNanos = System.nanoTime();
+        stoppingSinceNanos = System.nanoTime();
     }
 }
--- a/balancer/src/main/java/loadbalancer/process/BalancerPools.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerPools.java
@@ -45,14 +45,17 @@
     }
 
     /** Sets the fraction of the balancer's slow-start budget that this process may use, 0 to 1. */
-    void setSlowStartShare(double fraction) {
+    void setSlowStartFraction(double fraction) {
         dispatcher.setSlowStartFraction(fraction);
         if (gateway != null) {
-            gateway.setSlowStartShare(fraction);
+            gateway.setSlowStartFraction(fraction);
         }
     }
 
-    /** Makes the site's pool and the others go by new settings. */
+    /**
+     * Makes the operator file's pools go by new settings; the site's pool is reconfigured by {@link
+     * Reconfiguration}.
+     */
     void reconfigure(BootSettings settings) {
         if (gateway != null) {
             gateway.reconfigure(settings);
--- a/balancer/src/main/java/loadbalancer/process/GracefulShutdown.java
+++ b/balancer/src/main/java/loadbalancer/process/GracefulShutdown.java
@@ -35,7 +35,7 @@
     private final EventLoop loop;
     private final ClientListener clients;
     private final BalancerPools pools;
-    private final boolean successorServes;
+    private final boolean listenerIsShared;
     private final Runnable closeListeners;
     private final Runnable onStopped;
     private final CountDownLatch stopped = new CountDownLatch(1);
@@ -44,7 +44,8 @@
     /**
      * Creates the sequence, not begun.
      *
-     * @param successorServes whether another process serves clients of the same socket meanwhile
+     * @param listenerIsShared whether the platform holds the clients' listener, which another process may serve
+     *     meanwhile
      * @param closeListeners runs on the event loop's thread when no further connections are to be accepted
      * @param onStopped runs on the event loop's thread as the last step
      */
@@ -52,13 +53,13 @@
             EventLoop loop,
             ClientListener clients,
             BalancerPools pools,
-            boolean successorServes,
+            boolean listenerIsShared,
             Runnable closeListeners,
             Runnable onStopped) {
         this.loop = loop;
         this.clients = clients;
         this.pools = pools;
-        this.successorServes = successorServes;
+        this.listenerIsShared = listenerIsShared;
         this.closeListeners = closeListeners;
         this.onStopped = onStopped;
     }
@@ -91,7 +92,7 @@
     // Where none does, each moment until the exit is one in which nobody serves: only answers are waited for. What has
     // been accepted is answered in any case.
     private void stopWhenDrained() {
-        boolean requestsLeft = successorServes ? !clients.isEmpty() : clients.hasPendingResponses();
+        boolean requestsLeft = listenerIsShared ? !clients.isEmpty() : clients.hasPendingResponses();
         if (requestsLeft && beforeDeadline() || clients.isStreaming()) {
             loop.schedule(this::stopWhenDrained, FLUSH_MILLIS, TimeUnit.MILLISECONDS);
             return;
--- a/balancer/src/main/java/loadbalancer/process/HandoverParticipant.java
+++ b/balancer/src/main/java/loadbalancer/process/HandoverParticipant.java
@@ -72,7 +72,7 @@
         link.requestState(document -> {
             boolean hasEndpoints = document.isPresent() && restore(document.get());
             if (document.isPresent()) {
-                pools.setSlowStartShare(SHARED_FRACTION);
+                pools.setSlowStartFraction(SHARED_FRACTION);
             }
             then.accept(hasEndpoints);
         });
@@ -127,7 +127,7 @@
         } else if (message instanceof HandoverMessage.DescriptorsInUse inUse) {
             descriptors.setUsedByPeer(inUse.count() + OTHER_DESCRIPTORS);
         } else if (message instanceof HandoverMessage.ServingNotice) {
-            pools.setSlowStartShare(SHARED_FRACTION);
+            pools.setSlowStartFraction(SHARED_FRACTION);
         }
     }
 
@@ -145,7 +145,7 @@
         }
         if (!present) {
             descriptors.setUsedByPeer(0);
-            pools.setSlowStartShare(1);
+            pools.setSlowStartFraction(1);
         }
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/PoolRegistry.java
+++ b/balancer/src/main/java/loadbalancer/routing/PoolRegistry.java
@@ -21,7 +21,7 @@
     private final PoolEnvironment environment;
     private final Map<String, UpstreamPool> pools = new LinkedHashMap<>();
     private final Set<UpstreamPool> draining = new LinkedHashSet<>();
-    private double slowStartShare = 1;
+    private double slowStartFraction = 1;
 
     PoolRegistry(PoolEnvironment environment) {
         this.environment = environment;
@@ -41,7 +41,7 @@
         UpstreamPool created = new UpstreamPool(environment, spec, site, limits);
         pools.put(spec.name(), created);
         created.start();
-        created.dispatcher().setSlowStartFraction(slowStartShare);
+        created.dispatcher().setSlowStartFraction(slowStartFraction);
     }
 
     /** Drains every pool whose name is not among these. */
@@ -76,8 +76,8 @@
     }
 
     /** Sets the fraction of the balancer's slow-start traffic that this process may send, in each pool. */
-    void setSlowStartShare(double fraction) {
-        slowStartShare = fraction;
+    void setSlowStartFraction(double fraction) {
+        slowStartFraction = fraction;
         pools.values().forEach(pool -> pool.dispatcher().setSlowStartFraction(fraction));
     }
 
--- a/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
@@ -252,8 +252,8 @@
     }
 
     /** Sets the fraction of the balancer's slow-start traffic that this process may send, in each pool. */
-    public void setSlowStartShare(double fraction) {
-        pools.setSlowStartShare(fraction);
+    public void setSlowStartFraction(double fraction) {
+        pools.setSlowStartFraction(fraction);
     }
 
     /** How many removed pools still owe answers. */
--- a/core/src/main/java/loadbalancer/policy/AttemptDispatcher.java
+++ b/core/src/main/java/loadbalancer/policy/AttemptDispatcher.java
@@ -19,7 +19,7 @@
             return;
         }
         if (components.queue.isOutOfTime(request, now)) {
-            components.openRequests.fail(request, actions);
+            components.openRequests.endUnserved(request, actions);
         } else {
             components.queue.enqueue(request);
         }
--- a/core/src/main/java/loadbalancer/policy/JsqDasPolicy.java
+++ b/core/src/main/java/loadbalancer/policy/JsqDasPolicy.java
@@ -98,7 +98,7 @@
         components.retryBudget.deposit();
         if (!components.admission.admits(components.settings.tiers().tierOf(request))) {
             components.log.log(now, this::sheddingLine, actions);
-            components.openRequests.reject(request, actions);
+            components.openRequests.endUnadmitted(request, actions);
             return;
         }
         if (request.requestClass.orderedDelivery() && key != null) {
@@ -162,7 +162,7 @@
         if (components.retries.grantRetry(request, outcome, now)) {
             dispatcher.sendOrQueue(request, now, actions);
         } else {
-            components.openRequests.fail(request, actions);
+            components.openRequests.endUnserved(request, actions);
         }
     }
 
@@ -204,7 +204,7 @@
         dispatcher.drainQueue(now, actions);
         for (RequestState request : components.queue.expired(now)) {
             components.queue.dequeue(request);
-            components.openRequests.fail(request, actions);
+            components.openRequests.endUnserved(request, actions);
         }
         if (components.hedging.isActive(components.admission.level(), components.traffic)) {
             components.openRequests.all().forEach(request -> hedgeIfDue(request, now, actions));
--- a/core/src/main/java/loadbalancer/policy/KeySequencer.java
+++ b/core/src/main/java/loadbalancer/policy/KeySequencer.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * Rule 5, ordered delivery: requests with one key of classes that ask for it are executed one at a time, in the order
+ * Ordered delivery: requests with one key of classes that ask for it are executed one at a time, in the order
  * of arrival. After an attempt without an answer, which may still run, the key pauses.
  */
 final class KeySequencer {
--- a/core/src/main/java/loadbalancer/policy/LoadBalancingPolicy.java
+++ b/core/src/main/java/loadbalancer/policy/LoadBalancingPolicy.java
@@ -91,8 +91,9 @@
     default void restore(long now, LearnedState learnedState) {}
 
     /**
-     * From here on this policy may use that fraction of what its balancer may send to endpoints in slow start: another
-     * process of the same balancer uses the rest.
+     * From here on this policy may send that many times what one balancer may send to endpoints in slow start. It is
+     * under 1 while another process of the same balancer uses the rest, and over 1 where only a subset of the balancers
+     * uses each endpoint.
      */
     default void setSlowStartFraction(double fraction) {}
 
--- a/core/src/main/java/loadbalancer/policy/OpenRequests.java
+++ b/core/src/main/java/loadbalancer/policy/OpenRequests.java
@@ -41,16 +41,16 @@
         return requests.values();
     }
 
-    /** Ends an admitted request without success. */
-    void fail(RequestState request, LoadBalancingPolicy.Actions actions) {
+    /** Ends an admitted request without success: rejected where the client may try again, else failed. */
+    void endUnserved(RequestState request, LoadBalancingPolicy.Actions actions) {
         if (!request.overloaded) {
             admission.completed();
         }
-        reject(request, actions);
+        endUnadmitted(request, actions);
     }
 
-    /** Ends a request that is not admitted: refused where the client may try again without harm, else failed. */
-    void reject(RequestState request, LoadBalancingPolicy.Actions actions) {
+    /** Ends a request that is not admitted: rejected where the client may try again without harm, else failed. */
+    void endUnadmitted(RequestState request, LoadBalancingPolicy.Actions actions) {
         request.closed = true;
         if (RetrySafetyRule.clientMayRetry(request)) {
             actions.reject(request.id, retryAfter.delayMicros(admission.level()));
--- a/core/src/main/java/loadbalancer/policy/OutcomeRecorder.java
+++ b/core/src/main/java/loadbalancer/policy/OutcomeRecorder.java
@@ -48,7 +48,7 @@
             case FULL -> {
                 recordFailedSlot(target, now + (long) classMicros);
                 logEjection(target, outliers.recordRejection(target, now), now, actions);
-                outliers.rest(target, classMicros, now);
+                outliers.markSaturated(target, classMicros, now);
                 admission.overloaded();
             }
             case TIMEOUT -> {
--- a/core/src/main/java/loadbalancer/policy/OutlierDetector.java
+++ b/core/src/main/java/loadbalancer/policy/OutlierDetector.java
@@ -124,7 +124,7 @@
     }
 
     /** Keeps attempts from an endpoint that has rejected one, for about the expected latency. */
-    void rest(EndpointStats stats, double expectedMicros, long now) {
+    void markSaturated(EndpointStats stats, double expectedMicros, long now) {
         stats.saturatedUntil = now + (long) (expectedMicros * (MIN_SATURATION_LATENCIES + random.nextDouble()));
     }
 
--- a/core/src/main/java/loadbalancer/policy/PlacementRule.java
+++ b/core/src/main/java/loadbalancer/policy/PlacementRule.java
@@ -1,6 +1,6 @@
 package loadbalancer.policy;
 
-/** Rule 6: a request class may be bound to zones and kinds of machine, which holds for every attempt. */
+/** Placement: a request class may be bound to zones and kinds of machine, which holds for every attempt. */
 final class PlacementRule {
     private PlacementRule() {}
 
--- a/core/src/main/java/loadbalancer/policy/PriorityTiers.java
+++ b/core/src/main/java/loadbalancer/policy/PriorityTiers.java
@@ -54,7 +54,7 @@
         return Arrays.binarySearch(weights, weight(request.requestClass, request.lowPriority));
     }
 
-    /** The shed level from which requests within their quota are rejected. */
+    /** The shed level up to which requests are hedged: just above the lowest tier within quota. */
     double hedgingShedLevel() {
         return hedgingShedLevel;
     }
--- a/core/src/main/java/loadbalancer/policy/RequestQueue.java
+++ b/core/src/main/java/loadbalancer/policy/RequestQueue.java
@@ -91,8 +91,8 @@
     }
 
     /**
-     * Rule 1: requests that must be answered now. Those that were never sent are answered as soon as they can't be in
-     * time for their latency objective, others shortly before their deadline.
+     * Requests that must be answered now, so that each gets its final answer in time. Those that were never sent are
+     * answered as soon as they can't be in time for their latency objective, others shortly before their deadline.
      */
     List<RequestState> expired(long now) {
         List<RequestState> expired = new ArrayList<>();
--- a/core/src/main/java/loadbalancer/policy/RetrySafetyRule.java
+++ b/core/src/main/java/loadbalancer/policy/RetrySafetyRule.java
@@ -1,7 +1,8 @@
 package loadbalancer.policy;
 
 /**
- * Rule 2: a request that may have been executed is executed again only where its class allows it. An idempotent one
+ * Retry safety: a request that may have been executed is executed again only where its class allows it. An idempotent
+ * one
  * always is; one with an idempotency key is while the key is retained, at endpoints that share the key; any other one
  * never is.
  */
--- a/core/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/core/src/main/java/loadbalancer/policy/SlowStart.java
@@ -50,7 +50,10 @@
         return weight(stats.endpoint, now) >= 1;
     }
 
-    /** Whether an attempt may be sent to the endpoint now; {@link #spend} is called for each one that is. */
+    /**
+     * Refills the endpoint's budget up to now and says whether an attempt may be sent to it; {@link #spend} is called
+     * for each one that is.
+     */
     boolean hasBudget(EndpointStats stats, long now) {
         double weight = weight(stats.endpoint, now);
         if (weight >= 1) {
--- a/core/src/main/java/loadbalancer/router/DestinationState.java
+++ b/core/src/main/java/loadbalancer/router/DestinationState.java
@@ -72,8 +72,8 @@
         return shares == null ? new double[0] : shares.clone();
     }
 
-    void replacePool(PoolState former, PoolState next) {
-        pools.replaceAll(pool -> pool == former ? next : pool);
+    void replacePool(PoolState replaced, PoolState kept) {
+        pools.replaceAll(pool -> pool == replaced ? kept : pool);
     }
 
     /** Goes on from another's shares, where it is between the same pools. */
--- a/core/src/main/java/loadbalancer/router/RequestRouter.java
+++ b/core/src/main/java/loadbalancer/router/RequestRouter.java
@@ -77,9 +77,9 @@
     }
 
     // The state itself goes over, because the leases of its requests in flight refer to it.
-    private void replacePool(PoolState fresh, PoolState former) {
-        pools.put(fresh.name(), former);
-        routes.values().forEach(route -> route.replacePool(fresh, former));
+    private void replacePool(PoolState replaced, PoolState kept) {
+        pools.put(replaced.name(), kept);
+        routes.values().forEach(route -> route.replacePool(replaced, kept));
     }
 
     /** A pool has that many endpoints that requests may be sent to; an unknown pool is ignored. */
--- a/core/src/main/java/loadbalancer/router/RouteState.java
+++ b/core/src/main/java/loadbalancer/router/RouteState.java
@@ -89,8 +89,8 @@
         return index < 0 ? null : destinations.get(index).choose(nowMicros, key);
     }
 
-    void replacePool(PoolState former, PoolState next) {
-        destinations.forEach(destination -> destination.replacePool(former, next));
+    void replacePool(PoolState replaced, PoolState kept) {
+        destinations.forEach(destination -> destination.replacePool(replaced, kept));
     }
 
     /** Goes on from the state of the route of that name in another router. */
--- a/discovery/src/main/java/loadbalancer/discovery/EndpointSubset.java
+++ b/discovery/src/main/java/loadbalancer/discovery/EndpointSubset.java
@@ -37,7 +37,7 @@
         return (int) Math.max(1, Math.min(Integer.MAX_VALUE, heapBytes / HEAP_DIVISOR / BYTES_PER_ENDPOINT));
     }
 
-    /** Sets what runs when another part than before is kept, or the first part of a list of another length. */
+    /** Sets what runs when another part of the list than before is kept. */
     public void onChange(Consumer<EndpointSubset> then) {
         onChange = then;
     }
@@ -102,7 +102,7 @@
                 new EndpointList.Sample(sampling.subset(), sampling.listedCount()));
     }
 
-    /** Keeps that part from here on, of a complete list that names so many. */
+    /** Keeps that part from here on, of a complete list of {@code newListedCount} endpoints. */
     void keep(Subset next, long newListedCount) {
         boolean changed = !next.equals(subset);
         subset = next;
--- a/simulator/src/main/java/loadbalancer/simulator/cli/DemoCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/DemoCommand.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.Callable;
 import loadbalancer.simulator.experiment.Experiment;
 import loadbalancer.simulator.experiment.ExperimentReader;
-import loadbalancer.simulator.sockets.BalancerProcess;
+import loadbalancer.simulator.sockets.BalancerChildProcess;
 import loadbalancer.simulator.sockets.DemoPage;
 import loadbalancer.simulator.sockets.LiveSite;
 import loadbalancer.simulator.sockets.Load;
@@ -39,7 +39,7 @@
     @Option(names = "--html", defaultValue = "simulator/target/demo.html", description = "where the page goes")
     private Path html;
 
-    private final List<BalancerProcess> balancers = new ArrayList<>();
+    private final List<BalancerChildProcess> balancers = new ArrayList<>();
 
     @Override
     public Integer call() throws Exception {
@@ -55,8 +55,8 @@
             int many = Math.max(1, (int) Math.round(plan.balancers().midpoint()));
             List<InetSocketAddress> entries = new ArrayList<>();
             for (int i = 0; i < many; i++) {
-                BalancerProcess process =
-                        new BalancerProcess(List.of("bash", "-c", run), root, SiteSettings.config(plan, i, many, site));
+                BalancerChildProcess process = new BalancerChildProcess(
+                        List.of("bash", "-c", run), root, SiteSettings.config(plan, i, many, site));
                 balancers.add(process);
                 entries.add(process.address());
             }
@@ -87,7 +87,7 @@
                 Files.createDirectories(html.toAbsolutePath().getParent());
                 Files.writeString(html, page.html(experiment.question()));
                 System.out.println("page written to " + html);
-                return page.violations().isEmpty() && balancers.stream().allMatch(BalancerProcess::alive) ? 0 : 1;
+                return page.violations().isEmpty() && balancers.stream().allMatch(BalancerChildProcess::alive) ? 0 : 1;
             }
         } finally {
             endAll();
@@ -100,7 +100,7 @@
     }
 
     private synchronized void endAll() {
-        for (BalancerProcess process : balancers) {
+        for (BalancerChildProcess process : balancers) {
             try {
                 process.close();
             } catch (IOException e) {
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/FleetRun.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/FleetRun.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
-import loadbalancer.simulator.sockets.BalancerProcess;
+import loadbalancer.simulator.sockets.BalancerChildProcess;
 import loadbalancer.simulator.sockets.Load;
 import org.HdrHistogram.Histogram;
 
@@ -80,7 +80,7 @@
                     RealBalancers real = plan.fleet().real() > 0 ? new RealBalancers(root) : null) {
                 figures.put("list_bytes", (double) discovery.listBytes());
                 listed = start(discovery, fleet);
-                List<BalancerProcess> processes = real == null ? List.of() : start(real, discovery, machines);
+                List<BalancerChildProcess> processes = real == null ? List.of() : start(real, discovery, machines);
                 idle(discovery, fleet, processes);
                 churn(discovery, fleet, processes, machines, upstream.addresses());
                 if (plan.restart() != null) {
@@ -89,7 +89,7 @@
                 if (plan.outage() != null) {
                     outage(discovery, fleet, machines);
                 }
-                for (BalancerProcess process : processes) {
+                for (BalancerChildProcess process : processes) {
                     complaints(process, "a real balancer", missed);
                     if (!process.alive()) {
                         missed.add("a real balancer ended during the run");
@@ -101,7 +101,7 @@
     }
 
     /** What a balancer said of lists that it could not read, once. */
-    static void complaints(BalancerProcess process, String who, List<String> missed) {
+    static void complaints(BalancerChildProcess process, String who, List<String> missed) {
         List<String> said =
                 process.log().stream().filter(l -> l.contains("can't be read")).toList();
         if (!said.isEmpty()) {
@@ -209,9 +209,9 @@
         return true;
     }
 
-    private List<BalancerProcess> start(RealBalancers real, StandInDiscovery discovery, Machines machines)
+    private List<BalancerChildProcess> start(RealBalancers real, StandInDiscovery discovery, Machines machines)
             throws IOException {
-        List<BalancerProcess> all = new ArrayList<>();
+        List<BalancerChildProcess> all = new ArrayList<>();
         int many = plan.fleet().balancers() + plan.fleet().real();
         for (int i = 0; i < plan.fleet().real(); i++) {
             RealBalancers.Start start = real.start(Site.config(
@@ -247,7 +247,7 @@
             double allocated,
             double collected) {}
 
-    private static Mark mark(StandInDiscovery discovery, HollowFleet fleet, List<BalancerProcess> real) {
+    private static Mark mark(StandInDiscovery discovery, HollowFleet fleet, List<BalancerChildProcess> real) {
         return new Mark(
                 System.nanoTime(),
                 discovery.counts(),
@@ -285,7 +285,7 @@
         return counts;
     }
 
-    private void idle(StandInDiscovery discovery, HollowFleet fleet, List<BalancerProcess> real)
+    private void idle(StandInDiscovery discovery, HollowFleet fleet, List<BalancerChildProcess> real)
             throws InterruptedException {
         fleet.begin();
         Mark from = mark(discovery, fleet, real);
@@ -300,7 +300,7 @@
     private void churn(
             StandInDiscovery discovery,
             HollowFleet fleet,
-            List<BalancerProcess> real,
+            List<BalancerChildProcess> real,
             Machines machines,
             List<InetSocketAddress> upstreams)
             throws InterruptedException {
@@ -316,7 +316,7 @@
                 TimeUnit.MICROSECONDS.sleep(plan.fleet().length());
             } else {
                 churned = load(
-                        real.stream().map(BalancerProcess::address).toList(),
+                        real.stream().map(BalancerChildProcess::address).toList(),
                         plan.fleet().length());
             }
             await(publisher::over, plan.fleet().length());
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/RealBalancers.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/RealBalancers.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.locks.LockSupport;
-import loadbalancer.simulator.sockets.BalancerProcess;
+import loadbalancer.simulator.sockets.BalancerChildProcess;
 
 /** Balancers by the deployment's {@code run} line, each in a process of its own. */
 final class RealBalancers implements AutoCloseable {
@@ -27,11 +27,11 @@
      * @param rssBytes the most that was seen of it meanwhile, every 20 ms
      * @param why what it said where it isn't ready
      */
-    record Start(BalancerProcess process, int exitCode, double millis, double rssBytes, String why) {}
+    record Start(BalancerChildProcess process, int exitCode, double millis, double rssBytes, String why) {}
 
     private final Path root;
     private final String run;
-    private final List<BalancerProcess> processes = new ArrayList<>();
+    private final List<BalancerChildProcess> processes = new ArrayList<>();
     private final Thread end = new Thread(this::endAll, "end");
 
     /**
@@ -77,8 +77,8 @@
         sampler.setDaemon(true);
         sampler.start();
         try {
-            BalancerProcess process =
-                    new BalancerProcess(List.of("bash", "-c", run), root, config, environment, pid::set);
+            BalancerChildProcess process =
+                    new BalancerChildProcess(List.of("bash", "-c", run), root, config, environment, pid::set);
             synchronized (this) {
                 processes.add(process);
             }
@@ -88,7 +88,7 @@
                     (System.nanoTime() - began) / 1e6,
                     Math.max(most.get(), Host.status(process.pid(), "VmHWM")),
                     "");
-        } catch (BalancerProcess.DidNotStart e) {
+        } catch (BalancerChildProcess.DidNotStart e) {
             return new Start(null, e.exitCode(), (System.nanoTime() - began) / 1e6, most.get(), e.getMessage());
         } finally {
             over.set(true);
@@ -96,7 +96,7 @@
     }
 
     private synchronized void endAll() {
-        for (BalancerProcess process : processes) {
+        for (BalancerChildProcess process : processes) {
             try {
                 process.close();
             } catch (IOException e) {
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/BalancerProcess.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/BalancerChildProcess.java
@@ -19,7 +19,7 @@
 import java.util.function.LongConsumer;
 
 /** A real balancer in a process of its own, from its jar, before upstreams that are known from the start. */
-public final class BalancerProcess implements Closeable {
+public final class BalancerChildProcess implements Closeable {
     private static final long STOP_S = 10;
     private static final long AGAIN_NS = 5_000_000;
     private static final int RUNS = -1;
@@ -52,7 +52,7 @@
      * @param upstreams id and address of each
      * @throws IOException where it doesn't come up; the message ends with its log
      */
-    public BalancerProcess(Path jar, Map<String, InetSocketAddress> upstreams) throws IOException {
+    public BalancerChildProcess(Path jar, Map<String, InetSocketAddress> upstreams) throws IOException {
         this(
                 List.of(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -73,7 +73,7 @@
      * @param settings its configuration, in the form that the deployment gives it
      * @throws IOException where it doesn't come up; the message ends with its log
      */
-    public BalancerProcess(List<String> command, Path folder, Map<String, Object> settings) throws IOException {
+    public BalancerChildProcess(List<String> command, Path folder, Map<String, Object> settings) throws IOException {
         this(command, folder, settings, Map.of());
     }
 
@@ -83,7 +83,7 @@
      * @param environment variables beside those of this process
      * @throws IOException where it doesn't come up; the message ends with its log
      */
-    public BalancerProcess(
+    public BalancerChildProcess(
             List<String> command, Path folder, Map<String, Object> settings, Map<String, String> environment)
             throws IOException {
         this(command, folder, settings, environment, pid -> {});
@@ -95,7 +95,7 @@
      * @param begun gets its id before it is ready
      * @throws DidNotStart where it doesn't come up; the message ends with its log
      */
-    public BalancerProcess(
+    public BalancerChildProcess(
             List<String> command,
             Path folder,
             Map<String, Object> settings,
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/KillMatrix.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/KillMatrix.java
@@ -169,7 +169,7 @@
         private final StandInEndpoint box =
                 new StandInEndpoint(head -> StandInEndpoint.ok("{\"booked\":true,\"at\":\"17B\"}"));
         private final FaultInjectionServer before = new FaultInjectionServer(group.next(), box.address(), List.of());
-        private final BalancerProcess balancer;
+        private final BalancerChildProcess balancer;
         private final FaultInjectionServer front;
         private final InetSocketAddress entry;
 
@@ -178,7 +178,7 @@
             for (int i = 0; i < IDS; i++) {
                 upstreams.put("box-" + i, before.listen(0));
             }
-            balancer = new BalancerProcess(jar, upstreams);
+            balancer = new BalancerChildProcess(jar, upstreams);
             front = new FaultInjectionServer(group.next(), balancer.address(), List.of());
             entry = front.listen(0);
             for (int i = 0; i < 4 * IDS; i++) {
--- a/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
@@ -50,7 +50,7 @@
     private final Names names;
     private final RandomStream random;
     private final long begin;
-    private final Map<String, LoadBalancingPolicy> modules = new LinkedHashMap<>();
+    private final Map<String, LoadBalancingPolicy> policies = new LinkedHashMap<>();
     private final Map<String, Map<String, EndpointState>> states = new HashMap<>();
     private final Map<String, String> poolOf = new HashMap<>();
     private final Map<String, Open> open = new HashMap<>();
@@ -67,24 +67,24 @@
             Names names,
             RandomStream random,
             long begin,
-            Function<String, LoadBalancingPolicy> module) {
+            Function<String, LoadBalancingPolicy> policyOfPool) {
         this.use = use;
         this.settings = settings;
         this.names = names;
         this.random = random;
         this.begin = begin;
         for (RoutingSpec.Pool pool : use.spec().pools()) {
-            modules.put(pool.name(), module.apply(pool.name()));
+            policies.put(pool.name(), policyOfPool.apply(pool.name()));
             states.put(pool.name(), new HashMap<>());
         }
     }
 
     // ---- the pools' policies ask
 
-    private final class ToWorld implements Actions {
+    private final class PoolActions implements Actions {
         private final String pool;
 
-        ToWorld(String pool) {
+        PoolActions(String pool) {
             this.pool = pool;
         }
 
@@ -93,7 +93,7 @@
             Open o = open.get(request);
             if (o != null && o.attempts > 0 && !front.allowsRetry(time, o.ticket)) {
                 int denied = o.attempts++;
-                later.add(() -> modules.get(pool)
+                later.add(() -> policies.get(pool)
                         .outcome(time, request, denied, AttemptOutcome.NOT_SENT, 0, false, null, this));
                 return;
             }
@@ -169,7 +169,7 @@
     private final Map<String, Actions> actions = new HashMap<>();
 
     private Actions actions(String pool) {
-        return actions.computeIfAbsent(pool, ToWorld::new);
+        return actions.computeIfAbsent(pool, PoolActions::new);
     }
 
     private void over(String request, LeaseEnd end) {
@@ -196,7 +196,7 @@
     public void endpoints(long now, EndpointListKind kind, List<Endpoint> list, Actions to) {
         begin(now, to);
         Map<String, List<Endpoint>> own = new LinkedHashMap<>();
-        modules.keySet().forEach(p -> own.put(p, new ArrayList<>()));
+        policies.keySet().forEach(p -> own.put(p, new ArrayList<>()));
         for (Endpoint endpoint : list) {
             String pool = names.kindPools.get(endpoint.kind());
             if (own.containsKey(pool)) {
@@ -221,7 +221,7 @@
                         .count());
             }
             if (kind != EndpointListKind.LOCAL_OVERRIDE || !some.isEmpty()) {
-                modules.get(pool).endpoints(now, kind, some, actions(pool));
+                policies.get(pool).endpoints(now, kind, some, actions(pool));
             }
         });
         settle();
@@ -274,7 +274,7 @@
         }
         open.put(id, new Open(v.lease()));
         String pool = v.lease().pool();
-        modules.get(pool).request(now, id, kind, tenant, key, timeLeft, work, clientRetry, actions(pool));
+        policies.get(pool).request(now, id, kind, tenant, key, timeLeft, work, clientRetry, actions(pool));
         settle();
     }
 
@@ -297,7 +297,7 @@
         if (outcome == AttemptOutcome.OK) {
             over(id, LeaseEnd.SERVED);
         }
-        modules.get(pool).outcome(now, id, attempt, outcome, latency, closed, load, actions(pool));
+        policies.get(pool).outcome(now, id, attempt, outcome, latency, closed, load, actions(pool));
         settle();
     }
 
@@ -306,7 +306,7 @@
         begin(now, to);
         Open request = open.get(id);
         if (request != null) {
-            modules.get(request.ticket.pool()).streamStarted(now, id, attempt, actions(request.ticket.pool()));
+            policies.get(request.ticket.pool()).streamStarted(now, id, attempt, actions(request.ticket.pool()));
         }
         settle();
     }
@@ -317,7 +317,7 @@
         Open o = open.get(id);
         if (o != null) {
             over(id, LeaseEnd.CLIENT_GONE);
-            modules.get(o.ticket.pool()).clientGone(now, id, actions(o.ticket.pool()));
+            policies.get(o.ticket.pool()).clientGone(now, id, actions(o.ticket.pool()));
         }
         settle();
     }
@@ -327,7 +327,7 @@
         begin(now, to);
         String pool = poolOf.get(server);
         if (pool != null) {
-            modules.get(pool).probed(now, server, outcome, latency, load, actions(pool));
+            policies.get(pool).probed(now, server, outcome, latency, load, actions(pool));
         }
         settle();
     }
@@ -344,31 +344,31 @@
             }
         }
         for (String pool : due) {
-            modules.get(pool).wake(now, actions(pool));
+            policies.get(pool).wake(now, actions(pool));
         }
         settle();
     }
 
     @Override
     public void reconfigure(long now, PolicySettings next, int[] classes, int[] tenants) {
-        modules.values().forEach(m -> m.reconfigure(now, next, classes, tenants));
+        policies.values().forEach(m -> m.reconfigure(now, next, classes, tenants));
     }
 
     @Override
     public LearnedState learnedState(long now) {
         Map<String, LearnedState> pools = new HashMap<>();
-        modules.forEach((pool, policy) -> pools.put(pool, policy.learnedState(now)));
+        policies.forEach((pool, policy) -> pools.put(pool, policy.learnedState(now)));
         return LearnedState.ofPools(pools);
     }
 
     @Override
     public void restore(long now, LearnedState learnedState) {
-        modules.forEach(
+        policies.forEach(
                 (pool, policy) -> policy.restore(now, learnedState.pools().getOrDefault(pool, LearnedState.NONE)));
     }
 
     @Override
     public void setSlowStartFraction(double part) {
-        modules.values().forEach(m -> m.setSlowStartFraction(part));
+        policies.values().forEach(m -> m.setSlowStartFraction(part));
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/world/Observer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Observer.java
@@ -31,8 +31,11 @@
     /** Whether that balancer has been notified of the upstream's last start. */
     boolean knowsStart(Balancer balancer, Upstream upstream);
 
-    /** A cold upstream was sent too much and fell over; {@code endpointsNotified}: the share from balancers that
-     * knew. */
+    /**
+     * An upstream in slow start was sent too much and failed.
+     *
+     * @param notifiedFraction the fraction sent by balancers that had been notified of its start
+     */
     void upstreamOverloaded(Upstream upstream, double notifiedFraction, long now);
 
     /** A process in slow start has been sent that fraction of what the rule allows within its window. */
--- a/testing/src/main/java/loadbalancer/testing/KnownRedCondition.java
+++ b/testing/src/main/java/loadbalancer/testing/KnownRedCondition.java
@@ -13,8 +13,8 @@
  * Passes over exactly the tests that KNOWN-RED.txt at the root of the repository lists, and prints each of them.
  *
  * <p>An entry is a line of the form {@code TestClass.method | ...} or, for one invocation of a parameterized test,
- * {@code TestClass.method[N] | ...}. Lines that begin with {@code #} and empty lines are comments. JUnit finds this class
- * as a service and asks it before each test.
+ * {@code TestClass.method[N] | ...}. Lines that begin with {@code #} and empty lines are comments. JUnit finds this
+ * class as a service and asks it before each test.
  */
 public final class KnownRedCondition implements ExecutionCondition {
     private static final String FILE = "KNOWN-RED.txt";
