--- a/balancer/src/main/java/loadbalancer/admin/OperatorActions.java
+++ b/balancer/src/main/java/loadbalancer/admin/OperatorActions.java
@@ -8,7 +8,7 @@
     /** Returns why this process cannot serve at the moment; null where it is ready. */
     String unreadiness();
 
-    /** Returns a remark on a ready process, such as that it keeps only a part of the list; null for none. */
+    /** Returns a note on a ready process, such as that it keeps only a part of the list; null for none. */
     String note();
 
     /** Drains an endpoint administratively, whether or not it is drained already; false where nobody knows the id. */
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/ExperimentReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/ExperimentReader.java
@@ -89,9 +89,9 @@
                     calm));
         }
         if (all.isEmpty()) {
-            Choosers.Figures usual = new Choosers.Figures(4, 2, Math.min(1, fast));
-            all.add(new Variant(Variants.OWN, Variants.OWN, usual));
-            all.add(new Variant("random", "random", usual));
+            Choosers.Figures defaults = new Choosers.Figures(4, 2, Math.min(1, fast));
+            all.add(new Variant(Variants.OWN, Variants.OWN, defaults));
+            all.add(new Variant("random", "random", defaults));
         }
         return all;
     }
--- a/simulator/src/main/java/loadbalancer/simulator/variants/TextbookPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/TextbookPolicy.java
@@ -22,9 +22,9 @@
 
 /**
  * A textbook policy made into a whole policy: the chooser picks among the listed servers by this balancer's own
- * attempts in flight; a request goes again where its class allows, to another server, while attempts are left.
- * It neither sheds load nor learns health. Cold servers are met in proportion to their warmth as the rules
- * promise it, or textbook policies would push each of them over.
+ * attempts in flight; a request is retried where its class allows, at another server, while attempts are left.
+ * It neither sheds load nor detects outliers. Servers in slow start get a part of the traffic by the rules' slow-start
+ * weight, or textbook policies would overload each of them.
  */
 final class TextbookPolicy implements LoadBalancingPolicy {
     private static final int COLD_DRAWS = 4;
