--- a/balancer/src/main/java/loadbalancer/http/ClientConnections.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientConnections.java
@@ -47,11 +47,11 @@
     /** Adds a connection that has been accepted, until it closes. */
     void add(Channel channel) {
         ClientConnection connection = new ClientConnection(requestHandler, memory, channel);
-        budget.clientOpened();
+        budget.clientConnectionOpened();
         ensureCapacity();
         connections.add(connection);
         channel.closeFuture().addListener(closed -> {
-            budget.clientClosed();
+            budget.clientConnectionClosed();
             connections.remove(connection);
             connection.onClosed();
             ensureCapacity();
@@ -63,7 +63,7 @@
     }
 
     boolean hasCapacity() {
-        return !budget.fullForClients();
+        return !budget.isFullForClients();
     }
 
     boolean hasStreaming() {
@@ -101,8 +101,8 @@
         }
         ensuringCapacity = true;
         boolean closed = true;
-        while (budget.fullForClients() && closed) {
-            closed = closeLeastNeeded(budget.full());
+        while (budget.isFullForClients() && closed) {
+            closed = closeLeastNeeded(budget.isFull());
         }
         ensuringCapacity = false;
         capacityListener.run();
--- a/balancer/src/main/java/loadbalancer/process/DescriptorBudget.java
+++ b/balancer/src/main/java/loadbalancer/process/DescriptorBudget.java
@@ -56,34 +56,34 @@
     }
 
     @Override
-    public void opened() {
+    public void connectionOpened() {
         openConnections++;
     }
 
     @Override
-    public void closed() {
+    public void connectionClosed() {
         openConnections--;
     }
 
     @Override
-    public void clientOpened() {
+    public void clientConnectionOpened() {
         openConnections++;
         clientConnections++;
     }
 
     @Override
-    public void clientClosed() {
+    public void clientConnectionClosed() {
         openConnections--;
         clientConnections--;
     }
 
     @Override
-    public boolean full() {
+    public boolean isFull() {
         return openConnections >= maxConnections;
     }
 
     @Override
-    public boolean fullForClients() {
-        return clientConnections >= maxClientConnections || full();
+    public boolean isFullForClients() {
+        return clientConnections >= maxClientConnections || isFull();
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/PoolConnectionBudget.java
+++ b/balancer/src/main/java/loadbalancer/routing/PoolConnectionBudget.java
@@ -30,19 +30,19 @@
     }
 
     @Override
-    public void opened() {
+    public void connectionOpened() {
         open++;
-        processBudget.opened();
+        processBudget.connectionOpened();
     }
 
     @Override
-    public void closed() {
+    public void connectionClosed() {
         open--;
-        processBudget.closed();
+        processBudget.connectionClosed();
     }
 
     @Override
-    public boolean full() {
-        return open >= maxOpen || processBudget.full();
+    public boolean isFull() {
+        return open >= maxOpen || processBudget.isFull();
     }
 }
--- a/balancer/src/main/java/loadbalancer/upstream/ConnectionBudget.java
+++ b/balancer/src/main/java/loadbalancer/upstream/ConnectionBudget.java
@@ -3,11 +3,11 @@
 /** What connections to upstreams are counted against. Called on the event loop's thread alone. */
 public interface ConnectionBudget {
     /** A connection is about to be opened. */
-    void opened();
+    void connectionOpened();
 
     /** A connection that was counted has ended. */
-    void closed();
+    void connectionClosed();
 
     /** Returns whether no further connection may be opened. */
-    boolean full();
+    boolean isFull();
 }
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamConnector.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamConnector.java
@@ -85,12 +85,12 @@
 
     /** Opens a connection for {@code call}, which ends at once where none can be opened. */
     void connect(UpstreamEndpoint endpoint, UpstreamCall call) {
-        if (budget.full() && !reclaimer.getAsBoolean()) {
+        if (budget.isFull() && !reclaimer.getAsBoolean()) {
             call.end(AttemptOutcome.CONNECT_FAILED, null, null);
             return;
         }
         UpstreamConnection connection = new UpstreamConnection(this, endpoint, call);
-        budget.opened();
+        budget.connectionOpened();
         ChannelFuture connected = bootstrap
                 .clone()
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMillis())
@@ -105,7 +105,7 @@
             // The system has no descriptor left, whatever the budget says. Such a channel has no event loop, so its
             // close future never completes.
             connection.setChannel(connected.channel());
-            budget.closed();
+            budget.connectionClosed();
             call.end(AttemptOutcome.CONNECT_FAILED, null, null);
             return;
         }
@@ -114,6 +114,6 @@
 
     /** A connection that was opened has ended. */
     void connectionClosed() {
-        budget.closed();
+        budget.connectionClosed();
     }
 }
