--- a/balancer/src/main/java/loadbalancer/dispatch/AttemptRunner.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/AttemptRunner.java
@@ -78,7 +78,7 @@
                 && limitMicros > 0
                 && attempt.number < openRequest.maxAttempts
                 && (remainder == null || !remainder.isConsumed()) // what has been forwarded can't be sent again
-                && openRequest.responder.mayAttempt(attempt.number);
+                && openRequest.responder.tryStartAttempt(attempt.number);
     }
 
     private void scheduleTimeout(Attempt attempt, long limitMicros) {
--- a/balancer/src/main/java/loadbalancer/dispatch/ClientResponder.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/ClientResponder.java
@@ -23,7 +23,7 @@
     }
 
     /** Returns whether that attempt, numbered from 0, may be sent, and counts it where it may. */
-    default boolean mayAttempt(int attemptNumber) {
+    default boolean tryStartAttempt(int attemptNumber) {
         return true;
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/RoutedReply.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutedReply.java
@@ -55,7 +55,7 @@
     }
 
     @Override
-    public boolean mayAttempt(int attemptNumber) {
+    public boolean tryStartAttempt(int attemptNumber) {
         sent = true;
         return attemptNumber == 0 || listener.allowsRetry(lease);
     }
