--- a/balancer/src/main/java/loadbalancer/dispatch/DispatchStatistics.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/DispatchStatistics.java
@@ -22,7 +22,10 @@
     void countLastResort() {
         lastResortResponses++;
         if (Long.bitCount(lastResortResponses) == 1) {
-            log.warn("last-resort responses: " + lastResortResponses, "last_resort", lastResortResponses);
+            log.warn(
+                    "last-resort failure responses, as the policy chose none in time: " + lastResortResponses,
+                    "last_resort",
+                    lastResortResponses);
         }
     }
 
@@ -30,11 +33,14 @@
     void countFault(RuntimeException fault) {
         faults++;
         StackTraceElement[] trace = fault.getStackTrace();
-        log.warn("fault " + faults + ": " + fault + (trace.length == 0 ? "" : " at " + trace[0]), "faults", faults);
+        log.warn(
+                "exception " + faults + " in a policy event: " + fault + (trace.length == 0 ? "" : " at " + trace[0]),
+                "faults",
+                faults);
     }
 
     String summary(int unanswered) {
         return requestsReceived + " requests received, " + unanswered + " unanswered, " + lastResortResponses
-                + " last-resort responses, " + faults + " faults";
+                + " last-resort responses, " + faults + " exceptions in policy events";
     }
 }
--- a/balancer/src/test/java/loadbalancer/process/AttemptOutcomeTest.java
+++ b/balancer/src/test/java/loadbalancer/process/AttemptOutcomeTest.java
@@ -124,7 +124,9 @@
             assertEquals("gone", policy.next());
         }
         synchronized (log) {
-            assertTrue(log.contains("last-resort responses: 1"), log.toString());
+            assertTrue(
+                    log.contains("last-resort failure responses, as the policy chose none in time: 1"),
+                    log.toString());
         }
     }
 
@@ -136,7 +138,8 @@
             assertEquals(502, client.send(IDEMPOTENT.replace("20000", "150")).status());
             assertEquals("gone", policy.next());
             synchronized (log) {
-                assertTrue(log.get(log.size() - 2).startsWith("fault 1: "), log.toString());
+                assertTrue(
+                        log.get(log.size() - 2).startsWith("exception 1 in a policy event: "), log.toString());
             }
             policy.throwsOnRequest = false;
             client.send(IDEMPOTENT);
