--- a/core/src/main/java/loadbalancer/policy/AdmissionController.java
+++ b/core/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -112,35 +112,35 @@
     }
 
     /** The shed level: how many tiers are rejected in whole, and as its fraction the part of the next one. */
-    double level() {
+    double shedLevel() {
         return level;
     }
 
     /** The overload score: mean of latency over latency objective, as far as it is known. */
-    double score() {
+    double overloadScore() {
         return (scoreSum + PRIOR_SCORE * PRIOR_WEIGHT) / (scored + PRIOR_WEIGHT);
     }
 
     /** Counts a request of that tier; false where it is to be rejected. */
-    boolean admits(int tier) {
+    boolean admit(int tier) {
         arrivals[tier]++;
         return tier + random.nextDouble() >= level;
     }
 
     /** Counts a request that has ended with success, or has failed for another reason than want of capacity. */
-    void completed() {
+    void recordCompletion() {
         completed++;
     }
 
     /** Records the latency of an attempt that succeeded, in multiples of the latency objective. */
-    void latency(double objectiveMultiple) {
+    void recordLatency(double objectiveMultiple) {
         scoreSum += Math.min(MAX_SCORE, objectiveMultiple);
         scored++;
     }
 
     /** Counts an attempt that an endpoint rejected, or that had no answer in its time. */
-    void overloaded() {
-        latency(MAX_SCORE);
+    void recordOverload() {
+        recordLatency(MAX_SCORE);
     }
 
     /**
@@ -164,7 +164,7 @@
     private double throttleLevel(int pending) {
         double remaining = Arrays.stream(arrivals).sum();
         for (int tier = 0; tier < arrivals.length; tier++) {
-            double multiple = Math.max(MIN_MULTIPLE, Math.min(MAX_MULTIPLE, targetScore(tier) / score()));
+            double multiple = Math.max(MIN_MULTIPLE, Math.min(MAX_MULTIPLE, targetScore(tier) / overloadScore()));
             double excess = remaining - multiple * completed - pending - SPARE_REQUESTS;
             if (excess < arrivals[tier]) {
                 return tier + Math.max(0, excess / arrivals[tier]);
@@ -182,7 +182,7 @@
     private double lowTierReturn(double elapsedSeconds) {
         int tier = (int) Math.max(0, Math.ceil(lowTierLevel) - 1);
         double fraction = arrivals[tier] / Math.max(1, Arrays.stream(arrivals).sum());
-        double slack = Math.max(0, targetScore(tier) - score());
+        double slack = Math.max(0, targetScore(tier) - overloadScore());
         return elapsedSeconds
                 * LOW_TIER_RETURN_PER_SECOND
                 * relativeWeights[tier]
@@ -200,7 +200,7 @@
     }
 
     /** Goes on with other tiers. Where their number differs, arrivals are spread over them evenly. */
-    void retier(double[] tierWeights, double lowestWithinQuota) {
+    void updateTiers(double[] tierWeights, double lowestWithinQuota) {
         int tiers = tierWeights.length;
         if (tiers != arrivals.length) {
             double arrivalsPerTier = Arrays.stream(arrivals).sum() / tiers;
--- a/core/src/main/java/loadbalancer/policy/JsqDasPolicy.java
+++ b/core/src/main/java/loadbalancer/policy/JsqDasPolicy.java
@@ -96,9 +96,9 @@
         components.openRequests.add(request);
         wakeBy(now, components.settings.tickMicros(), actions);
         components.retryBudget.deposit();
-        if (!components.admission.admits(components.settings.tiers().tierOf(request))) {
+        if (!components.admission.admit(components.settings.tiers().tierOf(request))) {
             components.log.log(now, this::sheddingLine, actions);
-            components.openRequests.endUnadmitted(request, actions);
+            components.openRequests.endNotAdmitted(request, actions);
             return;
         }
         if (request.requestClass.orderedDelivery() && key != null) {
@@ -111,8 +111,8 @@
         return String.format(
                 Locale.ROOT,
                 "overload: rejecting requests, shed level %.2f, overload score %.2f",
-                components.admission.level(),
-                components.admission.score());
+                components.admission.shedLevel(),
+                components.admission.overloadScore());
     }
 
     @Override
@@ -141,7 +141,7 @@
         } else if (!request.closed && request.attemptsInFlight == 0) {
             retryOrFail(request, outcome, now, actions);
         }
-        components.openRequests.release(request);
+        components.openRequests.removeIfFinished(request);
         dispatcher.drainQueue(now, actions);
     }
 
@@ -149,7 +149,7 @@
         RequestState request = attempt.request;
         attempt.inFlight = false;
         attempt.mayHaveRun = !outcome.neverRan();
-        request.overloaded = outcome == AttemptOutcome.FULL || outcome == AttemptOutcome.TIMEOUT;
+        request.lastAttemptOverloaded = outcome == AttemptOutcome.FULL || outcome == AttemptOutcome.TIMEOUT;
         request.attemptsInFlight--;
         if (outcome.neverRan()) {
             components.traffic.recordRejectedAttempt();
@@ -186,7 +186,7 @@
         if (request != null && !request.closed) {
             components.openRequests.close(request, actions);
             components.queue.dequeue(request);
-            components.openRequests.release(request);
+            components.openRequests.removeIfFinished(request);
         }
     }
 
@@ -206,7 +206,7 @@
             components.queue.dequeue(request);
             components.openRequests.endUnserved(request, actions);
         }
-        if (components.hedging.isActive(components.admission.level(), components.traffic)) {
+        if (components.hedging.isActive(components.admission.shedLevel(), components.traffic)) {
             components.openRequests.all().forEach(request -> hedgeIfDue(request, now, actions));
         }
         if (components.polls.isDue(now)) {
@@ -231,7 +231,7 @@
         open.forEach(remapping::apply);
         components.latencies.remap(remapping);
         components.clientRetryAge.remap(remapping);
-        components.admission.retier(
+        components.admission.updateTiers(
                 components.settings.tiers().weights(),
                 components.settings.tiers().lowestWithinQuota());
         components.quotas.remap(now, formerTenants);
--- a/core/src/main/java/loadbalancer/policy/LatencyTracker.java
+++ b/core/src/main/java/loadbalancer/policy/LatencyTracker.java
@@ -89,7 +89,7 @@
 
     /** Restores what a predecessor has learned; figures of another number of classes are ignored. */
     void restore(LearnedState.Latencies learned) {
-        expectedMicros = LearnedState.ifFits(learned.expectedMicros(), expectedMicros);
-        meanWork = LearnedState.ifFits(learned.meanWork(), meanWork);
+        expectedMicros = LearnedState.copyIfSameLength(learned.expectedMicros(), expectedMicros);
+        meanWork = LearnedState.copyIfSameLength(learned.meanWork(), meanWork);
     }
 }
--- a/core/src/main/java/loadbalancer/policy/LearnedState.java
+++ b/core/src/main/java/loadbalancer/policy/LearnedState.java
@@ -35,7 +35,7 @@
     }
 
     /** A copy of the learned figures, or the present ones where the learned are null or of another number. */
-    static double[] ifFits(double[] learned, double[] present) {
+    static double[] copyIfSameLength(double[] learned, double[] present) {
         return learned != null && learned.length == present.length ? learned.clone() : present;
     }
 
--- a/core/src/main/java/loadbalancer/policy/OpenRequests.java
+++ b/core/src/main/java/loadbalancer/policy/OpenRequests.java
@@ -43,21 +43,21 @@
 
     /** Ends an admitted request without success: rejected where the client may try again, else failed. */
     void endUnserved(RequestState request, LoadBalancingPolicy.Actions actions) {
-        if (!request.overloaded) {
-            admission.completed();
+        if (!request.lastAttemptOverloaded) {
+            admission.recordCompletion();
         }
-        endUnadmitted(request, actions);
+        endNotAdmitted(request, actions);
     }
 
     /** Ends a request that is not admitted: rejected where the client may try again without harm, else failed. */
-    void endUnadmitted(RequestState request, LoadBalancingPolicy.Actions actions) {
+    void endNotAdmitted(RequestState request, LoadBalancingPolicy.Actions actions) {
         request.closed = true;
         if (RetrySafetyRule.clientMayRetry(request)) {
-            actions.reject(request.id, retryAfter.delayMicros(admission.level()));
+            actions.reject(request.id, retryAfter.delayMicros(admission.shedLevel()));
         } else {
             actions.fail(request.id);
         }
-        release(request);
+        removeIfFinished(request);
     }
 
     /** Closes a request that is owed nothing more, and cancels its attempts where the site allows it. */
@@ -72,7 +72,7 @@
     }
 
     /** Forgets the request if it is over. */
-    void release(RequestState request) {
+    void removeIfFinished(RequestState request) {
         if (request.closed && request.attemptsInFlight == 0) {
             requests.remove(request.id);
             sequencer.remove(request);
--- a/core/src/main/java/loadbalancer/policy/OutcomeRecorder.java
+++ b/core/src/main/java/loadbalancer/policy/OutcomeRecorder.java
@@ -49,11 +49,11 @@
                 recordFailedSlot(target, now + (long) classMicros);
                 logEjection(target, outliers.recordRejection(target, now), now, actions);
                 outliers.markSaturated(target, classMicros, now);
-                admission.overloaded();
+                admission.recordOverload();
             }
             case TIMEOUT -> {
                 queueLengths.recordLatencyRatio(target, latencyRatio, now);
-                admission.overloaded();
+                admission.recordOverload();
                 recordFailedSlot(target, failedSlotUntil);
                 logEjection(target, outliers.recordTimeout(target, now), now, actions);
             }
@@ -77,8 +77,8 @@
         if (outliers.recordSuccess(target, now)) {
             log.log(now, () -> "recovered " + target.endpoint.id(), actions);
         }
-        admission.completed();
-        admission.latency(latencyMicros / (double) request.requestClass.latencyObjectiveMicros());
+        admission.recordCompletion();
+        admission.recordLatency(latencyMicros / (double) request.requestClass.latencyObjectiveMicros());
     }
 
     // A hedged request was answered elsewhere, or the client has left: a slow endpoint may well be at work on it still.
--- a/core/src/main/java/loadbalancer/policy/RequestState.java
+++ b/core/src/main/java/loadbalancer/policy/RequestState.java
@@ -39,7 +39,7 @@
     boolean streaming;
 
     /** Whether its last attempt ended for want of capacity. */
-    boolean overloaded;
+    boolean lastAttemptOverloaded;
 
     /** Null for classes without ordered delivery. */
     KeySequence sequence;
--- a/core/src/main/java/loadbalancer/policy/TenantQuotas.java
+++ b/core/src/main/java/loadbalancer/policy/TenantQuotas.java
@@ -119,7 +119,7 @@
 
     /** Restores what a predecessor has learned; figures of another number of tenants are ignored. */
     void restore(LearnedState.Tenants learned) {
-        demand = LearnedState.ifFits(learned.demand(), demand);
-        tokens = LearnedState.ifFits(learned.quotaTokens(), tokens);
+        demand = LearnedState.copyIfSameLength(learned.demand(), demand);
+        tokens = LearnedState.copyIfSameLength(learned.quotaTokens(), tokens);
     }
 }
--- a/core/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
+++ b/core/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
@@ -65,7 +65,7 @@
             int arrivals = whole + (random.nextDouble() < perStep[balancer] - whole ? 1 : 0);
             for (int i = 0; i < arrivals; i++) {
                 arrived++;
-                if (balancers.get(balancer).admits(0)) {
+                if (balancers.get(balancer).admit(0)) {
                     admitted++;
                     queue.add(new Job(balancer, now));
                 }
@@ -76,7 +76,7 @@
             for (credit += capacity * STEP / 1e6; credit >= 1; credit--) {
                 Job job = queue.poll();
                 while (job != null && now - job.at > PATIENCE) {
-                    balancers.get(job.owner).overloaded();
+                    balancers.get(job.owner).recordOverload();
                     job = queue.poll();
                 }
                 if (job == null) {
@@ -84,8 +84,8 @@
                     return;
                 }
                 double latency = 0.25 * AIM + now - job.at;
-                balancers.get(job.owner).completed();
-                balancers.get(job.owner).latency(latency / AIM);
+                balancers.get(job.owner).recordCompletion();
+                balancers.get(job.owner).recordLatency(latency / AIM);
                 served += latency <= AIM ? 1 : 0;
             }
         }
@@ -112,18 +112,18 @@
         AdmissionController admission = new AdmissionController(ONE_TIER, 1, new SplittableRandom(1));
         admission.update(60_000_000, 0.1, 0);
         for (int pending = 1; pending <= 20; pending++) {
-            assertTrue(admission.admits(0));
+            assertTrue(admission.admit(0));
             admission.update(1_000, 0.1, pending);
         }
-        assertEquals(0, admission.level());
+        assertEquals(0, admission.shedLevel());
     }
 
     @Test
     void failuresOfOtherKindsAreNoOverload() {
         AdmissionController admission = new AdmissionController(ONE_TIER, 1, new SplittableRandom(1));
         for (int i = 0; i < 200; i++) {
-            assertTrue(admission.admits(0));
-            admission.completed();
+            assertTrue(admission.admit(0));
+            admission.recordCompletion();
             admission.update(50_000, 20, 0);
         }
     }
@@ -132,14 +132,14 @@
     void theLowestTierIsRejectedFirst() {
         AdmissionController admission = new AdmissionController(new double[] {0.5, 1}, 0.5, new SplittableRandom(1));
         for (int i = 0; i < 400; i++) { // half of each tier, and three quarters can be served
-            admission.admits(i % 2);
+            admission.admit(i % 2);
             if (i % 4 != 3) {
-                admission.completed();
-                admission.latency(0.55);
+                admission.recordCompletion();
+                admission.recordLatency(0.55);
             }
             admission.update(50_000, 20, 0);
         }
-        assertTrue(admission.level() > 0.2 && admission.level() <= 1, "level " + admission.level());
+        assertTrue(admission.shedLevel() > 0.2 && admission.shedLevel() <= 1, "level " + admission.shedLevel());
     }
 
     private static double[] figures(AdmissionController admission) {
@@ -150,8 +150,8 @@
     void aSuccessorGoesOnAtTheSameLevelUnlessTheTiersDiffer() {
         double[] tiers = {0.1, 1};
         AdmissionController former = new AdmissionController(tiers, 1, new SplittableRandom(1));
-        former.admits(1);
-        former.overloaded();
+        former.admit(1);
+        former.recordOverload();
         former.update(10_000, 1, 0);
         AdmissionController next = new AdmissionController(tiers, 1, new SplittableRandom(2));
         next.restore(former.learnedState());
@@ -166,9 +166,9 @@
     void otherTiersKeepTheSumOfArrivals() {
         AdmissionController admission = new AdmissionController(ONE_TIER, 1, new SplittableRandom(1));
         for (int i = 0; i < 6; i++) {
-            admission.admits(0);
+            admission.admit(0);
         }
-        admission.retier(new double[] {0.1, 0.5, 1}, 0.5);
+        admission.updateTiers(new double[] {0.1, 0.5, 1}, 0.5);
         double[] learnedState = figures(admission);
         assertArrayEquals(new double[] {2, 2, 2}, java.util.Arrays.copyOf(learnedState, 3));
     }
