--- a/balancer/src/main/java/loadbalancer/operator/ConfigDiff.java
+++ b/balancer/src/main/java/loadbalancer/operator/ConfigDiff.java
@@ -132,8 +132,8 @@
         compare(subject + ": deadline", deadline(former), deadline(next));
         compare(
                 subject + ": spare",
-                ConfigVocabulary.percent(former.spareFactor()),
-                ConfigVocabulary.percent(next.spareFactor()));
+                ConfigVocabulary.percent(former.overprovisioningFactor()),
+                ConfigVocabulary.percent(next.overprovisioningFactor()));
         compare(
                 subject + ": return",
                 ConfigVocabulary.percent(former.returnPerSecond()) + "/s",
--- a/core/src/main/java/loadbalancer/router/DestinationState.java
+++ b/core/src/main/java/loadbalancer/router/DestinationState.java
@@ -14,7 +14,7 @@
 
     private final List<PoolState> pools = new ArrayList<>();
     private final Overflow overflow;
-    private final double spareFactor;
+    private final double overprovisioningFactor;
     private double[] shares; // null until first needed
     private long sharesAtMicros = Long.MIN_VALUE;
 
@@ -27,8 +27,8 @@
             maxShares[1 + i] = targets.get(i).maxShare();
             pools.add(poolsByName.get(targets.get(i).pool()));
         }
-        spareFactor = route.spareFactor();
-        overflow = new Overflow(spareFactor, route.returnPerSecond(), maxShares);
+        overprovisioningFactor = route.overprovisioningFactor();
+        overflow = new Overflow(overprovisioningFactor, route.returnPerSecond(), maxShares);
     }
 
     /** The pool for a key; null where no pool can take it. */
@@ -54,7 +54,7 @@
         }
         double[] healthyFractions = new double[pools.size()];
         for (int i = 0; i < healthyFractions.length; i++) {
-            healthyFractions[i] = pools.get(i).healthyFraction(nowMicros, share(i), spareFactor);
+            healthyFractions[i] = pools.get(i).healthyFraction(nowMicros, share(i), overprovisioningFactor);
         }
         shares = overflow.shares(nowMicros, healthyFractions);
         sharesAtMicros = nowMicros;
--- a/core/src/main/java/loadbalancer/router/PoolState.java
+++ b/core/src/main/java/loadbalancer/router/PoolState.java
@@ -39,8 +39,8 @@
         health.setEndpointsUp(nowMicros, endpoints);
     }
 
-    double healthyFraction(long nowMicros, double share, double spareFactor) {
-        return health.healthyFraction(nowMicros, share, spareFactor);
+    double healthyFraction(long nowMicros, double share, double overprovisioningFactor) {
+        return health.healthyFraction(nowMicros, share, overprovisioningFactor);
     }
 
     /**
--- a/core/src/main/java/loadbalancer/router/RouteConfig.java
+++ b/core/src/main/java/loadbalancer/router/RouteConfig.java
@@ -7,7 +7,7 @@
 /**
  * A route and what becomes of its requests.
  *
- * @param spareFactor what a healthy endpoint can take of others' work, see {@link loadbalancer.routes.Overflow}
+ * @param overprovisioningFactor what a healthy endpoint can take of others' work, see {@link loadbalancer.routes.Overflow}
  * @param returnPerSecond fraction of the traffic that returns to a recovered pool per second
  * @param retryBudget null: none
  * @param rate the route's own limit for the whole site; null: none
@@ -16,7 +16,7 @@
 public record RouteConfig(
         Route route,
         List<Destination> destinations,
-        double spareFactor,
+        double overprovisioningFactor,
         double returnPerSecond,
         RetryBudgetConfig retryBudget,
         RateLimit rate,
--- a/core/src/main/java/loadbalancer/routes/Overflow.java
+++ b/core/src/main/java/loadbalancer/routes/Overflow.java
@@ -13,7 +13,7 @@
 public final class Overflow {
     private static final double MICROS_PER_SECOND = 1e6;
 
-    private final double spareFactor;
+    private final double overprovisioningFactor;
     private final double returnPerSecond;
     private final double[] maxShares;
     private final double[] shares;
@@ -22,21 +22,21 @@
     /**
      * Creates an overflow whose traffic all goes to the first pool.
      *
-     * @param spareFactor what a healthy endpoint can take of others' work, 1 or more: with 1.4 a pool keeps all its
+     * @param overprovisioningFactor what a healthy endpoint can take of others' work, 1 or more: with 1.4 a pool keeps all its
      *     traffic until under 1 / 1.4 of it is healthy
      * @param returnPerSecond fraction of the traffic that returns per second at the most
      * @param maxShares fraction of the traffic that each pool may take at the most, over 0; the preferred pool first
      * @throws IllegalArgumentException where one of them is out of its range
      */
-    public Overflow(double spareFactor, double returnPerSecond, double... maxShares) {
-        if (!(spareFactor >= 1)
+    public Overflow(double overprovisioningFactor, double returnPerSecond, double... maxShares) {
+        if (!(overprovisioningFactor >= 1)
                 || !(returnPerSecond > 0)
                 || maxShares.length == 0
                 || Arrays.stream(maxShares).anyMatch(share -> !(share > 0))) {
-            throw new IllegalArgumentException("impossible overflow: spare " + spareFactor + ", return "
+            throw new IllegalArgumentException("impossible overflow: spare " + overprovisioningFactor + ", return "
                     + returnPerSecond + ", limits " + Arrays.toString(maxShares));
         }
-        this.spareFactor = spareFactor;
+        this.overprovisioningFactor = overprovisioningFactor;
         this.returnPerSecond = returnPerSecond;
         this.maxShares = maxShares.clone();
         this.shares = new double[maxShares.length];
@@ -74,7 +74,7 @@
     }
 
     private double capacity(int pool, double[] healthyFractions) {
-        return Math.min(maxShares[pool], Math.min(1, spareFactor * Math.max(0, healthyFractions[pool])));
+        return Math.min(maxShares[pool], Math.min(1, overprovisioningFactor * Math.max(0, healthyFractions[pool])));
     }
 
     private double capacityFrom(int firstPool, double[] healthyFractions) {
--- a/core/src/main/java/loadbalancer/routes/PoolHealth.java
+++ b/core/src/main/java/loadbalancer/routes/PoolHealth.java
@@ -72,15 +72,15 @@
      * The fraction of its usual work that the pool can do, from 0 to 1.
      *
      * @param share the fraction of the traffic that the pool gets now
-     * @param spareFactor what a healthy endpoint can take of others' work, as {@link Overflow} has it
+     * @param overprovisioningFactor what a healthy endpoint can take of others' work, as {@link Overflow} has it
      */
-    public double healthyFraction(long nowMicros, double share, double spareFactor) {
+    public double healthyFraction(long nowMicros, double share, double overprovisioningFactor) {
         decayStrength(nowMicros);
         decayOutcomes(nowMicros);
         double up = fullStrength <= 0 ? 0 : Math.min(1, endpointsUp / fullStrength);
         double successRate = (served + PRIOR_SUCCESSES) / (given + PRIOR_SUCCESSES);
         // It can do what it serves of what it gets, and is given no more than that until it is healthy again.
-        return Math.min(up, successRate >= HEALTHY_SUCCESS_RATE ? 1 : successRate * share / spareFactor);
+        return Math.min(up, successRate >= HEALTHY_SUCCESS_RATE ? 1 : successRate * share / overprovisioningFactor);
     }
 
     /** Endpoints that requests may be sent to. */
