--- a/core/src/main/java/loadbalancer/staleness/ListStaleness.java
+++ b/core/src/main/java/loadbalancer/staleness/ListStaleness.java
@@ -112,7 +112,7 @@
      *
      * @return when its changes counted as notified, in µs
      */
-    public long notified(long nowMicros) {
+    public long listArrived(long nowMicros) {
         long notifiedAtMicros = Math.min(nowMicros, missedNotifiedAt);
         missedNotifiedAt = NEVER;
         return notifiedAtMicros;
--- a/core/src/test/java/loadbalancer/staleness/ListStalenessTest.java
+++ b/core/src/test/java/loadbalancer/staleness/ListStalenessTest.java
@@ -38,22 +38,22 @@
     void aListInTimeIsNotifiedAsItArrives() {
         ListStaleness staleness = polled(SECOND);
         staleness.watchSilentSince(10 * SECOND);
-        assertEquals(14 * SECOND, staleness.notified(14 * SECOND));
+        assertEquals(14 * SECOND, staleness.listArrived(14 * SECOND));
     }
 
     @Test
     void whatASilentWatchMissesIsNotifiedSixSecondsAfterItsLastLine() {
         ListStaleness staleness = polled(SECOND);
         staleness.watchSilentSince(10 * SECOND);
-        assertEquals(16 * SECOND, staleness.notified(17 * SECOND));
-        assertEquals(18 * SECOND, staleness.notified(18 * SECOND)); // the new watch works
+        assertEquals(16 * SECOND, staleness.listArrived(17 * SECOND));
+        assertEquals(18 * SECOND, staleness.listArrived(18 * SECOND)); // the new watch works
     }
 
     @Test
     void aNewDiscoverysListIsNotifiedFourSecondsAfterItsConfiguration() {
         ListStaleness staleness = polled(SECOND);
         staleness.discoveryChanged(10 * SECOND);
-        assertEquals(14 * SECOND, staleness.notified(15 * SECOND));
+        assertEquals(14 * SECOND, staleness.listArrived(15 * SECOND));
     }
 
     /** Neither a failed try nor a move gives what was missed before any more time. */
@@ -63,24 +63,24 @@
         staleness.watchSilentSince(10 * SECOND);
         staleness.watchEnded(13 * SECOND);
         staleness.discoveryChanged(14 * SECOND);
-        assertEquals(16 * SECOND, staleness.notified(20 * SECOND));
+        assertEquals(16 * SECOND, staleness.listArrived(20 * SECOND));
     }
 
     @Test
     void wherePushedTheAgentsListIsNotifiedWithoutAWatch() {
         ListStaleness staleness = new ListStaleness(true, SECOND, 0);
         staleness.watchEnded(10 * SECOND);
-        assertEquals(10 * SECOND, staleness.notified(11 * SECOND));
+        assertEquals(10 * SECOND, staleness.listArrived(11 * SECOND));
     }
 
     @Test
     void wherePushedTheFirstListLeavesNoGracePeriod() {
         ListStaleness staleness = new ListStaleness(true, SECOND, 0);
         staleness.started(10 * SECOND);
-        assertEquals(0, staleness.notified(11 * SECOND));
+        assertEquals(0, staleness.listArrived(11 * SECOND));
         ListStaleness polled = polled(SECOND);
         polled.started(10 * SECOND);
-        assertEquals(15 * SECOND, polled.notified(15 * SECOND));
+        assertEquals(15 * SECOND, polled.listArrived(15 * SECOND));
     }
 
     @Test
@@ -94,6 +94,6 @@
     void wherePolledAListHoldsForThePollInterval() {
         ListStaleness staleness = new ListStaleness(false, SECOND, 3 * SECOND);
         staleness.watchEnded(10 * SECOND);
-        assertEquals(13 * SECOND, staleness.notified(15 * SECOND));
+        assertEquals(13 * SECOND, staleness.listArrived(15 * SECOND));
     }
 }
--- a/discovery/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/discovery/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -298,7 +298,8 @@
                 restartTimeout(); // from here on the time between two lines counts
             }
             EndpointListKind kind = list.complete() ? EndpointListKind.SNAPSHOT : EndpointListKind.DELTA;
-            listener.accept(kind, watching ? list.withNotifiedAt(staleness.notified(clockMicros.getAsLong())) : list);
+            listener.accept(
+                    kind, watching ? list.withNotifiedAt(staleness.listArrived(clockMicros.getAsLong())) : list);
             if (!watching) {
                 drop();
             }
