--- a/balancer/src/main/java/loadbalancer/operator/ConfigDiff.java
+++ b/balancer/src/main/java/loadbalancer/operator/ConfigDiff.java
@@ -53,8 +53,8 @@
     }
 
     private static String retryAfter(RoutingConfig routing) {
-        return Units.TIME.write(routing.retryAfter().minMicros()) + " to "
-                + Units.TIME.write(routing.retryAfter().maxMicros());
+        return Units.TIME.format(routing.retryAfter().minMicros()) + " to "
+                + Units.TIME.format(routing.retryAfter().maxMicros());
     }
 
     private void pools(OperatorConfig former, OperatorConfig next) {
@@ -165,7 +165,7 @@
     }
 
     private static String deadline(RouteConfig route) {
-        return route.deadlineMicros() == 0 ? "the client's" : Units.TIME.write(route.deadlineMicros());
+        return route.deadlineMicros() == 0 ? "the client's" : Units.TIME.format(route.deadlineMicros());
     }
 
     private void quotas(QuotaConfig former, QuotaConfig next) {
--- a/balancer/src/main/java/loadbalancer/operator/ConfigVocabulary.java
+++ b/balancer/src/main/java/loadbalancer/operator/ConfigVocabulary.java
@@ -89,8 +89,8 @@
             return NONE;
         }
         String ceiling =
-                rate.ceiling() > rate.perSecond() ? ", borrowing up to " + Units.RATE.write(rate.ceiling()) : "";
-        return Units.RATE.write(rate.perSecond()) + ", " + Math.round(rate.burst()) + " at once" + ceiling;
+                rate.ceiling() > rate.perSecond() ? ", borrowing up to " + Units.RATE.format(rate.ceiling()) : "";
+        return Units.RATE.format(rate.perSecond()) + ", " + Math.round(rate.burst()) + " at once" + ceiling;
     }
 
     /** A concurrency limit; null for none. */
@@ -110,7 +110,7 @@
         if (budget == null) {
             return NONE;
         }
-        return percent(budget.ratio()) + " of first tries and " + Units.RATE.write(budget.minPerSecond())
+        return percent(budget.ratio()) + " of first tries and " + Units.RATE.format(budget.minPerSecond())
                 + (budget.countClientRetries() ? ", clients' own among them" : "");
     }
 
--- a/balancer/src/main/java/loadbalancer/operator/OperatorReader.java
+++ b/balancer/src/main/java/loadbalancer/operator/OperatorReader.java
@@ -99,14 +99,14 @@
         if (minMicros > maxMicros) {
             front.fault(
                     front.has("retry_after_least") ? "retry_after_least" : "retry_after_most",
-                    "'retry_after_least' is over 'retry_after_most', " + Units.TIME.write(minMicros) + " and "
-                            + Units.TIME.write(maxMicros));
+                    "'retry_after_least' is over 'retry_after_most', " + Units.TIME.format(minMicros) + " and "
+                            + Units.TIME.format(maxMicros));
             return new RetryAfterBounds(0, 0);
         }
         if (siteMaxMicros > 0 && maxMicros > siteMaxMicros) {
             front.fault(
                     "retry_after_most",
-                    "'retry_after_most' is over what the settings allow, " + Units.TIME.write(siteMaxMicros));
+                    "'retry_after_most' is over what the settings allow, " + Units.TIME.format(siteMaxMicros));
         }
         return new RetryAfterBounds(Math.round(minMicros), Math.round(maxMicros));
     }
--- a/balancer/src/main/java/loadbalancer/operator/PoolReader.java
+++ b/balancer/src/main/java/loadbalancer/operator/PoolReader.java
@@ -124,7 +124,7 @@
     }
 
     private static ConcurrencyLimitConfig limit(Section section) {
-        LimitAlgorithm algorithm = section.word("kind", LimitAlgorithm.class, null);
+        LimitAlgorithm algorithm = section.choice("kind", LimitAlgorithm.class, null);
         if (!algorithm.name().equalsIgnoreCase(section.text("kind", ""))) {
             return null; // a fault already, and which other keys are wanted depends on the kind
         }
--- a/balancer/src/main/java/loadbalancer/operator/QuotaReader.java
+++ b/balancer/src/main/java/loadbalancer/operator/QuotaReader.java
@@ -41,8 +41,8 @@
         sum += others == null ? 0 : others.perSecond();
         RateLimit whole = RateReader.read(section);
         if (sum > whole.perSecond() * (1 + ROUNDING_TOLERANCE)) {
-            notes.add(section.location("") + ": note: the tenants' rates add up to " + Units.RATE.write(sum)
-                    + ", over the site's " + Units.RATE.write(whole.perSecond()) + ": all of them at once get more");
+            notes.add(section.location("") + ": note: the tenants' rates add up to " + Units.RATE.format(sum)
+                    + ", over the site's " + Units.RATE.format(whole.perSecond()) + ": all of them at once get more");
         }
         return new QuotaConfig(whole, tenants, others);
     }
--- a/balancer/src/main/java/loadbalancer/operator/RateReader.java
+++ b/balancer/src/main/java/loadbalancer/operator/RateReader.java
@@ -32,10 +32,11 @@
         if (perSecond != null && ceiling != null && ceiling < perSecond) {
             section.fault(
                     "ceiling",
-                    "'ceiling' is under 'rate', " + Units.RATE.write(ceiling) + " and " + Units.RATE.write(perSecond));
+                    "'ceiling' is under 'rate', " + Units.RATE.format(ceiling) + " and "
+                            + Units.RATE.format(perSecond));
         }
         if (perSecond != null && perSecond > MAX_PER_SECOND) {
-            section.fault("rate", "'rate' is over " + Units.RATE.write(MAX_PER_SECOND));
+            section.fault("rate", "'rate' is over " + Units.RATE.format(MAX_PER_SECOND));
         }
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/RoutingReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/RoutingReader.java
@@ -29,7 +29,7 @@
             if (!pools.contains(name)) {
                 p.fault("name", "no [[kind]] is of pool '" + name + "'" + Suggestion.didYouMean(name, pools));
             }
-            LimitAlgorithm limit = p.has("limit") ? p.word("limit", LimitAlgorithm.class, null) : null;
+            LimitAlgorithm limit = p.has("limit") ? p.choice("limit", LimitAlgorithm.class, null) : null;
             own.add(new RoutingSpec.Pool(
                     name,
                     limit,
@@ -142,7 +142,7 @@
                                 + Suggestion.didYouMean(w, PARTS));
             }
         }
-        LimitAlgorithm limit = variant.has("limit") ? variant.word("limit", LimitAlgorithm.class, null) : null;
+        LimitAlgorithm limit = variant.has("limit") ? variant.choice("limit", LimitAlgorithm.class, null) : null;
         return new RoutingSpec.Use(
                 front,
                 limit,
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/WorldPlanReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/WorldPlanReader.java
@@ -70,7 +70,7 @@
         Section section = root.table("load");
         WorldPlan.Load load = new WorldPlan.Load(
                 range(section, "level", Measure.NUMBER),
-                section.word("shape", WorldPlan.Shape.class, WorldPlan.Shape.STEADY),
+                section.choice("shape", WorldPlan.Shape.class, WorldPlan.Shape.STEADY),
                 range(section, "swing", Measure.SHARE, NONE),
                 range(section, "zone_skew", Measure.SHARE, NONE),
                 range(section, "keys", Measure.NUMBER, NONE),
@@ -204,7 +204,7 @@
                     range(section, "thrash_at", Measure.NUMBER, Range.of(8)),
                     range(section, "cold_from", Measure.SHARE, ONE),
                     range(section, "cold", Measure.TIME, NONE),
-                    section.word("warm_by", WorldPlan.WarmBy.class, WorldPlan.WarmBy.TIME),
+                    section.choice("warm_by", WorldPlan.WarmBy.class, WorldPlan.WarmBy.TIME),
                     range(section, "errors", Measure.SHARE, NONE),
                     section.number("cancel_drops", Measure.SHARE, 0),
                     section.text("pool", WorldPlan.Kind.SITE)));
@@ -228,14 +228,14 @@
                     section.text("name", null),
                     range(section, "share", Measure.NUMBER, ONE),
                     range(section, "work", Measure.TIME),
-                    section.word("dist", WorldPlan.Spread.class, WorldPlan.Spread.EXPONENTIAL),
+                    section.choice("dist", WorldPlan.Spread.class, WorldPlan.Spread.EXPONENTIAL),
                     range(section, "cv", Measure.NUMBER, ONE),
                     range(section, "attempt_noise", Measure.NUMBER, NONE),
                     latencyObjectiveMicros,
                     Math.max(latencyObjectiveMicros, deadline),
                     section.number("worth", Measure.NUMBER, 1),
                     section.number("late_worth", Measure.SHARE, 0),
-                    section.word("effect", ProtocolNames.IDEMPOTENCY, Idempotency.IDEMPOTENT)));
+                    section.choice("effect", ProtocolNames.IDEMPOTENCY, Idempotency.IDEMPOTENT)));
             section.rejectUnknownKeys();
         }
         if (all.isEmpty()) {
@@ -291,7 +291,7 @@
     }
 
     private static Range range(Section section, String key, Measure measure) {
-        double[] pair = section.pair(key, measure);
+        double[] pair = section.range(key, measure);
         return new Range(pair[0], pair[1]);
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/FleetReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/FleetReader.java
@@ -98,7 +98,7 @@
 
     private static FleetPlan.Outage outage(Section section) {
         FleetPlan.Outage outage = new FleetPlan.Outage(
-                section.word("kind", FleetPlan.Kind.class, null),
+                section.choice("kind", FleetPlan.Kind.class, null),
                 section.time("length", 10_000_000),
                 section.time("call_time", 100_000));
         section.rejectUnknownKeys();
--- a/toml/src/main/java/loadbalancer/toml/Section.java
+++ b/toml/src/main/java/loadbalancer/toml/Section.java
@@ -69,7 +69,7 @@
     }
 
     /** A figure, or two for a range: the first and the last; a missing one is a fault. */
-    public double[] pair(String key, Measure measure) {
+    public double[] range(String key, Measure measure) {
         JsonNode value = read(key);
         if (value == null) {
             missing(key, measure.form() + " or a pair of them");
@@ -109,7 +109,7 @@
     }
 
     private static Double time(JsonNode value) {
-        return Units.TIME.read(value.isTextual() ? value.asText() : "");
+        return Units.TIME.parse(value.isTextual() ? value.asText() : "");
     }
 
     private static Double number(JsonNode value) {
@@ -155,16 +155,16 @@
     }
 
     /** The constant of an enumeration whose name in lower case is given; null as {@code fallback} makes it required. */
-    public <E extends Enum<E>> E word(String key, Class<E> words, E fallback) {
+    public <E extends Enum<E>> E choice(String key, Class<E> words, E fallback) {
         Map<String, E> table = new LinkedHashMap<>();
         for (E constant : words.getEnumConstants()) {
             table.put(constant.name().toLowerCase(Locale.ROOT), constant);
         }
-        return word(key, table, fallback);
+        return choice(key, table, fallback);
     }
 
     /** The value of one of the words of a table, whose keys are in lower case; null makes it required. */
-    public <E> E word(String key, Map<String, E> words, E fallback) {
+    public <E> E choice(String key, Map<String, E> words, E fallback) {
         String fallbackWord = words.keySet().stream()
                 .filter(word -> words.get(word) == fallback)
                 .findFirst()
@@ -202,7 +202,7 @@
         if (value == null) {
             return null;
         }
-        Double figure = value.isTextual() ? units.read(value.asText()) : null;
+        Double figure = value.isTextual() ? units.parse(value.asText()) : null;
         if (figure == null) {
             faultyValue(key, value, units.form());
         }
--- a/toml/src/main/java/loadbalancer/toml/Units.java
+++ b/toml/src/main/java/loadbalancer/toml/Units.java
@@ -33,14 +33,14 @@
     }
 
     /** The figure in base units; null where the text is none. */
-    Double read(String text) {
+    Double parse(String text) {
         Matcher quantity = QUANTITY.matcher(text.strip());
         Double factor = quantity.matches() ? factors.get(quantity.group(2)) : null;
         return factor == null ? null : Double.valueOf(Double.parseDouble(quantity.group(1)) * factor);
     }
 
     /** The figure as operators would write it, in the unit that makes it shortest and keeps it whole. */
-    public String write(double figure) {
+    public String format(double figure) {
         String best = null;
         for (Map.Entry<String, Double> unit : factors.entrySet()) {
             double value = figure / unit.getValue();
