--- a/balancer/src/test/java/loadbalancer/cli/CommandsTest.java
+++ b/balancer/src/test/java/loadbalancer/cli/CommandsTest.java
@@ -73,7 +73,7 @@
                                 FILE.replace("to = \"old\"", "to = \"odl\"").replace("8 }", "-8 }"))));
         assertEquals(
                 List.of(
-                        "b.toml:6: 'most' is -8: a number of 0 or more is wanted",
+                        "b.toml:6: 'most' is -8: expected a number of 0 or more",
                         "b.toml:14: no pool 'odl'; did you mean 'old'?"),
                 err.lines().toList());
         assertEquals(2, run("check", folder.resolve("none.toml").toString()));
--- a/simulator/src/test/java/loadbalancer/simulator/experiment/ExperimentReaderTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/experiment/ExperimentReaderTest.java
@@ -62,20 +62,22 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                "length = \"5s\" | length = 5 | bad.toml:5: 'length' is 5: a time with its unit, such as"
-                        + " \"200ms\" is wanted",
-                "length = \"5s\" | lenght = \"5s\" | bad.toml:4: 'length' is missing in [world]: a time with its unit",
-                "balancers = 1 | balancers = 0 | bad.toml:6: 'balancers' is 0: a whole number of 1 or more is wanted",
-                "balancers = 1 | balancers = [1, 2, 3] | bad.toml:6: 'balancers' has 3 values; one, or two for a range",
+                "length = \"5s\" | length = 5 | bad.toml:5: 'length' is 5: expected a time with its unit,"
+                        + " such as \"200ms\"",
+                "length = \"5s\" | lenght = \"5s\" | bad.toml:4: 'length' is missing in [world]: expected a time"
+                        + " with its unit",
+                "balancers = 1 | balancers = 0 | bad.toml:6: 'balancers' is 0: expected a whole number of 1 or more",
+                "balancers = 1 | balancers = [1, 2, 3] | bad.toml:6: 'balancers' has 3 values: expected one,"
+                        + " or two for a range",
                 "level = 0.5 | levle = 0.5 | bad.toml:9: unknown key 'levle' in [load]; did you mean 'level'?",
-                "part = 0.5 | part = 1.5 | bad.toml:23: 'part' is 1.5: a share from 0 to 1 is wanted",
+                "part = 0.5 | part = 1.5 | bad.toml:23: 'part' is 1.5: expected a share from 0 to 1",
                 "kind = \"slow\" | kind = \"slw\" | did you mean 'slow'?",
                 "deadline = \"500ms\" | deadline = \"50ms\" | bad.toml:19: 'deadline' is before the aim",
                 "expect = [\"G > 0\"] | expect = [\"H > 0\"] | bad.toml:3: expectation \"H > 0\": no figure 'H'",
                 "expect = [\"G > 0\"] | expect = [\"diff(G, balanse, random) > 0\"] | did you mean 'balance'?",
                 "expect = [\"G > 0\"] | expect = [\"G is good\"] | expectation \"G is good\" can't be read",
                 "seeds = 2 | seeds = = | bad.toml:2: ",
-                "seeds = 2 | seeds = 2.5 | bad.toml:2: 'seeds' is 2.5: a whole number of 1 or more is wanted",
+                "seeds = 2 | seeds = 2.5 | bad.toml:2: 'seeds' is 2.5: expected a whole number of 1 or more",
             })
     void eachFaultIsNamedWithItsFileAndLine(String was, String is, String complaint) throws IOException {
         Path bad = file("bad.toml", SOUND.replace(was, is));
@@ -113,19 +115,20 @@
         Path file = file("b.toml", "include = \"a.toml\"\n");
         String said = assertThrows(ConfigException.class, () -> ExperimentReader.read(file))
                 .getMessage();
-        assertTrue(said.contains("loops"), said);
+        assertTrue(said.contains("forms a cycle"), said);
     }
 
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
             value = {
-                "limit = \"fixed\" | limit = \"fixd\" | there are fixed, aimd, vegas, gradient; did you mean 'fixed'?",
+                "limit = \"fixed\" | limit = \"fixd\" | expected one of fixed, aimd, vegas, gradient;"
+                        + " did you mean 'fixed'?",
                 "to = [\"site\"] | to = [\"sight\"] | no pool 'sight'",
                 "to = [\"site\"] | to = [] | route 'all' leads to no pool",
                 "name = \"site\" | name = \"cite\" | no [[kind]] is of pool 'cite'; did you mean 'site'?",
                 "[\"limits\"] | [\"limit\"] | there are limits, quotas, retries, spill, steps; did you mean 'limits'?",
-                "spill_most = 0.5 | spill_most = 5 | 'spill_most' is 5: a share from 0 to 1 is wanted",
+                "spill_most = 0.5 | spill_most = 5 | 'spill_most' is 5: expected a share from 0 to 1",
             })
     void faultsOfAFrontAreNamed(String from, String to, String fault) throws IOException {
         String sound = SOUND
--- a/simulator/src/test/java/loadbalancer/simulator/fleet/FleetReaderTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/fleet/FleetReaderTest.java
@@ -49,7 +49,7 @@
     @Test
     void sizesThatAreNoListOrMissingAreNamed() throws IOException {
         assertEquals(
-                "bad.toml:3: 'sizes' is 10: a list of texts is wanted",
+                "bad.toml:3: 'sizes' is 10: expected a list of strings",
                 faults("[[axis]]", "name = \"balancers\"", "sizes = 10").get(0));
         assertEquals(
                 List.of("bad.toml:1: 'sizes' is missing or empty: whole numbers from 1 to 10000000 are wanted"),
@@ -81,12 +81,12 @@
         assertEquals(
                 List.of(
                         "bad.toml:2: 'mode' is \"pull\"; there are ask, push",
-                        "bad.toml:3: 'balancers' is 0: a whole number of 1 or more is wanted",
+                        "bad.toml:3: 'balancers' is 0: expected a whole number of 1 or more",
                         "bad.toml:4: 'real' is 1.5: a whole number is wanted",
                         "bad.toml:5: 'zones' is empty: one at least is wanted",
                         "bad.toml:6: unknown key 'balancer' in [fleet]; did you mean 'balancers'?",
-                        "bad.toml:8: 'kind' is \"gone\"; there are down, cut_off, slow",
-                        "bad.toml:9: 'length' is 5: a time with its unit, such as \"200ms\" is wanted"),
+                        "bad.toml:8: 'kind' is \"gone\": expected one of down, cut_off, slow",
+                        "bad.toml:9: 'length' is 5: expected a time with its unit, such as \"200ms\""),
                 faults(
                         "[fleet]",
                         "mode = \"pull\"",
--- a/toml/src/main/java/loadbalancer/toml/Section.java
+++ b/toml/src/main/java/loadbalancer/toml/Section.java
@@ -54,12 +54,12 @@
         }
     }
 
-    private void faultyValue(String key, JsonNode value, String wanted) {
-        fault(key, "'" + key + "' is " + value + ": " + wanted + " is wanted");
+    private void faultyValue(String key, JsonNode value, String expected) {
+        fault(key, "'" + key + "' is " + value + ": expected " + expected);
     }
 
     private void missing(String key, String form) {
-        fault(key, "'" + key + "' is missing in [" + path + "]: " + form);
+        fault(key, "'" + key + "' is missing in [" + path + "]: expected " + form);
     }
 
     /** Whether the key is given. */
@@ -79,7 +79,7 @@
         } else if (value.size() == 2) {
             return new double[] {figure(key, value.get(0), measure), figure(key, value.get(1), measure)};
         } else {
-            fault(key, "'" + key + "' has " + value.size() + " values; one, or two for a range, are wanted");
+            fault(key, "'" + key + "' has " + value.size() + " values: expected one, or two for a range");
         }
         return new double[] {measure.placeholder(), measure.placeholder()};
     }
@@ -143,13 +143,13 @@
         JsonNode value = read(key);
         if (value == null) {
             if (fallback == null) {
-                missing(key, "a text");
+                missing(key, "a string");
                 return "";
             }
             return fallback;
         }
         if (!value.isTextual()) {
-            faultyValue(key, value, "a text in quotes");
+            faultyValue(key, value, "a string in quotes");
         }
         return value.asText();
     }
@@ -177,7 +177,7 @@
         List<String> names = List.copyOf(words.keySet());
         fault(
                 key,
-                "'" + key + "' is \"" + text + "\"; there are " + String.join(", ", names)
+                "'" + key + "' is \"" + text + "\": expected one of " + String.join(", ", names)
                         + Suggestion.didYouMean(text, names));
         return fallback == null ? words.values().iterator().next() : fallback;
     }
@@ -189,7 +189,7 @@
             return fallback;
         }
         if (!value.isArray()) {
-            faultyValue(key, value, "a list of texts");
+            faultyValue(key, value, "a list of strings");
         }
         List<String> texts = new ArrayList<>();
         value.forEach(item -> texts.add(item.asText()));
@@ -232,7 +232,7 @@
         } else if (value instanceof ObjectNode table) {
             items.add(new TextOrTable(null, new Section(source, table, itemPath)));
         } else {
-            fault(key, "'" + key + "' holds " + value + ": a text or a table is wanted");
+            fault(key, "'" + key + "' contains " + value + ": expected a string or a table");
         }
     }
 
@@ -278,7 +278,7 @@
             }
         }
         if (tables.isEmpty() && !(value.isArray() && value.isEmpty())) {
-            fault(key, "'" + key + "' is " + value + ": tables [[" + key + "]] are wanted");
+            fault(key, "'" + key + "' is " + value + ": expected an array of tables, [[" + key + "]]");
         }
         return tables;
     }
--- a/toml/src/main/java/loadbalancer/toml/Source.java
+++ b/toml/src/main/java/loadbalancer/toml/Source.java
@@ -50,10 +50,10 @@
         if (includingFiles.contains(path)) {
             Path last = includingFiles.get(includingFiles.size() - 1).getFileName();
             throw new ConfigException(List.of(last + ":1: include of " + file.getFileName()
-                    + " loops: a file that is being read includes itself"));
+                    + " forms a cycle: the file includes itself, directly or through others"));
         }
         if (!Files.isReadable(file)) {
-            throw new ConfigException(List.of(file + ":1: no such file can be read"));
+            throw new ConfigException(List.of(file + ":1: file does not exist or is not readable"));
         }
         includingFiles.add(path);
         ObjectNode own = parse(file);
@@ -77,10 +77,10 @@
 
     private static String explain(String libraryMessage) {
         return switch (libraryMessage) {
-            case "Unknown token" -> "neither a number, true or false, nor a text, which stands in quotes";
-            case "Table redefined" -> "this table is there already";
-            case "Duplicate key" -> "this key is there already";
-            case "Premature end of file" -> "the file ends before what was begun: a bracket or a quote is missing";
+            case "Unknown token" -> "invalid value: expected a number, true, false or a string in quotes";
+            case "Table redefined" -> "table is defined twice";
+            case "Duplicate key" -> "key is defined twice";
+            case "Premature end of file" -> "unexpected end of file: a bracket or a quote is not closed";
             default -> libraryMessage;
         };
     }
