--- a/core/src/main/java/loadbalancer/policy/JsqDasSelector.java
+++ b/core/src/main/java/loadbalancer/policy/JsqDasSelector.java
@@ -72,7 +72,7 @@
         Map<Integer, KindWeights> kinds = new LinkedHashMap<>();
         double totalWeight = 0;
         for (EndpointStats each : listed) {
-            KindWeights kind = kinds.computeIfAbsent(each.endpoint.kind(), unused -> new KindWeights());
+            KindWeights kind = kinds.computeIfAbsent(each.endpoint.machineKind(), unused -> new KindWeights());
             kind.totalWeight += each.endpoint.weight();
             kind.count++;
             totalWeight += each.endpoint.weight();
--- a/core/src/main/java/loadbalancer/policy/PlacementRule.java
+++ b/core/src/main/java/loadbalancer/policy/PlacementRule.java
@@ -8,7 +8,7 @@
     static boolean permits(RequestClass requestClass, Endpoint endpoint) {
         return (requestClass.zones().isEmpty() || requestClass.zones().contains(endpoint.zone()))
                 && (requestClass.machineKinds().isEmpty()
-                        || requestClass.machineKinds().contains(endpoint.kind()));
+                        || requestClass.machineKinds().contains(endpoint.machineKind()));
     }
 
     /** Whether requests of the class may be sent to any endpoint. */
--- a/core/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
+++ b/core/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
@@ -63,7 +63,7 @@
             boolean zone =
                     requestClass.zones().isEmpty() || requestClass.zones().contains(endpoint.zone());
             boolean machine = requestClass.machineKinds().isEmpty()
-                    || requestClass.machineKinds().contains(endpoint.kind());
+                    || requestClass.machineKinds().contains(endpoint.machineKind());
             return zone && machine ? null : "sent to " + endpoint.id() + ", which is not open to the class";
         }
     }
--- a/discovery/src/main/java/loadbalancer/discovery/DiscoveryFormat.java
+++ b/discovery/src/main/java/loadbalancer/discovery/DiscoveryFormat.java
@@ -172,8 +172,8 @@
         if (endpoint.zone() >= 0) {
             fields.put(ZONE, settings.zones().get(endpoint.zone()));
         }
-        if (endpoint.kind() >= 0) {
-            fields.put(KIND, settings.kinds().get(endpoint.kind()));
+        if (endpoint.machineKind() >= 0) {
+            fields.put(KIND, settings.kinds().get(endpoint.machineKind()));
         }
         return fields;
     }
--- a/discovery/src/main/java/loadbalancer/discovery/Membership.java
+++ b/discovery/src/main/java/loadbalancer/discovery/Membership.java
@@ -251,7 +251,7 @@
                 endpoint.startedAt(),
                 endpoint.weight(),
                 endpoint.cell(),
-                renumbered(endpoint.kind(), before.kinds(), next.kinds()),
+                renumbered(endpoint.machineKind(), before.kinds(), next.kinds()),
                 renumbered(endpoint.zone(), before.zones(), next.zones()));
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/LiveSite.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/LiveSite.java
@@ -334,7 +334,7 @@
             e.put("capacity_hint", endpoint.weight());
             e.put("pod_group", endpoint.cell());
             e.put("az", plan.zones().get(endpoint.zone()));
-            e.put("model", plan.kinds().get(endpoint.kind()).name());
+            e.put("model", plan.kinds().get(endpoint.machineKind()).name());
             entries.add(e);
         }
         Map<String, Object> out = new LinkedHashMap<>();
--- a/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
@@ -198,7 +198,7 @@
         Map<String, List<Endpoint>> own = new LinkedHashMap<>();
         policies.keySet().forEach(p -> own.put(p, new ArrayList<>()));
         for (Endpoint endpoint : list) {
-            String pool = names.kindPools.get(endpoint.kind());
+            String pool = names.kindPools.get(endpoint.machineKind());
             if (own.containsKey(pool)) {
                 own.get(pool).add(endpoint);
                 poolOf.put(endpoint.id(), pool);
