--- a/balancer/src/main/java/loadbalancer/dispatch/SlowStartQuota.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/SlowStartQuota.java
@@ -55,6 +55,6 @@
     }
 
     private void update() {
-        events.submit(nowMicros -> policy.setSlowStartFraction(processFraction * subsetFactor));
+        events.submit(nowMicros -> policy.setSlowStartBudgetFactor(processFraction * subsetFactor));
     }
 }
--- a/balancer/src/test/java/loadbalancer/process/BalancerFixture.java
+++ b/balancer/src/test/java/loadbalancer/process/BalancerFixture.java
@@ -126,8 +126,8 @@
         }
 
         @Override
-        public void setSlowStartFraction(double part) {
-            events.add("share " + part);
+        public void setSlowStartBudgetFactor(double factor) {
+            events.add("share " + factor);
         }
 
         @Override
--- a/core/src/main/java/loadbalancer/policy/JsqDasPolicy.java
+++ b/core/src/main/java/loadbalancer/policy/JsqDasPolicy.java
@@ -238,8 +238,8 @@
     }
 
     @Override
-    public void setSlowStartFraction(double fraction) {
-        components.slowStart.setBudgetFraction(fraction);
+    public void setSlowStartBudgetFactor(double factor) {
+        components.slowStart.setBudgetFactor(factor);
     }
 
     @Override
--- a/core/src/main/java/loadbalancer/policy/LoadBalancingPolicy.java
+++ b/core/src/main/java/loadbalancer/policy/LoadBalancingPolicy.java
@@ -91,11 +91,11 @@
     default void restore(long now, LearnedState learnedState) {}
 
     /**
-     * From here on this policy may send that many times what one balancer may send to endpoints in slow start. It is
-     * under 1 while another process of the same balancer uses the rest, and over 1 where only a subset of the balancers
-     * uses each endpoint.
+     * Sets the factor on the number of requests that this policy may send to endpoints in slow start; 1 stands for what
+     * one balancer may send. It is below 1 while another process of the same balancer uses the rest, and above 1 where
+     * only a subset of the balancers uses each endpoint.
      */
-    default void setSlowStartFraction(double fraction) {}
+    default void setSlowStartBudgetFactor(double factor) {}
 
     /** What a policy may ask for; the caller implements it. */
     interface Actions {
--- a/core/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/core/src/main/java/loadbalancer/policy/SlowStart.java
@@ -25,7 +25,7 @@
     private final ActiveSettings settings;
     private final DecayScale scale;
     private double warmAnswersPerSecondAndWeight;
-    private double budgetFraction = 1;
+    private double budgetFactor = 1;
 
     SlowStart(ActiveSettings settings, DecayScale scale) {
         this.settings = settings;
@@ -59,7 +59,7 @@
         if (weight >= 1) {
             return true;
         }
-        double perSecond = budgetFraction * weight * RATE_MARGIN * warmAnswersPerSecond(stats.endpoint);
+        double perSecond = budgetFactor * weight * RATE_MARGIN * warmAnswersPerSecond(stats.endpoint);
         double maxTokens =
                 perSecond * settings.current().bounds().overloadWindowMicros() / (WINDOW_DIVISOR * MICROS_PER_SECOND);
         stats.slowStartTokens += perSecond * (now - stats.slowStartTokensAt) / MICROS_PER_SECOND;
@@ -100,8 +100,8 @@
                 weight <= 0 ? 0 : answers / DecayScale.COUNT_DECAY_MICROS * MICROS_PER_SECOND / weight;
     }
 
-    /** Sets which part of the budget is this process's: the rest is that of another process of the same balancer. */
-    void setBudgetFraction(double fraction) {
-        budgetFraction = fraction;
+    /** Sets the factor on the budget, see {@link LoadBalancingPolicy#setSlowStartBudgetFactor}. */
+    void setBudgetFactor(double factor) {
+        budgetFactor = factor;
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/HollowBalancer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/HollowBalancer.java
@@ -68,7 +68,7 @@
                 loop, discovery, boot, holding, known.version(), this::now, this::heard, this::complain);
         this.membership = new Membership(holding, new OperatorDrains(), this::now, this::news);
         holding.onChange(h -> hand(
-                now -> policy.setSlowStartFraction(Math.min(many, h.subset().partCount()))));
+                now -> policy.setSlowStartBudgetFactor(Math.min(many, h.subset().partCount()))));
         new PartialListRetry(loop, membership, client, seed);
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/variants/MeteredPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/MeteredPolicy.java
@@ -126,7 +126,7 @@
     }
 
     @Override
-    public void setSlowStartFraction(double part) {
-        policy.setSlowStartFraction(part);
+    public void setSlowStartBudgetFactor(double factor) {
+        policy.setSlowStartBudgetFactor(factor);
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/RoutedPolicy.java
@@ -368,7 +368,7 @@
     }
 
     @Override
-    public void setSlowStartFraction(double part) {
-        policies.values().forEach(m -> m.setSlowStartFraction(part));
+    public void setSlowStartBudgetFactor(double factor) {
+        policies.values().forEach(m -> m.setSlowStartBudgetFactor(factor));
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/world/BalancerFaults.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/BalancerFaults.java
@@ -98,11 +98,11 @@
                     return;
                 }
                 Balancer next = world.startBalancer(slot, old.policy().learnedState(now));
-                old.policy().setSlowStartFraction(0.5);
-                next.policy().setSlowStartFraction(0.5);
+                old.policy().setSlowStartBudgetFactor(0.5);
+                next.policy().setSlowStartBudgetFactor(0.5);
                 world.simulation.at(now + longestDeadline() + UPGRADE_OVERLAP_MICROS, at -> {
                     killIfAlive(old, at);
-                    next.policy().setSlowStartFraction(1);
+                    next.policy().setSlowStartBudgetFactor(1);
                 });
             });
         }
