--- a/core/src/test/java/loadbalancer/policy/CandidateSelectorTest.java
+++ b/core/src/test/java/loadbalancer/policy/CandidateSelectorTest.java
@@ -10,7 +10,7 @@
 
 /** The subset of the list that a balancer uses. */
 class CandidateSelectorTest {
-    private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
+    private static final RequestClass IDEMPOTENT = Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL);
 
     @Test
     void theSubsetGrowsWhenItsEndpointsFail() {
--- a/core/src/test/java/loadbalancer/policy/FleetSlowStartTest.java
+++ b/core/src/test/java/loadbalancer/policy/FleetSlowStartTest.java
@@ -70,11 +70,15 @@
     private final List<Harness> fleet = new ArrayList<>();
     private final List<Integer> seenSends = new ArrayList<>();
     private SafetyBounds bounds;
-    private long now = Harness.START;
+    private long now = Harness.START_MICROS;
 
     private void fleet(int balancers, long seed) {
         PolicySettings base = Harness.settings(
-                balancers, false, DiscoveryMode.PUSH, List.of(), Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL));
+                balancers,
+                false,
+                DiscoveryMode.PUSH,
+                List.of(),
+                Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL));
         bounds = base.bounds();
         for (int i = 0; i < balancers; i++) {
             fleet.add(new Harness(
@@ -99,7 +103,7 @@
     private void step(double perSecond, double[] fractions, SplittableRandom random) {
         for (int i = 0; i < fleet.size(); i++) {
             Harness balancer = fleet.get(i);
-            balancer.pass(now - balancer.now);
+            balancer.advance(now - balancer.now);
             if (random.nextDouble() < perSecond * fractions[i] * STEP / 1e6) {
                 balancer.request("r" + balancer.now, 0);
             }
@@ -189,7 +193,7 @@
         notifyBalancers(EndpointListKind.SNAPSHOT, list);
         double load = 0.7 * endpointCount * perSecond;
         if (!scenario.equals("RESTART")) {
-            while (now < Harness.START + JOIN_AFTER) {
+            while (now < Harness.START_MICROS + JOIN_AFTER) {
                 step(load, fractions, random);
             }
         }
@@ -217,6 +221,9 @@
         }
         assertTrue(used > 100, "they are used: " + used);
         assertEquals(
-                0, fleet.stream().mapToInt(balancer -> balancer.doubleFinals).sum());
+                0,
+                fleet.stream()
+                        .mapToInt(balancer -> balancer.duplicateFinalAnswers)
+                        .sum());
     }
 }
--- a/core/src/test/java/loadbalancer/policy/Harness.java
+++ b/core/src/test/java/loadbalancer/policy/Harness.java
@@ -8,10 +8,10 @@
 
 /** Drives one policy by hand and records what it asks for. */
 final class Harness implements LoadBalancingPolicy.Actions {
-    static final long START = 1_000_000_000L;
-    static final long LATENCY_OBJECTIVE = 600_000;
-    static final long DEADLINE = 3_000_000;
-    static final long KEY_SEQUENCE_PAUSE = 100_000;
+    static final long START_MICROS = 1_000_000_000L;
+    static final long LATENCY_OBJECTIVE_MICROS = 600_000;
+    static final long DEADLINE_MICROS = 3_000_000;
+    static final long KEY_SEQUENCE_PAUSE_MICROS = 100_000;
 
     /** An attempt that was sent; {@code ended} once its outcome was reported. */
     static final class Sent {
@@ -34,32 +34,33 @@
     final LoadBalancingPolicy policy;
     final List<Sent> sends = new ArrayList<>();
     final Map<String, Integer> attempts = new LinkedHashMap<>();
-    final Map<String, String> finals = new LinkedHashMap<>();
+    final Map<String, String> finalAnswers = new LinkedHashMap<>();
     final List<String> cancels = new ArrayList<>();
     final List<String> log = new ArrayList<>();
-    long now = START;
+    long now = START_MICROS;
     long wakeAt = Long.MAX_VALUE;
-    int watches;
-    int doubleFinals;
+    int watchCalls;
+    int duplicateFinalAnswers;
     double reportedInFlight = Double.NaN; // in the load report of each outcome
 
     Harness(PolicySettings settings, long seed) {
         policy = new JsqDasPolicy(settings, seed);
     }
 
-    static RequestClass kind(Idempotency idempotency, KeyScope scope) {
-        return new RequestClass(idempotency, scope, 2_000_000, LATENCY_OBJECTIVE, DEADLINE, 0, 1, 0.3, false);
+    static RequestClass requestClass(Idempotency idempotency, KeyScope scope) {
+        return new RequestClass(
+                idempotency, scope, 2_000_000, LATENCY_OBJECTIVE_MICROS, DEADLINE_MICROS, 0, 1, 0.3, false);
     }
 
     /** A class with order and placement. */
-    static RequestClass kind(
+    static RequestClass requestClass(
             Idempotency idempotency, boolean orderedDelivery, Set<Integer> zones, Set<Integer> machineKinds) {
         return new RequestClass(
                 idempotency,
                 KeyScope.ALL,
                 2_000_000,
-                LATENCY_OBJECTIVE,
-                DEADLINE,
+                LATENCY_OBJECTIVE_MICROS,
+                DEADLINE_MICROS,
                 0,
                 1,
                 0.3,
@@ -93,7 +94,8 @@
                 LoadReporting.NONE,
                 false,
                 new SiteLimits(5, hedging, true, true, 250_000, 0),
-                new SafetyBounds(20_000, 1_000_000, 10_000_000, 0.2, 20_000_000, 2.5, 1_500_000, KEY_SEQUENCE_PAUSE),
+                new SafetyBounds(
+                        20_000, 1_000_000, 10_000_000, 0.2, 20_000_000, 2.5, 1_500_000, KEY_SEQUENCE_PAUSE_MICROS),
                 5_000);
     }
 
@@ -147,7 +149,7 @@
 
     /** Sends a request in and returns the attempt made at once, or null. */
     Sent request(String id, int requestClass) {
-        return request(id, requestClass, 0, DEADLINE);
+        return request(id, requestClass, 0, DEADLINE_MICROS);
     }
 
     Sent request(String id, int requestClass, int tenant, long timeLeft) {
@@ -160,8 +162,8 @@
     }
 
     /** A request that concerns a key. */
-    Sent keyed(String id, int requestClass, String key) {
-        return request(id, requestClass, 0, key, DEADLINE, false);
+    Sent requestWithKey(String id, int requestClass, String key) {
+        return request(id, requestClass, 0, key, DEADLINE_MICROS, false);
     }
 
     private Sent request(String id, int requestClass, int tenant, long timeLeft, boolean clientRetry) {
@@ -176,9 +178,9 @@
 
     void end(Sent sent, AttemptOutcome outcome) {
         sent.ended = true;
-        boolean closed = outcome == AttemptOutcome.OK || finals.containsKey(sent.request);
+        boolean closed = outcome == AttemptOutcome.OK || finalAnswers.containsKey(sent.request);
         if (outcome == AttemptOutcome.OK) {
-            finals.putIfAbsent(sent.request, "ok");
+            finalAnswers.putIfAbsent(sent.request, "ok");
         }
         policy.outcome(
                 now,
@@ -192,7 +194,7 @@
     }
 
     /** Lets time pass, waking the policy when it asked for it. */
-    void pass(long time) {
+    void advance(long time) {
         long until = now + time;
         while (wakeAt <= until) {
             now = wakeAt;
@@ -206,7 +208,7 @@
     void warmUp(int requests, int requestClass, long latency) {
         for (int i = 0; i < requests; i++) {
             Sent sent = request("warm-" + now + "-" + i, requestClass);
-            pass(latency);
+            advance(latency);
             end(sent, AttemptOutcome.OK);
         }
     }
@@ -217,7 +219,7 @@
             for (int j = 0; j < 4; j++) {
                 request("q" + now + "/" + i + "/" + j, 0);
             }
-            pass(latency);
+            advance(latency);
             sends.stream()
                     .filter(s -> !s.ended)
                     .toList()
@@ -229,8 +231,8 @@
     int serveOneByOne(int requests, int requestClass, int tenant, long latency) {
         int sent = 0;
         for (int i = 0; i < requests; i++) {
-            Sent first = request("o" + now + "/" + i, requestClass, tenant, DEADLINE);
-            pass(latency);
+            Sent first = request("o" + now + "/" + i, requestClass, tenant, DEADLINE_MICROS);
+            advance(latency);
             if (first != null) {
                 sent++;
                 end(first, AttemptOutcome.OK);
@@ -260,8 +262,8 @@
     }
 
     private void answer(String request, String how) {
-        if (finals.putIfAbsent(request, how) != null) {
-            doubleFinals++;
+        if (finalAnswers.putIfAbsent(request, how) != null) {
+            duplicateFinalAnswers++;
         }
         log.add(now + " " + how + " " + request);
     }
@@ -290,7 +292,7 @@
 
     @Override
     public void watch(boolean on) {
-        watches++;
+        watchCalls++;
     }
 
     @Override
--- a/core/src/test/java/loadbalancer/policy/HedgingPolicyTest.java
+++ b/core/src/test/java/loadbalancer/policy/HedgingPolicyTest.java
@@ -10,8 +10,8 @@
 
 /** Hedged requests, as the whole policy shows them. */
 class HedgingPolicyTest {
-    private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
-    private static final RequestClass NON_IDEMPOTENT = Harness.kind(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
+    private static final RequestClass IDEMPOTENT = Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL);
+    private static final RequestClass NON_IDEMPOTENT = Harness.requestClass(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
 
     @Test
     void anIdempotentRequestWithoutAnAnswerIsHedgedOnce() {
@@ -19,7 +19,7 @@
             Harness harness = Harness.withFleet(6, kind);
             harness.serve(60, 20_000, Map.of());
             Harness.Sent silent = harness.request("silent", 0);
-            harness.pass(Harness.LATENCY_OBJECTIVE - 5_000);
+            harness.advance(Harness.LATENCY_OBJECTIVE_MICROS - 5_000);
             int hedgedAttempts = harness.sentFor("silent").size() - 1;
             assertEquals(kind == IDEMPOTENT ? 1 : 0, hedgedAttempts, "hedged attempts of " + kind.idempotency());
             assertTrue(harness.sentFor("silent").stream().skip(1).noneMatch(s -> s.endpoint.equals(silent.endpoint)));
@@ -33,7 +33,7 @@
         for (int i = 0; i < 60; i++) {
             harness.request("burst" + i, 0);
         }
-        harness.pass(Harness.LATENCY_OBJECTIVE);
+        harness.advance(Harness.LATENCY_OBJECTIVE_MICROS);
         long hedgedAttempts = harness.sends.stream()
                 .filter(s -> s.request.startsWith("burst") && s.attempt > 0)
                 .count();
@@ -46,7 +46,7 @@
                 IntStream.range(0, 8).mapToObj(i -> full.request("full" + i, 0)).toList();
         rejected.forEach(s -> full.end(s, AttemptOutcome.FULL));
         full.request("wait", 0);
-        full.pass(Harness.LATENCY_OBJECTIVE);
+        full.advance(Harness.LATENCY_OBJECTIVE_MICROS);
         assertEquals(1, full.sentFor("wait").size());
     }
 }
--- a/core/src/test/java/loadbalancer/policy/JsqDasPolicyTest.java
+++ b/core/src/test/java/loadbalancer/policy/JsqDasPolicyTest.java
@@ -16,7 +16,7 @@
 
 /** What users of the library rely on. */
 class JsqDasPolicyTest {
-    private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
+    private static final RequestClass IDEMPOTENT = Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL);
 
     @Test
     void theExampleOfTheReadmeRuns() throws IOException {
@@ -121,18 +121,19 @@
             harness.list(EndpointListKind.CACHED, Harness.fleet(endpoints));
             for (int i = 0; i < 400; i++) {
                 harness.request("r" + i, 0, 0, deadline);
-                harness.pass(1_000_000 / rate);
+                harness.advance(1_000_000 / rate);
                 harness.sends.stream()
                         .filter(s -> !s.ended && harness.now - s.sentAt >= latency)
                         .toList()
                         .forEach(s -> harness.end(s, AttemptOutcome.OK));
             }
-            harness.pass(deadline);
+            harness.advance(deadline);
             harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, AttemptOutcome.TIMEOUT));
-            harness.pass(deadline);
-            assertEquals(400, harness.finals.size());
-            assertEquals(0, harness.doubleFinals);
-            long ok = harness.finals.values().stream().filter("ok"::equals).count();
+            harness.advance(deadline);
+            assertEquals(400, harness.finalAnswers.size());
+            assertEquals(0, harness.duplicateFinalAnswers);
+            long ok =
+                    harness.finalAnswers.values().stream().filter("ok"::equals).count();
             assertTrue(ok >= 360, "served " + ok + " of 400, " + effect);
         }
     }
@@ -142,7 +143,7 @@
         Harness harness = new Harness(Harness.settings(IDEMPOTENT), 1).list(EndpointListKind.CACHED, Harness.fleet(4));
         for (int i = 0; i < 30_000; i++) {
             Harness.Sent sent = harness.request("r" + i, 0);
-            harness.pass(5_000);
+            harness.advance(5_000);
             harness.sends.stream()
                     .filter(s -> !s.ended)
                     .toList()
@@ -152,7 +153,7 @@
                         EndpointListKind.SNAPSHOT, List.of(Harness.up("a" + i), Harness.up("b" + i), Harness.up("c")));
                 harness.sends.clear();
                 harness.attempts.clear();
-                harness.finals.clear();
+                harness.finalAnswers.clear();
                 harness.log.clear();
             }
             assertTrue(sent == null || sent.ended);
--- a/core/src/test/java/loadbalancer/policy/JsqDasSelectorTest.java
+++ b/core/src/test/java/loadbalancer/policy/JsqDasSelectorTest.java
@@ -15,7 +15,7 @@
 /** The ordinary path is JSQ-DAS. */
 class JsqDasSelectorTest {
     private static final PolicySettings IDEMPOTENT =
-            Harness.settings(Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL));
+            Harness.settings(Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL));
 
     /** Six endpoints, as many as a subset has, three of them of a kind of greater weight, so that p is one half. */
     private static Harness halves(long seed) {
@@ -102,7 +102,7 @@
         Harness harness = halves(seed);
         for (int i = 0; i < 300; i++) {
             Harness.Sent sent = harness.request("r" + i, 0);
-            harness.pass(7_000 + i % 13 * 1000);
+            harness.advance(7_000 + i % 13 * 1000);
             if (sent != null) {
                 harness.end(sent, i % 11 == 0 ? AttemptOutcome.ERROR : AttemptOutcome.OK);
             }
--- a/core/src/test/java/loadbalancer/policy/KeyAffinityTest.java
+++ b/core/src/test/java/loadbalancer/policy/KeyAffinityTest.java
@@ -8,7 +8,7 @@
 
 /** How many endpoints the requests of a key are spread over. */
 class KeyAffinityTest {
-    private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
+    private static final RequestClass IDEMPOTENT = Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL);
 
     @Test
     void aHotKeyGetsMoreEndpointsThanAColdOne() {
@@ -16,8 +16,8 @@
         Harness harness =
                 new Harness(Harness.settings(s, 1, 0, true, true), 3).list(EndpointListKind.CACHED, Harness.fleet(20));
         for (int i = 0; i < 600; i++) {
-            Harness.Sent sent = harness.keyed("r" + i, 0, i % 2 == 0 ? "hot" : "k" + i % 75);
-            harness.pass(10_000);
+            Harness.Sent sent = harness.requestWithKey("r" + i, 0, i % 2 == 0 ? "hot" : "k" + i % 75);
+            harness.advance(10_000);
             harness.sends.stream()
                     .filter(x -> !x.ended && harness.now - x.sentAt >= 60_000)
                     .toList()
@@ -35,10 +35,10 @@
         Harness harness = new Harness(Harness.settings(s, 100, 0, true, true), 3)
                 .list(EndpointListKind.CACHED, Harness.fleet(60));
         for (int i = 0; i < 600; i++) { // ten a second, one in twelve for the hot key
-            Harness.Sent sent = harness.keyed("r" + i, 0, i % 12 == 0 ? "hot" : "k" + i % 75);
-            harness.pass(60_000);
+            Harness.Sent sent = harness.requestWithKey("r" + i, 0, i % 12 == 0 ? "hot" : "k" + i % 75);
+            harness.advance(60_000);
             harness.end(sent, AttemptOutcome.OK);
-            harness.pass(40_000);
+            harness.advance(40_000);
         }
         long hot = endpointsOf(harness, 0, 12);
         assertTrue(hot >= 9, "a key of a twelfth of the traffic on " + hot + " of 60 endpoints");
@@ -51,8 +51,8 @@
         for (int rank = 0; rank < 100; rank++) {
             Harness harness = new Harness(Harness.settings(s, 100, rank, true, true), 3 + rank)
                     .list(EndpointListKind.CACHED, Harness.fleet(60));
-            Harness.Sent sent = harness.keyed("r" + rank, 0, "key");
-            harness.pass(30_000);
+            Harness.Sent sent = harness.requestWithKey("r" + rank, 0, "key");
+            harness.advance(30_000);
             harness.end(sent, AttemptOutcome.OK);
             used.add(sent.endpoint);
         }
--- a/core/src/test/java/loadbalancer/policy/OrderAndPlacementTest.java
+++ b/core/src/test/java/loadbalancer/policy/OrderAndPlacementTest.java
@@ -12,10 +12,10 @@
 
 /** Ordered delivery by key, and placement. */
 class OrderAndPlacementTest {
-    private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
+    private static final RequestClass IDEMPOTENT = Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL);
 
     private static RequestClass ordered(Idempotency idempotency) {
-        return Harness.kind(idempotency, true, Set.of(), Set.of());
+        return Harness.requestClass(idempotency, true, Set.of(), Set.of());
     }
 
     private static RequestClass bound(Set<Integer> zones, Set<Integer> kinds) {
@@ -23,8 +23,8 @@
                 Idempotency.IDEMPOTENT,
                 KeyScope.ALL,
                 0,
-                Harness.LATENCY_OBJECTIVE,
-                Harness.DEADLINE,
+                Harness.LATENCY_OBJECTIVE_MICROS,
+                Harness.DEADLINE_MICROS,
                 0,
                 1,
                 0.3,
@@ -43,12 +43,12 @@
     @Test
     void requestsOfAKeyAreSentOneByOneInTheOrderOfArrival() {
         Harness harness = fleet(ordered(Idempotency.IDEMPOTENT_WITH_KEY), ordered(Idempotency.IDEMPOTENT));
-        Harness.Sent first = harness.keyed("a", 0, "k");
-        assertNull(harness.keyed("b", 1, "k"), "all ordered classes share their keys");
-        assertNull(harness.keyed("c", 0, "k"));
-        assertTrue(harness.keyed("other", 0, "l") != null, "another key is not delayed");
+        Harness.Sent first = harness.requestWithKey("a", 0, "k");
+        assertNull(harness.requestWithKey("b", 1, "k"), "all ordered classes share their keys");
+        assertNull(harness.requestWithKey("c", 0, "k"));
+        assertTrue(harness.requestWithKey("other", 0, "l") != null, "another key is not delayed");
         assertTrue(harness.request("none", 0) != null, "nor is a request without a key");
-        harness.pass(30_000);
+        harness.advance(30_000);
         harness.end(first, AttemptOutcome.OK);
         assertEquals(1, harness.sentFor("b").size());
         assertEquals(0, harness.sentFor("c").size());
@@ -62,49 +62,49 @@
             names = {"TIMEOUT", "RESET", "CANCELLED"})
     void aKeySequencePausesAfterAnAttemptThatMayStillRun(AttemptOutcome outcome) {
         Harness harness = fleet(ordered(Idempotency.NON_IDEMPOTENT));
-        Harness.Sent first = harness.keyed("a", 0, "k");
-        harness.keyed("b", 0, "k");
-        harness.pass(30_000);
+        Harness.Sent first = harness.requestWithKey("a", 0, "k");
+        harness.requestWithKey("b", 0, "k");
+        harness.advance(30_000);
         harness.end(first, outcome);
-        assertEquals("failed", harness.finals.get("a"));
-        harness.pass(Harness.KEY_SEQUENCE_PAUSE - 10_000);
+        assertEquals("failed", harness.finalAnswers.get("a"));
+        harness.advance(Harness.KEY_SEQUENCE_PAUSE_MICROS - 10_000);
         assertEquals(0, harness.sentFor("b").size(), "the key rests");
-        harness.pass(50_000);
+        harness.advance(50_000);
         assertEquals(1, harness.sentFor("b").size(), "then the next one goes");
     }
 
     @Test
     void aKeySequencePausesAlsoWhenTheClientHasLeft() {
         Harness harness = fleet(ordered(Idempotency.IDEMPOTENT));
-        Harness.Sent first = harness.keyed("a", 0, "k");
-        harness.keyed("b", 0, "k");
-        harness.finals.put("a", "gone");
+        Harness.Sent first = harness.requestWithKey("a", 0, "k");
+        harness.requestWithKey("b", 0, "k");
+        harness.finalAnswers.put("a", "gone");
         harness.policy.clientGone(harness.now, "a", harness);
-        harness.pass(50_000);
+        harness.advance(50_000);
         assertEquals(0, harness.sentFor("b").size(), "its attempt has no outcome yet");
         harness.end(first, AttemptOutcome.CANCELLED);
-        harness.pass(Harness.KEY_SEQUENCE_PAUSE - 10_000);
+        harness.advance(Harness.KEY_SEQUENCE_PAUSE_MICROS - 10_000);
         assertEquals(0, harness.sentFor("b").size());
-        harness.pass(50_000);
+        harness.advance(50_000);
         assertEquals(1, harness.sentFor("b").size());
     }
 
     @Test
     void theFirstRequestOfAKeyIsRetriedWithoutAPause() {
         Harness harness = fleet(ordered(Idempotency.IDEMPOTENT));
-        harness.end(harness.keyed("a", 0, "k"), AttemptOutcome.RESET);
+        harness.end(harness.requestWithKey("a", 0, "k"), AttemptOutcome.RESET);
         assertEquals(2, harness.sentFor("a").size());
     }
 
     @Test
     void aRequestThatNeverBecomesTheFirstOfItsKeyIsAnsweredInTime() {
         Harness harness = fleet(ordered(Idempotency.IDEMPOTENT));
-        harness.keyed("a", 0, "k");
+        harness.requestWithKey("a", 0, "k");
         long from = harness.now;
-        harness.keyed("b", 0, "k");
-        harness.pass(Harness.DEADLINE);
-        assertEquals("refused", harness.finals.get("b"));
-        assertTrue(harness.now - from <= Harness.DEADLINE);
+        harness.requestWithKey("b", 0, "k");
+        harness.advance(Harness.DEADLINE_MICROS);
+        assertEquals("refused", harness.finalAnswers.get("b"));
+        assertTrue(harness.now - from <= Harness.DEADLINE_MICROS);
     }
 
     @Test
@@ -113,10 +113,10 @@
         for (int i = 0; i < 40; i++) { // zones and kinds alternate over the fleet
             assertEquals(1, harness.request("z" + i, 1).endpoint.charAt(1) % 2);
             assertEquals(0, harness.request("k" + i, 2).endpoint.charAt(1) % 2);
-            harness.pass(10_000);
+            harness.advance(10_000);
         }
         harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, AttemptOutcome.ERROR));
-        harness.pass(Harness.DEADLINE);
+        harness.advance(Harness.DEADLINE_MICROS);
         harness.sends.stream()
                 .filter(s -> s.request.startsWith("z"))
                 .forEach(s -> assertEquals(1, s.endpoint.charAt(1) % 2, "retries and hedged attempts too"));
@@ -139,7 +139,7 @@
         harness.request("bound2", 1);
         harness.list(EndpointListKind.DELTA, List.of(new Endpoint("own", EndpointState.GONE, 0, 1, 0, 0, 7)));
         harness.request("bound3", 1);
-        harness.pass(Harness.DEADLINE);
-        assertEquals("refused", harness.finals.get("bound3"), "queued, then answered in time");
+        harness.advance(Harness.DEADLINE_MICROS);
+        assertEquals("refused", harness.finalAnswers.get("bound3"), "queued, then answered in time");
     }
 }
--- a/core/src/test/java/loadbalancer/policy/OutlierDetectorTest.java
+++ b/core/src/test/java/loadbalancer/policy/OutlierDetectorTest.java
@@ -10,8 +10,8 @@
 
 /** Ejection, probation and the rest of an endpoint that rejects, as the whole policy shows them. */
 class OutlierDetectorTest {
-    private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
-    private static final RequestClass NON_IDEMPOTENT = Harness.kind(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
+    private static final RequestClass IDEMPOTENT = Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL);
+    private static final RequestClass NON_IDEMPOTENT = Harness.requestClass(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
 
     @Test
     void anEndpointThatFailsFastIsEjectedAndRecoversAfterProbation() {
@@ -40,13 +40,13 @@
         Harness harness = Harness.withFleet(3, NON_IDEMPOTENT);
         harness.serve(100, 30_000, Map.of());
         Harness.Sent stuck = harness.request("stuck", 0);
-        harness.pass(200_000);
+        harness.advance(200_000);
         long from = harness.now;
         for (int i = 0; i < 40; i++) { // three at a time: the third finds all queues alike
             for (int j = 0; j < 3; j++) {
                 harness.request("n" + i + "/" + j, 0);
             }
-            harness.pass(20_000);
+            harness.advance(20_000);
             harness.sends.stream()
                     .filter(s -> !s.ended && s != stuck)
                     .toList()
--- a/core/src/test/java/loadbalancer/policy/OverloadTest.java
+++ b/core/src/test/java/loadbalancer/policy/OverloadTest.java
@@ -10,8 +10,8 @@
 
 /** What the whole policy sheds under overload, and how it recovers. */
 class OverloadTest {
-    private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
-    private static final RequestClass NON_IDEMPOTENT = Harness.kind(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
+    private static final RequestClass IDEMPOTENT = Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL);
+    private static final RequestClass NON_IDEMPOTENT = Harness.requestClass(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
 
     @Test
     void requestsAreSentAtOnceAfterAnOverload() {
@@ -19,19 +19,19 @@
         harness.serve(200, 30_000, Map.of());
         for (int i = 0; i < 60; i++) { // everything takes ten times as long
             harness.request("slow" + i, 0);
-            harness.pass(50_000);
+            harness.advance(50_000);
             harness.sends.stream()
                     .filter(s -> !s.ended && harness.now - s.sentAt >= 400_000)
                     .toList()
                     .forEach(s -> harness.end(s, AttemptOutcome.OK));
         }
         harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, AttemptOutcome.OK));
-        harness.pass(4_000_000);
+        harness.advance(4_000_000);
         int sent = 0;
         for (int i = 0; i < 10 * 12; i++) { // twelve at a time
             sent += harness.request("after" + i, 0) != null ? 1 : 0;
             while (i % 12 == 11 && i < 9 * 12 && harness.sends.stream().anyMatch(s -> !s.ended)) {
-                harness.pass(30_000);
+                harness.advance(30_000);
                 harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, AttemptOutcome.OK));
                 sent = 0;
             }
@@ -57,9 +57,9 @@
         int rejected = 0;
         int sent = 0;
         for (int i = 0; i < 20; i++) {
-            harness.clientRetry("late" + i, 0, Harness.DEADLINE - Harness.LATENCY_OBJECTIVE - 200_000);
-            harness.clientRetry("quick" + i, 0, Harness.DEADLINE - 150_000); // this one can still be in time
-            rejected += "refused".equals(harness.finals.get("late" + i)) ? 1 : 0;
+            harness.clientRetry("late" + i, 0, Harness.DEADLINE_MICROS - Harness.LATENCY_OBJECTIVE_MICROS - 200_000);
+            harness.clientRetry("quick" + i, 0, Harness.DEADLINE_MICROS - 150_000); // this one can still be in time
+            rejected += "refused".equals(harness.finalAnswers.get("late" + i)) ? 1 : 0;
             sent += harness.sentFor("quick" + i).size();
         }
         assertEquals(20, sent, "what can be in time is sent");
@@ -70,7 +70,7 @@
     void aClientRetryThatMayBeInTimeIsSentLikeAnyRequest() {
         Harness harness = Harness.withFleet(6, IDEMPOTENT);
         harness.serve(20, 20_000, Map.of());
-        harness.clientRetry("again", 0, Harness.DEADLINE); // as much time as a first attempt: age unknown
+        harness.clientRetry("again", 0, Harness.DEADLINE_MICROS); // as much time as a first attempt: age unknown
         assertEquals(1, harness.sentFor("again").size());
     }
 
@@ -89,7 +89,7 @@
     void theOverloadScoreDecaysWithoutAnswers() {
         Harness harness = Harness.withFleet(6, IDEMPOTENT);
         harness.serveOneByOne(60, 0, 0, 1_800_000);
-        harness.pass(20_000_000);
+        harness.advance(20_000_000);
         assertTrue(harness.serveOneByOne(20, 0, 0, 50_000) >= 19);
     }
 
@@ -99,8 +99,8 @@
                 Idempotency.NON_IDEMPOTENT,
                 KeyScope.ALL,
                 0,
-                Harness.LATENCY_OBJECTIVE,
-                Harness.DEADLINE,
+                Harness.LATENCY_OBJECTIVE_MICROS,
+                Harness.DEADLINE_MICROS,
                 0,
                 9,
                 0,
@@ -123,8 +123,8 @@
                 Idempotency.NON_IDEMPOTENT,
                 KeyScope.ALL,
                 0,
-                Harness.LATENCY_OBJECTIVE,
-                Harness.DEADLINE,
+                Harness.LATENCY_OBJECTIVE_MICROS,
+                Harness.DEADLINE_MICROS,
                 0,
                 9,
                 0,
@@ -156,9 +156,9 @@
                 harness.end(sent, outcome);
                 sent = harness.sends.stream().filter(s -> !s.ended).findFirst().orElse(null);
             }
-            harness.pass(1_000);
+            harness.advance(1_000);
         }
-        harness.pass(200_000); // all endpoints look unhealthy, so all are used
+        harness.advance(200_000); // all endpoints look unhealthy, so all are used
         int before = harness.sends.size();
         harness.request("after", 0);
         assertTrue(harness.sends.size() > before, "the next is sent");
@@ -169,9 +169,9 @@
         Harness harness = Harness.withoutEndpoints(NON_IDEMPOTENT);
         for (int i = 0; i < 200; i++) {
             harness.request("held" + i, 0);
-            harness.pass(10_000);
+            harness.advance(10_000);
         }
-        harness.pass(Harness.DEADLINE);
+        harness.advance(Harness.DEADLINE_MICROS);
         harness.list(EndpointListKind.DELTA, Harness.fleet(3));
         for (int i = 0; i < 5; i++) {
             assertTrue(harness.request("after" + i, 0) != null, "sent as soon as there are endpoints");
@@ -184,7 +184,7 @@
         harness.serveOneByOne(40, 0, 0, 50_000);
         for (int i = 0; i < 20; i++) { // two seconds of late answers, ten a second
             Harness.Sent sent = harness.request("late" + i, 0);
-            harness.pass(100_000);
+            harness.advance(100_000);
             if (sent != null) {
                 harness.now += 1;
                 harness.policy.outcome(
@@ -192,7 +192,7 @@
                         sent.request,
                         sent.attempt,
                         AttemptOutcome.OK,
-                        2 * Harness.LATENCY_OBJECTIVE,
+                        2 * Harness.LATENCY_OBJECTIVE_MICROS,
                         true,
                         null,
                         harness);
--- a/core/src/test/java/loadbalancer/policy/PollScheduleTest.java
+++ b/core/src/test/java/loadbalancer/policy/PollScheduleTest.java
@@ -21,17 +21,21 @@
     private static long[] pauses(long seed) {
         Harness harness = new Harness(
                 Harness.settings(
-                        20, true, DiscoveryMode.POLL, List.of(), Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL)),
+                        20,
+                        true,
+                        DiscoveryMode.POLL,
+                        List.of(),
+                        Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL)),
                 seed);
         harness.list(EndpointListKind.CACHED, Harness.fleet(3)).list(EndpointListKind.SNAPSHOT, Harness.fleet(3));
-        harness.pass(10_000_000);
+        harness.advance(10_000_000);
         long[] pauses = new long[CALLS];
         for (int i = 0; i < CALLS; i++) {
-            int before = harness.watches;
+            int before = harness.watchCalls;
             long failed = harness.now;
             harness.list(EndpointListKind.UNAVAILABLE, List.of());
-            while (harness.watches == before) {
-                harness.pass(1_000);
+            while (harness.watchCalls == before) {
+                harness.advance(1_000);
             }
             pauses[i] = harness.now - failed;
         }
@@ -86,22 +90,23 @@
                                 true,
                                 DiscoveryMode.POLL,
                                 List.of(),
-                                Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL)),
+                                Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL)),
                         3)
                 .list(EndpointListKind.CACHED, Harness.fleet(2));
-        assertEquals(1, harness.watches);
-        harness.pass(7_000_000); // silence: asked again within AskWithin
-        assertEquals(2, harness.watches);
+        assertEquals(1, harness.watchCalls);
+        harness.advance(7_000_000); // silence: asked again within AskWithin
+        assertEquals(2, harness.watchCalls);
         for (int i = 0; i < 20; i++) { // 20 s of errors
             harness.list(EndpointListKind.UNAVAILABLE, List.of());
-            harness.pass(1_000_000);
+            harness.advance(1_000_000);
         }
-        assertTrue(harness.watches >= 5 && harness.watches <= 16, "asked " + harness.watches + " times in 27 s");
-        int before = harness.watches;
+        assertTrue(
+                harness.watchCalls >= 5 && harness.watchCalls <= 16, "asked " + harness.watchCalls + " times in 27 s");
+        int before = harness.watchCalls;
         harness.list(EndpointListKind.DELTA, List.of());
-        harness.pass(60_000_000);
-        assertEquals(before, harness.watches, "subscribed: nothing more to ask");
-        Harness empty = new Harness(Harness.settings(Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL)), 3);
+        harness.advance(60_000_000);
+        assertEquals(before, harness.watchCalls, "subscribed: nothing more to ask");
+        Harness empty = new Harness(Harness.settings(Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL)), 3);
         assertNull(empty.list(EndpointListKind.CACHED, List.of()).request("r", 0));
     }
 }
--- a/core/src/test/java/loadbalancer/policy/QueueLengthEstimatorTest.java
+++ b/core/src/test/java/loadbalancer/policy/QueueLengthEstimatorTest.java
@@ -6,7 +6,7 @@
 
 /** Load reports in the queue length. */
 class QueueLengthEstimatorTest {
-    private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
+    private static final RequestClass IDEMPOTENT = Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL);
 
     @Test
     void loadReportsCountInQueueLengthsAndImpossibleOnesAreIgnored() {
--- a/core/src/test/java/loadbalancer/policy/RandomEventsTest.java
+++ b/core/src/test/java/loadbalancer/policy/RandomEventsTest.java
@@ -15,11 +15,11 @@
 class RandomEventsTest {
     private static final int STEPS = 6000;
     private static final List<RequestClass> CLASSES = List.of(
-            Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL),
-            Harness.kind(Idempotency.NON_IDEMPOTENT, KeyScope.ALL),
-            Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.ALL),
-            Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.CELL),
-            Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.ZONE));
+            Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL),
+            Harness.requestClass(Idempotency.NON_IDEMPOTENT, KeyScope.ALL),
+            Harness.requestClass(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.ALL),
+            Harness.requestClass(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.CELL),
+            Harness.requestClass(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.ZONE));
 
     private final Map<String, Long> deadlines = new TreeMap<>();
     private final Map<String, Integer> classOf = new TreeMap<>();
@@ -40,16 +40,16 @@
             timeOutAttempts();
             checkSends();
         }
-        harness.pass(Harness.DEADLINE + 100_000);
+        harness.advance(Harness.DEADLINE_MICROS + 100_000);
         for (Harness.Sent sent : new ArrayList<>(harness.sends)) {
             if (!sent.ended) {
                 harness.end(sent, AttemptOutcome.TIMEOUT);
             }
         }
-        harness.pass(Harness.DEADLINE + 100_000);
-        assertEquals(0, harness.doubleFinals);
+        harness.advance(Harness.DEADLINE_MICROS + 100_000);
+        assertEquals(0, harness.duplicateFinalAnswers);
         for (String id : deadlines.keySet()) {
-            assertTrue(harness.finals.containsKey(id), "no answer for " + id);
+            assertTrue(harness.finalAnswers.containsKey(id), "no answer for " + id);
         }
     }
 
@@ -80,7 +80,7 @@
         } else if (event < 94) {
             harness.list(EndpointListKind.UNAVAILABLE, List.of());
         } else {
-            harness.pass(random.nextLong(60_000));
+            harness.advance(random.nextLong(60_000));
         }
     }
 
@@ -113,8 +113,8 @@
     }
 
     private void leave(String id) {
-        if (deadlines.containsKey(id) && !harness.finals.containsKey(id)) {
-            harness.finals.put(id, "gone");
+        if (deadlines.containsKey(id) && !harness.finalAnswers.containsKey(id)) {
+            harness.finalAnswers.put(id, "gone");
             withoutClient.add(id);
             harness.policy.clientGone(harness.now, id, harness);
         }
--- a/core/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
+++ b/core/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
@@ -16,10 +16,10 @@
 /** Ordered delivery and placement over random legal sequences of events, checked by a rule checker. */
 class RandomOrderAndPlacementTest {
     private static final List<RequestClass> CLASSES = List.of(
-            Harness.kind(Idempotency.IDEMPOTENT, true, Set.of(), Set.of()),
-            Harness.kind(Idempotency.NON_IDEMPOTENT, true, Set.of(0), Set.of()),
-            Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, false, Set.of(), Set.of(1)),
-            Harness.kind(Idempotency.IDEMPOTENT, false, Set.of(1), Set.of(0)));
+            Harness.requestClass(Idempotency.IDEMPOTENT, true, Set.of(), Set.of()),
+            Harness.requestClass(Idempotency.NON_IDEMPOTENT, true, Set.of(0), Set.of()),
+            Harness.requestClass(Idempotency.IDEMPOTENT_WITH_KEY, false, Set.of(), Set.of(1)),
+            Harness.requestClass(Idempotency.IDEMPOTENT, false, Set.of(1), Set.of(0)));
 
     /** Knows the requests of each key in the order of arrival; says which rule a send violates, or null. */
     private static final class RuleChecker {
@@ -38,7 +38,7 @@
             attemptsInFlight.merge(id, -1, Integer::sum);
             if (Set.of(AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED)
                     .contains(outcome)) {
-                pausedUntil.put(id, now + Harness.KEY_SEQUENCE_PAUSE);
+                pausedUntil.put(id, now + Harness.KEY_SEQUENCE_PAUSE_MICROS);
             }
         }
 
@@ -79,8 +79,8 @@
         assertTrue(checker.sent("b", 1).contains("before a was over"), "an attempt is still in flight");
         checker.ended("a", AttemptOutcome.TIMEOUT, 2);
         assertTrue(checker.sent("b", 3).contains("rests"));
-        assertEquals(null, checker.sent("b", 2 + Harness.KEY_SEQUENCE_PAUSE));
-        RequestClass bound = Harness.kind(Idempotency.IDEMPOTENT, false, Set.of(1), Set.of(0));
+        assertEquals(null, checker.sent("b", 2 + Harness.KEY_SEQUENCE_PAUSE_MICROS));
+        RequestClass bound = Harness.requestClass(Idempotency.IDEMPOTENT, false, Set.of(1), Set.of(0));
         assertTrue(RuleChecker.placed(bound, new Endpoint("s", EndpointState.UP, 0, 1, 0, 0, 0)) != null);
         assertTrue(RuleChecker.placed(bound, new Endpoint("s", EndpointState.UP, 0, 1, 0, 1, 1)) != null);
         assertEquals(null, RuleChecker.placed(bound, new Endpoint("s", EndpointState.UP, 0, 1, 0, 0, 1)));
@@ -123,7 +123,7 @@
         } else if (event < 86 && !classOf.isEmpty()) {
             leave(List.copyOf(classOf.keySet()).get(random.nextInt(classOf.size())));
         } else {
-            harness.pass(random.nextLong(40_000));
+            harness.advance(random.nextLong(40_000));
         }
     }
 
@@ -154,14 +154,14 @@
     }
 
     private void leave(String id) {
-        if (harness.finals.putIfAbsent(id, "gone") == null) {
+        if (harness.finalAnswers.putIfAbsent(id, "gone") == null) {
             checker.over.put(id, true);
             harness.policy.clientGone(harness.now, id, harness);
         }
     }
 
     private void checkSends() {
-        harness.finals.keySet().forEach(id -> checker.over.put(id, true));
+        harness.finalAnswers.keySet().forEach(id -> checker.over.put(id, true));
         for (; checkedSends < harness.sends.size(); checkedSends++) {
             Harness.Sent sent = harness.sends.get(checkedSends);
             assertEquals(null, checker.sent(sent.request, sent.sentAt));
--- a/core/src/test/java/loadbalancer/policy/RandomSafetyRulesTest.java
+++ b/core/src/test/java/loadbalancer/policy/RandomSafetyRulesTest.java
@@ -17,11 +17,11 @@
 /** The safety rules over random legal events, checked by a rule checker that is itself shown to catch violations. */
 class RandomSafetyRulesTest {
     private static final List<RequestClass> CLASSES = List.of(
-            Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL),
-            Harness.kind(Idempotency.NON_IDEMPOTENT, KeyScope.ALL),
-            Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.ALL),
-            Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.CELL),
-            Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.ZONE));
+            Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL),
+            Harness.requestClass(Idempotency.NON_IDEMPOTENT, KeyScope.ALL),
+            Harness.requestClass(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.ALL),
+            Harness.requestClass(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.CELL),
+            Harness.requestClass(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.ZONE));
 
     private static final long SLACK = 20_000;
 
@@ -131,20 +131,20 @@
         Endpoint one = new Endpoint("a", EndpointState.UP, 0, 1, 0, 0, 0);
         Endpoint two = new Endpoint("b", EndpointState.UP, 0, 1, 1, 0, 1);
         RuleChecker checker = new RuleChecker();
-        checker.arrived("u", Harness.kind(Idempotency.NON_IDEMPOTENT, KeyScope.ALL), 100);
+        checker.arrived("u", Harness.requestClass(Idempotency.NON_IDEMPOTENT, KeyScope.ALL), 100);
         assertNull(checker.sent("u", one, true, 0));
         assertTrue(checker.sent("u", two, true, 1).contains("twice"));
         assertTrue(checker.answered("u", "refused", 1).contains("may have run"));
         assertTrue(checker.answered("u", "failed", 1).contains("answered twice"));
         assertTrue(checker.sent("u", one, true, 2).contains("after its answer"));
-        checker.arrived("k", Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.CELL), 100);
+        checker.arrived("k", Harness.requestClass(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.CELL), 100);
         assertTrue(checker.sent("k", one, false, 0).contains("draining"));
         assertNull(checker.sent("k", one, true, 0));
         assertTrue(checker.sent("k", two, true, 0).contains("group"));
         assertTrue(checker.sent("k", one, true, 2_000_000).contains("window"));
         assertTrue(checker.atTheEnd(100 + SLACK + 1).contains("lost"));
         assertTrue(checker.answered("k", "failed", 100 + SLACK + 1).contains("too late"));
-        SafetyBounds bounds = Harness.settings(Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL))
+        SafetyBounds bounds = Harness.settings(Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL))
                 .bounds();
         assertTrue(slowStartViolation(LongStream.range(0, 30).boxed().toList(), 0, 10, bounds) != null);
         assertNull(slowStartViolation(List.of(0L, 900_000L), 0, 10, bounds));
@@ -171,7 +171,7 @@
             checkAnswers();
             assertNull(checker.atTheEnd(harness.now));
         }
-        assertEquals(0, harness.doubleFinals);
+        assertEquals(0, harness.duplicateFinalAnswers);
         assertTrue(checkedSends > 800, "enough was sent: " + checkedSends);
     }
 
@@ -190,7 +190,7 @@
             endpoints.computeIfPresent(id, (i, s) -> s.withState(EndpointState.values()[random.nextInt(3)]));
             harness.list(EndpointListKind.DELTA, List.of(endpoints.get(id)));
         } else {
-            harness.pass(random.nextLong(20_000));
+            harness.advance(random.nextLong(20_000));
         }
     }
 
@@ -225,10 +225,10 @@
     }
 
     private void checkAnswers() {
-        List<String> ids = List.copyOf(harness.finals.keySet());
+        List<String> ids = List.copyOf(harness.finalAnswers.keySet());
         for (; checkedAnswers < ids.size(); checkedAnswers++) {
             String id = ids.get(checkedAnswers);
-            assertNull(checker.answered(id, harness.finals.get(id), harness.now));
+            assertNull(checker.answered(id, harness.finalAnswers.get(id), harness.now));
         }
     }
 
@@ -236,7 +236,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void endpointsInSlowStartBearWhatRandomTrafficSends(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        PolicySettings settings = Harness.settings(Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL));
+        PolicySettings settings = Harness.settings(Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL));
         Harness harness = new Harness(settings, seed).list(EndpointListKind.CACHED, Harness.fleet(5));
         long started = 0;
         for (int i = 0; i < 1500; i++) { // 40 answers a second from each of 5
@@ -248,7 +248,7 @@
             for (int j = 0; j < 4; j++) {
                 harness.request("x" + i + "/" + j, 0);
             }
-            harness.pass(10_000 + random.nextLong(20_000));
+            harness.advance(10_000 + random.nextLong(20_000));
             harness.sends.stream()
                     .filter(s -> !s.ended && harness.now - s.sentAt >= 30_000)
                     .toList()
--- a/core/src/test/java/loadbalancer/policy/ReconfigureTest.java
+++ b/core/src/test/java/loadbalancer/policy/ReconfigureTest.java
@@ -9,8 +9,8 @@
 /** What a policy has learned: over a change of settings, and in a successor. */
 class ReconfigureTest {
     private static final int[] NONE = {};
-    private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
-    private static final RequestClass NON_IDEMPOTENT = Harness.kind(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
+    private static final RequestClass IDEMPOTENT = Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL);
+    private static final RequestClass NON_IDEMPOTENT = Harness.requestClass(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
 
     private static Map<String, double[]> learnedState(Harness harness) {
         return LearnedStateCodec.encode(harness.policy.learnedState(harness.now));
--- a/core/src/test/java/loadbalancer/policy/RequestQueueTest.java
+++ b/core/src/test/java/loadbalancer/policy/RequestQueueTest.java
@@ -7,7 +7,7 @@
 
 /** Requests that wait for an endpoint. */
 class RequestQueueTest {
-    private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
+    private static final RequestClass IDEMPOTENT = Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL);
 
     @Test
     void theMostUrgentQueuedRequestIsSentFirst() {
@@ -15,14 +15,14 @@
                 Idempotency.IDEMPOTENT,
                 KeyScope.ALL,
                 0,
-                4 * Harness.LATENCY_OBJECTIVE,
-                4 * Harness.DEADLINE,
+                4 * Harness.LATENCY_OBJECTIVE_MICROS,
+                4 * Harness.DEADLINE_MICROS,
                 0,
                 1,
                 0,
                 false);
         Harness harness = Harness.withoutEndpoints(IDEMPOTENT, patient);
-        harness.request("patient", 1, 0, 4 * Harness.DEADLINE);
+        harness.request("patient", 1, 0, 4 * Harness.DEADLINE_MICROS);
         harness.request("urgent", 0);
         harness.list(EndpointListKind.DELTA, Harness.fleet(1));
         assertEquals(
@@ -34,6 +34,6 @@
     void aRequestWithNoTimeLeftIsAnsweredAtOnce() {
         Harness harness = Harness.withoutEndpoints(IDEMPOTENT);
         harness.request("spent", 0, 0, 2_000);
-        assertEquals("refused", harness.finals.get("spent"));
+        assertEquals("refused", harness.finalAnswers.get("spent"));
     }
 }
--- a/core/src/test/java/loadbalancer/policy/ResponseTimeoutRuleTest.java
+++ b/core/src/test/java/loadbalancer/policy/ResponseTimeoutRuleTest.java
@@ -6,17 +6,17 @@
 
 /** How long an attempt may take. */
 class ResponseTimeoutRuleTest {
-    private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
-    private static final RequestClass NON_IDEMPOTENT = Harness.kind(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
+    private static final RequestClass IDEMPOTENT = Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL);
+    private static final RequestClass NON_IDEMPOTENT = Harness.requestClass(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
 
     @Test
     void aNonIdempotentRequestTimesOutAtItsLatencyObjective() {
         Harness harness = Harness.withFleet(6, IDEMPOTENT, NON_IDEMPOTENT);
-        assertEquals(Harness.LATENCY_OBJECTIVE, harness.request("once", 1).timeout);
+        assertEquals(Harness.LATENCY_OBJECTIVE_MICROS, harness.request("once", 1).timeout);
         assertEquals(0, harness.request("safe", 0).timeout, "its client would only come again");
         Harness.Sent late = harness.sentFor("once").get(0);
-        harness.pass(Harness.LATENCY_OBJECTIVE);
+        harness.advance(Harness.LATENCY_OBJECTIVE_MICROS);
         harness.end(late, AttemptOutcome.TIMEOUT);
-        assertEquals("failed", harness.finals.get("once"));
+        assertEquals("failed", harness.finalAnswers.get("once"));
     }
 }
--- a/core/src/test/java/loadbalancer/policy/SafetyRulesTest.java
+++ b/core/src/test/java/loadbalancer/policy/SafetyRulesTest.java
@@ -13,8 +13,8 @@
 
 /** The safety rules for each sort of request class. */
 class SafetyRulesTest {
-    private static final RequestClass NON_IDEMPOTENT = Harness.kind(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
-    private static final RequestClass IDEMPOTENT = Harness.kind(Idempotency.IDEMPOTENT, KeyScope.ALL);
+    private static final RequestClass NON_IDEMPOTENT = Harness.requestClass(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
+    private static final RequestClass IDEMPOTENT = Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL);
 
     private static Harness warm(RequestClass kind) {
         Harness harness = new Harness(Harness.settings(kind), 5).list(EndpointListKind.CACHED, Harness.fleet(6));
@@ -29,7 +29,7 @@
     void aNonIdempotentRequestThatMayHaveRunFails(AttemptOutcome outcome) {
         Harness harness = warm(NON_IDEMPOTENT);
         harness.end(harness.request("r", 0), outcome);
-        assertEquals("failed", harness.finals.get("r"));
+        assertEquals("failed", harness.finalAnswers.get("r"));
         assertEquals(1, harness.sentFor("r").size());
     }
 
@@ -49,7 +49,7 @@
     void aNonIdempotentRequestIsNotHedged() {
         Harness harness = warm(NON_IDEMPOTENT);
         harness.request("r", 0);
-        harness.pass(Harness.DEADLINE - 100_000);
+        harness.advance(Harness.DEADLINE_MICROS - 100_000);
         assertEquals(1, harness.sentFor("r").size());
     }
 
@@ -60,7 +60,7 @@
         harness.warmUp(60, 0, 40_000);
         Harness.Sent first = harness.request("r", 0);
         assertEquals(0, first.timeout, "an idempotent attempt has no timeout: its work would be done twice");
-        harness.pass(Harness.LATENCY_OBJECTIVE);
+        harness.advance(Harness.LATENCY_OBJECTIVE_MICROS);
         assertEquals(1, harness.sentFor("r").size());
     }
 
@@ -68,7 +68,8 @@
     @EnumSource(KeyScope.class)
     void aRequestWithAnIdempotencyKeyStaysWithinTheScopeOfTheKey(KeyScope scope) {
         for (int seed = 0; seed < 20; seed++) {
-            Harness harness = new Harness(Harness.settings(Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, scope)), seed)
+            Harness harness = new Harness(
+                            Harness.settings(Harness.requestClass(Idempotency.IDEMPOTENT_WITH_KEY, scope)), seed)
                     .list(EndpointListKind.CACHED, Harness.fleet(6));
             harness.warmUp(40, 0, 40_000);
             Harness.Sent first = harness.request("r", 0);
@@ -83,17 +84,17 @@
     @ParameterizedTest
     @EnumSource(KeyScope.class)
     void aRequestWithAnIdempotencyKeyIsNotRetriedAfterTheRetentionOfTheKey(KeyScope scope) {
-        Harness harness = warm(Harness.kind(Idempotency.IDEMPOTENT_WITH_KEY, scope));
+        Harness harness = warm(Harness.requestClass(Idempotency.IDEMPOTENT_WITH_KEY, scope));
         Harness.Sent first = harness.request("r", 0);
-        harness.pass(2_500_000); // the window is 2 s from the first send
+        harness.advance(2_500_000); // the window is 2 s from the first send
         for (Harness.Sent attempt : harness.sentFor("r")) {
             assertTrue(attempt.sentAt - first.sentAt < 2_000_000);
         }
         int before = harness.sentFor("r").size();
         harness.sentFor("r").forEach(s -> harness.end(s, AttemptOutcome.ERROR));
-        harness.pass(1_000_000);
+        harness.advance(1_000_000);
         assertEquals(before, harness.sentFor("r").size());
-        assertEquals(scope == KeyScope.ALL ? "refused" : "failed", harness.finals.get("r"));
+        assertEquals(scope == KeyScope.ALL ? "refused" : "failed", harness.finalAnswers.get("r"));
     }
 
     @Test
@@ -104,7 +105,7 @@
         for (int i = 0; i < 30; i++) {
             Harness.Sent sent = harness.request("r" + i, 0);
             assertEquals("s2", sent.endpoint);
-            harness.pass(30_000);
+            harness.advance(30_000);
             harness.end(sent, AttemptOutcome.OK);
         }
         harness.list(EndpointListKind.SNAPSHOT, List.of(Harness.up("s1")));
@@ -117,10 +118,10 @@
                 new Harness(Harness.settings(IDEMPOTENT, NON_IDEMPOTENT), 1).list(EndpointListKind.CACHED, List.of());
         assertNull(harness.request("a", 0));
         assertNull(harness.request("b", 1, 0, 6_000));
-        harness.pass(30_000);
-        assertTrue(harness.finals.containsKey("b"), "a nearly spent request is answered at once");
-        harness.pass(Harness.DEADLINE);
-        assertEquals("refused", harness.finals.get("a"));
+        harness.advance(30_000);
+        assertTrue(harness.finalAnswers.containsKey("b"), "a nearly spent request is answered at once");
+        harness.advance(Harness.DEADLINE_MICROS);
+        assertEquals("refused", harness.finalAnswers.get("a"));
     }
 
     @ParameterizedTest
--- a/core/src/test/java/loadbalancer/policy/TenantQuotasTest.java
+++ b/core/src/test/java/loadbalancer/policy/TenantQuotasTest.java
@@ -8,7 +8,7 @@
 
 /** Quotas of tenants, as the whole policy shows them. */
 class TenantQuotasTest {
-    private static final RequestClass NON_IDEMPOTENT = Harness.kind(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
+    private static final RequestClass NON_IDEMPOTENT = Harness.requestClass(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
 
     @Test
     void aTenantOverItsQuotaLosesItsExcessAndKeepsItsQuota() {
@@ -26,13 +26,13 @@
             int tenant = i % 5 == 4 ? 1 : 0;
             served.get(tenant)[0]++;
             harness.request(tenant + "-" + i, 0, tenant, 2_000_000);
-            harness.pass(10_000);
+            harness.advance(10_000);
             harness.sends.stream()
                     .filter(s -> !s.ended && harness.now - s.sentAt >= 300_000)
                     .toList()
                     .forEach(s -> harness.end(s, AttemptOutcome.OK));
         }
-        harness.finals.forEach((id, how) -> {
+        harness.finalAnswers.forEach((id, how) -> {
             if (how.equals("ok")) {
                 served.get(id.charAt(0) - '0')[1]++;
             }
