--- a/balancer/src/test/java/loadbalancer/DirectionsTest.java
+++ b/balancer/src/test/java/loadbalancer/PackageDependenciesTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Which package may know which: core is below the balancer, and the laboratory is never in it. */
-class DirectionsTest {
+class PackageDependenciesTest {
     private static final JavaClasses ALL = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("loadbalancer");
--- a/balancer/src/test/java/loadbalancer/process/AttemptOutcomeTest.java
+++ b/balancer/src/test/java/loadbalancer/process/AttemptOutcomeTest.java
@@ -19,26 +19,26 @@
         start();
         byte[] big = new byte[64 * 1024];
         new Random(1).nextBytes(big);
-        try (Client client = new Client(at)) {
-            client.send(IDEMPOTENT);
+        try (Client client = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST);
             assertEquals("0 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
-            FakeUpstream.ReceivedRequest got = upstream.next();
-            assertEquals("GET /api/k1?x=%20y HTTP/1.1", got.line());
+            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
+            assertEquals("GET /api/k1?x=%20y HTTP/1.1", got.requestLine());
             assertEquals("r1", got.header("Req-Id"));
             assertTrue(Integer.parseInt(got.header("Req-Deadline-Ms")) < 20_000);
-            got.answer(200, "Srv-Load: TEXT eps=0.1, inflight=7\r\n", big);
-            assertEquals(200, client.status());
+            got.respond(200, "Srv-Load: TEXT eps=0.1, inflight=7\r\n", big);
+            assertEquals(200, client.readStatus());
             assertArrayEquals(big, client.body);
-            assertEquals("OK 7.0 closed", policy.next());
+            assertEquals("OK 7.0 closed", policy.nextEvent());
             client.send(post("pay", "Idempotency-Key: abc\r\nReq-Deadline-Ms: 20000\r\n", "hello"));
-            got = upstream.next();
+            got = upstream.nextRequest();
             assertEquals("abc", got.header("Idempotency-Key"));
             assertEquals("hello", new String(got.body(), StandardCharsets.UTF_8));
-            got.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n");
-            assertEquals(200, client.status());
+            got.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n");
+            assertEquals(200, client.readStatus());
             assertEquals("abc", new String(client.body, StandardCharsets.UTF_8));
         }
-        assertEquals(1, upstream.connections()); // kept and used again
+        assertEquals(1, upstream.connectionCount()); // kept and used again
     }
 
     @ParameterizedTest
@@ -54,28 +54,28 @@
     void onlyADeclineProvesThatTheRequestDidNotRun(int status, String header, String told, int passed)
             throws IOException, InterruptedException {
         start();
-        try (Client client = new Client(at)) {
-            client.send(IDEMPOTENT);
-            upstream.next().answer(status, header.isEmpty() ? "" : header + "\r\n", "");
-            assertEquals(told, policy.next());
-            assertEquals(passed, client.status());
+        try (Client client = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST);
+            upstream.nextRequest().respond(status, header.isEmpty() ? "" : header + "\r\n", "");
+            assertEquals(told, policy.nextEvent());
+            assertEquals(passed, client.readStatus());
         }
     }
 
     @Test
     void aConnectionThatEndsAfterTheRequestWasWrittenIsAReset() throws IOException, InterruptedException {
         start();
-        try (Client client = new Client(at)) {
-            client.send(IDEMPOTENT);
-            upstream.next().reset();
-            assertEquals("RESET", policy.next());
-            assertEquals(502, client.status());
-            client.send(IDEMPOTENT);
-            FakeUpstream.ReceivedRequest half = upstream.next();
-            half.raw("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
+        try (Client client = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST);
+            upstream.nextRequest().reset();
+            assertEquals("RESET", policy.nextEvent());
+            assertEquals(502, client.readStatus());
+            client.send(IDEMPOTENT_REQUEST);
+            FakeUpstream.ReceivedRequest half = upstream.nextRequest();
+            half.write("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
             half.socket().close();
-            assertEquals("RESET", policy.next());
-            assertEquals(502, client.status());
+            assertEquals("RESET", policy.nextEvent());
+            assertEquals(502, client.readStatus());
         }
     }
 
@@ -83,9 +83,9 @@
     void aRefusedConnectionProvesThatTheRequestDidNotRun() throws IOException, InterruptedException {
         start();
         upstream.close();
-        try (Client client = new Client(at)) {
-            assertEquals(502, client.send(IDEMPOTENT).status());
-            assertEquals("CONNECT_FAILED", policy.next());
+        try (Client client = new Client(listenAddress)) {
+            assertEquals(502, client.send(IDEMPOTENT_REQUEST).readStatus());
+            assertEquals("CONNECT_FAILED", policy.nextEvent());
         }
     }
 
@@ -93,35 +93,35 @@
     void aTimeoutClosesTheConnectionAndTheRequestMayHaveRun() throws IOException, InterruptedException {
         start();
         policy.timeoutMicros = 100_000;
-        try (Client client = new Client(at)) {
-            client.send(IDEMPOTENT);
-            FakeUpstream.ReceivedRequest got = upstream.next();
+        try (Client client = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST);
+            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
             assertTrue(Integer.parseInt(got.header("Req-Deadline-Ms")) <= 100);
-            assertEquals("TIMEOUT", policy.next());
-            assertEquals(502, client.status());
-            assertTrue(got.closedByPeer());
+            assertEquals("TIMEOUT", policy.nextEvent());
+            assertEquals(502, client.readStatus());
+            assertTrue(got.awaitClosedByPeer());
         }
     }
 
     @Test
     void aGoneClientIsNotifiedToThePolicyAndItsAttemptCancelled() throws IOException, InterruptedException {
         start();
-        Client client = new Client(at).send(IDEMPOTENT);
-        FakeUpstream.ReceivedRequest got = upstream.next();
+        Client client = new Client(listenAddress).send(IDEMPOTENT_REQUEST);
+        FakeUpstream.ReceivedRequest got = upstream.nextRequest();
         client.close();
-        assertEquals("gone", policy.next());
-        assertEquals("CANCELLED closed", policy.next());
-        assertTrue(got.closedByPeer());
+        assertEquals("client gone", policy.nextEvent());
+        assertEquals("CANCELLED closed", policy.nextEvent());
+        assertTrue(got.awaitClosedByPeer());
     }
 
     @Test
     void aRequestThatThePolicyNeverAnswersGetsTheLastResortResponse() throws IOException, InterruptedException {
         start();
         policy.endpointId = null;
-        try (Client client = new Client(at)) {
-            client.send(IDEMPOTENT.replace("20000", "150"));
-            assertEquals(502, client.status());
-            assertEquals("gone", policy.next());
+        try (Client client = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST.replace("20000", "150"));
+            assertEquals(502, client.readStatus());
+            assertEquals("client gone", policy.nextEvent());
         }
         synchronized (log) {
             assertTrue(log.contains("last-resort responses: 1"), log.toString());
@@ -132,16 +132,17 @@
     void anExceptionOfThePolicyDoesNotEndTheProcess() throws IOException, InterruptedException {
         start();
         policy.throwsOnRequest = true;
-        try (Client client = new Client(at)) {
-            assertEquals(502, client.send(IDEMPOTENT.replace("20000", "150")).status());
-            assertEquals("gone", policy.next());
+        try (Client client = new Client(listenAddress)) {
+            assertEquals(
+                    502, client.send(IDEMPOTENT_REQUEST.replace("20000", "150")).readStatus());
+            assertEquals("client gone", policy.nextEvent());
             synchronized (log) {
                 assertTrue(log.get(log.size() - 2).startsWith("fault 1: "), log.toString());
             }
             policy.throwsOnRequest = false;
-            client.send(IDEMPOTENT);
-            upstream.next().answer(200, "", "ok");
-            assertEquals(200, client.status());
+            client.send(IDEMPOTENT_REQUEST);
+            upstream.nextRequest().respond(200, "", "ok");
+            assertEquals(200, client.readStatus());
         }
     }
 }
--- a/balancer/src/test/java/loadbalancer/process/BalancerFixture.java
+++ b/balancer/src/test/java/loadbalancer/process/BalancerFixture.java
@@ -96,7 +96,7 @@
 
         @Override
         public void clientGone(long now, String request, Actions out) {
-            events.add("gone");
+            events.add("client gone");
             if (cancelsForGoneClients) {
                 out.cancel(request, 0);
             }
@@ -121,19 +121,19 @@
         @Override
         public void restore(long now, LearnedState from) {
             if (from.traffic() != null) {
-                events.add("resumed " + from.traffic().arrivals());
+                events.add("restored arrivals " + from.traffic().arrivals());
             }
         }
 
         @Override
         public void setSlowStartFraction(double part) {
-            events.add("share " + part);
+            events.add("slow-start fraction " + part);
         }
 
         @Override
         public void wake(long now, Actions out) {}
 
-        public String next() throws InterruptedException {
+        public String nextEvent() throws InterruptedException {
             String event = events.poll(20, TimeUnit.SECONDS);
             if (event == null) {
                 throw new AssertionError("no event reached the policy");
@@ -161,8 +161,8 @@
         }
 
         /** The head of the next answer; its body is kept. Null at the end of the connection. */
-        public String answer() throws IOException {
-            String head = FakeUpstream.head(in);
+        public String readResponse() throws IOException {
+            String head = FakeUpstream.readHead(in);
             if (head != null) {
                 String length = head.toLowerCase().split("content-length: ")[1].split("\r\n")[0];
                 body = in.readNBytes(Integer.parseInt(length));
@@ -170,8 +170,8 @@
             return head;
         }
 
-        public int status() throws IOException {
-            return Integer.parseInt(answer().split(" ")[1]);
+        public int readStatus() throws IOException {
+            return Integer.parseInt(readResponse().split(" ")[1]);
         }
 
         @Override
@@ -180,17 +180,18 @@
         }
     }
 
-    public static final String IDEMPOTENT = "GET /api/k1?x=%20y HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\n"
-            + "Req-Kind: read\r\nReq-Deadline-Ms: 20000\r\nReq-Cost: 700\r\nReq-Retry: 1\r\n\r\n";
+    public static final String IDEMPOTENT_REQUEST =
+            "GET /api/k1?x=%20y HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\n"
+                    + "Req-Kind: read\r\nReq-Deadline-Ms: 20000\r\nReq-Cost: 700\r\nReq-Retry: 1\r\n\r\n";
 
     public final ScriptedPolicy policy = new ScriptedPolicy();
     public final List<String> log = new ArrayList<>();
     public boolean warmsUp;
-    public String endpoint;
+    public String endpointAddress;
     public FakeUpstream upstream;
     public FakeUpstream discovery;
     public BalancerProcess balancer;
-    public InetSocketAddress at;
+    public InetSocketAddress listenAddress;
 
     @BeforeEach
     public void open() throws IOException {
@@ -270,7 +271,7 @@
     }
 
     public String target(String state) {
-        return "{\"uid\":\"s1\",\"endpoint\":\"" + (endpoint == null ? upstream.address() : endpoint)
+        return "{\"uid\":\"s1\",\"endpoint\":\"" + (endpointAddress == null ? upstream.address() : endpointAddress)
                 + "\",\"az\":\"podrum\","
                 + "\"model\":\"slabi\",\"pod_group\":3,\"state\":\"" + state
                 + "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
@@ -330,8 +331,8 @@
                 log.add(line);
             }
         });
-        at = balancer.start();
-        assertEquals(membership.equals("ask") ? "CACHED [s1=UP]" : "CACHED []", policy.next());
+        listenAddress = balancer.start();
+        assertEquals(membership.equals("ask") ? "CACHED [s1=UP]" : "CACHED []", policy.nextEvent());
     }
 
     public static String post(String kind, String extra, String body) {
@@ -344,7 +345,7 @@
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (System.nanoTime() < until) {
             try {
-                got.raw("\r\n");
+                got.write("\r\n");
             } catch (IOException e) {
                 return true;
             }
--- a/balancer/src/test/java/loadbalancer/process/BalancerProcessTest.java
+++ b/balancer/src/test/java/loadbalancer/process/BalancerProcessTest.java
@@ -41,7 +41,7 @@
         InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
         try (Client client = new Client(to)) {
             assertEquals(
-                    503, client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
+                    503, client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus());
         }
     }
 
@@ -49,49 +49,49 @@
     void theWarmUpPrecedesReadinessAndReachesNeitherPolicyNorUpstream() throws IOException, InterruptedException {
         warmsUp = true;
         start();
-        try (Client client = new Client(at)) {
+        try (Client client = new Client(listenAddress)) {
             int status = 503;
             while (status == 503) {
-                status = client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status();
+                status = client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus();
             }
             assertEquals(200, status);
             assertEquals(
                     404,
-                    client.send("GET /-/rehearsed HTTP/1.1\r\nHost: x\r\n\r\n").status());
+                    client.send("GET /-/rehearsed HTTP/1.1\r\nHost: x\r\n\r\n").readStatus());
             assertEquals(
                     404,
-                    client.send(IDEMPOTENT.replace("/api/k1?x=%20y", "/-/rehearsal"))
-                            .status());
+                    client.send(IDEMPOTENT_REQUEST.replace("/api/k1?x=%20y", "/-/rehearsal"))
+                            .readStatus());
             assertTrue(policy.requests.isEmpty());
-            assertEquals(0, upstream.connections());
-            client.send(IDEMPOTENT);
-            upstream.next().answer(200, "", "ok");
-            assertEquals(200, client.status());
+            assertEquals(0, upstream.connectionCount());
+            client.send(IDEMPOTENT_REQUEST);
+            upstream.nextRequest().respond(200, "", "ok");
+            assertEquals(200, client.readStatus());
         }
     }
 
     @Test
     void aGracefulShutdownAnswersOpenRequestsAndAcceptsConnectionsForAWhile() throws IOException, InterruptedException {
         start();
-        Client idle = new Client(at);
-        assertEquals(200, idle.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
-        Client held = new Client(at).send(IDEMPOTENT);
-        FakeUpstream.ReceivedRequest got = upstream.next();
+        Client idle = new Client(listenAddress);
+        assertEquals(200, idle.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus());
+        Client held = new Client(listenAddress).send(IDEMPOTENT_REQUEST);
+        FakeUpstream.ReceivedRequest got = upstream.nextRequest();
         Thread stop = new Thread(balancer::stop);
         stop.start();
         int ready = 200;
         while (ready == 200) {
-            try (Client late = new Client(at)) {
-                ready = late.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status();
+            try (Client late = new Client(listenAddress)) {
+                ready = late.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus();
             }
         }
         assertEquals(503, ready);
-        assertNull(idle.answer()); // dropped at rest
-        got.answer(200, "", "late but whole");
-        String head = held.answer();
+        assertNull(idle.readResponse()); // dropped at rest
+        got.respond(200, "", "late but whole");
+        String head = held.readResponse();
         assertTrue(head.startsWith("HTTP/1.1 200"), head);
         assertTrue(head.toLowerCase().contains("connection: close"), head);
-        assertNull(held.answer());
+        assertNull(held.readResponse());
         stop.join();
         balancer = null;
     }
@@ -100,15 +100,15 @@
     @Test
     void anIncompleteRequestAtTheEndIsRejectedAndNotCutOff() throws IOException, InterruptedException {
         start();
-        try (Client part = new Client(at)) {
-            part.send(IDEMPOTENT.substring(0, 40));
+        try (Client part = new Client(listenAddress)) {
+            part.send(IDEMPOTENT_REQUEST.substring(0, 40));
             Thread stop = new Thread(balancer::stop);
             stop.start();
-            String head = part.answer();
+            String head = part.readResponse();
             assertNotNull(head, "ended without an answer");
             assertTrue(head.startsWith("HTTP/1.1 503"), head);
-            part.send(IDEMPOTENT.substring(40));
-            assertNull(part.answer());
+            part.send(IDEMPOTENT_REQUEST.substring(40));
+            assertNull(part.readResponse());
             stop.join();
             balancer = null;
         }
--- a/balancer/src/test/java/loadbalancer/process/BodyStreamTest.java
+++ b/balancer/src/test/java/loadbalancer/process/BodyStreamTest.java
@@ -38,39 +38,39 @@
     void aLargeResponseIsStreamedAndTheConnectionsAreKept() throws Exception {
         start();
         byte[] big = noise(MANY);
-        try (Client client = new Client(at)) {
+        try (Client client = new Client(listenAddress)) {
             for (int i = 0; i < 2; i++) {
-                client.send(IDEMPOTENT);
-                FakeUpstream.ReceivedRequest got = upstream.next();
+                client.send(IDEMPOTENT_REQUEST);
+                FakeUpstream.ReceivedRequest got = upstream.nextRequest();
                 CompletableFuture<Void> answering = CompletableFuture.runAsync(() -> {
                     try {
-                        got.answer(200, "", big);
+                        got.respond(200, "", big);
                     } catch (IOException e) {
                         throw new IllegalStateException(e);
                     }
                 });
-                assertEquals(200, client.status());
+                assertEquals(200, client.readStatus());
                 assertArrayEquals(big, client.body);
                 answering.get(20, TimeUnit.SECONDS);
-                assertEquals("OK closed", policy.next());
+                assertEquals("OK closed", policy.nextEvent());
             }
         }
-        assertEquals(1, upstream.connections());
+        assertEquals(1, upstream.connectionCount());
     }
 
     @Test
     void aResponseThatTheClientDoesNotReadIsNotReadFromItsUpstream() throws Exception {
         start();
         byte[] piece = noise(1 << 16);
-        try (Client client = new Client(at)) {
-            client.send(IDEMPOTENT);
-            FakeUpstream.ReceivedRequest got = upstream.next();
-            got.raw("HTTP/1.1 200 X\r\nContent-Length: " + (30 << 20) + "\r\n\r\n");
+        try (Client client = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST);
+            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
+            got.write("HTTP/1.1 200 X\r\nContent-Length: " + (30 << 20) + "\r\n\r\n");
             long[] sent = new long[1];
             Thread writer = new Thread(() -> {
                 try {
                     for (int i = 0; i < (30 << 20) / piece.length; i++) {
-                        got.raw(piece);
+                        got.write(piece);
                         sent[0] += piece.length;
                     }
                 } catch (IOException e) {
@@ -80,7 +80,7 @@
             writer.start();
             writer.join(1_500);
             assertTrue(writer.isAlive(), "the upstream was read to its end: " + sent[0]);
-            assertEquals(200, client.status());
+            assertEquals(200, client.readStatus());
             assertEquals(30 << 20, client.body.length);
             writer.join(20_000);
         }
@@ -90,13 +90,13 @@
     void aResponseWithoutLengthIsChunkedAndEndsWithItsConnection() throws Exception {
         start();
         byte[] big = noise(200_000);
-        try (Client client = new Client(at)) {
-            client.send(IDEMPOTENT);
-            FakeUpstream.ReceivedRequest got = upstream.next();
-            got.raw("HTTP/1.1 200 X\r\nConnection: close\r\n\r\n");
-            got.raw(big);
+        try (Client client = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST);
+            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
+            got.write("HTTP/1.1 200 X\r\nConnection: close\r\n\r\n");
+            got.write(big);
             got.socket().shutdownOutput();
-            String head = FakeUpstream.head(client.in);
+            String head = FakeUpstream.readHead(client.in);
             assertTrue(head.toLowerCase().contains("transfer-encoding: chunked"), head);
             assertArrayEquals(big, unchunked(client.in));
         }
@@ -109,17 +109,17 @@
         policy.endpointId = null; // none is free
         byte[] big = noise(500_000);
         for (int i = 1; i <= 20; i++) {
-            try (Client client = new Client(at)) {
+            try (Client client = new Client(listenAddress)) {
                 client.send(postHead("Content-Length: " + big.length));
                 client.socket.getOutputStream().write(big);
                 assertEquals("2 k1 -1 false", policy.requests.poll(20, TimeUnit.SECONDS));
             }
-            assertEquals("gone", policy.next());
+            assertEquals("client gone", policy.nextEvent());
             String left = String.valueOf(i);
             onLoop(() -> policy.actions.send(left, "s1", 0));
         }
         balancer.loop().submit(() -> {}).awaitUninterruptibly(20_000);
-        assertEquals(0, upstream.connections());
+        assertEquals(0, upstream.connectionCount());
     }
 
     /** It is read while it waits, or part of it, and passed on as it came. */
@@ -129,7 +129,7 @@
         start();
         policy.endpointId = null;
         byte[] big = noise(bytes);
-        try (Client client = new Client(at)) {
+        try (Client client = new Client(listenAddress)) {
             client.send(postHead("Content-Length: " + bytes));
             CompletableFuture<Void> sending = CompletableFuture.runAsync(() -> {
                 try {
@@ -143,10 +143,10 @@
                 sending.get(20, TimeUnit.SECONDS);
             }
             onLoop(() -> policy.actions.send("1", "s1", 0));
-            FakeUpstream.ReceivedRequest got = upstream.next();
+            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
             assertArrayEquals(big, got.body());
-            got.answer(200, "", "ok");
-            assertEquals(200, client.status());
+            got.respond(200, "", "ok");
+            assertEquals(200, client.readStatus());
             sending.get(20, TimeUnit.SECONDS);
         }
     }
@@ -173,14 +173,14 @@
     @Test
     void aTruncatedResponseIsTruncatedForTheClientToo() throws Exception {
         start();
-        try (Client client = new Client(at)) {
-            client.send(IDEMPOTENT);
-            FakeUpstream.ReceivedRequest got = upstream.next();
-            got.raw("HTTP/1.1 200 X\r\nContent-Length: 500000\r\n\r\n");
-            got.raw(noise(100_000));
-            assertEquals("OK closed", policy.next());
+        try (Client client = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST);
+            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
+            got.write("HTTP/1.1 200 X\r\nContent-Length: 500000\r\n\r\n");
+            got.write(noise(100_000));
+            assertEquals("OK closed", policy.nextEvent());
             got.socket().close();
-            FakeUpstream.head(client.in);
+            FakeUpstream.readHead(client.in);
             assertTrue(client.in.readAllBytes().length < 500_000);
         }
     }
@@ -189,21 +189,21 @@
     @Test
     void aLargeBodyIsForwardedAsItArrives() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            endpoint = "127.0.0.1:" + server.getLocalPort();
+            endpointAddress = "127.0.0.1:" + server.getLocalPort();
             for (String framing : new String[] {"Content-Length: " + MANY, "Transfer-Encoding: chunked"}) {
                 if (balancer == null) {
                     start();
                 }
                 byte[] big = noise(MANY);
                 boolean chunked = framing.endsWith("chunked");
-                try (Client client = new Client(at)) {
+                try (Client client = new Client(listenAddress)) {
                     client.send(postHead(framing));
                     OutputStream out = client.socket.getOutputStream();
                     write(out, big, 0, MANY / 2, chunked);
                     try (Socket taken = server.accept()) {
                         taken.setSoTimeout(20_000);
                         InputStream in = new java.io.BufferedInputStream(taken.getInputStream());
-                        String head = FakeUpstream.head(in);
+                        String head = FakeUpstream.readHead(in);
                         assertTrue(head.toLowerCase().contains(framing.toLowerCase()), head);
                         CompletableFuture<byte[]> body = CompletableFuture.supplyAsync(() -> {
                             try {
@@ -220,8 +220,8 @@
                         taken.getOutputStream()
                                 .write("HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\nok"
                                         .getBytes(StandardCharsets.ISO_8859_1));
-                        assertEquals(200, client.status());
-                        assertEquals("OK closed", policy.next());
+                        assertEquals(200, client.readStatus());
+                        assertEquals("OK closed", policy.nextEvent());
                     }
                 }
             }
@@ -246,18 +246,18 @@
     void aLargeBodyThatWasRejectedIsNotRetried() throws Exception {
         start();
         policy.retriesWhenFull = true;
-        try (Client client = new Client(at)) {
+        try (Client client = new Client(listenAddress)) {
             client.send(postHead("Content-Length: 200000"));
             client.socket.getOutputStream().write(noise(200_000));
-            FakeUpstream.ReceivedRequest got = upstream.next();
-            got.answer(503, "Srv-Declined: 1\r\n", "");
-            assertEquals("FULL", policy.next());
-            String second = policy.next();
+            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
+            got.respond(503, "Srv-Declined: 1\r\n", "");
+            assertEquals("FULL", policy.nextEvent());
+            String second = policy.nextEvent();
             assertTrue(second.equals("NOT_SENT"), second);
-            assertEquals(502, client.status());
-            client.send(IDEMPOTENT); // what follows on the connection is read as before
-            upstream.next().answer(200, "", "ok");
-            assertEquals(200, client.status());
+            assertEquals(502, client.readStatus());
+            client.send(IDEMPOTENT_REQUEST); // what follows on the connection is read as before
+            upstream.nextRequest().respond(200, "", "ok");
+            assertEquals(200, client.readStatus());
             assertNull(got.header("Transfer-Encoding"));
         }
     }
@@ -265,21 +265,21 @@
     @Test
     void aTooLargeBodyIsRejectedAtItsHead() throws Exception {
         start();
-        try (Client client = new Client(at)) {
-            assertEquals(413, client.send(postHead("Content-Length: 60000000")).status());
+        try (Client client = new Client(listenAddress)) {
+            assertEquals(413, client.send(postHead("Content-Length: 60000000")).readStatus());
         }
-        assertEquals(0, upstream.connections());
+        assertEquals(0, upstream.connectionCount());
     }
 
     @Test
     void anAbsoluteRequestTargetIsAccepted() throws Exception {
         start();
-        try (Client client = new Client(at)) {
-            client.send(IDEMPOTENT.replace("GET /api", "GET http://backend.local/api"));
-            FakeUpstream.ReceivedRequest got = upstream.next();
-            assertEquals("GET /api/k1?x=%20y HTTP/1.1", got.line());
-            got.answer(200, "", "ok");
-            assertEquals(200, client.status());
+        try (Client client = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST.replace("GET /api", "GET http://backend.local/api"));
+            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
+            assertEquals("GET /api/k1?x=%20y HTTP/1.1", got.requestLine());
+            got.respond(200, "", "ok");
+            assertEquals(200, client.readStatus());
         }
     }
 }
--- a/balancer/src/test/java/loadbalancer/process/ClientProtectionTest.java
+++ b/balancer/src/test/java/loadbalancer/process/ClientProtectionTest.java
@@ -36,27 +36,27 @@
             })
     void invalidInputIsRejectedAndReachesNoUpstream(String request) throws IOException, InterruptedException {
         start();
-        try (Client client = new Client(at)) {
-            int status = client.send(request).status();
+        try (Client client = new Client(listenAddress)) {
+            int status = client.send(request).readStatus();
             assertTrue(status >= 400 && status < 500 && status != 429, "status " + status);
         }
         assertTrue(policy.requests.isEmpty());
-        assertEquals(0, upstream.connections());
+        assertEquals(0, upstream.connectionCount());
     }
 
     @Test
     void idleConnectionsAreClosedFirstToFreeDescriptors() throws IOException, InterruptedException {
         start(Map.of(), 4); // a reserve of two, two for use
-        try (Client client = new Client(at)) {
-            client.send(IDEMPOTENT);
-            FakeUpstream.ReceivedRequest got = upstream.next();
-            got.answer(200, "", "ok");
-            assertEquals(200, client.status());
-            try (Client second = new Client(at)) {
+        try (Client client = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST);
+            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
+            got.respond(200, "", "ok");
+            assertEquals(200, client.readStatus());
+            try (Client second = new Client(listenAddress)) {
                 assertTrue(isClosedSoon(got));
                 assertEquals(
                         200,
-                        second.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
+                        second.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus());
             }
         }
     }
@@ -66,28 +66,28 @@
     void manyClientsCloseNoUpstreamConnection() throws IOException, InterruptedException {
         start(Map.of(), 24); // twelve for use, seven of them for clients
         List<Client> crowd = new ArrayList<>();
-        try (Client client = new Client(at)) {
-            client.send(IDEMPOTENT);
-            upstream.next().answer(200, "", "ok");
-            assertEquals(200, client.status());
+        try (Client client = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST);
+            upstream.nextRequest().respond(200, "", "ok");
+            assertEquals(200, client.readStatus());
             for (int i = 0; i < 20; i++) { // each asks once and stays
-                Client one = new Client(at);
+                Client one = new Client(listenAddress);
                 crowd.add(one);
                 assertEquals(
                         200,
-                        one.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
+                        one.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus());
             }
-            try (Client late = new Client(at)) {
-                late.send(IDEMPOTENT.replace("r1", "r2"));
-                upstream.next().answer(200, "", "ok");
-                assertEquals(200, late.status());
+            try (Client late = new Client(listenAddress)) {
+                late.send(IDEMPOTENT_REQUEST.replace("r1", "r2"));
+                upstream.nextRequest().respond(200, "", "ok");
+                assertEquals(200, late.readStatus());
             }
         } finally {
             for (Client one : crowd) {
                 one.close();
             }
         }
-        assertEquals(1, upstream.connections());
+        assertEquals(1, upstream.connectionCount());
     }
 
     /** Each could be parsed in two ways, or hides another request; none is forwarded. */
@@ -113,15 +113,15 @@
             })
     void anAmbiguousRequestIsRejectedAndItsConnectionClosed(String rest) throws IOException, InterruptedException {
         start();
-        try (Client client = new Client(at)) {
+        try (Client client = new Client(listenAddress)) {
             client.send("POST /api/k HTTP/1.1\r\nHost: x\r\nReq-Id: r\r\nReq-Kind: book\r\n"
                     + "Req-Deadline-Ms: 900\r\n" + rest + post("book", "Req-Deadline-Ms: 900\r\n", ""));
-            int status = client.status();
+            int status = client.readStatus();
             assertTrue(status >= 400 && status < 500 && status != 429, "status " + status);
-            assertNull(client.answer(), "one answer, and the end");
+            assertNull(client.readResponse(), "one answer, and the end");
         }
         assertTrue(policy.requests.isEmpty());
-        assertEquals(0, upstream.connections());
+        assertEquals(0, upstream.connectionCount());
     }
 
     @ParameterizedTest
@@ -135,10 +135,10 @@
             })
     void outOfRangeNumbersAreRejected(String headers) throws IOException, InterruptedException {
         start();
-        try (Client client = new Client(at)) {
+        try (Client client = new Client(listenAddress)) {
             client.send("GET /api/k HTTP/1.1\r\nHost: x\r\nReq-Kind: read\r\n" + headers + "\r\nabc");
-            assertEquals(400, client.status());
-            assertNull(client.answer());
+            assertEquals(400, client.readStatus());
+            assertNull(client.readResponse());
         }
         assertTrue(policy.requests.isEmpty());
     }
@@ -147,10 +147,10 @@
     @Test
     void aTooLargeBodyIsRejectedAtItsHeadAndNotReadToItsEnd() throws IOException, InterruptedException {
         start();
-        try (Client client = new Client(at)) {
+        try (Client client = new Client(listenAddress)) {
             client.send("POST /api/k HTTP/1.1\r\nHost: x\r\nReq-Id: r\r\nReq-Kind: book\r\n"
                     + "Req-Deadline-Ms: 900\r\nContent-Length: 60000000\r\n\r\n");
-            assertEquals(413, client.status());
+            assertEquals(413, client.readStatus());
             byte[] some = new byte[1 << 16];
             assertThrows(IOException.class, () -> {
                 for (int i = 0; i < 1_000; i++) {
@@ -163,9 +163,9 @@
     @Test
     void anEndlessHeadIsRejected() throws IOException, InterruptedException {
         start();
-        try (Client client = new Client(at)) {
+        try (Client client = new Client(listenAddress)) {
             client.send("GET /api/k HTTP/1.1\r\n" + "X-Pad: pppppppppppppppppppppppp\r\n".repeat(400));
-            int status = client.status();
+            int status = client.readStatus();
             assertTrue(status >= 400 && status < 500, "status " + status);
         }
     }
@@ -174,18 +174,18 @@
     @Test
     void aSecondRequestWithAnOpenIdIsRejected() throws IOException, InterruptedException {
         start();
-        try (Client client = new Client(at);
-                Client thief = new Client(at)) {
-            client.send(IDEMPOTENT);
-            FakeUpstream.ReceivedRequest got = upstream.next();
-            assertEquals(409, thief.send(IDEMPOTENT).status());
-            assertNull(thief.answer());
-            got.answer(200, "", "mine");
-            assertEquals(200, client.status());
+        try (Client client = new Client(listenAddress);
+                Client thief = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST);
+            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
+            assertEquals(409, thief.send(IDEMPOTENT_REQUEST).readStatus());
+            assertNull(thief.readResponse());
+            got.respond(200, "", "mine");
+            assertEquals(200, client.readStatus());
             assertEquals("mine", new String(client.body, StandardCharsets.UTF_8));
-            client.send(IDEMPOTENT); // free again
-            upstream.next().answer(200, "", "ok");
-            assertEquals(200, client.status());
+            client.send(IDEMPOTENT_REQUEST); // free again
+            upstream.nextRequest().respond(200, "", "ok");
+            assertEquals(200, client.readStatus());
         }
     }
 
@@ -194,13 +194,13 @@
     @ValueSource(strings = {"", "GET /api/k HT", "POST /api/k HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nabc"})
     void anIncompleteRequestIsRejectedOrItsConnectionClosed(String part) throws IOException, InterruptedException {
         start();
-        try (Client client = new Client(at)) {
-            String head = client.send(part).answer();
+        try (Client client = new Client(listenAddress)) {
+            String head = client.send(part).readResponse();
             if (part.isEmpty()) {
                 assertNull(head);
             } else {
                 assertTrue(head.startsWith("HTTP/1.1 408"), head);
-                assertNull(client.answer());
+                assertNull(client.readResponse());
             }
         }
     }
@@ -208,30 +208,30 @@
     @Test
     void aFewPipelinedRequestsAreServedInOrderAndHundredsAreNot() throws IOException, InterruptedException {
         start();
-        try (Client client = new Client(at)) {
-            client.send(IDEMPOTENT + IDEMPOTENT.replace("r1", "r2") + "NONSENSE\r\n\r\n");
-            upstream.next().answer(200, "", "one");
-            assertEquals(200, client.status());
+        try (Client client = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST + IDEMPOTENT_REQUEST.replace("r1", "r2") + "NONSENSE\r\n\r\n");
+            upstream.nextRequest().respond(200, "", "one");
+            assertEquals(200, client.readStatus());
             assertEquals("one", new String(client.body, StandardCharsets.UTF_8));
-            upstream.next().answer(200, "", "two");
-            assertEquals(200, client.status());
-            assertEquals(400, client.status());
-            assertNull(client.answer());
+            upstream.nextRequest().respond(200, "", "two");
+            assertEquals(200, client.readStatus());
+            assertEquals(400, client.readStatus());
+            assertNull(client.readResponse());
         }
-        try (Client client = new Client(at)) {
+        try (Client client = new Client(listenAddress)) {
             StringBuilder many = new StringBuilder();
             for (int i = 0; i < 300; i++) {
-                many.append(IDEMPOTENT.replace("r1", "m" + i));
+                many.append(IDEMPOTENT_REQUEST.replace("r1", "m" + i));
             }
             client.send(many.toString());
             int served = 0;
             int status = 200;
             while (status == 200) {
-                upstream.next().answer(200, "", "ok");
-                status = client.status();
+                upstream.nextRequest().respond(200, "", "ok");
+                status = client.readStatus();
                 served += status == 200 ? 1 : 0;
                 if (served >= 17) {
-                    status = client.status();
+                    status = client.readStatus();
                 }
             }
             assertEquals(400, status);
@@ -251,14 +251,14 @@
                 Thread.currentThread().interrupt();
             }
         });
-        new Client(at).send(IDEMPOTENT.replace("r1", "left")).close();
+        new Client(listenAddress).send(IDEMPOTENT_REQUEST.replace("r1", "left")).close();
         held.countDown();
-        try (Client stays = new Client(at)) {
-            stays.send(IDEMPOTENT);
-            FakeUpstream.ReceivedRequest got = upstream.next();
+        try (Client stays = new Client(listenAddress)) {
+            stays.send(IDEMPOTENT_REQUEST);
+            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
             assertEquals("r1", got.header("Req-Id"));
-            got.answer(200, "", "ok");
-            assertEquals(200, stays.status());
+            got.respond(200, "", "ok");
+            assertEquals(200, stays.readStatus());
         }
         assertEquals(1, policy.requests.size());
     }
@@ -268,17 +268,17 @@
     void aClientGoneWithPipelinedRequestsIsNoticedAndNoneIsForwarded() throws IOException, InterruptedException {
         start();
         FakeUpstream.ReceivedRequest first;
-        try (Client client = new Client(at)) {
-            client.send(IDEMPOTENT);
-            first = upstream.next();
+        try (Client client = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST);
+            first = upstream.nextRequest();
             StringBuilder ahead = new StringBuilder();
             for (int i = 0; i < 16; i++) {
-                ahead.append(IDEMPOTENT.replace("r1", "a" + i));
+                ahead.append(IDEMPOTENT_REQUEST.replace("r1", "a" + i));
             }
             client.send(ahead.toString());
         }
-        assertEquals("gone", policy.next());
-        assertTrue(first.closedByPeer());
+        assertEquals("client gone", policy.nextEvent());
+        assertTrue(first.awaitClosedByPeer());
         assertEquals(1, policy.requests.size());
     }
 
@@ -287,18 +287,18 @@
     void idleConnectionsAreClosedForNewOnes() throws IOException, InterruptedException {
         start(Map.of(), 40);
         List<Client> silent = new ArrayList<>();
-        try (Client usual = new Client(at)) {
+        try (Client usual = new Client(listenAddress)) {
             assertEquals(
-                    200, usual.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
+                    200, usual.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus());
             for (int i = 0; i < 200; i++) {
-                silent.add(new Client(at));
+                silent.add(new Client(listenAddress));
             }
             assertEquals(
-                    200, usual.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
-            try (Client late = new Client(at)) {
-                late.send(IDEMPOTENT);
-                upstream.next().answer(200, "", "ok");
-                assertEquals(200, late.status());
+                    200, usual.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus());
+            try (Client late = new Client(listenAddress)) {
+                late.send(IDEMPOTENT_REQUEST);
+                upstream.nextRequest().respond(200, "", "ok");
+                assertEquals(200, late.readStatus());
             }
         } finally {
             for (Client client : silent) {
--- a/balancer/src/test/java/loadbalancer/process/DescriptorExhaustionTest.java
+++ b/balancer/src/test/java/loadbalancer/process/DescriptorExhaustionTest.java
@@ -29,7 +29,7 @@
     private Path config;
     private Process process;
     private BufferedReader err;
-    private InetSocketAddress at;
+    private InetSocketAddress listenAddress;
 
     @BeforeEach
     void open() throws IOException {
@@ -73,7 +73,7 @@
         process = builder.start();
         err = process.errorReader(StandardCharsets.UTF_8);
         String line = nextWith("listening on ");
-        at = new InetSocketAddress("127.0.0.1", Integer.parseInt(line.substring(line.lastIndexOf(':') + 1)));
+        listenAddress = new InetSocketAddress("127.0.0.1", Integer.parseInt(line.substring(line.lastIndexOf(':') + 1)));
     }
 
     private String target() {
@@ -95,10 +95,10 @@
     }
 
     private void served() throws IOException, InterruptedException {
-        try (BalancerFixture.Client client = new BalancerFixture.Client(at)) {
-            client.send(BalancerFixture.IDEMPOTENT);
-            upstream.next().answer(200, "", "ok");
-            assertEquals(200, client.status());
+        try (BalancerFixture.Client client = new BalancerFixture.Client(listenAddress)) {
+            client.send(BalancerFixture.IDEMPOTENT_REQUEST);
+            upstream.nextRequest().respond(200, "", "ok");
+            assertEquals(200, client.readStatus());
         }
     }
 
@@ -108,25 +108,25 @@
     void idleClientsLeaveDescriptorsToDiscoveryAndTheNextConfiguration(String membership)
             throws IOException, InterruptedException {
         start(128, membership);
-        FakeUpstream.ReceivedRequest watch = discovery.next();
-        watch.raw(OPEN + BalancerFixture.chunk("\n"));
+        FakeUpstream.ReceivedRequest watch = discovery.nextRequest();
+        watch.write(OPEN + BalancerFixture.chunk("\n"));
         served();
         List<BalancerFixture.Client> crowd = new ArrayList<>();
         try {
             for (int i = 0; i < 200; i++) {
-                BalancerFixture.Client one = new BalancerFixture.Client(at);
+                BalancerFixture.Client one = new BalancerFixture.Client(listenAddress);
                 crowd.add(one);
                 if (i < 30) {
-                    one.send(ASK).status();
+                    one.send(ASK).readStatus();
                 } else {
                     one.send(ASK); // some are let in later, or never
                 }
             }
             for (int i = 0; i < 3; i++) {
                 watch.reset(); // by discovery that is down: each call ends like that
-                watch = discovery.next();
+                watch = discovery.nextRequest();
             }
-            watch.raw(OPEN + BalancerFixture.chunk("\n"));
+            watch.write(OPEN + BalancerFixture.chunk("\n"));
             long held;
             try (Stream<Path> open = Files.list(Path.of("/proc", String.valueOf(process.pid()), "fd"))) {
                 held = open.count();
@@ -149,26 +149,26 @@
     @ValueSource(strings = {"ask", "push"})
     void callsThatFindNoDescriptorAreRetriedOnceThereIsOne(String membership) throws IOException, InterruptedException {
         start(256, membership);
-        discovery.next().socket().close(); // all that a failure needs has been loaded
-        FakeUpstream.ReceivedRequest watch = discovery.next();
-        watch.raw(OPEN + BalancerFixture.chunk("\n"));
-        try (BalancerFixture.Client client = new BalancerFixture.Client(at)) {
-            client.send(BalancerFixture.IDEMPOTENT);
-            FakeUpstream.ReceivedRequest got = upstream.next();
-            got.answer(200, "Connection: close\r\n", "ok");
-            assertEquals(200, client.status());
+        discovery.nextRequest().socket().close(); // all that a failure needs has been loaded
+        FakeUpstream.ReceivedRequest watch = discovery.nextRequest();
+        watch.write(OPEN + BalancerFixture.chunk("\n"));
+        try (BalancerFixture.Client client = new BalancerFixture.Client(listenAddress)) {
+            client.send(BalancerFixture.IDEMPOTENT_REQUEST);
+            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
+            got.respond(200, "Connection: close\r\n", "ok");
+            assertEquals(200, client.readStatus());
             run("prlimit", "--pid", String.valueOf(process.pid()), "--nofile=1:256");
             watch.socket().close();
             for (int i = 0; i < 200; i++) { // more tries than the balancer may have descriptors
-                client.send(BalancerFixture.IDEMPOTENT);
-                int status = client.status();
+                client.send(BalancerFixture.IDEMPOTENT_REQUEST);
+                int status = client.readStatus();
                 assertTrue(status == 503 || status == 502, "status " + status);
             }
             run("prlimit", "--pid", String.valueOf(process.pid()), "--nofile=256:256");
-            discovery.next().raw(OPEN + BalancerFixture.chunk("\n"));
-            client.send(BalancerFixture.IDEMPOTENT);
-            upstream.next().answer(200, "", "ok");
-            assertEquals(200, client.status());
+            discovery.nextRequest().write(OPEN + BalancerFixture.chunk("\n"));
+            client.send(BalancerFixture.IDEMPOTENT_REQUEST);
+            upstream.nextRequest().respond(200, "", "ok");
+            assertEquals(200, client.readStatus());
         }
     }
 }
--- a/balancer/src/test/java/loadbalancer/process/FakeUpstream.java
+++ b/balancer/src/test/java/loadbalancer/process/FakeUpstream.java
@@ -22,8 +22,8 @@
 /** The other side of a connection, for tests: hands each request over, and answers what the test says. */
 public final class FakeUpstream implements Closeable {
     /** A request as it came, and the connection to answer on. */
-    public record ReceivedRequest(String head, byte[] body, Socket socket, int connection) {
-        public String line() {
+    public record ReceivedRequest(String head, byte[] body, Socket socket, int connectionNumber) {
+        public String requestLine() {
             return head.substring(0, head.indexOf("\r\n"));
         }
 
@@ -36,25 +36,25 @@
             return null;
         }
 
-        public void raw(String text) throws IOException {
-            raw(text.getBytes(StandardCharsets.ISO_8859_1));
+        public void write(String text) throws IOException {
+            write(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        public void raw(byte[] bytes) throws IOException {
+        public void write(byte[] bytes) throws IOException {
             socket.getOutputStream().write(bytes);
             socket.getOutputStream().flush();
         }
 
-        public void answer(int status, String headers, byte[] body) throws IOException {
+        public void respond(int status, String headers, byte[] body) throws IOException {
             ByteArrayOutputStream out = new ByteArrayOutputStream();
             out.write(("HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length + "\r\n\r\n")
                     .getBytes(StandardCharsets.ISO_8859_1));
             out.write(body);
-            raw(out.toByteArray());
+            write(out.toByteArray());
         }
 
-        public void answer(int status, String headers, String body) throws IOException {
-            answer(status, headers, body.getBytes(StandardCharsets.UTF_8));
+        public void respond(int status, String headers, String body) throws IOException {
+            respond(status, headers, body.getBytes(StandardCharsets.UTF_8));
         }
 
         /** Ends the connection with a reset. */
@@ -64,7 +64,7 @@
         }
 
         /** Waits for the other side to end the connection. */
-        public boolean closedByPeer() {
+        public boolean awaitClosedByPeer() {
             try {
                 socket.setSoTimeout(20_000);
                 return socket.getInputStream().read() < 0;
@@ -114,7 +114,7 @@
     private void read(Socket socket, int number) throws IOException {
         InputStream in = new BufferedInputStream(socket.getInputStream());
         while (true) {
-            String head = head(in);
+            String head = readHead(in);
             if (head == null) {
                 return;
             }
@@ -129,7 +129,7 @@
     }
 
     /** Reads up to the empty line; null at the end of the stream. */
-    public static String head(InputStream in) throws IOException {
+    public static String readHead(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             int c = in.read();
@@ -145,12 +145,12 @@
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    public int connections() {
+    public int connectionCount() {
         return connections.get();
     }
 
     /** The next request; fails where none comes. */
-    public ReceivedRequest next() throws InterruptedException {
+    public ReceivedRequest nextRequest() throws InterruptedException {
         ReceivedRequest got = requests.poll(20, TimeUnit.SECONDS);
         if (got == null) {
             throw new AssertionError("no request came");
--- a/balancer/src/test/java/loadbalancer/process/HandoverDocumentTest.java
+++ b/balancer/src/test/java/loadbalancer/process/HandoverDocumentTest.java
@@ -91,7 +91,7 @@
             }
         }
 
-        String next() throws InterruptedException {
+        String nextLine() throws InterruptedException {
             return lines.poll(20, TimeUnit.SECONDS);
         }
 
@@ -153,15 +153,15 @@
                 folder.resolve("operator.toml"),
                 "[[pool]]\nname = \"one\"\nupstreams = [\"127.0.0.1:18201\", \"127.0.0.1:18202\"]\n");
         assertTrue(balancer.operate(file, false));
-        at = balancer.start();
+        listenAddress = balancer.start();
         predecessor = new Peer(predecessorSocket.accept());
         assertTrue(balancer.awaitReady(20_000));
     }
 
     private void restoreRecordedState() throws Exception {
         startSuccessor();
-        assertEquals("{\"serving\":true}", predecessor.next()); // ready before it asks, as there is no warm-up
-        assertEquals("{\"want\":\"state\"}", predecessor.next());
+        assertEquals("{\"serving\":true}", predecessor.nextLine()); // ready before it asks, as there is no warm-up
+        assertEquals("{\"want\":\"state\"}", predecessor.nextLine());
         predecessor.send(resource("recorded-state.json"));
         predecessor.send("{\"up\":\"s1\"}"); // not drained: changes nothing, and ends after the state has been read
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
@@ -216,7 +216,7 @@
         predecessorSocket.close();
         try (Peer successor = new Peer(connect(socket))) {
             successor.send("{\"want\":\"state\"}");
-            assertEquals(JSON.std.mapFrom(resource("recorded-state.json")), JSON.std.mapFrom(successor.next()));
+            assertEquals(JSON.std.mapFrom(resource("recorded-state.json")), JSON.std.mapFrom(successor.nextLine()));
         }
     }
 
@@ -240,13 +240,13 @@
         Map<String, Object> recorded = JSON.std.mapFrom(resource("recorded-messages.json"));
         startSuccessor();
         List<String> sent = new ArrayList<>();
-        sent.add(predecessor.next());
-        sent.add(predecessor.next());
+        sent.add(predecessor.nextLine());
+        sent.add(predecessor.nextLine());
         predecessor.send(resource("recorded-state.json"));
         balancer.loop().submit(() -> balancer.operatorActions().drain("s1")).get(20, TimeUnit.SECONDS);
-        sent.add(predecessor.next());
+        sent.add(predecessor.nextLine());
         balancer.loop().submit(() -> balancer.operatorActions().restore("s1")).get(20, TimeUnit.SECONDS);
-        sent.add(predecessor.next());
+        sent.add(predecessor.nextLine());
         List<?> expected = ((List<?>) recorded.get("successor"))
                 .stream().filter(l -> !l.toString().startsWith("{\"open\":")).toList();
         assertEquals(expected, sent);
--- a/balancer/src/test/java/loadbalancer/process/HandoverParticipantTest.java
+++ b/balancer/src/test/java/loadbalancer/process/HandoverParticipantTest.java
@@ -54,8 +54,8 @@
                 (s, seed) -> with,
                 false,
                 line -> {});
-        at = process.start();
-        assertEquals("CACHED [s1=UP]", with.next());
+        listenAddress = process.start();
+        assertEquals("CACHED [s1=UP]", with.nextEvent());
         assertTrue(process.awaitReady(20_000));
         return process;
     }
@@ -80,19 +80,19 @@
         balancer = process(policy);
         awaitOffer();
         balancer.loop().submit(() -> balancer.operatorActions().drain("s1")).get(20, TimeUnit.SECONDS);
-        assertEquals("LOCAL_OVERRIDE [s1=DRAINING]", policy.next());
+        assertEquals("LOCAL_OVERRIDE [s1=DRAINING]", policy.nextEvent());
         successor = process(next);
-        assertEquals("LOCAL_OVERRIDE [s1=DRAINING]", next.next());
-        assertEquals("resumed 0.25", next.next());
-        assertEquals("share 0.5", next.next());
-        assertEquals("share 0.5", policy.next());
+        assertEquals("LOCAL_OVERRIDE [s1=DRAINING]", next.nextEvent());
+        assertEquals("restored arrivals 0.25", next.nextEvent());
+        assertEquals("slow-start fraction 0.5", next.nextEvent());
+        assertEquals("slow-start fraction 0.5", policy.nextEvent());
         // A call to either of them holds for both.
         successor.loop().submit(() -> successor.operatorActions().restore("s1")).get(20, TimeUnit.SECONDS);
-        assertEquals("LOCAL_OVERRIDE [s1=UP]", next.next());
-        assertEquals("LOCAL_OVERRIDE [s1=UP]", policy.next());
+        assertEquals("LOCAL_OVERRIDE [s1=UP]", next.nextEvent());
+        assertEquals("LOCAL_OVERRIDE [s1=UP]", policy.nextEvent());
         balancer.stop();
         balancer = null;
-        assertEquals("share 1.0", next.next());
+        assertEquals("slow-start fraction 1.0", next.nextEvent());
     }
 
     private BalancerProcess withPools() throws IOException, InterruptedException {
@@ -106,7 +106,7 @@
                 folder.resolve("operator.toml"),
                 "[[pool]]\nname = \"one\"\nupstreams = [\"" + upstream.address() + "\", \"127.0.0.1:9\"]\n");
         assertTrue(process.operate(file, false));
-        at = process.start();
+        listenAddress = process.start();
         assertTrue(process.awaitReady(20_000));
         return process;
     }
@@ -150,8 +150,8 @@
     void thePredecessorAnswersOpenRequestsAndAcceptsNoConnections() throws Exception {
         balancer = process(policy);
         awaitOffer();
-        Client held = new Client(at).send(IDEMPOTENT);
-        FakeUpstream.ReceivedRequest got = upstream.next();
+        Client held = new Client(listenAddress).send(IDEMPOTENT_REQUEST);
+        FakeUpstream.ReceivedRequest got = upstream.nextRequest();
         successor = process(next);
         Thread stop = new Thread(balancer::stop);
         stop.start();
@@ -159,15 +159,15 @@
             TimeUnit.MILLISECONDS.sleep(5);
         }
         for (int i = 0; i < 5; i++) {
-            try (Client client = new Client(at)) {
+            try (Client client = new Client(listenAddress)) {
                 assertEquals(
                         200,
-                        client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
+                        client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus());
             }
         }
-        got.answer(200, "", "late but whole");
-        assertTrue(held.answer().startsWith("HTTP/1.1 200"));
-        assertNull(held.answer());
+        got.respond(200, "", "late but whole");
+        assertTrue(held.readResponse().startsWith("HTTP/1.1 200"));
+        assertNull(held.readResponse());
         stop.join();
         balancer = null;
     }
@@ -178,7 +178,7 @@
         balancer = process(policy);
         awaitOffer();
         successor = process(next); // the name leads to the new process
-        assertEquals("LOCAL_OVERRIDE [s1=UP]", next.next());
+        assertEquals("LOCAL_OVERRIDE [s1=UP]", next.nextEvent());
     }
 
     @Test
@@ -186,10 +186,10 @@
         try (ServerSocketChannel hung = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
             hung.bind(UnixDomainSocketAddress.of(folder.resolve("handover.sock")));
             balancer = process(policy);
-            try (Client client = new Client(at)) {
+            try (Client client = new Client(listenAddress)) {
                 assertEquals(
                         200,
-                        client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
+                        client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus());
             }
         }
     }
--- a/balancer/src/test/java/loadbalancer/process/OperatorCallsTest.java
+++ b/balancer/src/test/java/loadbalancer/process/OperatorCallsTest.java
@@ -76,21 +76,21 @@
             throws IOException, InterruptedException {
         startWithOperators();
         call("set-down s1\n");
-        assertEquals("LOCAL_OVERRIDE [s1=DRAINING]", policy.next());
+        assertEquals("LOCAL_OVERRIDE [s1=DRAINING]", policy.nextEvent());
         call("set-down s1\n"); // once more: nothing changes
         EndpointList again = DiscoveryFormat.read(
                 JSON.std.anyFrom(list(42, true, "in_service")),
                 config(1024, settings(), 0).boot());
         onLoop(() -> balancer.endpointsListed(EndpointListKind.SNAPSHOT, again));
-        assertEquals("SNAPSHOT [s1=DRAINING]", policy.next());
+        assertEquals("SNAPSHOT [s1=DRAINING]", policy.nextEvent());
         long before = System.currentTimeMillis() * 1000;
         call("set-up s1\n");
-        assertEquals("LOCAL_OVERRIDE [s1=UP]", policy.next());
+        assertEquals("LOCAL_OVERRIDE [s1=UP]", policy.nextEvent());
         // The balancer's clock is monotonic and set once, by a clock of whole milliseconds: a second to spare.
         assertTrue(policy.startedAt.get("s1") >= before - 1_000_000);
         long back = policy.startedAt.get("s1");
         onLoop(() -> balancer.endpointsListed(EndpointListKind.SNAPSHOT, again));
-        assertEquals("SNAPSHOT [s1=UP]", policy.next());
+        assertEquals("SNAPSHOT [s1=UP]", policy.nextEvent());
         assertEquals(back, policy.startedAt.get("s1")); // the same start: it is not cold a second time
         call("set-up s1\n");
         assertTrue(policy.events.isEmpty());
@@ -135,7 +135,7 @@
         balancer = new BalancerProcess(config, (s, seed) -> policy, true, log::add);
         operators = balancer.listenForOperators();
         assertTrue(call("check\n").startsWith("NAK "));
-        at = balancer.start();
+        listenAddress = balancer.start();
         assertTrue(balancer.awaitReady(20_000));
         assertEquals("ACK ready", call("check\n"));
     }
--- a/balancer/src/test/java/loadbalancer/process/PartialEndpointListTest.java
+++ b/balancer/src/test/java/loadbalancer/process/PartialEndpointListTest.java
@@ -72,13 +72,13 @@
                     }
                 });
         Files.delete(file);
-        at = balancer.start();
+        listenAddress = balancer.start();
     }
 
     private String cached() throws InterruptedException {
-        String event = policy.next();
+        String event = policy.nextEvent();
         while (!event.startsWith("CACHED")) { // the fraction of the slow-start budget comes before it
-            event = policy.next();
+            event = policy.nextEvent();
         }
         return event;
     }
@@ -101,9 +101,9 @@
         assertTrue(balancer.awaitReady(20_000));
         String note = "; holds one part in 16 of a list of 100 upstreams, 10 at most";
         assertEquals("ACK ready" + note, call(operators, "check"));
-        try (Client client = new Client(at)) {
+        try (Client client = new Client(listenAddress)) {
             client.send("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n");
-            assertTrue(client.answer().startsWith("HTTP/1.1 200"));
+            assertTrue(client.readResponse().startsWith("HTTP/1.1 200"));
             assertEquals("ready" + note, new String(client.body, StandardCharsets.UTF_8).strip());
         }
         synchronized (log) {
@@ -128,14 +128,14 @@
         startBounded(list(41, true, "in_service"));
         assertEquals("CACHED [s1=UP]", cached());
         onLoop(() -> policy.actions.watch(true));
-        FakeUpstream.ReceivedRequest watch = discovery.next();
-        watch.raw(OPEN);
-        watch.raw(chunk(longList(42, true, "in_service")));
-        assertEquals("share 16.0", policy.next());
-        String event = policy.next();
+        FakeUpstream.ReceivedRequest watch = discovery.nextRequest();
+        watch.write(OPEN);
+        watch.write(chunk(longList(42, true, "in_service")));
+        assertEquals("slow-start fraction 16.0", policy.nextEvent());
+        String event = policy.nextEvent();
         assertTrue(event.startsWith("SNAPSHOT ") && entries(event) <= MOST, event);
-        watch.raw(chunk(longList(43, false, "terminating")));
-        assertEquals(event.replace("SNAPSHOT", "DELTA").replace("=UP", "=DRAINING"), policy.next());
+        watch.write(chunk(longList(43, false, "terminating")));
+        assertEquals(event.replace("SNAPSHOT", "DELTA").replace("=UP", "=DRAINING"), policy.nextEvent());
     }
 
     /** No endpoint that is kept may be sent to, and others may exist: another subset is polled at once. */
@@ -144,16 +144,16 @@
         startBounded(longList(41, true, "in_service"));
         String first = cached();
         onLoop(() -> policy.actions.watch(true));
-        FakeUpstream.ReceivedRequest watch = discovery.next();
-        watch.raw(OPEN);
-        watch.raw(chunk(longList(42, false, "terminating")));
-        assertEquals(first.replace("CACHED", "DELTA").replace("=UP", "=DRAINING"), policy.next());
-        FakeUpstream.ReceivedRequest fetch = discovery.next();
-        assertEquals("GET /api/targets HTTP/1.1", fetch.line());
-        fetch.answer(200, "", longList(43, true, "in_service").strip());
-        String event = policy.next();
+        FakeUpstream.ReceivedRequest watch = discovery.nextRequest();
+        watch.write(OPEN);
+        watch.write(chunk(longList(42, false, "terminating")));
+        assertEquals(first.replace("CACHED", "DELTA").replace("=UP", "=DRAINING"), policy.nextEvent());
+        FakeUpstream.ReceivedRequest fetch = discovery.nextRequest();
+        assertEquals("GET /api/targets HTTP/1.1", fetch.requestLine());
+        fetch.respond(200, "", longList(43, true, "in_service").strip());
+        String event = policy.nextEvent();
         while (!event.startsWith("SNAPSHOT")) {
-            event = policy.next();
+            event = policy.nextEvent();
         }
         assertTrue(entries(event) > 0, event);
         for (String entry :
--- a/balancer/src/test/java/loadbalancer/process/ReconfigurationTest.java
+++ b/balancer/src/test/java/loadbalancer/process/ReconfigurationTest.java
@@ -30,26 +30,26 @@
     }
 
     private static String get(String kind) {
-        return IDEMPOTENT.replace("Req-Kind: read", "Req-Kind: " + kind);
+        return IDEMPOTENT_REQUEST.replace("Req-Kind: read", "Req-Kind: " + kind);
     }
 
     @Test
     void addedClassesAreServedRemovedOnesAreNotAndOpenRequestsKeepTheirs() throws Exception {
         start();
-        try (Client open = new Client(at);
-                Client other = new Client(at)) {
-            open.send(IDEMPOTENT);
-            FakeUpstream.ReceivedRequest got = upstream.next();
+        try (Client open = new Client(listenAddress);
+                Client other = new Client(listenAddress)) {
+            open.send(IDEMPOTENT_REQUEST);
+            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
             assertEquals("0 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
             reload(with(Map.of("Classes", List.of(kind("book", "unsafe"), kind("look", "safe")))));
-            assertEquals("reconfigured [2, -1] []", policy.next());
-            got.answer(200, "", "of a class that is gone");
-            assertEquals(200, open.status());
+            assertEquals("reconfigured [2, -1] []", policy.nextEvent());
+            got.respond(200, "", "of a class that is gone");
+            assertEquals(200, open.readStatus());
             other.send(get("look").replace("r1", "r2"));
             assertEquals("1 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
-            upstream.next().answer(200, "", "of the new class");
-            assertEquals(200, other.status());
-            assertEquals(400, open.send(IDEMPOTENT).status());
+            upstream.nextRequest().respond(200, "", "of the new class");
+            assertEquals(200, other.readStatus());
+            assertEquals(400, open.send(IDEMPOTENT_REQUEST).readStatus());
         }
     }
 
@@ -57,9 +57,9 @@
     void anOpenRequestKeepsItsMaxAttempts() throws Exception {
         start();
         policy.retriesWhenFull = true;
-        try (Client client = new Client(at)) {
-            client.send(IDEMPOTENT);
-            FakeUpstream.ReceivedRequest first = upstream.next();
+        try (Client client = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST);
+            FakeUpstream.ReceivedRequest first = upstream.nextRequest();
             reload(with(Map.of(
                     "Limits",
                     Map.of(
@@ -75,9 +75,9 @@
                             500_000,
                             "IdleClose",
                             30_000_000))));
-            first.answer(503, "Srv-Declined: 1\r\n", "");
-            upstream.next().answer(200, "", "second attempt");
-            assertEquals(200, client.status());
+            first.respond(503, "Srv-Declined: 1\r\n", "");
+            upstream.nextRequest().respond(200, "", "second attempt");
+            assertEquals(200, client.readStatus());
         }
     }
 
@@ -107,10 +107,10 @@
             assertTrue(log.get(lines).startsWith("configuration rejected: "), log.get(lines));
         }
         assertTrue(policy.events.stream().noneMatch(t -> t.startsWith("reconfigured")));
-        try (Client client = new Client(at)) {
-            client.send(IDEMPOTENT);
-            upstream.next().answer(200, "", "as before");
-            assertEquals(200, client.status());
+        try (Client client = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST);
+            upstream.nextRequest().respond(200, "", "as before");
+            assertEquals(200, client.readStatus());
         }
     }
 }
--- a/balancer/src/test/java/loadbalancer/process/RequestDeadlineTest.java
+++ b/balancer/src/test/java/loadbalancer/process/RequestDeadlineTest.java
@@ -21,14 +21,14 @@
     }
 
     private int told() throws InterruptedException {
-        return Integer.parseInt(upstream.next().header("Req-Deadline-Ms"));
+        return Integer.parseInt(upstream.nextRequest().header("Req-Deadline-Ms"));
     }
 
     @Test
     void timeUnreadCountsAgainstTheDeadline() throws IOException, InterruptedException {
         start();
-        try (Client client = new Client(at)) {
-            client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status();
+        try (Client client = new Client(listenAddress)) {
+            client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus();
             CountDownLatch sent = new CountDownLatch(1);
             CountDownLatch held = new CountDownLatch(1);
             onLoop(() -> {
@@ -37,7 +37,7 @@
                 busy();
             });
             held.await();
-            client.send(IDEMPOTENT);
+            client.send(IDEMPOTENT_REQUEST);
             sent.countDown();
             assertTrue(told() <= TIME_MS - BUSY_MS);
         }
@@ -48,8 +48,8 @@
     void timeToConnectCountsAgainstTheDeadline() throws IOException, InterruptedException {
         start();
         policy.endpointId = null;
-        try (Client client = new Client(at)) {
-            client.send(IDEMPOTENT);
+        try (Client client = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST);
             policy.requests.take();
             onLoop(() -> {
                 policy.actions.send("1", "s1", 0);
@@ -64,11 +64,11 @@
     @Test
     void timeBehindAPipelinedRequestCountsAgainstTheDeadline() throws IOException, InterruptedException {
         start();
-        try (Client client = new Client(at)) {
-            client.send(IDEMPOTENT + IDEMPOTENT.replace("Req-Id: r1", "Req-Id: r2"));
-            FakeUpstream.ReceivedRequest first = upstream.next();
+        try (Client client = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST + IDEMPOTENT_REQUEST.replace("Req-Id: r1", "Req-Id: r2"));
+            FakeUpstream.ReceivedRequest first = upstream.nextRequest();
             busy();
-            first.answer(200, "", "ok");
+            first.respond(200, "", "ok");
             assertTrue(told() <= TIME_MS - BUSY_MS);
         }
     }
--- a/balancer/src/test/java/loadbalancer/process/RoutingGatewayTest.java
+++ b/balancer/src/test/java/loadbalancer/process/RoutingGatewayTest.java
@@ -42,7 +42,7 @@
                 log.add(line);
             }
         });
-        at = balancer.start();
+        listenAddress = balancer.start();
     }
 
     @AfterEach
@@ -73,7 +73,7 @@
     private static void answer(FakeUpstream at1, String body) {
         CompletableFuture.runAsync(() -> {
             try {
-                at1.next().answer(200, "", body);
+                at1.nextRequest().respond(200, "", body);
             } catch (IOException | InterruptedException e) {
                 throw new IllegalStateException(e);
             }
@@ -84,8 +84,8 @@
         if (from != null) {
             answer(from, "x");
         }
-        try (Client client = new Client(at)) {
-            String head = client.send(request).answer();
+        try (Client client = new Client(listenAddress)) {
+            String head = client.send(request).readResponse();
             return head.split(" ")[1];
         }
     }
@@ -118,12 +118,12 @@
         assertTrue(operate(pool("one", first, "")
                 + pool("two", second, "")
                 + route("book", "/api/{key}", "to = \"one\"\nspill = [\"two\"]\n")));
-        try (Client client = new Client(at)) {
+        try (Client client = new Client(listenAddress)) {
             client.send(post("book", "Req-Deadline-Ms: 20000\r\n", "seat 7"));
-            FakeUpstream.ReceivedRequest got = first.next();
+            FakeUpstream.ReceivedRequest got = first.nextRequest();
             assertEquals("seat 7", new String(got.body(), java.nio.charset.StandardCharsets.UTF_8));
             got.reset();
-            assertEquals(502, client.status(), "one clear failure");
+            assertEquals(502, client.readStatus(), "one clear failure");
         }
         assertTrue(first.isEmpty() && second.isEmpty());
     }
@@ -136,11 +136,11 @@
                 + route("b", "/b/{key}", "to = \"two\"\n")));
         List<Client> hanging = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            hanging.add(new Client(at).send(get("/a/k" + i, "hang" + i, "")));
-            first.next();
+            hanging.add(new Client(listenAddress).send(get("/a/k" + i, "hang" + i, "")));
+            first.nextRequest();
         }
-        try (Client client = new Client(at)) {
-            String head = client.send(get("/a/k", "more", "")).answer();
+        try (Client client = new Client(listenAddress)) {
+            String head = client.send(get("/a/k", "more", "")).readResponse();
             assertTrue(head.startsWith("HTTP/1.1 503"), head);
             double advice = Double.parseDouble(head.split("Retry-After: ")[1].split("\r\n")[0]);
             assertTrue(advice >= 0.1 && advice <= 1.5, head);
@@ -163,9 +163,9 @@
     @Test
     void bodiesOverAPoolsMemoryBudgetAreRejectedUnsent() throws IOException {
         assertTrue(operate(pool("one", first, "memory = \"1KiB\"\n") + route("a", "/api/{key}", "to = \"one\"\n")));
-        try (Client client = new Client(at)) {
+        try (Client client = new Client(listenAddress)) {
             client.send(post("book", "Req-Deadline-Ms: 20000\r\n", "x".repeat(2000)));
-            assertEquals(503, client.status());
+            assertEquals(503, client.readStatus());
         }
         assertTrue(first.isEmpty());
     }
@@ -212,10 +212,10 @@
             int number = c;
             clients.add(threads.submit((Callable<Integer>) () -> {
                 int sent = 0;
-                try (Client client = new Client(at)) {
+                try (Client client = new Client(listenAddress)) {
                     while (!over.get()) {
                         client.send(get("/api/k" + sent % 17, "c" + number + "-" + sent, ""));
-                        assertEquals(200, client.status());
+                        assertEquals(200, client.readStatus());
                         answers.incrementAndGet();
                         sent++;
                     }
@@ -242,7 +242,7 @@
     private void serveAll(FakeUpstream at1, AtomicBoolean over) {
         threads.submit(() -> {
             while (true) {
-                at1.next().answer(200, "", "ok");
+                at1.nextRequest().respond(200, "", "ok");
             }
         });
     }
--- a/balancer/src/test/java/loadbalancer/upstream/ResponseReaderTest.java
+++ b/balancer/src/test/java/loadbalancer/upstream/ResponseReaderTest.java
@@ -33,30 +33,30 @@
             })
     void unreadableResponseIsReset(String response) throws IOException, InterruptedException {
         start();
-        try (Client client = new Client(at)) {
-            client.send(IDEMPOTENT);
-            FakeUpstream.ReceivedRequest got = upstream.next();
-            got.raw(response);
-            assertEquals("RESET", policy.next());
-            assertEquals(502, client.status());
-            client.send(IDEMPOTENT);
-            upstream.next().answer(200, "", "good");
-            assertEquals(200, client.status());
+        try (Client client = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST);
+            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
+            got.write(response);
+            assertEquals("RESET", policy.nextEvent());
+            assertEquals(502, client.readStatus());
+            client.send(IDEMPOTENT_REQUEST);
+            upstream.nextRequest().respond(200, "", "good");
+            assertEquals(200, client.readStatus());
             assertEquals("good", new String(client.body, StandardCharsets.UTF_8));
         }
-        assertEquals(2, upstream.connections());
+        assertEquals(2, upstream.connectionCount());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n", "X-Pad: pppppppppppppppp\r\n"})
     void endlessHeadIsReset(String endless) throws IOException, InterruptedException {
         start();
-        try (Client client = new Client(at)) {
-            client.send(IDEMPOTENT);
+        try (Client client = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST);
             String begin = endless.startsWith("X") ? "HTTP/1.1 200 OK\r\n" : "";
-            upstream.next().raw(begin + endless.repeat(1_000));
-            assertEquals("RESET", policy.next());
-            assertEquals(502, client.status());
+            upstream.nextRequest().write(begin + endless.repeat(1_000));
+            assertEquals("RESET", policy.nextEvent());
+            assertEquals(502, client.readStatus());
         }
     }
 
@@ -65,26 +65,26 @@
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst", "HTTP/1.1 20", "\u0007noise"})
     void dataBehindAResponseBelongsToNoRequest(String behind) throws IOException, InterruptedException {
         start();
-        try (Client client = new Client(at)) {
-            client.send(IDEMPOTENT + IDEMPOTENT.replace("r1", "r2"));
-            upstream.next().raw("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst" + behind);
-            assertEquals(200, client.status());
+        try (Client client = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST + IDEMPOTENT_REQUEST.replace("r1", "r2"));
+            upstream.nextRequest().write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst" + behind);
+            assertEquals(200, client.readStatus());
             assertEquals("first", new String(client.body, StandardCharsets.UTF_8));
-            upstream.next().answer(200, "", "second");
-            assertEquals(200, client.status());
+            upstream.nextRequest().respond(200, "", "second");
+            assertEquals(200, client.readStatus());
             assertEquals("second", new String(client.body, StandardCharsets.UTF_8));
         }
-        assertEquals(2, upstream.connections());
+        assertEquals(2, upstream.connectionCount());
     }
 
     @Test
     void dataOnAnIdleConnectionClosesIt() throws IOException, InterruptedException {
         start();
-        try (Client client = new Client(at)) {
-            client.send(IDEMPOTENT);
-            FakeUpstream.ReceivedRequest got = upstream.next();
-            got.answer(200, "", "ok");
-            assertEquals(200, client.status());
+        try (Client client = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST);
+            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
+            got.respond(200, "", "ok");
+            assertEquals(200, client.readStatus());
             assertTrue(isClosedSoon(got));
         }
     }
@@ -92,20 +92,20 @@
     @Test
     void informationalResponsesAndUnreadableLoadReportsAreSkipped() throws IOException, InterruptedException {
         start();
-        try (Client client = new Client(at)) {
-            client.send(IDEMPOTENT);
-            upstream.next()
-                    .raw("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
+        try (Client client = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST);
+            upstream.nextRequest()
+                    .write("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
                             + "HTTP/1.1 102 Processing\r\n\r\n"
                             + "HTTP/1.1 200 OK\r\nSrv-Load: TEXT inflight=NaN, eps=-1, queue=Infinity\r\n"
                             + "Content-Length: 2\r\n\r\nok");
-            assertEquals("OK closed", policy.next());
-            assertEquals(200, client.status());
-            client.send(IDEMPOTENT);
-            upstream.next().answer(200, "Srv-Load: {\"\r\n", "ok");
-            assertEquals("OK closed", policy.next());
-            assertEquals(200, client.status());
+            assertEquals("OK closed", policy.nextEvent());
+            assertEquals(200, client.readStatus());
+            client.send(IDEMPOTENT_REQUEST);
+            upstream.nextRequest().respond(200, "Srv-Load: {\"\r\n", "ok");
+            assertEquals("OK closed", policy.nextEvent());
+            assertEquals(200, client.readStatus());
         }
-        assertEquals(1, upstream.connections());
+        assertEquals(1, upstream.connectionCount());
     }
 }
--- a/balancer/src/test/java/loadbalancer/upstream/UpstreamConnectionPoolTest.java
+++ b/balancer/src/test/java/loadbalancer/upstream/UpstreamConnectionPoolTest.java
@@ -30,11 +30,11 @@
     @Test
     void idleConnectionsAreClosedBeforeTheUpstreamWouldCloseThem() throws IOException, InterruptedException {
         start(Map.of("IdleClose", 400_000), 1024);
-        try (Client client = new Client(at)) {
-            client.send(IDEMPOTENT);
-            FakeUpstream.ReceivedRequest got = upstream.next();
-            got.answer(200, "", "ok");
-            assertEquals(200, client.status());
+        try (Client client = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST);
+            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
+            got.respond(200, "", "ok");
+            assertEquals(200, client.readStatus());
             assertTrue(isClosedSoon(got));
         }
     }
@@ -44,21 +44,21 @@
     void nothingIsSentAfterTheDrainGracePeriod() throws IOException, InterruptedException {
         start(Map.of(), 1024);
         onLoop(() -> policy.actions.fetchList());
-        discovery.next().answer(200, "", "{\"rev\":50,\"all\":true,\"targets\":[]}");
-        assertEquals("SNAPSHOT []", policy.next());
+        discovery.nextRequest().respond(200, "", "{\"rev\":50,\"all\":true,\"targets\":[]}");
+        assertEquals("SNAPSHOT []", policy.nextEvent());
         // The grace period ends at last; the policy of this test goes on sending all the same.
-        try (Client client = new Client(at)) {
+        try (Client client = new Client(listenAddress)) {
             String outcome = "OK closed";
             while (outcome.startsWith("OK")) {
-                client.send(IDEMPOTENT);
+                client.send(IDEMPOTENT_REQUEST);
                 outcome = policy.events.poll(10, TimeUnit.MILLISECONDS);
                 while (outcome == null) {
                     if (!upstream.isEmpty()) {
-                        upstream.next().answer(200, "", "ok");
+                        upstream.nextRequest().respond(200, "", "ok");
                     }
                     outcome = policy.events.poll(10, TimeUnit.MILLISECONDS);
                 }
-                client.status();
+                client.readStatus();
             }
             assertEquals("NOT_SENT", outcome);
         }
@@ -74,22 +74,22 @@
             while (fill(fillers, slow.getLocalPort())) {
                 assertTrue(fillers.size() < 50, "the queue never fills");
             }
-            endpoint = "127.0.0.1:" + slow.getLocalPort();
+            endpointAddress = "127.0.0.1:" + slow.getLocalPort();
             start(Map.of("DialTimeout", 30_000_000), 1024);
-            clients.add(new Client(at).send(IDEMPOTENT.replace("r1", "r0")));
+            clients.add(new Client(listenAddress).send(IDEMPOTENT_REQUEST.replace("r1", "r0")));
             assertEquals("0 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
             onLoop(() -> policy.actions.fetchList());
-            discovery.next().answer(200, "", "{\"rev\":50,\"all\":true,\"targets\":[]}");
-            assertEquals("SNAPSHOT []", policy.next());
+            discovery.nextRequest().respond(200, "", "{\"rev\":50,\"all\":true,\"targets\":[]}");
+            assertEquals("SNAPSHOT []", policy.nextEvent());
             String outcome = null;
             while (outcome == null) { // until new attempts show that the grace period is over
-                clients.add(new Client(at).send(IDEMPOTENT.replace("r1", "r" + clients.size())));
+                clients.add(new Client(listenAddress).send(IDEMPOTENT_REQUEST.replace("r1", "r" + clients.size())));
                 outcome = policy.events.poll(100, TimeUnit.MILLISECONDS);
             }
             assertEquals("NOT_SENT", outcome);
             acceptAll(slow);
             for (int i = 1; i < clients.size(); i++) {
-                assertEquals("NOT_SENT", policy.next());
+                assertEquals("NOT_SENT", policy.nextEvent());
             }
             assertFillersAreAccepted(fillers.size());
             Socket taken = accepted.poll(20, TimeUnit.SECONDS);
@@ -136,14 +136,14 @@
             while (fill(fillers, slow.getLocalPort())) {
                 assertTrue(fillers.size() < 50, "the queue never fills");
             }
-            endpoint = "127.0.0.1:" + slow.getLocalPort();
+            endpointAddress = "127.0.0.1:" + slow.getLocalPort();
             start(Map.of("DialTimeout", 30_000_000), 1024);
-            try (Client client = new Client(at)) {
-                client.send(IDEMPOTENT.replace("20000", "500000")); // its deadline is not what ends it
+            try (Client client = new Client(listenAddress)) {
+                client.send(IDEMPOTENT_REQUEST.replace("20000", "500000")); // its deadline is not what ends it
                 assertEquals("0 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
             }
-            assertEquals("gone", policy.next());
-            assertEquals("NOT_SENT closed", policy.next());
+            assertEquals("client gone", policy.nextEvent());
+            assertEquals("NOT_SENT closed", policy.nextEvent());
         } finally {
             for (Socket filler : fillers) {
                 filler.close();
@@ -157,12 +157,12 @@
         start();
         CountDownLatch answered = new CountDownLatch(1);
         CountDownLatch held = new CountDownLatch(1);
-        try (Client client = new Client(at);
-                Client next = new Client(at)) {
-            client.send(IDEMPOTENT);
-            FakeUpstream.ReceivedRequest got = upstream.next();
+        try (Client client = new Client(listenAddress);
+                Client next = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST);
+            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
             policy.endpointId = null; // the next one is queued, and sent once the first is served
-            next.send(IDEMPOTENT.replace("r1", "r2"));
+            next.send(IDEMPOTENT_REQUEST.replace("r1", "r2"));
             assertEquals("0 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
             assertEquals("0 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
             policy.onOutcome = () -> {
@@ -175,16 +175,16 @@
                     Thread.currentThread().interrupt();
                 }
             };
-            got.answer(200, "", "first");
+            got.respond(200, "", "first");
             answered.await();
-            got.answer(200, "", "second");
+            got.respond(200, "", "second");
             held.countDown();
-            assertEquals(200, client.status());
-            FakeUpstream.ReceivedRequest other = upstream.next();
+            assertEquals(200, client.readStatus());
+            FakeUpstream.ReceivedRequest other = upstream.nextRequest();
             assertEquals("r2", other.header("Req-Id"));
-            assertEquals(2, other.connection());
-            other.answer(200, "", "its own");
-            assertEquals(200, next.status());
+            assertEquals(2, other.connectionNumber());
+            other.respond(200, "", "its own");
+            assertEquals(200, next.readStatus());
             assertEquals("its own", new String(next.body, StandardCharsets.UTF_8));
         }
     }
@@ -205,10 +205,10 @@
     void probeReturnsTheLoadReport() throws IOException, InterruptedException {
         start();
         onLoop(() -> policy.actions.probe("s1"));
-        FakeUpstream.ReceivedRequest got = upstream.next();
-        assertEquals("GET /-/load HTTP/1.1", got.line());
+        FakeUpstream.ReceivedRequest got = upstream.nextRequest();
+        assertEquals("GET /-/load HTTP/1.1", got.requestLine());
         assertNull(got.header("Req-Id"));
-        got.answer(200, "", "TEXT inflight=3");
-        assertEquals("probed OK 3.0", policy.next());
+        got.respond(200, "", "TEXT inflight=3");
+        assertEquals("probed OK 3.0", policy.nextEvent());
     }
 }
