--- a/core/src/main/java/loadbalancer/policy/AdmissionController.java
+++ b/core/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -4,19 +4,19 @@
 import java.util.SplittableRandom;
 
 /**
- * Admission control of one balancer, by adaptive throttling: what arrives in a short window is admitted up to a
- * multiple of what has been completed in it. The rest is rejected, from the lowest priority tier on.
+ * Admission control of one balancer by adaptive throttling. Over a short window, the balancer admits at most a multiple
+ * of the number of requests that were completed. It rejects the others, starting with the lowest priority tier.
  *
- * <p>The multiple is a gradient: the latency that a tier may cause over the latency seen, within bounds. The rate of
- * answers tells what the endpoints can do, so there is no integral to wind up: a balancer that admits little hears
- * little, and an integral would go on rejecting for long after the queues have gone. At least half of what was
- * completed is admitted, and what was heard a while ago counts for little.
+ * <p>The multiple is a gradient: the latency that a tier may cause divided by the measured latency, within bounds. The
+ * rate of completed requests shows the capacity of the endpoints, so the controller needs no integral term, which could
+ * wind up: a balancer that admits little receives few answers, and an integral term would go on rejecting requests long
+ * after the queues are empty. At least half of the completed number is admitted, and counts decay quickly.
  *
- * <p>The window is short on purpose. The estimate of one balancer is rough, but errors of many balancers cancel out,
- * while a longer window would make all of them late together.
+ * <p>The window is short on purpose. The estimate of one balancer is rough, but the errors of many balancers cancel
+ * out, whereas a longer window would make all balancers react late at the same time.
  *
- * <p>Tiers of low weight, as a rule what tenants ask for over their quotas, are rejected at first and come back by
- * degrees: what crowding costs outweighs a request of low weight.
+ * <p>Tiers of low weight are mostly requests over their tenant's quota. They are rejected first and are admitted again
+ * gradually, because the harm that congestion does to other requests outweighs the value of a request of low weight.
  *
  * <p>Source: B. Beyer et al., Site Reliability Engineering, chapter 21 (client-side throttling).
  */
@@ -24,45 +24,45 @@
     /** Time constant of all counts. */
     private static final double WINDOW_MICROS = 1e6;
 
-    /** Longest time constant, used where traffic is thin. */
+    /** Longest time constant, used at low traffic. */
     private static final double MAX_WINDOW_MICROS = 8e6;
 
-    /** Arrivals that a window holds at least, as far as it may be as long as that. */
+    /** The window is extended, up to the longest one, until it covers this number of arrivals. */
     private static final double MIN_WINDOW_ARRIVALS = 8;
 
-    /** Latency, as a fraction of the latency objective, that a request of no weight may cause. */
+    /** Latency that a request with a weight of 0 may cause, as a fraction of the latency objective. */
     private static final double LOWEST_TIER_SCORE = 0.40;
 
-    /** The same for a request of the highest tier. */
+    /** Latency that a request of the highest tier may cause, as a fraction of the latency objective. */
     private static final double HIGHEST_TIER_SCORE = 0.60;
 
-    /** A queue is drained with half of the capacity at most. */
+    /** Lower bound of the multiple: draining a queue takes half of the capacity at most. */
     private static final double MIN_MULTIPLE = 0.5;
 
     private static final double MAX_MULTIPLE = 2;
 
-    /** Score of one attempt at most: beyond the latency objective all are equally late. */
+    /** Maximum score of one attempt; attempts further over the latency objective count as equally late. */
     private static final double MAX_SCORE = 1.2;
 
-    /** Score that is assumed where nothing has been heard. */
+    /** Score that is assumed before any attempt has a score. */
     private static final double PRIOR_SCORE = 0.25;
 
-    /** Attempts that the assumed score counts for. */
+    /** Number of attempts that the assumed score counts as. */
     private static final double PRIOR_WEIGHT = 1;
 
-    /** Requests that are admitted besides, as a single one proves nothing. */
+    /** Requests admitted in addition, as a single request without an answer is no evidence of an overload. */
     private static final double SPARE_REQUESTS = 1;
 
-    /** Part of the highest tier that is always admitted. */
+    /** Fraction of the highest tier that is always admitted. */
     private static final double MIN_ADMITTED_FRACTION = 0.05;
 
     /** Tiers whose weight is below this fraction of the highest one count as low. */
     private static final double LOW_WEIGHT_FRACTION = 0.3;
 
-    /** Part of the arrivals that a low tier of full weight regains per second and unit of score. */
+    /** Fraction of all arrivals by which a low tier returns per second, for a relative weight and a score slack of 1. */
     private static final double LOW_TIER_RETURN_PER_SECOND = 1;
 
-    /** Part of the arrivals that a low tier is taken for at least. */
+    /** A low tier counts as at least this fraction of all arrivals when it returns. */
     private static final double MIN_LOW_TIER_FRACTION = 0.1;
 
     private static final double MICROS_PER_SECOND = 1e6;
@@ -72,27 +72,32 @@
     /** Decayed number of arrivals by tier. */
     private double[] arrivals;
 
-    /** Decayed number of requests. */
+    /** Decayed number of requests that were completed. */
     private double completed;
 
     /** Decayed number of attempts with a score. */
     private double scored;
 
-    /** Decayed sum of latency over latency objective. */
+    /** Decayed sum of the scores: latency divided by latency objective, up to the maximum. */
     private double scoreSum;
 
-    /** Weights of the tiers, as fractions of the highest one. */
+    /** Weights of the tiers, as fractions of the highest weight. */
     private double[] relativeWeights;
 
+    /** Number of tiers of low weight; these are the lowest ones. */
     private int lowTiers;
+
+    /** Shed level that the gradual return of the low tiers sets, from 0 to the number of low tiers. */
     private double lowTierLevel;
+
+    /** Shed level in force. */
     private double level;
 
     /**
-     * Makes a controller that rejects the tiers of low weight.
+     * Creates a controller that rejects all tiers of low weight at first.
      *
-     * @param tierWeights of the tiers, which are numbered from the lowest
-     * @param lowestWithinQuota the least weight of a request within its tenant's quota: none above it is low
+     * @param tierWeights weights of the tiers, ascending
+     * @param lowestWithinQuota lowest weight of a request within its tenant's quota, from which on no tier is low
      */
     AdmissionController(double[] tierWeights, double lowestWithinQuota, SplittableRandom random) {
         this.arrivals = new double[tierWeights.length];
@@ -111,23 +116,23 @@
                 Arrays.stream(tierWeights).filter(weight -> weight < lowWeight).count();
     }
 
-    /** The shed level: how many tiers are rejected in whole, and as its fraction the part of the next one. */
+    /** The shed level: the number of tiers that are rejected entirely, plus the rejected fraction of the next tier. */
     double shedLevel() {
         return level;
     }
 
-    /** The overload score: mean of latency over latency objective, as far as it is known. */
+    /** The overload score: mean of latency divided by latency objective, starting from an assumed score. */
     double overloadScore() {
         return (scoreSum + PRIOR_SCORE * PRIOR_WEIGHT) / (scored + PRIOR_WEIGHT);
     }
 
-    /** Counts a request of that tier; false where it is to be rejected. */
+    /** Counts a request of the tier and returns whether it is admitted. */
     boolean admit(int tier) {
         arrivals[tier]++;
         return tier + random.nextDouble() >= level;
     }
 
-    /** Counts a request that has ended with success, or has failed for another reason than want of capacity. */
+    /** Counts a request that has succeeded, or has failed for another reason than a lack of capacity. */
     void recordCompletion() {
         completed++;
     }
@@ -138,7 +143,7 @@
         scored++;
     }
 
-    /** Counts an attempt that an endpoint rejected, or that had no answer in its time. */
+    /** Counts an attempt that the endpoint rejected or that timed out. */
     void recordOverload() {
         recordLatency(MAX_SCORE);
     }
@@ -147,8 +152,8 @@
      * Decays the counts and computes the shed level.
      *
      * @param elapsedMicros time since the last call
-     * @param arrivalsPerSecond mean over a longer time
-     * @param pending attempts whose answer can't be expected yet
+     * @param arrivalsPerSecond mean rate over a longer time
+     * @param pending requests whose answer can't be expected yet
      */
     void update(long elapsedMicros, double arrivalsPerSecond, int pending) {
         double window = Math.max(
@@ -178,7 +183,7 @@
         return LOWEST_TIER_SCORE + (HIGHEST_TIER_SCORE - LOWEST_TIER_SCORE) * relativeWeights[tier];
     }
 
-    // How much of the highest low tier that is rejected is admitted again after that time.
+    // By how much the shed level of the low tiers falls within the elapsed time.
     private double lowTierReturn(double elapsedSeconds) {
         int tier = (int) Math.max(0, Math.ceil(lowTierLevel) - 1);
         double fraction = arrivals[tier] / Math.max(1, Arrays.stream(arrivals).sum());
@@ -199,7 +204,7 @@
         scoreSum *= retained;
     }
 
-    /** Goes on with other tiers. Where their number differs, arrivals are spread over them evenly. */
+    /** Replaces the tiers. If their number changes, the counted arrivals are spread evenly over the new tiers. */
     void updateTiers(double[] tierWeights, double lowestWithinQuota) {
         int tiers = tierWeights.length;
         if (tiers != arrivals.length) {
@@ -212,12 +217,12 @@
         lowTierLevel = Math.min(lowTiers, lowTierLevel);
     }
 
-    /** What {@link #restore} of a successor goes on from. */
+    /** The state that {@link #restore} takes over in a successor. */
     LearnedState.Admission learnedState() {
         return new LearnedState.Admission(arrivals.clone(), completed, scored, scoreSum, lowTierLevel, level);
     }
 
-    /** Restores what a predecessor has learned; ignored where it is null or of another number of tiers. */
+    /** Restores the state of a predecessor; it is ignored if it is null or has another number of tiers. */
     void restore(LearnedState.Admission learned) {
         int tiers = arrivals.length;
         if (learned == null || learned.arrivals().length != tiers) {
--- a/core/src/main/java/loadbalancer/policy/AttemptDispatcher.java
+++ b/core/src/main/java/loadbalancer/policy/AttemptDispatcher.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Sends requests to endpoints, as the rules say, and queues those that can't be sent now. It holds what leads from a
- * request to an attempt: order, candidates, selection, and the books that an attempt is entered in.
+ * Sends requests to endpoints as the rules allow, and queues those that can't be sent now. It takes a request through
+ * delivery order, candidates and selection, and records each attempt in the classes that count attempts.
  */
 final class AttemptDispatcher {
     private final PolicyComponents components;
@@ -13,7 +13,7 @@
         this.components = components;
     }
 
-    /** Sends the request if an endpoint may be used for it now; else queues it, or ends it where its time is over. */
+    /** Sends the request if an endpoint may be used now; otherwise queues it, or ends it if its deadline is near. */
     void sendOrQueue(RequestState request, long now, LoadBalancingPolicy.Actions actions) {
         if (sendIfPossible(request, now, actions)) {
             return;
@@ -25,12 +25,12 @@
         }
     }
 
-    /** Sends queued requests, as far as endpoints are free. */
+    /** Sends queued requests to endpoints that are free. */
     void drainQueue(long now, LoadBalancingPolicy.Actions actions) {
         components.queue.drain(request -> sendIfPossible(request, now, actions));
     }
 
-    /** Sends the request to an endpoint that it wasn't sent to before; false where there is none. */
+    /** Sends the request to an endpoint that it has not been sent to; returns false if there is none. */
     boolean sendElsewhere(RequestState request, long now, LoadBalancingPolicy.Actions actions) {
         List<EndpointStats> untried = components.candidates.candidates(request, now);
         untried.removeIf(request::wasSentTo);
--- a/core/src/main/java/loadbalancer/policy/AttemptOutcome.java
+++ b/core/src/main/java/loadbalancer/policy/AttemptOutcome.java
@@ -6,15 +6,15 @@
     OK(false),
     /** The endpoint answered with an error. */
     ERROR(false),
-    /** The endpoint rejected the attempt for want of capacity. */
+    /** The endpoint rejected the attempt for lack of capacity. */
     FULL(true),
-    /** No answer came in the time that the attempt had. */
+    /** No answer came before the timeout of the attempt. */
     TIMEOUT(false),
     /** No connection could be made. */
     CONNECT_FAILED(true),
-    /** The connection broke before the answer was complete. */
+    /** The connection was closed before the answer was complete. */
     RESET(false),
-    /** The policy asked for the attempt to be cancelled. */
+    /** The attempt was cancelled at the request of the policy. */
     CANCELLED(false),
     /** The balancer itself could not send the attempt. */
     NOT_SENT(true);
--- a/core/src/main/java/loadbalancer/policy/AttemptState.java
+++ b/core/src/main/java/loadbalancer/policy/AttemptState.java
@@ -1,10 +1,10 @@
 package loadbalancer.policy;
 
-/** One attempt of a request at an endpoint. Plain state. */
+/** State of one attempt of a request at an endpoint. */
 final class AttemptState {
     final EndpointStats target;
 
-    /** The endpoint as listed when the attempt was sent: its zone and cell may change later. */
+    /** The endpoint as it was listed when the attempt was sent; its zone and cell may change later. */
     final Endpoint endpoint;
 
     final RequestState request;
--- a/core/src/main/java/loadbalancer/policy/ClassRemapping.java
+++ b/core/src/main/java/loadbalancer/policy/ClassRemapping.java
@@ -4,24 +4,24 @@
 import java.util.Collection;
 
 /**
- * Where the statistics of each request class go when new settings number the classes anew. A class that the new
- * settings lack keeps a place behind the others while requests of it are open, and is forgotten otherwise.
+ * Maps the index of each request class to its index after a change of settings. A class that the new settings lack
+ * keeps an index after the others while requests of it are open; otherwise its statistics are dropped.
  *
- * @param newIndexes by former index: the new one, or -1 for a class that is forgotten
- * @param size number of places from here on
+ * @param newIndexes by former index, the new index, or -1 for a class whose statistics are dropped
+ * @param size number of classes from now on, including former ones with open requests
  */
 record ClassRemapping(int[] newIndexes, int size) {
-    private static final int FORGOTTEN = -1;
+    private static final int DROPPED = -1;
 
     /**
-     * The remapping for a change of settings.
+     * Creates the remapping for a change of settings.
      *
-     * @param formerClasses by new index: the former one, or a negative number for a new class
-     * @param formerSize number of places before
+     * @param formerClasses by new index, the former index, or a negative number for a new class
+     * @param formerSize number of classes before the change, including former ones with open requests
      */
     static ClassRemapping of(int[] formerClasses, int formerSize, Collection<RequestState> openRequests) {
         int[] newIndexes = new int[formerSize];
-        Arrays.fill(newIndexes, FORGOTTEN);
+        Arrays.fill(newIndexes, DROPPED);
         for (int i = 0; i < formerClasses.length; i++) {
             if (formerClasses[i] >= 0) {
                 newIndexes[formerClasses[i]] = i;
@@ -29,23 +29,23 @@
         }
         int size = formerClasses.length;
         for (RequestState request : openRequests) {
-            if (newIndexes[request.classIndex] == FORGOTTEN) {
+            if (newIndexes[request.classIndex] == DROPPED) {
                 newIndexes[request.classIndex] = size++;
             }
         }
         return new ClassRemapping(newIndexes, size);
     }
 
-    /** Numbers a request's class anew. */
+    /** Updates the class index of a request. */
     void apply(RequestState request) {
         request.classIndex = newIndexes[request.classIndex];
     }
 
-    /** The statistics by new index; classes that are new start from the initial ones, as far as there are any. */
+    /** Returns the statistics by new index. New classes start from the initial values, or from 0 without one. */
     double[] apply(double[] former, double[] initial) {
         double[] moved = Arrays.copyOf(initial, size);
         for (int i = 0; i < newIndexes.length; i++) {
-            if (newIndexes[i] != FORGOTTEN) {
+            if (newIndexes[i] != DROPPED) {
                 moved[newIndexes[i]] = former[i];
             }
         }
--- a/core/src/main/java/loadbalancer/policy/ClientRetryAge.java
+++ b/core/src/main/java/loadbalancer/policy/ClientRetryAge.java
@@ -1,19 +1,20 @@
 package loadbalancer.policy;
 
 /**
- * Infers how long ago the first attempt of a client was, from a request that the client marks as a retry.
+ * Infers the time since a client's first attempt from a request that the client marks as a retry.
  *
- * <p>A client gives each of its attempts the same time, or what is left of the deadline of the class. A retry whose
- * time differs from that of first attempts is therefore of the second sort, and its time tells its age. Its latency
- * objective counts from the first attempt: it is as late for the client as it is old.
+ * <p>Some clients give each of their attempts the same time; others give a retry what is left of the deadline of the
+ * class. If the time of a retry differs from that of first attempts, the client is of the second kind, and the time
+ * left shows the age of the request. The latency objective of a retry counts from the first attempt, as that is when
+ * the client began to wait.
  */
 final class ClientRetryAge {
-    /** Times count as different from this fraction of the deadline on. */
+    /** Two times count as different if they differ by more than the deadline divided by this. */
     private static final int TOLERANCE_DIVISOR = 32;
 
     private final ActiveSettings settings;
 
-    /** By class: the longest time that a first attempt had, µs. */
+    /** By class: the longest time that a client allowed for a first attempt. */
     private long[] firstAttemptMicros;
 
     ClientRetryAge(ActiveSettings settings) {
@@ -21,7 +22,7 @@
         this.firstAttemptMicros = new long[settings.current().classes().size()];
     }
 
-    /** Records a request that arrives and returns the time since the client's first attempt in µs, 0 if unknown. */
+    /** Records an arriving request; returns the time since the client's first attempt, or 0 if it is unknown. */
     long elapsedMicros(int classIndex, long timeLeftMicros, boolean clientRetry) {
         long deadlineMicros = settings.current().classes().get(classIndex).deadlineMicros();
         if (!clientRetry) {
@@ -32,14 +33,14 @@
         return difference > deadlineMicros / TOLERANCE_DIVISOR ? Math.max(0, deadlineMicros - timeLeftMicros) : 0;
     }
 
-    /** Moves to other numbers of the classes. */
+    /** Adopts new class indexes. */
     void remap(ClassRemapping remapping) {
         double[] moved = remapping.apply(learnedState(), new double[0]);
         firstAttemptMicros = new long[moved.length];
         restore(moved);
     }
 
-    /** By class: the longest time that a first attempt had, µs. */
+    /** By class: the longest time that a client allowed for a first attempt, in µs. */
     double[] learnedState() {
         double[] learned = new double[firstAttemptMicros.length];
         for (int i = 0; i < learned.length; i++) {
@@ -48,7 +49,7 @@
         return learned;
     }
 
-    /** Restores what a predecessor has learned; ignored where it is null or of another number of classes. */
+    /** Restores the state of a predecessor; it is ignored if it is null or has another number of classes. */
     void restore(double[] learned) {
         if (learned == null || learned.length != firstAttemptMicros.length) {
             return;
--- a/core/src/main/java/loadbalancer/policy/HedgingPolicy.java
+++ b/core/src/main/java/loadbalancer/policy/HedgingPolicy.java
@@ -1,21 +1,21 @@
 package loadbalancer.policy;
 
 /**
- * Whether a request is sent to a second endpoint while its first attempt is in flight. It is where the request is
- * idempotent and has waited longer than nearly all do for such work: this helps against silence of any cause, such as
- * lost answers, stalls and connections that were dropped unnoticed.
+ * Decides whether a request is sent to a second endpoint while its first attempt is in flight. An idempotent request is
+ * hedged once it has waited longer than nearly all requests of its expected latency do. This helps against missing
+ * answers of any cause, such as lost answers, stalls and connections that were dropped unnoticed.
  *
- * <p>Hedged requests draw on the retry budget and cease while requests are rejected, so that they can't feed an
+ * <p>Hedged requests draw on the retry budget, and stop while requests are rejected, so that they can't worsen an
  * overload.
  */
 final class HedgingPolicy {
-    /** No request is hedged while a larger fraction of attempts is rejected by endpoints. */
+    /** No request is hedged while the attempts that were never executed exceed this fraction of the arrivals. */
     private static final double MAX_REJECTED_FRACTION = 0.02;
 
-    /** Tokens of the retry budget that are left to retries. */
+    /** Tokens of the retry budget that are reserved for retries. */
     private static final double RESERVED_RETRY_TOKENS = 4;
 
-    /** Expected latencies that are left for the hedged attempt before the latency objective. */
+    /** Time kept for the hedged attempt before the latency objective, in expected latencies. */
     private static final int LATENCIES_LEFT = 2;
 
     private final ActiveSettings settings;
@@ -28,7 +28,7 @@
         this.budget = budget;
     }
 
-    /** Whether requests are hedged at all now, at that shed level. */
+    /** Whether requests are hedged at all at this shed level and traffic. */
     boolean isActive(double shedLevel, TrafficCounts traffic) {
         return settings.current().limits().hedgingAllowed()
                 && shedLevel < settings.tiers().hedgingShedLevel()
@@ -56,7 +56,7 @@
                 && budget.tokens() >= RESERVED_RETRY_TOKENS;
     }
 
-    /** Counts a hedged attempt that is sent. */
+    /** Takes a token of the retry budget for a hedged attempt that was sent. */
     void recordHedge() {
         budget.withdraw();
     }
--- a/core/src/main/java/loadbalancer/policy/Idempotency.java
+++ b/core/src/main/java/loadbalancer/policy/Idempotency.java
@@ -1,11 +1,11 @@
 package loadbalancer.policy;
 
-/** Whether a request may be executed again once an attempt may have been executed. */
+/** Whether a request may be sent again after an attempt that may have been executed. */
 public enum Idempotency {
-    /** It may. */
+    /** The request may be sent again to any endpoint. */
     IDEMPOTENT,
-    /** It may where the endpoint recognizes its idempotency key, within the key's retention. */
+    /** The request may be sent again to endpoints that recognize its idempotency key, while they retain the key. */
     IDEMPOTENT_WITH_KEY,
-    /** It may not. */
+    /** The request may not be sent again. */
     NON_IDEMPOTENT
 }
--- a/core/src/main/java/loadbalancer/policy/KeySequence.java
+++ b/core/src/main/java/loadbalancer/policy/KeySequence.java
@@ -2,10 +2,10 @@
 
 import java.util.ArrayDeque;
 
-/** The open requests with one key of classes with ordered delivery, in the order of arrival. Plain state. */
+/** The open requests of one key, in the order of arrival, for classes with ordered delivery. */
 final class KeySequence {
     final ArrayDeque<RequestState> requests = new ArrayDeque<>();
 
-    /** Attempts of a request that has ended may still run until then. */
+    /** Until this time, an attempt of a request that has ended may still be running. */
     long pausedUntil;
 }
--- a/core/src/main/java/loadbalancer/policy/KeySequencer.java
+++ b/core/src/main/java/loadbalancer/policy/KeySequencer.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Ordered delivery: requests with one key of classes that ask for it are executed one at a time, in the order
- * of arrival. After an attempt without an answer, which may still run, the key pauses.
+ * Ordered delivery: requests with the same key, of classes with ordered delivery, are executed one at a time in the
+ * order of arrival. After an attempt without an answer, which may still be running, the key pauses.
  */
 final class KeySequencer {
     private final ActiveSettings settings;
@@ -15,13 +15,13 @@
         this.settings = settings;
     }
 
-    /** Puts a request that has arrived at the end of its key's sequence. */
+    /** Appends a request that has arrived to the sequence of its key. */
     void add(RequestState request) {
         request.sequence = sequences.computeIfAbsent(request.keyHash, unused -> new KeySequence());
         request.sequence.requests.add(request);
     }
 
-    /** Whether the request may be sent: all earlier ones of its key are over, and their attempts no longer run. */
+    /** Whether the request may be sent: it is the first of its key, and the pause is over or it was sent before. */
     boolean isNext(RequestState request, long now) {
         KeySequence sequence = request.sequence;
         return sequence == null
@@ -29,7 +29,7 @@
                         && (now >= sequence.pausedUntil || !request.attempts.isEmpty());
     }
 
-    /** Records the outcome of an attempt. */
+    /** Records the outcome of an attempt; the key pauses if the attempt may still be running. */
     void attemptEnded(AttemptState attempt, AttemptOutcome outcome, long now) {
         KeySequence sequence = attempt.request.sequence;
         boolean mayStillRun = attempt.mayHaveRun && outcome != AttemptOutcome.OK && outcome != AttemptOutcome.ERROR;
@@ -39,14 +39,14 @@
         }
     }
 
-    /** Removes a request that is over from its sequence, if it is in one. */
+    /** Removes a request that has ended from its sequence, if it is in one. */
     void remove(RequestState request) {
         if (request.sequence != null) {
             request.sequence.requests.remove(request);
         }
     }
 
-    /** Forgets sequences without requests whose pause is over. */
+    /** Removes empty sequences whose pause is over. */
     void prune(long now) {
         sequences.values().removeIf(sequence -> sequence.requests.isEmpty() && now >= sequence.pausedUntil);
     }
--- a/core/src/main/java/loadbalancer/policy/LearnedState.java
+++ b/core/src/main/java/loadbalancer/policy/LearnedState.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 
 /**
- * What a policy has learned, for the policy of a successor process to go on from. A part that a predecessor did not
- * hand over, or not in a form that fits, is null. Arrays are not to be changed.
+ * The state that a policy has learned from traffic, from which the policy of a successor process continues. A part that
+ * the predecessor did not hand over, or whose form does not match, is null. The arrays must not be modified.
  *
- * @param firstAttemptMicros by class: the longest time that a first attempt had
- * @param endpoints by id
- * @param pools by name, what the policies of several pools have learned; empty for the policy of one pool
+ * @param firstAttemptMicros by class: the longest time that a client allowed for a first attempt
+ * @param endpoints endpoint histories by endpoint id
+ * @param pools by pool name, the learned state of each pool's policy; empty for the policy of one pool
  */
 public record LearnedState(
         Latencies latencies,
@@ -20,39 +20,40 @@
         Traffic traffic,
         Map<String, EndpointHistory> endpoints,
         Map<String, LearnedState> pools) {
-    /** Nothing that has been learned. */
+    /** An empty state. */
     public static final LearnedState NONE = ofPools(Map.of());
 
-    /** Copies the maps, in their order. */
+    /** Copies the maps and keeps their order. */
     public LearnedState {
         endpoints = Collections.unmodifiableMap(new LinkedHashMap<>(endpoints));
         pools = Collections.unmodifiableMap(new LinkedHashMap<>(pools));
     }
 
-    /** What the policies of several pools have learned, by name of the pool. */
+    /** The learned state of several pools, by pool name. */
     public static LearnedState ofPools(Map<String, LearnedState> pools) {
         return new LearnedState(new Latencies(null, null), null, null, new Tenants(null, null), null, Map.of(), pools);
     }
 
-    /** A copy of the learned figures, or the present ones where the learned are null or of another number. */
-    static double[] copyIfSameLength(double[] learned, double[] present) {
-        return learned != null && learned.length == present.length ? learned.clone() : present;
+    /** Returns a copy of the learned values, or the current ones if the learned are null or of another length. */
+    static double[] copyIfSameLength(double[] learned, double[] current) {
+        return learned != null && learned.length == current.length ? learned.clone() : current;
     }
 
     /**
-     * Statistics of {@link LatencyTracker}, by class.
+     * State of {@link LatencyTracker}, by class.
      *
-     * @param meanWork mean hint of the work, 0 where there was none
+     * @param expectedMicros expected latency
+     * @param meanWork mean of the clients' hints of the work, 0 if there were none
      */
     public record Latencies(double[] expectedMicros, double[] meanWork) {}
 
     /**
-     * Statistics of {@link AdmissionController}.
+     * State of {@link AdmissionController}.
      *
-     * @param arrivals by priority tier, decayed
-     * @param completed decayed number of requests
+     * @param arrivals decayed number of arrivals by priority tier
+     * @param completed decayed number of completed requests
      * @param scored decayed number of attempts with a score
-     * @param scoreSum decayed sum of their scores
+     * @param scoreSum decayed sum of the scores
      * @param lowTierLevel shed level of the tiers of low weight
      * @param level shed level
      */
@@ -60,29 +61,32 @@
             double[] arrivals, double completed, double scored, double scoreSum, double lowTierLevel, double level) {}
 
     /**
-     * Statistics of {@link TenantQuotas}, by tenant.
+     * State of {@link TenantQuotas}, by tenant.
      *
-     * @param demand decayed number of requests
-     * @param quotaTokens requests that are within the quota at once
+     * @param demand decayed number of requests that clients sent for the first time
+     * @param quotaTokens fill of the token bucket
      */
     public record Tenants(double[] demand, double[] quotaTokens) {}
 
     /**
      * Statistics of all requests of the balancer.
      *
-     * @param arrivals decayed number of requests
-     * @param rejectedAttempts decayed number of attempts that endpoints did not take
-     * @param retryTokens what the retry budget holds
+     * @param arrivals decayed number of requests that clients sent for the first time
+     * @param rejectedAttempts decayed number of attempts that were never executed
+     * @param retryTokens tokens in the retry budget
+     * @param meanAttemptsInFlight moving mean of the attempts in flight
      */
     public record Traffic(double arrivals, double rejectedAttempts, double retryTokens, double meanAttemptsInFlight) {}
 
     /**
-     * What is known of one start of an endpoint: times are relative, counts decayed.
+     * Statistics of one start of an endpoint. Times other than the start are relative, and counts are decayed.
      *
-     * @param startedAt the start that this is about; not valid for another one
-     * @param ejectionMicros what is left of an ejection, or 0
+     * @param startedAt start time of the endpoint; the history is not valid for another start
+     * @param slowness moving mean of latency divided by expected latency
+     * @param ejectionMicros remaining time of the ejection, or 0
+     * @param probationSuccessesLeft successes still needed to end probation
      * @param microsSinceSuccess time since the last success
-     * @param awaitsFirstRequest whether the endpoint is due for a request whatever its rank
+     * @param awaitsFirstRequest whether the endpoint is still to be sent a first request regardless of its rank
      */
     public record EndpointHistory(
             long startedAt,
@@ -112,7 +116,7 @@
                     stats.firstRequestDueAt < Long.MAX_VALUE);
         }
 
-        /** Writes the history into the statistics, if it is about the same start of the endpoint. */
+        /** Copies the history into the statistics, if both belong to the same start of the endpoint. */
         void applyTo(EndpointStats stats, long now, DecayScale scale) {
             if (startedAt != stats.endpoint.startedAt()) {
                 return;
--- a/core/src/main/java/loadbalancer/policy/LearnedStateCodec.java
+++ b/core/src/main/java/loadbalancer/policy/LearnedStateCodec.java
@@ -7,11 +7,11 @@
 import java.util.Objects;
 
 /**
- * Writes and reads {@link LearnedState} as named arrays of figures: the form in which a process hands it to its
- * successor. Names and positions are a format between releases, which must not change; a name that is not known, or an
- * array that has another length than this release writes, is ignored.
+ * Encodes {@link LearnedState} as named arrays of numbers, the form in which a process hands it over to its successor.
+ * Processes of different releases exchange this form, so names and positions must not change. An unknown name, or an
+ * array whose length differs from the one that this release writes, is ignored.
  *
- * <p>What the policies of several pools have learned is not written: each pool has a document of its own.
+ * <p>The learned state of several pools is not encoded here, as each pool has a document of its own.
  */
 public final class LearnedStateCodec {
     private static final String EXPECTED_LATENCIES = "usual";
@@ -29,7 +29,7 @@
 
     private LearnedStateCodec() {}
 
-    /** The named arrays, in a map of the caller's own. */
+    /** Returns the named arrays in a new map, which the caller may change. */
     public static Map<String, double[]> encode(LearnedState state) {
         Map<String, double[]> encoded = new HashMap<>();
         encoded.put(EXPECTED_LATENCIES, state.latencies().expectedMicros());
@@ -44,7 +44,7 @@
         return encoded;
     }
 
-    /** What the named arrays say, as far as they fit. */
+    /** Reads the named arrays; unknown names and arrays of another length are ignored. */
     public static LearnedState decode(Map<String, double[]> encoded) {
         Map<String, LearnedState.EndpointHistory> endpoints = new LinkedHashMap<>();
         encoded.forEach((name, figures) -> {
--- a/core/src/main/java/loadbalancer/policy/LearnedStateTransfer.java
+++ b/core/src/main/java/loadbalancer/policy/LearnedStateTransfer.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Collects what the parts of a policy have learned, and restores it in the parts of a successor. */
+/** Collects the learned state of all parts of a policy, and restores it in the parts of a successor. */
 final class LearnedStateTransfer {
     private final PolicyComponents components;
 
@@ -11,7 +11,7 @@
         this.components = components;
     }
 
-    /** What all parts have learned. */
+    /** Returns the learned state of all parts. */
     LearnedState collect(long now) {
         Map<String, LearnedState.EndpointHistory> histories = new LinkedHashMap<>();
         for (EndpointStats stats : components.endpoints.all()) {
@@ -31,7 +31,7 @@
                 Map.of());
     }
 
-    /** Hands each part what a predecessor's has learned; endpoints that aren't known here are ignored. */
+    /** Restores each part from the state of a predecessor; endpoints that are not listed here are ignored. */
     void restore(LearnedState learned, long now) {
         components.latencies.restore(learned.latencies());
         components.clientRetryAge.restore(learned.firstAttemptMicros());
--- a/core/src/main/java/loadbalancer/policy/OpenRequests.java
+++ b/core/src/main/java/loadbalancer/policy/OpenRequests.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * The requests that are owed an answer or have attempts in flight, and their end. A request leaves once its final
- * answer is given and all of its attempts have ended.
+ * The open requests, in the order of arrival, and the ways in which they end. A request is open until it has had its
+ * final answer and all of its attempts have ended.
  */
 final class OpenRequests {
     private final ActiveSettings settings;
@@ -31,17 +31,17 @@
         requests.put(request.id, request);
     }
 
-    /** The request of that id, or null. */
+    /** The open request with this id, or null. */
     RequestState get(String id) {
         return requests.get(id);
     }
 
-    /** All of them, in the order of arrival. */
+    /** All open requests, in the order of arrival. */
     Collection<RequestState> all() {
         return requests.values();
     }
 
-    /** Ends an admitted request without success: rejected where the client may try again, else failed. */
+    /** Ends an admitted request without success: rejects it if the client may safely retry, otherwise fails it. */
     void endUnserved(RequestState request, LoadBalancingPolicy.Actions actions) {
         if (!request.lastAttemptOverloaded) {
             admission.recordCompletion();
@@ -49,7 +49,7 @@
         endNotAdmitted(request, actions);
     }
 
-    /** Ends a request that is not admitted: rejected where the client may try again without harm, else failed. */
+    /** Ends a request that was not admitted: rejects it if the client may safely retry, otherwise fails it. */
     void endNotAdmitted(RequestState request, LoadBalancingPolicy.Actions actions) {
         request.closed = true;
         if (RetrySafetyRule.clientMayRetry(request)) {
@@ -60,7 +60,7 @@
         removeIfFinished(request);
     }
 
-    /** Closes a request that is owed nothing more, and cancels its attempts where the site allows it. */
+    /** Closes a request that needs no further answer, and cancels its attempts if the site allows cancellation. */
     void close(RequestState request, LoadBalancingPolicy.Actions actions) {
         request.closed = true;
         for (int i = 0; i < request.attempts.size(); i++) {
@@ -71,7 +71,7 @@
         }
     }
 
-    /** Forgets the request if it is over. */
+    /** Removes the request if it is closed and none of its attempts is in flight. */
     void removeIfFinished(RequestState request) {
         if (request.closed && request.attemptsInFlight == 0) {
             requests.remove(request.id);
--- a/core/src/main/java/loadbalancer/policy/OutcomeRecorder.java
+++ b/core/src/main/java/loadbalancer/policy/OutcomeRecorder.java
@@ -1,11 +1,11 @@
 package loadbalancer.policy;
 
-/** Tells the parts that learn from outcomes what each outcome of an attempt means for them. */
+/** Passes each outcome of an attempt on to the classes that learn from outcomes. */
 final class OutcomeRecorder {
-    /** Expected latencies for which a failed attempt may still take its slot at the endpoint. */
+    /** Time for which a failed attempt may still occupy its slot at the endpoint, in expected latencies. */
     private static final int FAILED_SLOT_LATENCIES = 2;
 
-    /** A cancelled attempt that has taken this multiple of the expected latency counts against its endpoint. */
+    /** A cancelled attempt that took more than this multiple of the expected latency counts against its endpoint. */
     private static final int SLOW_LATENCIES = 2;
 
     private final LatencyTracker latencies;
@@ -30,7 +30,7 @@
         this.log = log;
     }
 
-    /** Records the outcome of an attempt and the time that it took. */
+    /** Records the outcome and the latency of an attempt. */
     void record(
             AttemptState attempt,
             AttemptOutcome outcome,
@@ -81,7 +81,8 @@
         admission.recordLatency(latencyMicros / (double) request.requestClass.latencyObjectiveMicros());
     }
 
-    // A hedged request was answered elsewhere, or the client has left: a slow endpoint may well be at work on it still.
+    // The request was answered by another endpoint, or its client has disconnected. A slow endpoint may still be
+    // working on the cancelled attempt.
     private void recordCancellation(
             AttemptState attempt, long latencyMicros, double latencyRatio, long failedSlotUntil, long now) {
         if (latencyMicros > SLOW_LATENCIES * latencies.expectedMicros(attempt.request)) {
--- a/core/src/main/java/loadbalancer/policy/PriorityTiers.java
+++ b/core/src/main/java/loadbalancer/policy/PriorityTiers.java
@@ -4,15 +4,15 @@
 import java.util.stream.DoubleStream;
 
 /**
- * The distinct priority weights that requests can have, ascending: the tier of a request is the index of its weight. An
- * overloaded balancer sheds the lowest tiers first. Immutable.
+ * The distinct priority weights that requests can have, in ascending order. The tier of a request is the index of its
+ * weight. An overloaded balancer sheds the lowest tiers first. Immutable.
  *
- * <p>A weight is that of a unit of work, as work is what an overloaded fleet runs short of. Where the settings give
- * weights by request instead, heavy requests have high ones; shedding by them would starve the light classes while the
- * fleet serves few requests, so all classes then have the same weight.
+ * <p>A weight is per unit of work, because work is what an overloaded fleet lacks capacity for. If the settings give
+ * weights per request instead, all classes have the same weight: heavy requests then have high weights, and shedding by
+ * these would starve the light classes while the fleet serves few requests.
  */
 final class PriorityTiers {
-    /** Part of a tier, of requests within their quota, that may be shed while requests are still hedged. */
+    /** Requests are hedged until more than this fraction of the lowest tier within quota is shed. */
     private static final double HEDGING_SHED_TOLERANCE = 0.05;
 
     private final PolicySettings settings;
@@ -39,7 +39,7 @@
                 * (lowPriority ? settings.overQuotaWeight() : 1);
     }
 
-    /** The weights, from the lowest; not to be changed. */
+    /** The weights in ascending order; the array must not be modified. */
     double[] weights() {
         return weights;
     }
@@ -54,7 +54,7 @@
         return Arrays.binarySearch(weights, weight(request.requestClass, request.lowPriority));
     }
 
-    /** The shed level up to which requests are hedged: just above the lowest tier within quota. */
+    /** The shed level below which requests are hedged, a little above the tiers over quota. */
     double hedgingShedLevel() {
         return hedgingShedLevel;
     }
--- a/core/src/main/java/loadbalancer/policy/RequestClass.java
+++ b/core/src/main/java/loadbalancer/policy/RequestClass.java
@@ -3,17 +3,19 @@
 import java.util.Set;
 
 /**
- * A class of requests.
+ * Settings of a class of requests.
  *
- * @param idempotency whether a request may be executed twice
+ * @param idempotency whether a request may be sent again after an attempt that may have been executed
  * @param scope the endpoints that recognize an idempotency key
- * @param keyRetentionMicros how long they do
- * @param latencyObjectiveMicros an answer within it earns the priority weight
- * @param deadlineMicros an answer within it earns the late fraction of the priority weight
- * @param objectiveStretch multiple of a request's work that is added to its latency objective
- * @param priorityWeight what an answer in time earns, compared with other classes
- * @param streamed whether answers are streams, which are not cut off
- * @param orderedDelivery whether requests with one key are executed one at a time, in the order of arrival
+ * @param keyRetentionMicros how long endpoints recognize an idempotency key
+ * @param latencyObjectiveMicros an answer within this time earns the priority weight
+ * @param deadlineMicros an answer after the latency objective but within this time earns the late fraction of the
+ *     priority weight
+ * @param objectiveStretch multiple of the client's hint of the work that is added to the latency objective of a request
+ * @param priorityWeight value of an answer in time, compared with other classes
+ * @param lateFraction fraction of the priority weight that a late answer earns
+ * @param streamed whether answers are streams, which are not ended by a timeout
+ * @param orderedDelivery whether requests with the same key are executed one at a time, in the order of arrival
  * @param zones the only zones whose endpoints may be used; empty for all
  * @param machineKinds the only kinds of machine that may be used; empty for all
  */
@@ -33,7 +35,7 @@
     /**
      * Copies the sets.
      *
-     * @throws IllegalArgumentException for figures that no class can have
+     * @throws IllegalArgumentException if a value is out of range
      */
     public RequestClass {
         zones = Set.copyOf(zones);
@@ -44,7 +46,7 @@
         Requirements.require(objectiveStretch >= 0, "aimStretch", objectiveStretch);
     }
 
-    /** A class without order or placement. */
+    /** Creates a class without ordered delivery or placement rules. */
     public RequestClass(
             Idempotency idempotency,
             KeyScope scope,
--- a/core/src/main/java/loadbalancer/policy/RequestFactory.java
+++ b/core/src/main/java/loadbalancer/policy/RequestFactory.java
@@ -1,11 +1,11 @@
 package loadbalancer.policy;
 
 /**
- * Makes the state of a request that arrives: its deadline, when its answer is due by the latency objective, whether it
- * is within its tenant's quota, and how long it is expected to take.
+ * Creates the state of an arriving request: its deadline, the time at which its latency objective ends, whether it is
+ * within its tenant's quota, and its expected latency.
  *
- * <p>The objective of a class is stretched by the client's hint of the work, and counts from the client's first attempt
- * where a retry shows when that was.
+ * <p>The latency objective of a class is extended in proportion to the client's hint of the work. It counts from the
+ * client's first attempt if a retry shows when that was.
  */
 final class RequestFactory {
     private final ActiveSettings settings;
@@ -21,7 +21,7 @@
         this.latencies = latencies;
     }
 
-    /** The state of a request that arrives now; parameters as in {@link LoadBalancingPolicy#request}. */
+    /** Creates the state of a request that arrives now, with parameters as in {@link LoadBalancingPolicy#request}. */
     RequestState create(
             long now,
             String id,
--- a/core/src/main/java/loadbalancer/policy/RequestQueue.java
+++ b/core/src/main/java/loadbalancer/policy/RequestQueue.java
@@ -6,17 +6,17 @@
 import java.util.function.Predicate;
 
 /**
- * Requests that wait because no endpoint may be used for them now: first those within their quota, then those of low
- * priority, and the most urgent first among each.
+ * Requests that wait because no endpoint may be used for them now. Requests within their quota are sent before those of
+ * low priority, and among each of these the most urgent first.
  */
 final class RequestQueue {
-    /** A request has at least the inverse of this of the time to its latency objective for waiting. */
+    /** A request may wait for at least the time from arrival to its latency objective, divided by this. */
     private static final int MIN_WAIT_DIVISOR = 4;
 
-    /** Expected latencies before the latency objective at which a request must be sent. */
+    /** How long before its latency objective a request must be sent, in expected latencies. */
     private static final int LATENCIES_BEFORE_OBJECTIVE = 2;
 
-    /** Ticks before the deadline at which a request is answered, so that the answer is in time. */
+    /** How long before its deadline a request is answered, in ticks, so that the answer is in time. */
     private static final int TICKS_BEFORE_DEADLINE = 2;
 
     private final ActiveSettings settings;
@@ -33,12 +33,12 @@
         return request.lowPriority ? lowPriority : withinQuota;
     }
 
-    /** Whether the request must be answered now, as its deadline is near. */
+    /** Whether the request must be answered now because its deadline is near. */
     boolean isOutOfTime(RequestState request, long now) {
         return now >= request.deadlineAt - TICKS_BEFORE_DEADLINE * settings.tickMicros();
     }
 
-    /** Queues a request; does nothing where it is queued already. */
+    /** Adds the request to the queue, unless it is queued already. */
     void enqueue(RequestState request) {
         if (request.queued) {
             return;
@@ -52,7 +52,7 @@
         queue.add(index, request);
     }
 
-    /** Removes the request from the queue, if it is there. */
+    /** Removes the request from the queue, if it is queued. */
     void dequeue(RequestState request) {
         if (request.queued) {
             request.queued = false;
@@ -61,9 +61,10 @@
     }
 
     /**
-     * Offers the requests in their order until one can't be sent for which any endpoint would do, as none is free then.
+     * Sends queued requests in order. It stops at the first request that can't be sent although it may go to any
+     * endpoint, because then no endpoint is free.
      *
-     * @param send sends a request if it can, and says whether it did
+     * @param send sends a request if possible, and returns whether it was sent
      */
     void drain(Predicate<RequestState> send) {
         if (drain(withinQuota, send)) {
@@ -71,28 +72,28 @@
         }
     }
 
-    // False where no endpoint is free.
+    // Returns false if no endpoint is free.
     private static boolean drain(List<RequestState> queue, Predicate<RequestState> send) {
-        Iterator<RequestState> next = queue.iterator();
-        while (next.hasNext()) {
-            RequestState request = next.next();
+        Iterator<RequestState> iterator = queue.iterator();
+        while (iterator.hasNext()) {
+            RequestState request = iterator.next();
             if (request.closed || send.test(request)) {
                 request.queued = false;
-                next.remove();
-            } else if (anyEndpointWouldDo(request)) {
+                iterator.remove();
+            } else if (mayUseAnyEndpoint(request)) {
                 return false;
             }
         }
         return true;
     }
 
-    private static boolean anyEndpointWouldDo(RequestState request) {
+    private static boolean mayUseAnyEndpoint(RequestState request) {
         return request.attempts.isEmpty() && request.sequence == null && PlacementRule.permitsAll(request.requestClass);
     }
 
     /**
-     * Requests that must be answered now, so that each gets its final answer in time. Those that were never sent are
-     * answered as soon as they can't be in time for their latency objective, others shortly before their deadline.
+     * Returns the requests that must get their final answer now. A request that was never sent expires as soon as it can
+     * no longer meet its latency objective; any other request expires shortly before its deadline.
      */
     List<RequestState> expired(long now) {
         List<RequestState> expired = new ArrayList<>();
@@ -106,7 +107,8 @@
         return expired;
     }
 
-    // When a request must be sent to be answered within its latency objective; one that is late already doesn't wait.
+    // When the request must be sent to meet its latency objective. A request that is past its objective on arrival
+    // does not wait.
     private long latestSendAt(RequestState request) {
         if (request.objectiveAt <= request.arrivedAt) {
             return request.arrivedAt;
--- a/core/src/main/java/loadbalancer/policy/RequestState.java
+++ b/core/src/main/java/loadbalancer/policy/RequestState.java
@@ -3,45 +3,47 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that is owed an answer or has attempts in flight. Plain state; times are microseconds. */
+/** State of an open request: one that awaits its final answer or has attempts in flight. Times are microseconds. */
 final class RequestState {
     final String id;
 
-    /** Index of the class in the settings; it changes when new settings number the classes anew. */
+    /** Index of the class in the settings; it changes when new settings change the order of the classes. */
     int classIndex;
 
-    /** The class as it was when the request arrived. */
+    /** The class as it was configured when the request arrived. */
     final RequestClass requestClass;
 
-    /** Hash of the key that the request concerns, 0 without one. */
+    /** Hash of the key that the request concerns, or 0 if it has no key. */
     final long keyHash;
 
     final long arrivedAt;
     final long deadlineAt;
 
-    /** When an answer is due by the latency objective of the class. */
+    /** When the latency objective ends, at the latest at the deadline. */
     final long objectiveAt;
 
-    /** Expected latency in multiples of the class's, by the client's hint of the work. */
+    /** Expected latency as a multiple of that of the class, derived from the client's hint of the work. */
     double relativeSize = 1;
 
-    /** Whether it is over its tenant's quota, or late when it arrived. */
+    /** Whether the request is over its tenant's quota, or was past its latency objective on arrival. */
     final boolean lowPriority;
 
     final int maxAttempts;
     final List<AttemptState> attempts = new ArrayList<>(2);
     int attemptsInFlight;
 
-    /** Whether the final answer has been given, or is owed to nobody. */
+    /** Whether the final answer has been given, or the client has disconnected. */
     boolean closed;
 
     boolean queued;
+
+    /** Whether a streamed answer has begun. */
     boolean streaming;
 
-    /** Whether its last attempt ended for want of capacity. */
+    /** Whether the last attempt was rejected for lack of capacity or timed out. */
     boolean lastAttemptOverloaded;
 
-    /** Null for classes without ordered delivery. */
+    /** The sequence of the request's key; null without ordered delivery. */
     KeySequence sequence;
 
     RequestState(
@@ -69,7 +71,7 @@
         return requestClass.idempotency() == Idempotency.IDEMPOTENT;
     }
 
-    /** Whether any attempt was sent to that start of the endpoint. */
+    /** Whether any attempt was sent to this start of the endpoint. */
     boolean wasSentTo(EndpointStats target) {
         for (AttemptState attempt : attempts) {
             if (attempt.target == target) {
--- a/core/src/main/java/loadbalancer/policy/ResponseTimeoutRule.java
+++ b/core/src/main/java/loadbalancer/policy/ResponseTimeoutRule.java
@@ -1,22 +1,23 @@
 package loadbalancer.policy;
 
 /**
- * How long an attempt may take. A request that isn't safe to repeat is cut off at its latency objective where a late
- * answer earns little: its client won't come again, and waiting work that is dropped makes room for work that can be in
- * time. An idempotent one isn't cut off, as its work would go on where it runs and be done again elsewhere.
+ * Determines the timeout of an attempt. If a late answer earns little, an attempt of a request that is not idempotent
+ * times out at the latency objective: its client will not retry, and dropping waiting work makes room for requests that
+ * can still be in time. An attempt of an idempotent request does not time out before the deadline, as the endpoint
+ * would go on with the work while a retry repeats it elsewhere.
  */
 final class ResponseTimeoutRule {
-    /** Requests of classes whose late answers earn this fraction or more are never cut off. */
+    /** Attempts of classes whose late answers earn at least this fraction of the priority weight do not time out. */
     private static final double MIN_LATE_FRACTION = 0.5;
 
     private ResponseTimeoutRule() {}
 
-    /** Timeout of an attempt that is sent now, in µs; 0 for none but the request's deadline. */
+    /** Timeout of an attempt that is sent now, in µs; 0 if only the deadline of the request applies. */
     static long timeoutMicros(RequestState request, long now) {
-        boolean cutOff = !request.requestClass.streamed()
+        boolean timesOut = !request.requestClass.streamed()
                 && !request.isIdempotent()
                 && request.requestClass.lateFraction() < MIN_LATE_FRACTION
                 && request.objectiveAt > now;
-        return cutOff ? request.objectiveAt - now : 0;
+        return timesOut ? request.objectiveAt - now : 0;
     }
 }
--- a/core/src/main/java/loadbalancer/policy/RetryAfterAdvice.java
+++ b/core/src/main/java/loadbalancer/policy/RetryAfterAdvice.java
@@ -3,13 +3,13 @@
 import java.util.SplittableRandom;
 
 /**
- * When clients that are rejected are advised to come back: later the more is shed, and not all at once. Clients that
- * came back at once would feed the overload that rejected them.
+ * Computes the delay after which a rejected client is advised to retry. The delay grows with the shed level and has
+ * jitter, as clients that retried at once, or all at the same time, would prolong the overload that rejected them.
  */
 final class RetryAfterAdvice {
     private static final double MIN_DELAY_MICROS = 20_000;
 
-    /** Added for each priority tier that is shed. */
+    /** Added to the delay for each priority tier that is shed. */
     private static final double DELAY_MICROS_PER_TIER = 100_000;
 
     private static final double JITTER_FRACTION = 0.25;
@@ -18,16 +18,16 @@
     private final SplittableRandom random;
 
     /**
-     * Advice that is drawn from that generator.
+     * Creates advice with jitter from the given generator.
      *
-     * @param random one that no other part draws from, lest a rejection changes later selections
+     * @param random a generator that nothing else draws from, so that rejections don't change later selections
      */
     RetryAfterAdvice(ActiveSettings settings, SplittableRandom random) {
         this.settings = settings;
         this.random = random;
     }
 
-    /** Delay for one client, in µs; at most what the site allows, 0 for no advice. */
+    /** Delay for one client, in µs, up to the maximum of the site; 0 for no advice. */
     long delayMicros(double shedLevel) {
         double jitter = 1 + JITTER_FRACTION * (2 * random.nextDouble() - 1);
         double delay = (MIN_DELAY_MICROS + DELAY_MICROS_PER_TIER * shedLevel) * jitter;
--- a/core/src/main/java/loadbalancer/policy/RetryBudget.java
+++ b/core/src/main/java/loadbalancer/policy/RetryBudget.java
@@ -1,8 +1,8 @@
 package loadbalancer.policy;
 
 /**
- * Attempts that may be sent besides the first ones, for retries after failures that may have been executed and for
- * hedged requests. Requests that arrive fill it, so that such attempts stay a fraction of the load.
+ * Token bucket for additional attempts: retries after failures that may have been executed, and hedged requests. Each
+ * arriving request adds tokens, so that additional attempts stay a fraction of the load.
  */
 final class RetryBudget {
     private static final double TOKENS_PER_REQUEST = 0.2;
@@ -10,12 +10,12 @@
 
     private double tokens = MAX_TOKENS;
 
-    /** Counts a request that arrives. */
+    /** Adds the tokens of an arriving request. */
     void deposit() {
         tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_REQUEST);
     }
 
-    /** Counts an attempt that is sent. */
+    /** Takes a token for an additional attempt. */
     void withdraw() {
         tokens--;
     }
@@ -24,7 +24,7 @@
         return tokens;
     }
 
-    /** Restores what a predecessor had left. */
+    /** Restores the tokens of a predecessor. */
     void restore(double formerTokens) {
         tokens = Math.min(MAX_TOKENS, formerTokens);
     }
--- a/core/src/main/java/loadbalancer/policy/RetryPolicy.java
+++ b/core/src/main/java/loadbalancer/policy/RetryPolicy.java
@@ -1,9 +1,9 @@
 package loadbalancer.policy;
 
 /**
- * Whether a request whose attempt has failed is sent again. An attempt that was certainly not executed may be followed
- * by another one; else the class must allow it and the retry budget must have a token. Idempotent requests are retried
- * until their deadline, others until their latency objective.
+ * Decides whether a request is retried after a failed attempt. If the attempt was certainly not executed, a retry is
+ * safe and free; otherwise the class must allow it and it takes a token of the retry budget. Idempotent requests are
+ * retried until their deadline, others until their latency objective.
  */
 final class RetryPolicy {
     private final ActiveSettings settings;
@@ -14,7 +14,7 @@
         this.budget = budget;
     }
 
-    /** Whether the request may have another attempt; takes a token of the budget where one is needed. */
+    /** Whether the request may be retried; takes a token of the retry budget if the retry needs one. */
     boolean grantRetry(RequestState request, AttemptOutcome outcome, long now) {
         if (!permits(request, outcome, now)) {
             return false;
@@ -28,10 +28,10 @@
     private boolean permits(RequestState request, AttemptOutcome outcome, long now) {
         boolean nonIdempotent = request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT;
         boolean safe = outcome.neverRan() || !nonIdempotent && budget.tokens() >= 1;
-        long until = request.isIdempotent() ? request.deadlineAt : request.objectiveAt;
+        long retryUntil = request.isIdempotent() ? request.deadlineAt : request.objectiveAt;
         return safe
                 && outcome != AttemptOutcome.NOT_SENT
                 && request.attempts.size() < request.maxAttempts
-                && now < until - settings.tickMicros();
+                && now < retryUntil - settings.tickMicros();
     }
 }
--- a/core/src/main/java/loadbalancer/policy/RetrySafetyRule.java
+++ b/core/src/main/java/loadbalancer/policy/RetrySafetyRule.java
@@ -1,15 +1,14 @@
 package loadbalancer.policy;
 
 /**
- * Retry safety: a request that may have been executed is executed again only where its class allows it. An idempotent
- * one
- * always is; one with an idempotency key is while the key is retained, at endpoints that share the key; any other one
- * never is.
+ * Retry safety: a request that may have been executed is sent again only if its class allows it. An idempotent request
+ * may always be sent again. A request with an idempotency key may be sent again while the key is retained, to endpoints
+ * that recognize the key. Any other request may not.
  */
 final class RetrySafetyRule {
     private RetrySafetyRule() {}
 
-    /** The first attempt that may have been executed, or null. */
+    /** Returns the first attempt of the request that may have been executed, or null. */
     static AttemptState firstThatMayHaveRun(RequestState request) {
         for (AttemptState attempt : request.attempts) {
             if (attempt.mayHaveRun) {
@@ -22,8 +21,8 @@
     /**
      * Whether the request may be sent to the endpoint.
      *
-     * @param first the request's {@link #firstThatMayHaveRun}
-     * @param marginMicros how much earlier than by the class the key's retention counts as over
+     * @param first result of {@link #firstThatMayHaveRun} for the request
+     * @param marginMicros safety margin that shortens the retention of the idempotency key
      */
     static boolean permits(RequestState request, AttemptState first, Endpoint endpoint, long now, long marginMicros) {
         if (first == null || request.isIdempotent()) {
@@ -41,7 +40,7 @@
         };
     }
 
-    /** Whether the client may send the request again without harm. */
+    /** Whether the client may safely send the request again. */
     static boolean clientMayRetry(RequestState request) {
         RequestClass requestClass = request.requestClass;
         return firstThatMayHaveRun(request) == null
--- a/core/src/main/java/loadbalancer/policy/ServiceObjective.java
+++ b/core/src/main/java/loadbalancer/policy/ServiceObjective.java
@@ -1,4 +1,11 @@
 package loadbalancer.policy;
 
-/** How much each part counts in the site's objective: all requests, the worst window, class and tenant. */
+/**
+ * Weights of the parts of the site's service objective.
+ *
+ * @param whole weight of all requests together
+ * @param worstWindow weight of the time window that is served worst
+ * @param worstClass weight of the request class that is served worst
+ * @param worstTenant weight of the tenant that is served worst
+ */
 public record ServiceObjective(double whole, double worstWindow, double worstClass, double worstTenant) {}
--- a/core/src/main/java/loadbalancer/policy/StatisticsUpdater.java
+++ b/core/src/main/java/loadbalancer/policy/StatisticsUpdater.java
@@ -1,15 +1,15 @@
 package loadbalancer.policy;
 
 /**
- * Advances the time of everything that a policy counts: decays counts, computes rates, and forgets what no longer
- * matters. What needs a look at all endpoints is done at an interval, as work for each wake must not grow with the
- * list.
+ * Advances all statistics of a policy in time: decays counts, computes rates, and drops outdated state. What iterates
+ * over all endpoints is done at an interval only, because the cost of a wake must not grow with the number of
+ * endpoints.
  */
 final class StatisticsUpdater {
-    /** Time between two looks at all endpoints. */
+    /** Time between two iterations over all endpoints. */
     static final long REFRESH_INTERVAL_MICROS = 100_000;
 
-    /** Part of its latency objective for which a request without an answer shows no overload. */
+    /** A request without an answer is no sign of overload for this fraction of its latency objective. */
     private static final double PENDING_OBJECTIVE_FRACTION = 0.5;
 
     private final PolicyComponents components;
@@ -20,13 +20,13 @@
         this.components = components;
     }
 
-    /** Counts time from now on. */
+    /** Starts the clock of the statistics. */
     void start(long now) {
         components.quotas.start(now);
         updatedAt = now;
     }
 
-    /** Advances the time by what has passed since the last call. */
+    /** Advances all statistics by the time since the last call. */
     void advance(long now) {
         long elapsedMicros = now - updatedAt;
         updatedAt = now;
@@ -44,13 +44,13 @@
     private int pendingRequests(long now) {
         int pending = 0;
         for (RequestState request : components.openRequests.all()) {
-            double patienceMicros = request.requestClass.latencyObjectiveMicros() * PENDING_OBJECTIVE_FRACTION;
-            pending += !request.closed && now - request.arrivedAt < patienceMicros ? 1 : 0;
+            double pendingMicros = request.requestClass.latencyObjectiveMicros() * PENDING_OBJECTIVE_FRACTION;
+            pending += !request.closed && now - request.arrivedAt < pendingMicros ? 1 : 0;
         }
         return pending;
     }
 
-    /** Does what needs a look at all endpoints. */
+    /** Updates the statistics that need an iteration over all endpoints. */
     void refresh(long now) {
         components.slowStart.refresh(components.endpoints.listed(), now);
         components.outliers.refresh(now);
--- a/core/src/main/java/loadbalancer/policy/TenantQuota.java
+++ b/core/src/main/java/loadbalancer/policy/TenantQuota.java
@@ -1,15 +1,15 @@
 package loadbalancer.policy;
 
 /**
- * A tenant.
+ * Quota of a tenant.
  *
- * @param allowancePerSecond requests per second within its quota, over all balancers
+ * @param allowancePerSecond requests per second within the quota, over all balancers
  */
 public record TenantQuota(double allowancePerSecond) {
     /**
-     * Checks the figure.
+     * Checks the allowance.
      *
-     * @throws IllegalArgumentException for a negative allowance
+     * @throws IllegalArgumentException if the allowance is negative
      */
     public TenantQuota {
         Requirements.require(allowancePerSecond >= 0, "allowancePerSecond", allowancePerSecond);
--- a/core/src/main/java/loadbalancer/policy/TrafficCounts.java
+++ b/core/src/main/java/loadbalancer/policy/TrafficCounts.java
@@ -1,6 +1,6 @@
 package loadbalancer.policy;
 
-/** Decayed counts of the requests that arrive at this balancer, and of attempts that endpoints did not take. */
+/** Decayed counts of the requests that arrive at this balancer, and of the attempts that were never executed. */
 final class TrafficCounts {
     private static final double MICROS_PER_SECOND = 1e6;
 
@@ -12,12 +12,12 @@
         arrivals++;
     }
 
-    /** Counts an attempt that was never executed. */
+    /** Counts an attempt that was rejected, found no connection or could not be sent. */
     void recordRejectedAttempt() {
         rejectedAttempts++;
     }
 
-    /** Keeps that part of the counts. */
+    /** Decays the counts to this fraction. */
     void decay(double retained) {
         arrivals *= retained;
         rejectedAttempts *= retained;
