--- a/core/src/main/java/loadbalancer/policy/AdmissionController.java
+++ b/core/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -59,7 +59,7 @@
     /** Tiers whose weight is below this fraction of the highest one count as low. */
     private static final double LOW_WEIGHT_FRACTION = 0.3;
 
-    /** Fraction of all arrivals by which a low tier returns per second, for a relative weight and a score slack of 1. */
+    /** Fraction of all arrivals that a low tier regains per second, for a relative weight and a score slack of 1. */
     private static final double LOW_TIER_RETURN_PER_SECOND = 1;
 
     /** A low tier counts as at least this fraction of all arrivals when it returns. */
--- a/core/src/main/java/loadbalancer/policy/RequestQueue.java
+++ b/core/src/main/java/loadbalancer/policy/RequestQueue.java
@@ -92,8 +92,8 @@
     }
 
     /**
-     * Returns the requests that must get their final answer now. A request that was never sent expires as soon as it can
-     * no longer meet its latency objective; any other request expires shortly before its deadline.
+     * Returns the requests that must get their final answer now. A request that was never sent expires as soon as it
+     * can no longer meet its latency objective; any other request expires shortly before its deadline.
      */
     List<RequestState> expired(long now) {
         List<RequestState> expired = new ArrayList<>();
--- a/core/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
+++ b/core/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
@@ -13,102 +13,107 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class AdmissionControllerTest {
-    private static final long STEP = 10_000; // µs
-    private static final double AIM = 200_000; // µs
+    private static final long STEP_MICROS = 10_000;
+    private static final double LATENCY_OBJECTIVE_MICROS = 200_000;
+    private static final double MICROS_PER_SECOND = 1e6;
     private static final double[] ONE_TIER = {1};
 
-    /** Many balancers before one queue that serves in the order of arrival; what is too late is given up by clients. */
+    /** Balancers that share one first-in, first-out queue. Requests that wait for too long in it time out. */
     private static final class Fleet {
-        private record Job(int owner, long at) {}
+        private record QueuedRequest(int balancer, long arrivedAt) {}
 
-        private static final long PATIENCE = 1_000_000;
+        private static final long TIMEOUT_MICROS = 1_000_000;
         private final SplittableRandom random = new SplittableRandom(7);
         private final List<AdmissionController> balancers = new ArrayList<>();
-        private final ArrayDeque<Job> queue = new ArrayDeque<>();
-        private final double[] perStep; // arrivals of each balancer
-        private final double[] rate;
-        private double credit;
+        private final ArrayDeque<QueuedRequest> queue = new ArrayDeque<>();
+        private final double[] arrivalsPerStep; // by balancer
+        private final double[] arrivalsPerSecond; // by balancer
+        private double serviceCredit;
         private long now;
         int arrived;
         int admitted;
         int served;
 
-        Fleet(int size, double perSecond, double spread) {
-            perStep = new double[size];
-            rate = new double[size];
+        Fleet(int size, double totalPerSecond, double spread) {
+            arrivalsPerStep = new double[size];
+            arrivalsPerSecond = new double[size];
             for (int i = 0; i < size; i++) {
                 balancers.add(new AdmissionController(ONE_TIER, 1, random.split()));
-                double part = 1 + spread * (2.0 * i / Math.max(1, size - 1) - 1);
-                rate[i] = part * perSecond / size;
-                perStep[i] = rate[i] * STEP / 1e6;
+                double relativeRate = 1 + spread * (2.0 * i / Math.max(1, size - 1) - 1);
+                arrivalsPerSecond[i] = relativeRate * totalPerSecond / size;
+                arrivalsPerStep[i] = arrivalsPerSecond[i] * STEP_MICROS / MICROS_PER_SECOND;
             }
         }
 
-        /** So long, with so many answers a second that the queue can give. */
-        void pass(long time, double capacity) {
+        /** Runs for that time, while the queue serves up to that many requests per second. */
+        void run(long durationMicros, double capacityPerSecond) {
             arrived = 0;
             admitted = 0;
             served = 0;
-            for (long end = now + time; now < end; now += STEP) {
-                for (int i = 0; i < perStep.length; i++) {
+            for (long end = now + durationMicros; now < end; now += STEP_MICROS) {
+                for (int i = 0; i < arrivalsPerStep.length; i++) {
                     arrive(i);
                 }
-                serve(capacity);
-                for (int i = 0; i < perStep.length; i++) {
-                    balancers.get(i).update(STEP, rate[i], 0);
+                serve(capacityPerSecond);
+                for (int i = 0; i < arrivalsPerStep.length; i++) {
+                    balancers.get(i).update(STEP_MICROS, arrivalsPerSecond[i], 0);
                 }
             }
         }
 
         private void arrive(int balancer) {
-            int whole = (int) perStep[balancer];
-            int arrivals = whole + (random.nextDouble() < perStep[balancer] - whole ? 1 : 0);
+            int integerPart = (int) arrivalsPerStep[balancer];
+            int arrivals = integerPart + (random.nextDouble() < arrivalsPerStep[balancer] - integerPart ? 1 : 0);
             for (int i = 0; i < arrivals; i++) {
                 arrived++;
                 if (balancers.get(balancer).admit(0)) {
                     admitted++;
-                    queue.add(new Job(balancer, now));
+                    queue.add(new QueuedRequest(balancer, now));
                 }
             }
         }
 
-        private void serve(double capacity) {
-            for (credit += capacity * STEP / 1e6; credit >= 1; credit--) {
-                Job job = queue.poll();
-                while (job != null && now - job.at > PATIENCE) {
-                    balancers.get(job.owner).recordOverload();
-                    job = queue.poll();
+        private void serve(double capacityPerSecond) {
+            for (serviceCredit += capacityPerSecond * STEP_MICROS / MICROS_PER_SECOND;
+                    serviceCredit >= 1;
+                    serviceCredit--) {
+                QueuedRequest request = queue.poll();
+                while (request != null && now - request.arrivedAt > TIMEOUT_MICROS) {
+                    balancers.get(request.balancer).recordOverload();
+                    request = queue.poll();
                 }
-                if (job == null) {
-                    credit = 0;
+                if (request == null) {
+                    serviceCredit = 0;
                     return;
                 }
-                double latency = 0.25 * AIM + now - job.at;
-                balancers.get(job.owner).recordCompletion();
-                balancers.get(job.owner).recordLatency(latency / AIM);
-                served += latency <= AIM ? 1 : 0;
+                double latencyMicros = 0.25 * LATENCY_OBJECTIVE_MICROS + now - request.arrivedAt;
+                balancers.get(request.balancer).recordCompletion();
+                balancers.get(request.balancer).recordLatency(latencyMicros / LATENCY_OBJECTIVE_MICROS);
+                served += latencyMicros <= LATENCY_OBJECTIVE_MICROS ? 1 : 0;
             }
         }
     }
 
     @ParameterizedTest
     @CsvSource({"1, 0", "12, 0.5", "100, 0", "100, 0.9", "300, 0.5"})
-    void anOverloadIsShedWithoutACollapseHoweverManyShareIt(int balancers, double spread) {
+    void overloadIsShedWithoutACollapseForAnyNumberOfBalancers(int balancers, double spread) {
         Fleet fleet = new Fleet(balancers, 1000, spread);
-        fleet.pass(10_000_000, 2000);
-        assertTrue(fleet.admitted > 0.99 * fleet.arrived, "admitted on a calm day: " + fleet.admitted);
-        fleet.pass(3_000_000, 700);
+        fleet.run(10_000_000, 2000);
+        assertTrue(fleet.admitted > 0.99 * fleet.arrived, "admitted without overload: " + fleet.admitted);
+        fleet.run(3_000_000, 700);
         for (int second = 0; second < 10; second++) {
-            fleet.pass(1_000_000, 700);
-            assertTrue(fleet.admitted >= 350, "of 1000 admitted where 700 can be served: " + fleet.admitted);
+            fleet.run(1_000_000, 700);
+            assertTrue(fleet.admitted >= 350, "admitted of 1000 requests, with a capacity of 700: " + fleet.admitted);
         }
-        fleet.pass(1_000_000, 2000);
-        fleet.pass(5_000_000, 2000);
-        assertTrue(fleet.admitted >= 0.95 * fleet.arrived, "from a second after the end: " + fleet.admitted);
+        fleet.run(1_000_000, 2000);
+        fleet.run(5_000_000, 2000);
+        assertTrue(
+                fleet.admitted >= 0.95 * fleet.arrived,
+                "admitted from one second after the overload: " + fleet.admitted);
     }
 
     @Test
-    void aBurstFromRestIsAdmittedWhileItsAnswersCanNotBeThereYet() {
+    void aBurstAfterAnIdleTimeIsAdmittedWhileItsAnswersArePending() {
         AdmissionController admission = new AdmissionController(ONE_TIER, 1, new SplittableRandom(1));
         admission.update(60_000_000, 0.1, 0);
         for (int pending = 1; pending <= 20; pending++) {
@@ -119,7 +124,7 @@
     }
 
     @Test
-    void failuresOfOtherKindsAreNoOverload() {
+    void failuresForOtherReasonsThanLoadDoNotCountAsOverload() {
         AdmissionController admission = new AdmissionController(ONE_TIER, 1, new SplittableRandom(1));
         for (int i = 0; i < 200; i++) {
             assertTrue(admission.admit(0));
@@ -131,7 +136,7 @@
     @Test
     void theLowestTierIsRejectedFirst() {
         AdmissionController admission = new AdmissionController(new double[] {0.5, 1}, 0.5, new SplittableRandom(1));
-        for (int i = 0; i < 400; i++) { // half of each tier, and three quarters can be served
+        for (int i = 0; i < 400; i++) { // half of the requests are of each tier, and three quarters of them complete
             admission.admit(i % 2);
             if (i % 4 != 3) {
                 admission.recordCompletion();
@@ -139,37 +144,37 @@
             }
             admission.update(50_000, 20, 0);
         }
-        assertTrue(admission.shedLevel() > 0.2 && admission.shedLevel() <= 1, "level " + admission.shedLevel());
+        assertTrue(admission.shedLevel() > 0.2 && admission.shedLevel() <= 1, "shed level " + admission.shedLevel());
     }
 
-    private static double[] figures(AdmissionController admission) {
+    private static double[] encodedState(AdmissionController admission) {
         return LearnedStateCodec.encode(admission.learnedState());
     }
 
     @Test
-    void aSuccessorGoesOnAtTheSameLevelUnlessTheTiersDiffer() {
+    void aSuccessorRestoresTheLearnedStateUnlessTheNumberOfTiersDiffers() {
         double[] tiers = {0.1, 1};
-        AdmissionController former = new AdmissionController(tiers, 1, new SplittableRandom(1));
-        former.admit(1);
-        former.recordOverload();
-        former.update(10_000, 1, 0);
-        AdmissionController next = new AdmissionController(tiers, 1, new SplittableRandom(2));
-        next.restore(former.learnedState());
-        assertArrayEquals(figures(former), figures(next));
+        AdmissionController predecessor = new AdmissionController(tiers, 1, new SplittableRandom(1));
+        predecessor.admit(1);
+        predecessor.recordOverload();
+        predecessor.update(10_000, 1, 0);
+        AdmissionController successor = new AdmissionController(tiers, 1, new SplittableRandom(2));
+        successor.restore(predecessor.learnedState());
+        assertArrayEquals(encodedState(predecessor), encodedState(successor));
         AdmissionController other = new AdmissionController(ONE_TIER, 1, new SplittableRandom(2));
-        double[] before = figures(other);
-        other.restore(former.learnedState());
-        assertArrayEquals(before, figures(other));
+        double[] before = encodedState(other);
+        other.restore(predecessor.learnedState());
+        assertArrayEquals(before, encodedState(other));
     }
 
     @Test
-    void otherTiersKeepTheSumOfArrivals() {
+    void newTiersKeepTheSumOfArrivals() {
         AdmissionController admission = new AdmissionController(ONE_TIER, 1, new SplittableRandom(1));
         for (int i = 0; i < 6; i++) {
             admission.admit(0);
         }
         admission.updateTiers(new double[] {0.1, 0.5, 1}, 0.5);
-        double[] learnedState = figures(admission);
-        assertArrayEquals(new double[] {2, 2, 2}, java.util.Arrays.copyOf(learnedState, 3));
+        double[] state = encodedState(admission);
+        assertArrayEquals(new double[] {2, 2, 2}, java.util.Arrays.copyOf(state, 3));
     }
 }
--- a/core/src/test/java/loadbalancer/policy/LearnedStateCodecTest.java
+++ b/core/src/test/java/loadbalancer/policy/LearnedStateCodecTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The names and positions of the handover document, which processes of other releases read and write. */
+/** Names and positions of the handover document, which processes of different releases exchange. */
 class LearnedStateCodecTest {
     private static Map<String, double[]> document() {
         Map<String, double[]> document = new LinkedHashMap<>();
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void eachFigureHasItsNameAndPosition() {
+    void eachValueIsReadFromItsNameAndPosition() {
         LearnedState state = LearnedStateCodec.decode(document());
         assertArrayEquals(new double[] {1500, 2500}, state.latencies().expectedMicros());
         assertArrayEquals(new double[] {0, 3.5}, state.latencies().meanWork());
@@ -46,14 +46,14 @@
     }
 
     @Test
-    void whatIsReadIsWrittenAgain() {
+    void decodedStateIsEncodedUnchanged() {
         Map<String, double[]> written = LearnedStateCodec.encode(LearnedStateCodec.decode(document()));
         assertEquals(document().keySet(), written.keySet());
-        document().forEach((name, figures) -> assertArrayEquals(figures, written.get(name), name));
+        document().forEach((name, values) -> assertArrayEquals(values, written.get(name), name));
     }
 
     @Test
-    void whatIsMissingUnknownOrOfAnotherLengthIsIgnored() {
+    void missingOrUnknownNamesAndArraysOfAnotherLengthAreIgnored() {
         LearnedState state = LearnedStateCodec.decode(Map.of(
                 "own", new double[] {1},
                 "admission", new double[5],
--- a/core/src/test/java/loadbalancer/policy/OverloadTest.java
+++ b/core/src/test/java/loadbalancer/policy/OverloadTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What the whole policy sheds under overload, and how it recovers. */
+/** Load shedding under overload and the recovery from it, tested through the whole policy. */
 class OverloadTest {
     private static final RequestClass IDEMPOTENT = Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL);
     private static final RequestClass NON_IDEMPOTENT = Harness.requestClass(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
@@ -17,7 +17,7 @@
     void requestsAreSentAtOnceAfterAnOverload() {
         Harness harness = Harness.withFleet(6, IDEMPOTENT);
         harness.serve(200, 30_000, Map.of());
-        for (int i = 0; i < 60; i++) { // everything takes ten times as long
+        for (int i = 0; i < 60; i++) { // every answer takes more than ten times as long as before
             harness.request("slow" + i, 0);
             harness.advance(50_000);
             harness.sends.stream()
@@ -28,7 +28,7 @@
         harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, AttemptOutcome.OK));
         harness.advance(4_000_000);
         int sent = 0;
-        for (int i = 0; i < 10 * 12; i++) { // twelve at a time
+        for (int i = 0; i < 10 * 12; i++) { // in bursts of twelve
             sent += harness.request("after" + i, 0) != null ? 1 : 0;
             while (i % 12 == 11 && i < 9 * 12 && harness.sends.stream().anyMatch(s -> !s.ended)) {
                 harness.advance(30_000);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aLongTimeWithoutAWakeIsNoFailure() {
+    void requestsAreSentAfterALongTimeWithoutAWake() {
         Harness harness = Harness.withFleet(1, IDEMPOTENT);
         for (int i = 0; i < 10; i++) {
             harness.end(harness.request("r" + i, 0), AttemptOutcome.OK);
@@ -58,31 +58,32 @@
         int sent = 0;
         for (int i = 0; i < 20; i++) {
             harness.clientRetry("late" + i, 0, Harness.DEADLINE_MICROS - Harness.LATENCY_OBJECTIVE_MICROS - 200_000);
-            harness.clientRetry("quick" + i, 0, Harness.DEADLINE_MICROS - 150_000); // this one can still be in time
+            harness.clientRetry("quick" + i, 0, Harness.DEADLINE_MICROS - 150_000); // can still be in time
             rejected += "refused".equals(harness.finalAnswers.get("late" + i)) ? 1 : 0;
             sent += harness.sentFor("quick" + i).size();
         }
-        assertEquals(20, sent, "what can be in time is sent");
-        assertTrue(rejected >= 14, "late ones are admitted by degrees only: rejected " + rejected);
+        assertEquals(20, sent, "requests that can still be in time are sent");
+        assertTrue(rejected >= 14, "late requests are admitted only gradually: rejected " + rejected);
     }
 
     @Test
     void aClientRetryThatMayBeInTimeIsSentLikeAnyRequest() {
         Harness harness = Harness.withFleet(6, IDEMPOTENT);
         harness.serve(20, 20_000, Map.of());
-        harness.clientRetry("again", 0, Harness.DEADLINE_MICROS); // as much time as a first attempt: age unknown
+        // It has as much time as a first attempt, so its age is unknown.
+        harness.clientRetry("again", 0, Harness.DEADLINE_MICROS);
         assertEquals(1, harness.sentFor("again").size());
     }
 
     @Test
-    void overloadShedsAPartThatIsAdmittedAgainAfterIt() {
+    void overloadShedsAFractionThatIsAdmittedAgainAfterwards() {
         Harness harness = Harness.withFleet(6, IDEMPOTENT);
-        assertEquals(40, harness.serveOneByOne(40, 0, 0, 50_000), "a calm day is served whole");
+        assertEquals(40, harness.serveOneByOne(40, 0, 0, 50_000), "without overload every request is sent");
         harness.serveOneByOne(30, 0, 0, 900_000);
         int late = harness.serveOneByOne(20, 0, 0, 900_000);
-        assertTrue(late < 14, "with all late a part is rejected at once: sent " + late + " of 20");
+        assertTrue(late < 14, "while all answers are late, some requests are rejected: sent " + late + " of 20");
         harness.serveOneByOne(200, 0, 0, 50_000);
-        assertTrue(harness.serveOneByOne(40, 0, 0, 50_000) >= 39, "and admitted again");
+        assertTrue(harness.serveOneByOne(40, 0, 0, 50_000) >= 39, "requests are admitted again");
     }
 
     @Test
@@ -118,7 +119,7 @@
     }
 
     @Test
-    void withWeightsByRequestAllClassesAreRejectedAlike() {
+    void withWeightsPerRequestAllClassesAreRejectedAlike() {
         RequestClass heavy = new RequestClass(
                 Idempotency.NON_IDEMPOTENT,
                 KeyScope.ALL,
@@ -129,9 +130,9 @@
                 9,
                 0,
                 false);
-        PolicySettings s = Harness.settings(NON_IDEMPOTENT, heavy);
-        Harness harness =
-                new Harness(Harness.settings(s, 1, 0, false, false), 3).list(EndpointListKind.CACHED, Harness.fleet(6));
+        PolicySettings base = Harness.settings(NON_IDEMPOTENT, heavy);
+        Harness harness = new Harness(Harness.settings(base, 1, 0, false, false), 3)
+                .list(EndpointListKind.CACHED, Harness.fleet(6));
         for (int i = 0; i < 40; i++) {
             harness.serveOneByOne(1, 0, 0, 500_000);
             harness.serveOneByOne(1, 1, 0, 500_000);
@@ -152,20 +153,20 @@
         harness.serve(20, 20_000, Map.of());
         for (int i = 0; i < 200; i++) {
             Harness.Sent sent = harness.request("failed" + i, 0);
-            for (int more = 0; more < 9 && sent != null; more++) {
+            for (int attempts = 0; attempts < 9 && sent != null; attempts++) {
                 harness.end(sent, outcome);
                 sent = harness.sends.stream().filter(s -> !s.ended).findFirst().orElse(null);
             }
             harness.advance(1_000);
         }
-        harness.advance(200_000); // all endpoints look unhealthy, so all are used
+        harness.advance(200_000); // all endpoints look unhealthy, so all are used (panic)
         int before = harness.sends.size();
         harness.request("after", 0);
-        assertTrue(harness.sends.size() > before, "the next is sent");
+        assertTrue(harness.sends.size() > before, "the next request is sent");
     }
 
     @Test
-    void aTimeWithoutEndpointsShedsNothing() {
+    void nothingIsShedAfterATimeWithoutEndpoints() {
         Harness harness = Harness.withoutEndpoints(NON_IDEMPOTENT);
         for (int i = 0; i < 200; i++) {
             harness.request("held" + i, 0);
@@ -174,7 +175,7 @@
         harness.advance(Harness.DEADLINE_MICROS);
         harness.list(EndpointListKind.DELTA, Harness.fleet(3));
         for (int i = 0; i < 5; i++) {
-            assertTrue(harness.request("after" + i, 0) != null, "sent as soon as there are endpoints");
+            assertTrue(harness.request("after" + i, 0) != null, "requests are sent as soon as there are endpoints");
         }
     }
 
@@ -182,7 +183,7 @@
     void admissionRecoversAsFastAsItSheds() {
         Harness harness = Harness.withFleet(6, IDEMPOTENT);
         harness.serveOneByOne(40, 0, 0, 50_000);
-        for (int i = 0; i < 20; i++) { // two seconds of late answers, ten a second
+        for (int i = 0; i < 20; i++) { // two seconds of late answers, ten per second
             Harness.Sent sent = harness.request("late" + i, 0);
             harness.advance(100_000);
             if (sent != null) {
@@ -200,8 +201,8 @@
             }
         }
         int during = harness.serveOneByOne(20, 0, 0, 50_000);
-        assertTrue(during > 0, "some are still sent, or nothing would be learned");
-        harness.serveOneByOne(20, 0, 0, 50_000); // two seconds of good ones in all
-        assertTrue(harness.serveOneByOne(40, 0, 0, 1_000) >= 38, "and then nearly all are");
+        assertTrue(during > 0, "some requests are still sent, or the balancer would not learn of the recovery");
+        harness.serveOneByOne(20, 0, 0, 50_000); // two seconds of timely answers in total
+        assertTrue(harness.serveOneByOne(40, 0, 0, 1_000) >= 38, "nearly all requests are sent again");
     }
 }
--- a/core/src/test/java/loadbalancer/policy/RandomEventsTest.java
+++ b/core/src/test/java/loadbalancer/policy/RandomEventsTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Odd but legal events: late outcomes, lists that are stale, empty or partial, restarts, clients that leave. */
+/**
+ * Checks the safety rules over random sequences of unusual but legal events: late outcomes, lists that are stale, empty
+ * or partial, restarts of endpoints, and clients that disconnect.
+ */
 class RandomEventsTest {
     private static final int STEPS = 6000;
     private static final List<RequestClass> CLASSES = List.of(
@@ -25,7 +28,7 @@
     private final Map<String, Integer> classOf = new TreeMap<>();
     private final Map<String, Long> unusableSince = new TreeMap<>();
     private final Map<String, Map<Integer, AttemptOutcome>> outcomes = new TreeMap<>();
-    private final List<String> withoutClient = new ArrayList<>();
+    private final List<String> clientGone = new ArrayList<>();
     private SplittableRandom random;
     private Harness harness;
     private boolean hedging;
@@ -33,10 +36,10 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-    void randomEventsKeepTheRules(long seed) {
+    void randomEventsViolateNoRule(long seed) {
         start(seed);
         for (int step = 0; step < STEPS; step++) {
-            happen(step);
+            applyRandomEvent(step);
             timeOutAttempts();
             checkSends();
         }
@@ -67,14 +70,14 @@
         harness.list(EndpointListKind.CACHED, Harness.fleet(random.nextInt(8)));
     }
 
-    private void happen(int step) {
+    private void applyRandomEvent(int step) {
         int event = random.nextInt(100);
         if (event < 45) {
             request("r" + step);
         } else if (event < 88) {
             endAnAttempt();
         } else if (event < 90 && !deadlines.isEmpty()) {
-            leave("r" + random.nextInt(step + 1));
+            disconnectClient("r" + random.nextInt(step + 1));
         } else if (event < 93) {
             changeAnEndpoint();
         } else if (event < 94) {
@@ -101,7 +104,7 @@
         Harness.Sent sent = inFlight.get(random.nextInt(inFlight.size()));
         AttemptOutcome[] all = AttemptOutcome.values();
         AttemptOutcome outcome = random.nextInt(3) > 0 ? AttemptOutcome.OK : all[random.nextInt(all.length)];
-        if (outcome == AttemptOutcome.OK && withoutClient.contains(sent.request)) {
+        if (outcome == AttemptOutcome.OK && clientGone.contains(sent.request)) {
             outcome = AttemptOutcome.CANCELLED;
         }
         end(sent, outcome);
@@ -112,10 +115,10 @@
         harness.end(sent, outcome);
     }
 
-    private void leave(String id) {
+    private void disconnectClient(String id) {
         if (deadlines.containsKey(id) && !harness.finalAnswers.containsKey(id)) {
             harness.finalAnswers.put(id, "gone");
-            withoutClient.add(id);
+            clientGone.add(id);
             harness.policy.clientGone(harness.now, id, harness);
         }
     }
@@ -134,7 +137,7 @@
         }
     }
 
-    // Attempts end when their own timeout or their request's deadline has come, as they do on the wire.
+    // Ends attempts at their own timeout or at the deadline of their request, as the balancer does.
     private void timeOutAttempts() {
         for (Harness.Sent sent : new ArrayList<>(harness.sends)) {
             long deadline = deadlines.get(sent.request);
@@ -149,12 +152,14 @@
         for (; checkedSends < harness.sends.size(); checkedSends++) {
             Harness.Sent sent = harness.sends.get(checkedSends);
             Long since = unusableSince.get(sent.endpoint);
-            assertTrue(since == null || sent.sentAt <= since, "sent to a draining or gone endpoint: " + sent.endpoint);
-            checkRepeat(sent, CLASSES.get(classOf.get(sent.request)));
+            assertTrue(
+                    since == null || sent.sentAt <= since,
+                    "sent to an endpoint that is draining or gone: " + sent.endpoint);
+            checkRetrySafety(sent, CLASSES.get(classOf.get(sent.request)));
         }
     }
 
-    private void checkRepeat(Harness.Sent sent, RequestClass requestClass) {
+    private void checkRetrySafety(Harness.Sent sent, RequestClass requestClass) {
         for (Harness.Sent earlier : harness.sentFor(sent.request)) {
             if (earlier.attempt >= sent.attempt) {
                 continue;
@@ -162,7 +167,7 @@
             AttemptOutcome outcome =
                     outcomes.getOrDefault(sent.request, Map.of()).get(earlier.attempt);
             boolean inFlight = outcome == null;
-            assertTrue(hedging || !inFlight, "two attempts at once");
+            assertTrue(hedging || !inFlight, "two attempts in flight although hedging is not allowed");
             if (inFlight || !outcome.neverRan()) {
                 assertTrue(
                         requestClass.idempotency() != Idempotency.NON_IDEMPOTENT,
@@ -170,9 +175,9 @@
                 assertTrue(
                         requestClass.idempotency() != Idempotency.IDEMPOTENT_WITH_KEY
                                 || sent.sentAt - earlier.sentAt < requestClass.keyRetentionMicros(),
-                        "sent after the retention of its key");
+                        "sent after the retention of its idempotency key");
             }
-            assertTrue(outcome != AttemptOutcome.OK, "sent after it was served");
+            assertTrue(outcome != AttemptOutcome.OK, "sent after a successful answer");
         }
     }
 }
--- a/core/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
+++ b/core/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Ordered delivery and placement over random legal sequences of events, checked by a rule checker. */
+/** Checks ordered delivery and placement over random legal sequences of events. */
 class RandomOrderAndPlacementTest {
     private static final List<RequestClass> CLASSES = List.of(
             Harness.requestClass(Idempotency.IDEMPOTENT, true, Set.of(), Set.of()),
@@ -21,12 +21,12 @@
             Harness.requestClass(Idempotency.IDEMPOTENT_WITH_KEY, false, Set.of(), Set.of(1)),
             Harness.requestClass(Idempotency.IDEMPOTENT, false, Set.of(1), Set.of(0)));
 
-    /** Knows the requests of each key in the order of arrival; says which rule a send violates, or null. */
+    /** Tracks the requests of each key in the order of arrival, and returns the rule that a send violates, or null. */
     private static final class RuleChecker {
         private final Map<String, List<String>> requestsOfKey = new LinkedHashMap<>();
         private final Map<String, String> keyOf = new LinkedHashMap<>();
         private final Map<String, Integer> attemptsInFlight = new LinkedHashMap<>();
-        private final Map<String, Boolean> over = new LinkedHashMap<>();
+        private final Map<String, Boolean> answered = new LinkedHashMap<>();
         private final Map<String, Long> pausedUntil = new LinkedHashMap<>();
 
         void arrived(String id, String key) {
@@ -48,42 +48,44 @@
                 if (earlier.equals(id)) {
                     break;
                 }
-                if (!over.getOrDefault(earlier, false) || attemptsInFlight.getOrDefault(earlier, 0) > 0) {
-                    return id + " was sent before " + earlier + " was over";
+                if (!answered.getOrDefault(earlier, false) || attemptsInFlight.getOrDefault(earlier, 0) > 0) {
+                    return id + " was sent before " + earlier + " ended";
                 }
                 if (pausedUntil.getOrDefault(earlier, 0L) > now) {
-                    return id + " was sent while the key rests after " + earlier;
+                    return id + " was sent while the key pauses after " + earlier;
                 }
             }
             attemptsInFlight.merge(id, 1, Integer::sum);
             return null;
         }
 
-        static String placed(RequestClass requestClass, Endpoint endpoint) {
-            boolean zone =
+        static String placementViolation(RequestClass requestClass, Endpoint endpoint) {
+            boolean zoneAllowed =
                     requestClass.zones().isEmpty() || requestClass.zones().contains(endpoint.zone());
-            boolean machine = requestClass.machineKinds().isEmpty()
+            boolean machineKindAllowed = requestClass.machineKinds().isEmpty()
                     || requestClass.machineKinds().contains(endpoint.machineKind());
-            return zone && machine ? null : "sent to " + endpoint.id() + ", which is not open to the class";
+            return zoneAllowed && machineKindAllowed
+                    ? null
+                    : "sent to " + endpoint.id() + ", which the class does not allow";
         }
     }
 
     @Test
-    void theCheckerCatchesViolations() {
+    void theCheckerDetectsViolations() {
         RuleChecker checker = new RuleChecker();
         checker.arrived("a", "k");
         checker.arrived("b", "k");
         assertEquals(null, checker.sent("a", 0));
-        assertTrue(checker.sent("b", 1).contains("before a was over"));
-        checker.over.put("a", true);
-        assertTrue(checker.sent("b", 1).contains("before a was over"), "an attempt is still in flight");
+        assertTrue(checker.sent("b", 1).contains("before a ended"));
+        checker.answered.put("a", true);
+        assertTrue(checker.sent("b", 1).contains("before a ended"), "an attempt of a is still in flight");
         checker.ended("a", AttemptOutcome.TIMEOUT, 2);
-        assertTrue(checker.sent("b", 3).contains("rests"));
+        assertTrue(checker.sent("b", 3).contains("pauses"));
         assertEquals(null, checker.sent("b", 2 + Harness.KEY_SEQUENCE_PAUSE_MICROS));
-        RequestClass bound = Harness.requestClass(Idempotency.IDEMPOTENT, false, Set.of(1), Set.of(0));
-        assertTrue(RuleChecker.placed(bound, new Endpoint("s", EndpointState.UP, 0, 1, 0, 0, 0)) != null);
-        assertTrue(RuleChecker.placed(bound, new Endpoint("s", EndpointState.UP, 0, 1, 0, 1, 1)) != null);
-        assertEquals(null, RuleChecker.placed(bound, new Endpoint("s", EndpointState.UP, 0, 1, 0, 0, 1)));
+        RequestClass placed = Harness.requestClass(Idempotency.IDEMPOTENT, false, Set.of(1), Set.of(0));
+        assertTrue(RuleChecker.placementViolation(placed, new Endpoint("s", EndpointState.UP, 0, 1, 0, 0, 0)) != null);
+        assertTrue(RuleChecker.placementViolation(placed, new Endpoint("s", EndpointState.UP, 0, 1, 0, 1, 1)) != null);
+        assertEquals(null, RuleChecker.placementViolation(placed, new Endpoint("s", EndpointState.UP, 0, 1, 0, 0, 1)));
     }
 
     private final RuleChecker checker = new RuleChecker();
@@ -95,7 +97,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void randomEventsKeepOrderAndPlacement(long seed) {
+    void randomEventsViolateNeitherOrderNorPlacement(long seed) {
         random = new SplittableRandom(seed);
         harness = new Harness(Harness.settings(CLASSES.toArray(new RequestClass[0])), seed);
         for (int i = 0; i < 8; i++) {
@@ -103,13 +105,13 @@
         }
         harness.list(EndpointListKind.CACHED, List.copyOf(endpoints.values()));
         for (int step = 0; step < 3000; step++) {
-            happen(step);
+            applyRandomEvent(step);
             checkSends();
         }
-        assertTrue(checkedSends > 500, "enough was sent: " + checkedSends);
+        assertTrue(checkedSends > 500, "too few attempts to check: " + checkedSends);
     }
 
-    private void happen(int step) {
+    private void applyRandomEvent(int step) {
         int event = random.nextInt(100);
         String key = "k" + random.nextInt(6);
         if (event < 40) {
@@ -121,7 +123,7 @@
             EndpointState state = EndpointState.values()[random.nextInt(3)];
             harness.list(EndpointListKind.DELTA, List.of(endpoint.withState(state)));
         } else if (event < 86 && !classOf.isEmpty()) {
-            leave(List.copyOf(classOf.keySet()).get(random.nextInt(classOf.size())));
+            disconnectClient(List.copyOf(classOf.keySet()).get(random.nextInt(classOf.size())));
         } else {
             harness.advance(random.nextLong(40_000));
         }
@@ -147,26 +149,26 @@
         AttemptOutcome outcome = random.nextInt(3) > 0 ? AttemptOutcome.OK : all[random.nextInt(all.length - 1)];
         checker.ended(sent.request, outcome, harness.now);
         if (outcome == AttemptOutcome.OK) {
-            checker.over.put(sent.request, true);
+            checker.answered.put(sent.request, true);
         }
         harness.end(sent, outcome);
         checkSends();
     }
 
-    private void leave(String id) {
+    private void disconnectClient(String id) {
         if (harness.finalAnswers.putIfAbsent(id, "gone") == null) {
-            checker.over.put(id, true);
+            checker.answered.put(id, true);
             harness.policy.clientGone(harness.now, id, harness);
         }
     }
 
     private void checkSends() {
-        harness.finalAnswers.keySet().forEach(id -> checker.over.put(id, true));
+        harness.finalAnswers.keySet().forEach(id -> checker.answered.put(id, true));
         for (; checkedSends < harness.sends.size(); checkedSends++) {
             Harness.Sent sent = harness.sends.get(checkedSends);
             assertEquals(null, checker.sent(sent.request, sent.sentAt));
             RequestClass requestClass = CLASSES.get(classOf.get(sent.request));
-            assertEquals(null, RuleChecker.placed(requestClass, endpoints.get(sent.endpoint)));
+            assertEquals(null, RuleChecker.placementViolation(requestClass, endpoints.get(sent.endpoint)));
         }
     }
 }
--- a/core/src/test/java/loadbalancer/policy/RandomSafetyRulesTest.java
+++ b/core/src/test/java/loadbalancer/policy/RandomSafetyRulesTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The safety rules over random legal events, checked by a rule checker that is itself shown to catch violations. */
+/** Checks the safety rules over random legal events with a rule checker, which has a test of its own. */
 class RandomSafetyRulesTest {
     private static final List<RequestClass> CLASSES = List.of(
             Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL),
@@ -23,10 +23,11 @@
             Harness.requestClass(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.CELL),
             Harness.requestClass(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.ZONE));
 
-    private static final long SLACK = 20_000;
+    private static final long RESPONSE_SLACK_MICROS = 20_000;
+    private static final double MICROS_PER_SECOND = 1e6;
 
-    /** What is known of one request. */
-    private static final class Known {
+    /** The events of one request so far. */
+    private static final class RequestHistory {
         RequestClass requestClass;
         long deadline;
         String answer;
@@ -35,36 +36,36 @@
         final List<AttemptOutcome> outcomes = new ArrayList<>(); // null while in flight
     }
 
-    /** Is handed what happens in its order; each call says which rule is violated, or null. */
+    /** Receives all events in order; each call returns the rule that the event violates, or null. */
     private static final class RuleChecker {
-        private final Map<String, Known> requests = new HashMap<>();
+        private final Map<String, RequestHistory> requests = new HashMap<>();
 
         void arrived(String id, RequestClass requestClass, long deadline) {
-            Known known = new Known();
-            known.requestClass = requestClass;
-            known.deadline = deadline;
-            requests.put(id, known);
+            RequestHistory history = new RequestHistory();
+            history.requestClass = requestClass;
+            history.deadline = deadline;
+            requests.put(id, history);
         }
 
         String sent(String id, Endpoint target, boolean usable, long now) {
-            Known known = requests.get(id);
-            if (known.answer != null) {
+            RequestHistory history = requests.get(id);
+            if (history.answer != null) {
                 return "sent after its answer";
             }
             if (!usable) {
-                return "sent to a draining or gone endpoint";
+                return "sent to an endpoint that is draining or gone";
             }
-            for (int i = 0; i < known.outcomes.size(); i++) {
-                if (mayHaveRun(known.outcomes.get(i))) {
-                    String violation = repeated(known, i, target, now);
+            for (int i = 0; i < history.outcomes.size(); i++) {
+                if (mayHaveRun(history.outcomes.get(i))) {
+                    String violation = retryViolation(history, i, target, now);
                     if (violation != null) {
                         return violation;
                     }
                 }
             }
-            known.targets.add(target);
-            known.sentAt.add(now);
-            known.outcomes.add(null);
+            history.targets.add(target);
+            history.sentAt.add(now);
+            history.outcomes.add(null);
             return null;
         }
 
@@ -72,62 +73,68 @@
             return outcome == null || !outcome.neverRan();
         }
 
-        private static String repeated(Known known, int earlier, Endpoint target, long now) {
-            RequestClass requestClass = known.requestClass;
+        private static String retryViolation(RequestHistory history, int earlierAttempt, Endpoint target, long now) {
+            RequestClass requestClass = history.requestClass;
             if (requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
-                return "a non-idempotent effect may happen twice";
+                return "a non-idempotent request may be executed twice";
             }
-            Endpoint former = known.targets.get(earlier);
-            boolean outside = requestClass.scope() == KeyScope.CELL && former.cell() != target.cell()
-                    || requestClass.scope() == KeyScope.ZONE && former.zone() != target.zone();
-            boolean expired = now - known.sentAt.get(earlier) >= requestClass.keyRetentionMicros();
-            return requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && (outside || expired)
-                    ? "a request with an idempotency key left its group or window"
+            Endpoint earlierTarget = history.targets.get(earlierAttempt);
+            boolean outsideScope = requestClass.scope() == KeyScope.CELL && earlierTarget.cell() != target.cell()
+                    || requestClass.scope() == KeyScope.ZONE && earlierTarget.zone() != target.zone();
+            boolean expired = now - history.sentAt.get(earlierAttempt) >= requestClass.keyRetentionMicros();
+            return requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && (outsideScope || expired)
+                    ? "sent outside the scope or after the retention of its idempotency key"
                     : null;
         }
 
         String answered(String id, String answer, long now) {
-            Known known = requests.get(id);
-            if (known.answer != null) {
+            RequestHistory history = requests.get(id);
+            if (history.answer != null) {
                 return "answered twice";
             }
-            known.answer = answer;
-            if (now > known.deadline + SLACK) {
+            history.answer = answer;
+            if (now > history.deadline + RESPONSE_SLACK_MICROS) {
                 return "answered too late";
             }
-            RequestClass requestClass = known.requestClass;
-            boolean harmless = requestClass.idempotency() == Idempotency.IDEMPOTENT
+            RequestClass requestClass = history.requestClass;
+            boolean clientMayRetry = requestClass.idempotency() == Idempotency.IDEMPOTENT
                     || requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                             && requestClass.scope() == KeyScope.ALL;
-            boolean mayHaveRun = known.outcomes.stream().anyMatch(RuleChecker::mayHaveRun);
-            return answer.equals("refused") && mayHaveRun && !harmless ? "refused though it may have run" : null;
+            boolean mayHaveRun = history.outcomes.stream().anyMatch(RuleChecker::mayHaveRun);
+            return answer.equals("refused") && mayHaveRun && !clientMayRetry
+                    ? "rejected although it may have run"
+                    : null;
         }
 
-        String atTheEnd(long now) {
-            return requests.values().stream().anyMatch(k -> k.answer == null && now > k.deadline + SLACK)
-                    ? "a request was lost"
+        String unansweredViolation(long now) {
+            return requests.values().stream()
+                            .anyMatch(
+                                    request -> request.answer == null && now > request.deadline + RESPONSE_SLACK_MICROS)
+                    ? "a request was not answered"
                     : null;
         }
     }
 
-    /** The window with too many sends to an endpoint in slow start, against the budget of all balancers; or null. */
-    static String slowStartViolation(List<Long> sends, long started, double warmPerSecond, SafetyBounds bounds) {
+    /** Returns a window with more attempts than the slow start budget of all balancers allows, or null. */
+    static String slowStartViolation(List<Long> sends, long startedAt, double warmPerSecond, SafetyBounds bounds) {
         for (int i = 0; i < sends.size(); i++) {
             long from = sends.get(i);
             double weight = bounds.slowStartInitialWeight()
-                    + (1 - bounds.slowStartInitialWeight()) * (from - started) / bounds.slowStartDurationMicros();
+                    + (1 - bounds.slowStartInitialWeight()) * (from - startedAt) / bounds.slowStartDurationMicros();
             long until = from + bounds.overloadWindowMicros();
             long count = sends.stream().filter(t -> t >= from && t < until).count();
-            double max = bounds.overloadFactor() * weight * warmPerSecond * bounds.overloadWindowMicros() / 1e6 + 2;
-            if (count > max && from - started < bounds.slowStartDurationMicros()) {
-                return count + " sends in a window that bears " + max;
+            double max =
+                    bounds.overloadFactor() * weight * warmPerSecond * bounds.overloadWindowMicros() / MICROS_PER_SECOND
+                            + 2;
+            if (count > max && from - startedAt < bounds.slowStartDurationMicros()) {
+                return count + " attempts in a window that allows " + max;
             }
         }
         return null;
     }
 
     @Test
-    void theCheckerCatchesEveryKindOfViolation() {
+    void theCheckerDetectsEveryKindOfViolation() {
         Endpoint one = new Endpoint("a", EndpointState.UP, 0, 1, 0, 0, 0);
         Endpoint two = new Endpoint("b", EndpointState.UP, 0, 1, 1, 0, 1);
         RuleChecker checker = new RuleChecker();
@@ -140,10 +147,11 @@
         checker.arrived("k", Harness.requestClass(Idempotency.IDEMPOTENT_WITH_KEY, KeyScope.CELL), 100);
         assertTrue(checker.sent("k", one, false, 0).contains("draining"));
         assertNull(checker.sent("k", one, true, 0));
-        assertTrue(checker.sent("k", two, true, 0).contains("group"));
-        assertTrue(checker.sent("k", one, true, 2_000_000).contains("window"));
-        assertTrue(checker.atTheEnd(100 + SLACK + 1).contains("lost"));
-        assertTrue(checker.answered("k", "failed", 100 + SLACK + 1).contains("too late"));
+        assertTrue(checker.sent("k", two, true, 0).contains("scope"));
+        assertTrue(checker.sent("k", one, true, 2_000_000).contains("retention"));
+        assertTrue(checker.unansweredViolation(100 + RESPONSE_SLACK_MICROS + 1).contains("not answered"));
+        assertTrue(
+                checker.answered("k", "failed", 100 + RESPONSE_SLACK_MICROS + 1).contains("too late"));
         SafetyBounds bounds = Harness.settings(Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL))
                 .bounds();
         assertTrue(slowStartViolation(LongStream.range(0, 30).boxed().toList(), 0, 10, bounds) != null);
@@ -159,23 +167,23 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void randomEventsKeepTheRules(long seed) {
+    void randomEventsViolateNoRule(long seed) {
         random = new SplittableRandom(seed);
         harness = new Harness(Harness.settings(CLASSES.toArray(new RequestClass[0])), seed);
         Harness.fleet(8).forEach(endpoint -> endpoints.put(endpoint.id(), endpoint));
         harness.list(EndpointListKind.CACHED, Harness.fleet(8));
         for (int step = 0; step < 4000; step++) {
-            happen(step);
+            applyRandomEvent(step);
             timeOutAttempts();
             checkSends();
             checkAnswers();
-            assertNull(checker.atTheEnd(harness.now));
+            assertNull(checker.unansweredViolation(harness.now));
         }
         assertEquals(0, harness.duplicateFinalAnswers);
-        assertTrue(checkedSends > 800, "enough was sent: " + checkedSends);
+        assertTrue(checkedSends > 800, "too few attempts to check: " + checkedSends);
     }
 
-    private void happen(int step) {
+    private void applyRandomEvent(int step) {
         int event = random.nextInt(100);
         List<Harness.Sent> inFlight =
                 harness.sends.stream().filter(s -> !s.ended).toList();
@@ -187,7 +195,8 @@
             end(sent, random.nextInt(3) > 0 ? AttemptOutcome.OK : all[random.nextInt(all.length - 1)]);
         } else if (event < 84) {
             String id = "s" + random.nextInt(8);
-            endpoints.computeIfPresent(id, (i, s) -> s.withState(EndpointState.values()[random.nextInt(3)]));
+            endpoints.computeIfPresent(
+                    id, (same, endpoint) -> endpoint.withState(EndpointState.values()[random.nextInt(3)]));
             harness.list(EndpointListKind.DELTA, List.of(endpoints.get(id)));
         } else {
             harness.advance(random.nextLong(20_000));
@@ -234,12 +243,12 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void endpointsInSlowStartBearWhatRandomTrafficSends(long seed) {
+    void endpointsInSlowStartAreNotOverloadedByRandomTraffic(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         PolicySettings settings = Harness.settings(Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL));
         Harness harness = new Harness(settings, seed).list(EndpointListKind.CACHED, Harness.fleet(5));
-        long started = 0;
-        for (int i = 0; i < 1500; i++) { // 40 answers a second from each of 5
+        long startedAt = 0;
+        for (int i = 0; i < 1500; i++) { // 40 answers per second from each of 5 endpoints
             if (i == 500) {
                 harness.list(
                         EndpointListKind.DELTA,
@@ -253,13 +262,13 @@
                     .filter(s -> !s.ended && harness.now - s.sentAt >= 30_000)
                     .toList()
                     .forEach(s -> harness.end(s, AttemptOutcome.OK));
-            started = i < 500 ? harness.now : started;
+            startedAt = i < 500 ? harness.now : startedAt;
         }
         List<Long> sends = harness.sends.stream()
                 .filter(s -> s.endpoint.equals("cold"))
                 .map(s -> s.sentAt)
                 .toList();
-        assertTrue(sends.size() > 20, "it is used: " + sends.size());
-        assertNull(slowStartViolation(sends, started, 40, settings.bounds()));
+        assertTrue(sends.size() > 20, "too few attempts at the endpoint: " + sends.size());
+        assertNull(slowStartViolation(sends, startedAt, 40, settings.bounds()));
     }
 }
--- a/core/src/test/java/loadbalancer/policy/RequestQueueTest.java
+++ b/core/src/test/java/loadbalancer/policy/RequestQueueTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Requests that wait for an endpoint. */
+/** Queueing of requests, tested through the whole policy. */
 class RequestQueueTest {
     private static final RequestClass IDEMPOTENT = Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL);
 
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void aRequestWithNoTimeLeftIsAnsweredAtOnce() {
+    void aRequestNearItsDeadlineIsAnsweredAtOnce() {
         Harness harness = Harness.withoutEndpoints(IDEMPOTENT);
         harness.request("spent", 0, 0, 2_000);
         assertEquals("refused", harness.finalAnswers.get("spent"));
--- a/core/src/test/java/loadbalancer/policy/SafetyRulesTest.java
+++ b/core/src/test/java/loadbalancer/policy/SafetyRulesTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The safety rules for each sort of request class. */
+/** The safety rules by idempotency of the request class. */
 class SafetyRulesTest {
     private static final RequestClass NON_IDEMPOTENT = Harness.requestClass(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
     private static final RequestClass IDEMPOTENT = Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL);
 
-    private static Harness warm(RequestClass kind) {
+    private static Harness warmedUp(RequestClass kind) {
         Harness harness = new Harness(Harness.settings(kind), 5).list(EndpointListKind.CACHED, Harness.fleet(6));
         harness.warmUp(60, 0, 40_000);
         return harness;
@@ -27,7 +27,7 @@
             value = AttemptOutcome.class,
             names = {"ERROR", "TIMEOUT", "RESET", "CANCELLED"})
     void aNonIdempotentRequestThatMayHaveRunFails(AttemptOutcome outcome) {
-        Harness harness = warm(NON_IDEMPOTENT);
+        Harness harness = warmedUp(NON_IDEMPOTENT);
         harness.end(harness.request("r", 0), outcome);
         assertEquals("failed", harness.finalAnswers.get("r"));
         assertEquals(1, harness.sentFor("r").size());
@@ -38,7 +38,7 @@
             value = AttemptOutcome.class,
             names = {"FULL", "CONNECT_FAILED"})
     void aNonIdempotentRequestThatNeverRanIsRetriedElsewhere(AttemptOutcome outcome) {
-        Harness harness = warm(NON_IDEMPOTENT);
+        Harness harness = warmedUp(NON_IDEMPOTENT);
         Harness.Sent first = harness.request("r", 0);
         harness.end(first, outcome);
         assertEquals(2, harness.sentFor("r").size());
@@ -47,7 +47,7 @@
 
     @Test
     void aNonIdempotentRequestIsNotHedged() {
-        Harness harness = warm(NON_IDEMPOTENT);
+        Harness harness = warmedUp(NON_IDEMPOTENT);
         harness.request("r", 0);
         harness.advance(Harness.DEADLINE_MICROS - 100_000);
         assertEquals(1, harness.sentFor("r").size());
@@ -84,9 +84,9 @@
     @ParameterizedTest
     @EnumSource(KeyScope.class)
     void aRequestWithAnIdempotencyKeyIsNotRetriedAfterTheRetentionOfTheKey(KeyScope scope) {
-        Harness harness = warm(Harness.requestClass(Idempotency.IDEMPOTENT_WITH_KEY, scope));
+        Harness harness = warmedUp(Harness.requestClass(Idempotency.IDEMPOTENT_WITH_KEY, scope));
         Harness.Sent first = harness.request("r", 0);
-        harness.advance(2_500_000); // the window is 2 s from the first send
+        harness.advance(2_500_000); // the key is retained for 2 s from the first attempt
         for (Harness.Sent attempt : harness.sentFor("r")) {
             assertTrue(attempt.sentAt - first.sentAt < 2_000_000);
         }
@@ -109,7 +109,7 @@
             harness.end(sent, AttemptOutcome.OK);
         }
         harness.list(EndpointListKind.SNAPSHOT, List.of(Harness.up("s1")));
-        assertEquals("s1", harness.request("x", 0).endpoint, "missing in a complete list is gone");
+        assertEquals("s1", harness.request("x", 0).endpoint, "an endpoint that is missing in a complete list is gone");
     }
 
     @Test
@@ -119,25 +119,26 @@
         assertNull(harness.request("a", 0));
         assertNull(harness.request("b", 1, 0, 6_000));
         harness.advance(30_000);
-        assertTrue(harness.finalAnswers.containsKey("b"), "a nearly spent request is answered at once");
+        assertTrue(harness.finalAnswers.containsKey("b"), "a request near its deadline is answered at once");
         harness.advance(Harness.DEADLINE_MICROS);
         assertEquals("refused", harness.finalAnswers.get("a"));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 8})
-    void anEndpointInSlowStartGetsLessThanItsWeight(int balancers) {
-        // A warm endpoint gives 50 answers a second to this balancer; one in slow start may take its weight of that.
+    void anEndpointInSlowStartIsSentNoMoreThanItsWeightAllows(int balancers) {
+        // Four warm endpoints give this balancer 50 answers per second; one in slow start is sent its weighted part of
+        // that.
         PolicySettings settings = Harness.settings(balancers, true, DiscoveryMode.PUSH, List.of(), IDEMPOTENT);
         Harness harness = new Harness(settings, 1).list(EndpointListKind.CACHED, Harness.fleet(4));
         harness.warmUp(300, 0, 20_000);
         harness.list(EndpointListKind.DELTA, List.of(new Endpoint("cold", EndpointState.UP, harness.now, 1, 0, 0, 0)));
-        long born = harness.now;
+        long startedAt = harness.now;
         harness.warmUp(150, 0, 20_000);
-        long sent = harness.sentTo("cold", born);
-        double seconds = (harness.now - born) / 1e6;
-        double part = 0.2 + 0.8 * seconds / 20; // at the end; less before
-        assertTrue(sent <= 50.0 / 4 * part * 2.5 * seconds, sent + " in " + seconds + " s");
+        long sent = harness.sentTo("cold", startedAt);
+        double seconds = (harness.now - startedAt) / 1e6;
+        double weight = 0.2 + 0.8 * seconds / 20; // at the end of the time, and lower before
+        assertTrue(sent <= 50.0 / 4 * weight * 2.5 * seconds, sent + " attempts in " + seconds + " s");
     }
 
     @Test
@@ -148,6 +149,6 @@
         long restarted = harness.now;
         harness.warmUp(50, 0, 20_000);
         long cold = harness.sentTo("s0", restarted);
-        assertTrue(cold < 15, "an endpoint in slow start took " + cold + " of 50");
+        assertTrue(cold < 15, "an endpoint in slow start was sent " + cold + " of 50 requests");
     }
 }
