--- a/core/src/main/java/loadbalancer/policy/ClassRemapping.java
+++ b/core/src/main/java/loadbalancer/policy/ClassRemapping.java
@@ -43,12 +43,12 @@
 
     /** Returns the statistics by new index. New classes start from the initial values, or from 0 without one. */
     double[] apply(double[] former, double[] initial) {
-        double[] moved = Arrays.copyOf(initial, size);
+        double[] remapped = Arrays.copyOf(initial, size);
         for (int i = 0; i < newIndexes.length; i++) {
             if (newIndexes[i] != DROPPED) {
-                moved[newIndexes[i]] = former[i];
+                remapped[newIndexes[i]] = former[i];
             }
         }
-        return moved;
+        return remapped;
     }
 }
--- a/core/src/main/java/loadbalancer/policy/ClientRetryAge.java
+++ b/core/src/main/java/loadbalancer/policy/ClientRetryAge.java
@@ -35,9 +35,9 @@
 
     /** Adopts new class indexes. */
     void remap(ClassRemapping remapping) {
-        double[] moved = remapping.apply(learnedState(), new double[0]);
-        firstAttemptMicros = new long[moved.length];
-        restore(moved);
+        double[] remapped = remapping.apply(learnedState(), new double[0]);
+        firstAttemptMicros = new long[remapped.length];
+        restore(remapped);
     }
 
     /** By class: the longest time that a client allowed for a first attempt, in µs. */
--- a/core/src/main/java/loadbalancer/policy/LearnedStateCodec.java
+++ b/core/src/main/java/loadbalancer/policy/LearnedStateCodec.java
@@ -24,8 +24,8 @@
     private static final String ENDPOINT_PREFIX = "server ";
 
     private static final int ADMISSION_SCALARS = 5;
-    private static final int TRAFFIC_FIGURES = 4;
-    private static final int ENDPOINT_FIGURES = 11;
+    private static final int TRAFFIC_VALUES = 4;
+    private static final int ENDPOINT_VALUES = 11;
 
     private LearnedStateCodec() {}
 
@@ -47,9 +47,9 @@
     /** Reads the named arrays; unknown names and arrays of another length are ignored. */
     public static LearnedState decode(Map<String, double[]> encoded) {
         Map<String, LearnedState.EndpointHistory> endpoints = new LinkedHashMap<>();
-        encoded.forEach((name, figures) -> {
-            if (name.startsWith(ENDPOINT_PREFIX) && figures != null && figures.length == ENDPOINT_FIGURES) {
-                endpoints.put(name.substring(ENDPOINT_PREFIX.length()), decodeEndpoint(figures));
+        encoded.forEach((name, values) -> {
+            if (name.startsWith(ENDPOINT_PREFIX) && values != null && values.length == ENDPOINT_VALUES) {
+                endpoints.put(name.substring(ENDPOINT_PREFIX.length()), decodeEndpoint(values));
             }
         });
         return new LearnedState(
@@ -67,27 +67,27 @@
             return null;
         }
         int tiers = admission.arrivals().length;
-        double[] figures = Arrays.copyOf(admission.arrivals(), tiers + ADMISSION_SCALARS);
-        figures[tiers] = admission.completed();
-        figures[tiers + 1] = admission.scored();
-        figures[tiers + 2] = admission.scoreSum();
-        figures[tiers + 3] = admission.lowTierLevel();
-        figures[tiers + 4] = admission.level();
-        return figures;
+        double[] values = Arrays.copyOf(admission.arrivals(), tiers + ADMISSION_SCALARS);
+        values[tiers] = admission.completed();
+        values[tiers + 1] = admission.scored();
+        values[tiers + 2] = admission.scoreSum();
+        values[tiers + 3] = admission.lowTierLevel();
+        values[tiers + 4] = admission.level();
+        return values;
     }
 
-    private static LearnedState.Admission decodeAdmission(double[] figures) {
-        if (figures == null || figures.length <= ADMISSION_SCALARS) {
+    private static LearnedState.Admission decodeAdmission(double[] values) {
+        if (values == null || values.length <= ADMISSION_SCALARS) {
             return null;
         }
-        int tiers = figures.length - ADMISSION_SCALARS;
+        int tiers = values.length - ADMISSION_SCALARS;
         return new LearnedState.Admission(
-                Arrays.copyOf(figures, tiers),
-                figures[tiers],
-                figures[tiers + 1],
-                figures[tiers + 2],
-                figures[tiers + 3],
-                figures[tiers + 4]);
+                Arrays.copyOf(values, tiers),
+                values[tiers],
+                values[tiers + 1],
+                values[tiers + 2],
+                values[tiers + 3],
+                values[tiers + 4]);
     }
 
     private static double[] encode(LearnedState.Traffic traffic) {
@@ -99,10 +99,10 @@
         };
     }
 
-    private static LearnedState.Traffic decodeTraffic(double[] figures) {
-        return figures == null || figures.length != TRAFFIC_FIGURES
+    private static LearnedState.Traffic decodeTraffic(double[] values) {
+        return values == null || values.length != TRAFFIC_VALUES
                 ? null
-                : new LearnedState.Traffic(figures[0], figures[1], figures[2], figures[3]);
+                : new LearnedState.Traffic(values[0], values[1], values[2], values[3]);
     }
 
     private static double[] encode(LearnedState.EndpointHistory history) {
@@ -121,18 +121,18 @@
         };
     }
 
-    private static LearnedState.EndpointHistory decodeEndpoint(double[] figures) {
+    private static LearnedState.EndpointHistory decodeEndpoint(double[] values) {
         return new LearnedState.EndpointHistory(
-                (long) figures[0],
-                figures[1],
-                figures[2],
-                figures[3],
-                figures[4],
-                (long) figures[5],
-                (int) figures[6],
-                (int) figures[7],
-                figures[8],
-                (long) figures[9],
-                figures[10] > 0);
+                (long) values[0],
+                values[1],
+                values[2],
+                values[3],
+                values[4],
+                (long) values[5],
+                (int) values[6],
+                (int) values[7],
+                values[8],
+                (long) values[9],
+                values[10] > 0);
     }
 }
