--- a/balancer/src/main/java/loadbalancer/admin/OperatorActions.java
+++ b/balancer/src/main/java/loadbalancer/admin/OperatorActions.java
@@ -6,10 +6,10 @@
  */
 public interface OperatorActions {
     /** Returns why this process cannot serve at the moment; null where it is ready. */
-    String unreadiness();
+    String notReadyReason();
 
     /** Returns a note on a ready process, such as that it keeps only a part of the list; null for none. */
-    String note();
+    String readinessNote();
 
     /** Drains an endpoint administratively, whether or not it is drained already; false where nobody knows the id. */
     boolean drain(String endpointId);
--- a/balancer/src/main/java/loadbalancer/admin/OperatorCommand.java
+++ b/balancer/src/main/java/loadbalancer/admin/OperatorCommand.java
@@ -38,11 +38,11 @@
         if (!arguments.isEmpty()) {
             return REJECTED + CHECK + " takes no argument";
         }
-        String unreadiness = actions.unreadiness();
-        if (unreadiness != null) {
-            return REJECTED + unreadiness;
+        String reason = actions.notReadyReason();
+        if (reason != null) {
+            return REJECTED + reason;
         }
-        String note = actions.note();
+        String note = actions.readinessNote();
         return ACCEPTED + "ready" + (note == null ? "" : "; " + note);
     }
 
--- a/balancer/src/main/java/loadbalancer/dispatch/PolicyActions.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/PolicyActions.java
@@ -137,6 +137,6 @@
 
     @Override
     public void log(String line) {
-        log.accept(line);
+        log.info(line);
     }
 }
--- a/balancer/src/main/java/loadbalancer/logs/Log.java
+++ b/balancer/src/main/java/loadbalancer/logs/Log.java
@@ -11,15 +11,15 @@
 @FunctionalInterface
 public interface Log {
     /** Logs a line. */
-    void accept(String line);
+    void info(String line);
 
     /**
      * Logs a line with fields.
      *
      * @param fields names and values in turn
      */
-    default void event(String line, Object... fields) {
-        accept(line);
+    default void info(String line, Object... fields) {
+        info(line);
     }
 
     /**
@@ -28,19 +28,19 @@
      * @param fields names and values in turn
      */
     default void warn(String line, Object... fields) {
-        accept(line);
+        info(line);
     }
 
     /** Logs to an SLF4J logger, with the fields as its key-value pairs. */
     static Log to(Logger logger) {
         return new Log() {
             @Override
-            public void accept(String line) {
+            public void info(String line) {
                 logger.info(line);
             }
 
             @Override
-            public void event(String line, Object... fields) {
+            public void info(String line, Object... fields) {
                 log(Level.INFO, line, fields);
             }
 
--- a/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
@@ -111,7 +111,7 @@
                 config.knownList().version(),
                 dispatcher::nowMicros,
                 this::endpointsListed,
-                log::accept);
+                log::info);
         clients = new ClientListener(
                 loop, config.boot(), dispatcher, descriptors, upstreams::closeLongestIdle, unreadTime::unreadMicros);
         upstreams.setReclaimer(clients::closeLeastNeeded);
@@ -196,7 +196,7 @@
 
     private void discoverySilent() {
         if (!readiness.hasEndpoints() && membership.hasUsableEndpoint()) {
-            log.accept("no response from discovery: ready, and nothing is sent by the cached list yet");
+            log.info("no response from discovery: ready, and nothing is sent by the cached list yet");
             readiness.endpointsAvailable();
         }
     }
@@ -270,7 +270,7 @@
     void stop() {
         shutdown.begin();
         shutdown.await();
-        log.accept("stopped: " + pools.summary());
+        log.info("stopped: " + pools.summary());
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
--- a/balancer/src/main/java/loadbalancer/process/HandoverParticipant.java
+++ b/balancer/src/main/java/loadbalancer/process/HandoverParticipant.java
@@ -55,7 +55,7 @@
         this.descriptors = descriptors;
         this.settings = settings;
         this.log = log;
-        link = new HandoverLink(loop, directory, this, log::accept);
+        link = new HandoverLink(loop, directory, this, log::info);
     }
 
     /** Connects to a predecessor, and returns whether there is one. Blocks: not for the event loop's thread. */
@@ -81,13 +81,13 @@
     private boolean restore(HandoverDocument document) {
         try {
             HandoverState site = pools.restore(document, settings.get());
-            log.accept("restored from the predecessor: "
+            log.info("restored from the predecessor: "
                     + site.endpoints().entries().size() + " endpoints, "
                     + site.drained().size() + " administratively drained");
             return site.endpoints().entries().stream()
                     .anyMatch(entry -> entry.endpoint().state() == EndpointState.UP);
         } catch (HandoverFormatException e) {
-            log.accept("cannot read the predecessor's state: " + e.getMessage());
+            log.info("cannot read the predecessor's state: " + e.getMessage());
             return false;
         }
     }
--- a/balancer/src/main/java/loadbalancer/process/OperatorCalls.java
+++ b/balancer/src/main/java/loadbalancer/process/OperatorCalls.java
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public String unreadiness() {
+    public String notReadyReason() {
         if (shutdown.isStopping()) {
             return "stopping";
         }
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public String note() {
+    public String readinessNote() {
         return note.get();
     }
 
@@ -72,6 +72,6 @@
 
     private void logCall(String call, String endpointId, boolean known) {
         String line = call + " " + endpointId + (known ? "" : ": no such upstream");
-        log.event(line, "call", call, "upstream", endpointId, "known", known);
+        log.info(line, "call", call, "upstream", endpointId, "known", known);
     }
 }
--- a/balancer/src/main/java/loadbalancer/process/Reconfiguration.java
+++ b/balancer/src/main/java/loadbalancer/process/Reconfiguration.java
@@ -78,7 +78,7 @@
         }
         BootSettings before = config.boot();
         config = next;
-        log.accept(describe(next, before));
+        log.info(describe(next, before));
         parts.loop.execute(() -> apply(next, before));
     }
 
@@ -119,7 +119,7 @@
             log.warn(e.getMessage(), "operator_file", "rejected");
             return false;
         }
-        next.notes().forEach(log::accept);
+        next.notes().forEach(log::info);
         if (configuresLog) {
             Slf4jProvider.writer().configure(next.log().json(), next.log().queueLines());
         }
@@ -136,7 +136,7 @@
         parts.pools.gateway().configure(next);
         int pools = next.pools().size();
         int routes = next.routing().routes().size();
-        log.event(
+        log.info(
                 "operator file applied: " + pools + " pools, " + routes + " routes",
                 "operator_file",
                 "applied",
--- a/balancer/src/main/java/loadbalancer/process/ServeCommand.java
+++ b/balancer/src/main/java/loadbalancer/process/ServeCommand.java
@@ -52,13 +52,13 @@
         try {
             address = process.start();
         } catch (IOException | RuntimeException e) { // a failed bind is rethrown as it is, declared or not
-            log.accept("can't listen on " + process.config().listen() + ": " + e.getMessage());
+            log.info("can't listen on " + process.config().listen() + ": " + e.getMessage());
             return EXIT_CANNOT_START;
         }
         Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(process)));
         takeReloads(process, reloadSignal);
         // Logged only now: whoever reads the line may send signals at once.
-        log.accept("listening on " + address.getAddress().getHostAddress() + ":" + address.getPort());
+        log.info("listening on " + address.getAddress().getHostAddress() + ":" + address.getPort());
         process.awaitStopped();
         return EXIT_OK;
     }
@@ -69,7 +69,7 @@
                     InheritedListener.find(environment), BalancerConfigReader.handoverDirectory(environment));
             return new BalancerProcess(BalancerConfigReader.read(environment), platform, JsqDasPolicy::new, true, log);
         } catch (ProcessConfigException | IOException e) {
-            log.accept(e.getMessage());
+            log.info(e.getMessage());
             return null;
         }
     }
@@ -86,7 +86,7 @@
             process.listenForOperators();
             return true;
         } catch (IOException | RuntimeException e) { // as above
-            log.accept("can't listen for operators on " + process.config().admin() + ": " + e.getMessage());
+            log.info("can't listen for operators on " + process.config().admin() + ": " + e.getMessage());
             return false;
         }
     }
--- a/balancer/src/main/java/loadbalancer/routing/PoolRegistry.java
+++ b/balancer/src/main/java/loadbalancer/routing/PoolRegistry.java
@@ -60,7 +60,7 @@
             draining.remove(pool);
             environment
                     .log()
-                    .event(
+                    .info(
                             "pool " + pool.name() + " has drained and is closed: "
                                     + pool.dispatcher().summary(),
                             "pool",
--- a/balancer/src/main/java/loadbalancer/routing/RejectionCounter.java
+++ b/balancer/src/main/java/loadbalancer/routing/RejectionCounter.java
@@ -23,7 +23,7 @@
         long count = counts.merge(reason, 1L, Long::sum);
         if (Long.bitCount(count) == 1) {
             String name = reason.name().toLowerCase(Locale.ROOT);
-            log.event("rejected by the router, " + name + ": " + count, "rejected", name, "count", count);
+            log.info("rejected by the router, " + name + ": " + count, "rejected", name, "count", count);
         }
     }
 
--- a/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
+++ b/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
@@ -46,7 +46,7 @@
         connections = new PoolConnectionBudget(environment.connections(), limits.maxConnections());
         memory = new PoolMemoryBudget(limits.maxBodyBytes());
         boot = PoolSettings.derive(site, spec);
-        Log log = line -> environment.log().accept("pool " + spec.name() + ": " + line);
+        Log log = line -> environment.log().info("pool " + spec.name() + ": " + line);
         long seed = environment.seed() ^ TrafficSplit.hash(spec.name());
         dispatcher = new RequestDispatcher(
                 environment.loop(), boot, environment.policyFactory().apply(boot.settings(), seed), log);
@@ -66,7 +66,7 @@
 
     private DiscoveryClient discoveryClient(InetSocketAddress address, EndpointSubset subset, Log log) {
         return new DiscoveryClient(
-                environment.loop(), address, boot, subset, 0, dispatcher::nowMicros, membership::update, log::accept);
+                environment.loop(), address, boot, subset, 0, dispatcher::nowMicros, membership::update, log::info);
     }
 
     /** Begins to learn its endpoint list. */
--- a/balancer/src/test/java/loadbalancer/logs/LoggingTest.java
+++ b/balancer/src/test/java/loadbalancer/logs/LoggingTest.java
@@ -24,13 +24,13 @@
     void textOmitsFieldsAndJsonHoldsThem() throws IOException {
         AsyncLogWriter sink = new AsyncLogWriter(written, "load-balancer: ");
         Log log = Log.to(Slf4jProvider.logger("load-balancer", sink));
-        log.event("set-down s1", "call", "set-down", "known", true);
+        log.info("set-down s1", "call", "set-down", "known", true);
         sink.drain(20_000);
         assertEquals(List.of("load-balancer: set-down s1"), lines());
         written.reset();
         sink.configure(true, 100);
         log.warn("a \"quoted\"\nline", "count", 3, "pool", "a b");
-        log.accept("{} stays");
+        log.info("{} stays");
         sink.drain(20_000);
         assertEquals(2, lines().size(), "one line each, whatever is in it");
         Map<String, Object> line = JSON.std.mapFrom(lines().get(0));
@@ -65,7 +65,7 @@
         sink.configure(false, 10);
         Log log = Log.to(Slf4jProvider.logger("x", sink));
         for (int i = 0; i < 1000; i++) {
-            log.accept("line " + i); // would never return if it waited
+            log.info("line " + i); // would never return if it waited
         }
         assertEquals(990, sink.dropped());
         reads.countDown();
@@ -75,7 +75,7 @@
         }
         assertEquals("line 9", lines().get(9));
         assertEquals("log lines dropped: 990", lines().get(10));
-        log.accept("again");
+        log.info("again");
         sink.drain(20_000);
         assertTrue(lines().contains("again"));
     }
--- a/balancer/src/test/java/loadbalancer/process/DiscoveryClientTest.java
+++ b/balancer/src/test/java/loadbalancer/process/DiscoveryClientTest.java
@@ -168,7 +168,7 @@
         balancer.loop()
                 .schedule(
                         () -> policy.events.add(
-                                String.valueOf(balancer.operatorActions().unreadiness())),
+                                String.valueOf(balancer.operatorActions().notReadyReason())),
                         3_500,
                         TimeUnit.MILLISECONDS);
         assertEquals("null", policy.nextEvent()); // and no list before it
--- a/balancer/src/test/java/loadbalancer/process/HandoverParticipantTest.java
+++ b/balancer/src/test/java/loadbalancer/process/HandoverParticipantTest.java
@@ -155,7 +155,7 @@
         successor = process(next);
         Thread stop = new Thread(balancer::stop);
         stop.start();
-        while (balancer.operatorActions().unreadiness() == null) {
+        while (balancer.operatorActions().notReadyReason() == null) {
             TimeUnit.MILLISECONDS.sleep(5);
         }
         for (int i = 0; i < 5; i++) {
