--- a/core/src/main/java/loadbalancer/policy/AccomplishmentRanking.java
+++ b/core/src/main/java/loadbalancer/policy/AccomplishmentRanking.java
@@ -3,10 +3,10 @@
 import java.util.Comparator;
 
 /**
- * Ranks endpoints by accomplishment, as JSQ-DAS does: the number of requests that a dispatcher has sent to a server, of
- * which fast servers get more as their queues are shorter. The ranking needs no knowledge of speeds.
+ * Ranks endpoints by accomplishment: the number of requests that this balancer has sent to an endpoint. Fast endpoints
+ * have shorter queues and therefore receive more requests, so the ranking needs no knowledge of speeds.
  *
- * <p>Source: Gardner and Stephens, "Smart Dispatching in Heterogeneous Systems".
+ * <p>Source: Gardner and Stephens, "Smart Dispatching in Heterogeneous Systems", which describes JSQ-DAS.
  */
 final class AccomplishmentRanking {
     private static final Comparator<EndpointStats> BY_RANK = Comparator.<EndpointStats>comparingDouble(
@@ -19,26 +19,26 @@
         this.scale = scale;
     }
 
-    /** Counts an attempt that is sent. */
+    /** Counts an attempt that is sent to the endpoint. */
     void credit(EndpointStats endpoint) {
         endpoint.accomplishment += scale.unit();
     }
 
-    /** Takes back the credit of an attempt that failed, lest an endpoint that fails fast gains rank. */
+    /** Takes back the credit of a failed attempt; otherwise an endpoint that fails fast would gain rank. */
     void revoke(EndpointStats endpoint) {
         endpoint.accomplishment = Math.max(0, endpoint.accomplishment - scale.unit());
     }
 
-    /** Whether the first one has the higher rank. */
-    static boolean ranksBefore(EndpointStats one, EndpointStats other) {
-        return BY_RANK.compare(one, other) < 0;
+    /** Whether the first endpoint ranks higher than the second. */
+    static boolean ranksBefore(EndpointStats first, EndpointStats second) {
+        return BY_RANK.compare(first, second) < 0;
     }
 
     /**
-     * Brings the highest ranks to the front, in no order among themselves (Hoare's selection). A sort would cost more
-     * than all else in a decision over a large list.
+     * Moves the highest-ranked endpoints to the front of the array, in no particular order (quickselect). Sorting a
+     * large list would take longer than all other steps of a decision.
      *
-     * @param topCount how many, at least 1 and less than there are
+     * @param topCount how many endpoints to move to the front; at least 1 and less than the number of endpoints
      */
     static void partition(EndpointStats[] endpoints, int topCount) {
         int from = 0;
--- a/core/src/main/java/loadbalancer/policy/ActiveSettings.java
+++ b/core/src/main/java/loadbalancer/policy/ActiveSettings.java
@@ -1,13 +1,13 @@
 package loadbalancer.policy;
 
 /**
- * The settings in force and what follows from them alone. All parts of a policy share one object, so that they see new
- * settings at the same time.
+ * The current settings and the values that are derived from them. All components of a policy share one instance, so
+ * that they see new settings at the same time.
  */
 final class ActiveSettings {
     private static final long MAX_TICK_MICROS = 20_000;
 
-    /** A wait is looked at so often within the shortest latency objective. */
+    /** Target number of ticks within the shortest latency objective. */
     private static final int TICKS_PER_OBJECTIVE = 16;
 
     private PolicySettings current;
@@ -21,18 +21,19 @@
         replace(settings);
     }
 
-    /** Puts other settings in force. */
-    void replace(PolicySettings next) {
-        current = next;
-        tiers = new PriorityTiers(next);
-        shortestObjectiveMicros = next.classes().stream()
+    /** Applies new settings. */
+    void replace(PolicySettings newSettings) {
+        current = newSettings;
+        tiers = new PriorityTiers(newSettings);
+        shortestObjectiveMicros = newSettings.classes().stream()
                 .mapToLong(RequestClass::latencyObjectiveMicros)
                 .min()
                 .getAsLong();
-        anyIdempotentClass = next.classes().stream().anyMatch(each -> each.idempotency() == Idempotency.IDEMPOTENT);
-        ringPosition = (long) ((next.rank() + 0.5) / next.balancers() * 0x1p64 - 0x1p63);
-        tickMicros =
-                Math.max(next.tickMicros(), Math.min(MAX_TICK_MICROS, shortestObjectiveMicros / TICKS_PER_OBJECTIVE));
+        anyIdempotentClass =
+                newSettings.classes().stream().anyMatch(each -> each.idempotency() == Idempotency.IDEMPOTENT);
+        ringPosition = (long) ((newSettings.rank() + 0.5) / newSettings.balancers() * 0x1p64 - 0x1p63);
+        tickMicros = Math.max(
+                newSettings.tickMicros(), Math.min(MAX_TICK_MICROS, shortestObjectiveMicros / TICKS_PER_OBJECTIVE));
     }
 
     PolicySettings current() {
@@ -43,7 +44,7 @@
         return tiers;
     }
 
-    /** Time between two looks at open requests. */
+    /** Interval at which open requests are checked. */
     long tickMicros() {
         return tickMicros;
     }
@@ -52,12 +53,12 @@
         return shortestObjectiveMicros;
     }
 
-    /** Whether requests of any class may be repeated freely. */
+    /** Whether at least one request class is idempotent. */
     boolean anyIdempotentClass() {
         return anyIdempotentClass;
     }
 
-    /** Where this balancer's subset starts on the hash ring: balancers are spread evenly over it. */
+    /** Position on the hash ring at which this balancer's subset starts; balancers are evenly spaced on the ring. */
     long ringPosition() {
         return ringPosition;
     }
--- a/core/src/main/java/loadbalancer/policy/CandidateSelector.java
+++ b/core/src/main/java/loadbalancer/policy/CandidateSelector.java
@@ -4,25 +4,28 @@
 import java.util.List;
 
 /**
- * Which endpoints a request may be sent to now: a subset of the list, of those that all rules allow.
+ * Selects the endpoints that a request may be sent to now: those of a subset of the list that all rules permit.
  *
- * <p>The subset is found by a walk over the hash ring, from this balancer's position or, with key affinity, from the
- * key's, until enough warm endpoints are found. Connections then don't grow with the list, and each endpoint hears from
- * this balancer often enough for counts and queues to mean something. Where endpoints of the subset may not be used,
- * the walk goes on, over the whole list if need be.
+ * <p>The subset is found by walking the hash ring until enough warm endpoints are found. The walk starts at this
+ * balancer's position or, with key affinity, at the key's. With a subset, the number of connections doesn't grow with
+ * the list, and each endpoint receives requests from this balancer often enough for its counts and queue length to be
+ * meaningful. If the rules exclude endpoints of the subset, the walk goes on, over the whole list if necessary.
  */
 final class CandidateSelector {
-    /** Endpoints of a subset at least, as few as sampling needs. */
+    /** Minimum number of endpoints in a subset, no more than sampling needs. */
     private static final int MIN_SUBSET_SIZE = 6;
 
-    /** Time between requests of this balancer to one endpoint that the subset is sized for. */
-    private static final double VISIT_INTERVAL_SECONDS = 1.5;
+    /** Subsets are sized so that this balancer sends a request to each endpoint about this often. */
+    private static final double REQUEST_INTERVAL_SECONDS = 1.5;
 
-    /** The same where new connections have a price. */
-    private static final double PRICED_VISIT_INTERVAL_SECONDS = 0.5;
+    /** The same where new connections have a cost; a smaller subset needs fewer connections. */
+    private static final double REQUEST_INTERVAL_WITH_HANDSHAKE_COST_SECONDS = 0.5;
 
-    /** A walk goes on for so many times the subset where only endpoints of the own zone count. */
-    private static final int CROSS_ZONE_REACH = 4;
+    /**
+     * Where only endpoints of the own zone count towards the subset, the walk ends after this multiple of the subset
+     * size in warm endpoints of any zone.
+     */
+    private static final int CROSS_ZONE_WALK_FACTOR = 4;
 
     private final ActiveSettings settings;
     private final EndpointTable endpoints;
@@ -47,7 +50,10 @@
         this.traffic = traffic;
     }
 
-    /** The candidates, none where the request has to wait. Those that it was sent to only where no others are left. */
+    /**
+     * Returns the candidates; empty if the request has to wait. Endpoints that the request was already sent to are
+     * returned only if there are no others.
+     */
     List<EndpointStats> candidates(RequestState request, long now) {
         if (keyAffinity.appliesTo(request, endpoints.listed().size())) {
             int size =
@@ -55,10 +61,11 @@
             HashRing ring = endpoints.ring();
             return walk(request, ring.endpoints(), ring.startIndex(request.keyHash), size, false, now);
         }
-        TrafficCosts prices = settings.current().costs();
-        double visitInterval = prices.handshake() > 0 ? PRICED_VISIT_INTERVAL_SECONDS : VISIT_INTERVAL_SECONDS;
-        int size = (int) Math.max(MIN_SUBSET_SIZE, traffic.arrivalsPerSecond() * visitInterval);
-        boolean preferOwnZone = prices.crossZone() > prices.handshake();
+        TrafficCosts costs = settings.current().costs();
+        double requestIntervalSeconds =
+                costs.handshake() > 0 ? REQUEST_INTERVAL_WITH_HANDSHAKE_COST_SECONDS : REQUEST_INTERVAL_SECONDS;
+        int size = (int) Math.max(MIN_SUBSET_SIZE, traffic.arrivalsPerSecond() * requestIntervalSeconds);
+        boolean preferOwnZone = costs.crossZone() > costs.handshake();
         return walk(request, endpoints.subsetOrder(), 0, size, preferOwnZone, now);
     }
 
@@ -69,28 +76,30 @@
             int subsetSize,
             boolean preferOwnZone,
             long now) {
-        List<EndpointStats> fresh = new ArrayList<>();
+        List<EndpointStats> untried = new ArrayList<>();
         List<EndpointStats> alreadyTried = new ArrayList<>();
         AttemptState firstThatMayHaveRun = RetrySafetyRule.firstThatMayHaveRun(request);
-        int zone = settings.current().zone();
-        int warm = 0;
-        int warmCounted = 0;
+        int ownZone = settings.current().zone();
+        int warmCount = 0;
+        int countedWarmCount = 0;
         walkNumber++;
-        for (int i = 0; i < order.length && warmCounted < subsetSize && warm < CROSS_ZONE_REACH * subsetSize; i++) {
+        for (int i = 0;
+                i < order.length && countedWarmCount < subsetSize && warmCount < CROSS_ZONE_WALK_FACTOR * subsetSize;
+                i++) {
             EndpointStats stats = order[(startIndex + i) % order.length];
-            if (stats.lastWalk == walkNumber) {
+            if (stats.lastWalkNumber == walkNumber) {
                 continue;
             }
-            stats.lastWalk = walkNumber;
+            stats.lastWalkNumber = walkNumber;
             if (isCandidate(stats, request, firstThatMayHaveRun, now)) {
-                (request.wasSentTo(stats) ? alreadyTried : fresh).add(stats);
+                (request.wasSentTo(stats) ? alreadyTried : untried).add(stats);
                 if (slowStart.isWarm(stats, now)) {
-                    warm++;
-                    warmCounted += preferOwnZone && stats.endpoint.zone() != zone ? 0 : 1;
+                    warmCount++;
+                    countedWarmCount += preferOwnZone && stats.endpoint.zone() != ownZone ? 0 : 1;
                 }
             }
         }
-        return fresh.isEmpty() ? alreadyTried : fresh;
+        return untried.isEmpty() ? alreadyTried : untried;
     }
 
     private boolean isCandidate(EndpointStats stats, RequestState request, AttemptState firstThatMayHaveRun, long now) {
@@ -101,8 +110,8 @@
     }
 
     /**
-     * An endpoint that has just started and is due for its first request, which this one may be, or null. Where traffic
-     * is thin, the ranking alone may leave such an endpoint out for long.
+     * Returns an endpoint that has just started and is due for its first request, if this request may be the first one,
+     * or null. With little traffic, ranking alone might not select such an endpoint for a long time.
      */
     EndpointStats dueForFirstRequest(RequestState request, long now) {
         boolean repeatable = request.isIdempotent() || !settings.anyIdempotentClass();
--- a/core/src/main/java/loadbalancer/policy/DiscoveryMode.java
+++ b/core/src/main/java/loadbalancer/policy/DiscoveryMode.java
@@ -1,9 +1,9 @@
 package loadbalancer.policy;
 
-/** How a balancer learns of changes of the endpoint list. */
+/** How a balancer learns of changes to the endpoint list. */
 public enum DiscoveryMode {
-    /** Discovery sends changes unasked. */
+    /** Discovery sends changes without being asked. */
     PUSH,
-    /** Discovery answers when it is asked to watch or to fetch the list. */
+    /** Discovery sends changes only when the balancer asks to watch or to fetch the list. */
     POLL
 }
--- a/core/src/main/java/loadbalancer/policy/EndpointState.java
+++ b/core/src/main/java/loadbalancer/policy/EndpointState.java
@@ -2,10 +2,10 @@
 
 /** Whether an endpoint may be used. */
 public enum EndpointState {
-    /** It takes requests. */
+    /** The endpoint accepts requests. */
     UP,
-    /** It finishes its work and is sent no more. */
+    /** The endpoint finishes the requests in flight and is sent no new ones. */
     DRAINING,
-    /** It is no longer there. */
+    /** The endpoint no longer exists. */
     GONE
 }
--- a/core/src/main/java/loadbalancer/policy/EndpointStats.java
+++ b/core/src/main/java/loadbalancer/policy/EndpointStats.java
@@ -3,43 +3,44 @@
 import java.util.ArrayDeque;
 
 /**
- * What this balancer knows about one start of one endpoint. Plain state: the classes that hold the rules read and write
- * it. Counts called decayed are in units of {@link DecayScale}; times are microseconds.
+ * What this balancer knows about an endpoint since its last start. This class only holds state; the classes that
+ * implement the rules read and write it. Counts documented as decayed are in units of {@link DecayScale}; times are in
+ * microseconds.
  */
 final class EndpointStats {
-    /** The endpoint as last listed. */
+    /** The endpoint as in the latest list. */
     Endpoint endpoint;
 
     final long idHash;
 
-    /** Random, so that endpoints with equal accomplishment have no common order in all balancers. */
+    /** Random, so that balancers order endpoints with equal accomplishment differently. */
     final int tieBreaker;
 
-    /** The paper's accomplishment: decayed number of attempts sent, less those that failed. */
+    /** Decayed number of attempts sent, less those that failed; see {@link AccomplishmentRanking}. */
     double accomplishment;
 
     int ringPoints;
 
     /** Number of the last walk over the hash ring that visited this endpoint. */
-    int lastWalk;
+    int lastWalkNumber;
 
     int attemptsInFlight;
 
-    /** Requests in flight by the endpoint's last load report. */
+    /** Requests in flight according to the last load report of the endpoint. */
     double reportedInFlight;
 
-    /** Time of that report, 0 before the first one. */
+    /** Time of the last load report, 0 before the first one. */
     long reportedAt;
 
-    /** Moving mean of latency over expected latency, at {@link #slownessAt}. */
+    /** Moving mean of the ratio of latency to expected latency, as of {@link #slownessAt}. */
     double slowness = 1;
 
     long slownessAt;
 
-    /** Attempts by the time they were sent; those that have ended are dropped lazily. */
+    /** Attempts in the order in which they were sent; those that have ended are removed lazily. */
     final ArrayDeque<AttemptState> attempts = new ArrayDeque<>();
 
-    /** Until when each failed attempt still counts as part of the queue. */
+    /** Times until which failed attempts still count as part of the queue. */
     final ArrayDeque<Long> failedSlotExpiries = new ArrayDeque<>();
 
     /** Decayed. */
@@ -50,20 +51,20 @@
 
     long lastSuccessAt;
 
-    /** A freshly started endpoint is sent a request by then, whatever its rank. */
+    /** Time from which a freshly started endpoint is due for its first request, whatever its rank. */
     long firstRequestDueAt = Long.MAX_VALUE;
 
     long ejectedUntil;
 
     int ejectionCount;
 
-    /** An endpoint that has rejected an attempt is not used before then. */
+    /** Time before which the endpoint is not used because it has rejected an attempt. */
     long saturatedUntil;
 
-    /** Successes still needed to end probation, 0 outside of it. */
+    /** Number of successes still needed to end probation, 0 if the endpoint is not on probation. */
     int probationSuccessesLeft;
 
-    /** Attempts that slow start allows now. */
+    /** Number of attempts that slow start allowed at {@link #slowStartTokensAt}. */
     double slowStartTokens;
 
     long slowStartTokensAt;
--- a/core/src/main/java/loadbalancer/policy/EndpointTable.java
+++ b/core/src/main/java/loadbalancer/policy/EndpointTable.java
@@ -8,17 +8,17 @@
 import java.util.SplittableRandom;
 
 /**
- * The endpoints that this balancer knows: those of the list, and those that have gone while attempts of them are in
- * flight. An endpoint that has started anew is another one, about which nothing is known.
+ * The endpoints that this balancer knows: those on the list, and those that are gone but still have attempts in flight.
+ * An endpoint that has restarted is treated as a new one, about which nothing is known.
  */
 final class EndpointTable {
-    /** Points on the hash ring of an endpoint of mean weight. */
-    private static final int RING_POINTS = 8;
+    /** Number of points on the hash ring of an endpoint of mean weight. */
+    private static final int RING_POINTS_OF_MEAN_WEIGHT = 8;
 
-    private static final int MAX_RING_POINTS = 8 * RING_POINTS;
+    private static final int MAX_RING_POINTS = 8 * RING_POINTS_OF_MEAN_WEIGHT;
 
-    /** A freshly started endpoint waits no longer than this for its first request. */
-    private static final long FIRST_REQUEST_DELAY_MICROS = 1_500_000;
+    /** Maximum time that a freshly started endpoint waits for its first request. */
+    private static final long MAX_FIRST_REQUEST_DELAY_MICROS = 1_500_000;
 
     private final ActiveSettings settings;
     private final SplittableRandom random;
@@ -35,27 +35,27 @@
         this.slowStart = slowStart;
     }
 
-    /** All endpoints, including those that drain or have gone. */
+    /** All known endpoints, including those that are draining or gone. */
     Collection<EndpointStats> all() {
         return endpoints.values();
     }
 
-    /** Endpoints that are up; not to be changed. */
+    /** Endpoints that are up. Callers must not modify the list. */
     List<EndpointStats> listed() {
         return listed;
     }
 
-    /** Ring of the listed endpoints, with more points for greater weights. */
+    /** Hash ring of the listed endpoints, on which endpoints of greater weight have more points. */
     HashRing ring() {
         return ring;
     }
 
-    /** Each listed endpoint once, in the order of the ring from this balancer's position; not to be changed. */
+    /** Each listed endpoint once, in ring order from this balancer's position. Callers must not modify the array. */
     EndpointStats[] subsetOrder() {
         return subsetOrder;
     }
 
-    /** Mean weight of the listed endpoints, 1 without any. */
+    /** Mean weight of the listed endpoints, 1 if there are none. */
     double meanWeight() {
         return meanWeight;
     }
@@ -63,7 +63,7 @@
     /**
      * Updates the table from a list.
      *
-     * @param complete whether endpoints that are not in the list have gone
+     * @param complete whether endpoints that are missing from the list are gone
      */
     void update(long now, boolean complete, List<Endpoint> list) {
         if (complete) {
@@ -90,34 +90,34 @@
         EndpointStats known = endpoints.get(endpoint.id());
         if (known == null || known.endpoint.startedAt() != endpoint.startedAt() && endpoint.startedAt() > 0) {
             if (known != null) {
-                ring.place(known, 0);
+                ring.setPointCount(known, 0);
             }
-            endpoints.put(endpoint.id(), started(now, endpoint));
+            endpoints.put(endpoint.id(), createStats(now, endpoint));
         } else {
             known.endpoint = endpoint;
         }
     }
 
-    private EndpointStats started(long now, Endpoint endpoint) {
+    private EndpointStats createStats(long now, Endpoint endpoint) {
         EndpointStats stats = new EndpointStats(endpoint, random.nextInt());
         stats.slowStartTokens = random.nextDouble();
         stats.slowStartTokensAt = now;
         stats.lastSuccessAt = now;
-        stats.firstRequestDueAt = slowStart.isWarm(stats, now) ? Long.MAX_VALUE : now + FIRST_REQUEST_DELAY_MICROS;
+        stats.firstRequestDueAt = slowStart.isWarm(stats, now) ? Long.MAX_VALUE : now + MAX_FIRST_REQUEST_DELAY_MICROS;
         return stats;
     }
 
-    // Moves only the points of endpoints that have changed: a ring made anew at each step of a deployment would cost
-    // more than all requests in it.
+    // Updates only the points of endpoints that have changed: rebuilding the ring at each step of a deployment would
+    // cost more than all requests during the deployment.
     private void updateRing() {
         meanWeight = listed.stream()
                 .mapToDouble(stats -> stats.endpoint.weight())
                 .average()
                 .orElse(1);
         for (EndpointStats stats : endpoints.values()) {
-            double points = RING_POINTS * stats.endpoint.weight() / meanWeight;
+            double points = RING_POINTS_OF_MEAN_WEIGHT * stats.endpoint.weight() / meanWeight;
             int pointCount = (int) Math.max(1, Math.min(MAX_RING_POINTS, Math.round(points)));
-            ring.place(stats, stats.endpoint.state() == EndpointState.UP ? pointCount : 0);
+            ring.setPointCount(stats, stats.endpoint.state() == EndpointState.UP ? pointCount : 0);
         }
         subsetOrder = ring.uniqueFrom(settings.ringPosition());
     }
--- a/core/src/main/java/loadbalancer/policy/HashRing.java
+++ b/core/src/main/java/loadbalancer/policy/HashRing.java
@@ -6,19 +6,18 @@
 import java.util.TreeMap;
 
 /**
- * A ring of consistent hashing. Each endpoint stands at points that follow from its id alone, so that all balancers
- * have the same ring and a change of the list moves few keys. A change touches only the points of the endpoints that it
- * concerns.
+ * A consistent hash ring. The points of an endpoint are derived from its id alone, so that all balancers have the same
+ * ring and a change to the list moves few keys. An update changes only the points of the affected endpoints.
  */
 final class HashRing {
     private final TreeMap<Long, EndpointStats> points = new TreeMap<>();
 
-    // The ring as arrays, made when asked for after a change.
+    // The ring as parallel arrays, rebuilt on the first use after a change.
     private EndpointStats[] endpoints;
     private long[] positions;
 
-    /** Gives an endpoint that many points; 0 takes it off the ring. */
-    void place(EndpointStats endpoint, int pointCount) {
+    /** Sets the number of points of an endpoint; 0 removes it from the ring. */
+    void setPointCount(EndpointStats endpoint, int pointCount) {
         endpoints = endpoint.ringPoints == pointCount ? endpoints : null;
         while (endpoint.ringPoints < pointCount) {
             points.put(Hashing.mix(endpoint.idHash + endpoint.ringPoints++), endpoint);
@@ -28,7 +27,7 @@
         }
     }
 
-    /** The endpoint at each point, in the order of the points; not to be changed. */
+    /** The endpoint at each point, in ring order. Callers must not modify the array. */
     EndpointStats[] endpoints() {
         if (endpoints == null) {
             endpoints = points.values().toArray(new EndpointStats[0]);
@@ -37,17 +36,21 @@
         return endpoints;
     }
 
-    /** The index in {@link #endpoints} at which a walk for that key starts; the number of points for the end. */
+    /**
+     * Returns the index in {@link #endpoints} at which a walk for the key starts. It equals the number of points if the
+     * key is beyond the last point.
+     */
     int startIndex(long keyHash) {
         endpoints();
         int index = Arrays.binarySearch(positions, Hashing.mix(keyHash));
         return index < 0 ? -index - 1 : index;
     }
 
-    /** Each endpoint once, in the order in which a walk from that position meets it. */
+    /** Returns each endpoint once, in the order in which a walk from the position reaches it. */
     EndpointStats[] uniqueFrom(long position) {
-        Set<EndpointStats> met = new LinkedHashSet<>(points.tailMap(position).values());
-        met.addAll(points.headMap(position).values());
-        return met.toArray(new EndpointStats[0]);
+        Set<EndpointStats> reached =
+                new LinkedHashSet<>(points.tailMap(position).values());
+        reached.addAll(points.headMap(position).values());
+        return reached.toArray(new EndpointStats[0]);
     }
 }
--- a/core/src/main/java/loadbalancer/policy/Hashing.java
+++ b/core/src/main/java/loadbalancer/policy/Hashing.java
@@ -7,7 +7,7 @@
 
     private Hashing() {}
 
-    /** FNV-1a over the chars of the text, then {@link #mix}. */
+    /** Hashes the characters of the text with FNV-1a, then applies {@link #mix}. */
     static long hash(String text) {
         long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < text.length(); i++) {
@@ -16,7 +16,7 @@
         return mix(hash);
     }
 
-    /** Spreads near numbers over all 64 bits (the finalizer of SplitMix64). */
+    /** Spreads numbers that are close together over all 64 bits (the finalizer of SplitMix64). */
     static long mix(long number) {
         long mixed = (number + 0x9e3779b97f4a7c15L ^ number >>> 30) * 0xbf58476d1ce4e5b9L;
         mixed = (mixed ^ mixed >>> 27) * 0x94d049bb133111ebL;
--- a/core/src/test/java/loadbalancer/policy/HashRingTest.java
+++ b/core/src/test/java/loadbalancer/policy/HashRingTest.java
@@ -20,7 +20,7 @@
         List<EndpointStats> fleet = new ArrayList<>();
         for (int i = 0; i < size; i++) {
             EndpointStats endpoint = endpoint("s" + i);
-            ring.place(endpoint, POINTS);
+            ring.setPointCount(endpoint, POINTS);
             fleet.add(endpoint);
         }
         return fleet;
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void aWalkMeetsEachEndpointOnceFromAnyPosition() {
+    void aWalkFromAnyPositionReachesEachEndpointOnce() {
         HashRing ring = new HashRing();
         List<EndpointStats> fleet = fleet(ring, 50);
         for (long position : new long[] {Long.MIN_VALUE, -1, 0, Long.MAX_VALUE}) {
@@ -42,24 +42,24 @@
     }
 
     @Test
-    void anEndpointThatLeavesMovesItsOwnKeysOnlyAndGetsThemBack() {
+    void removingAnEndpointMovesOnlyItsKeysAndAddingItAgainRestoresThem() {
         HashRing ring = new HashRing();
         List<EndpointStats> fleet = fleet(ring, 50);
-        List<String> before = new ArrayList<>();
+        List<String> formerOwners = new ArrayList<>();
         for (long key = 0; key < 2_000; key++) {
-            before.add(owner(ring, key));
+            formerOwners.add(owner(ring, key));
         }
-        ring.place(fleet.get(7), 0);
+        ring.setPointCount(fleet.get(7), 0);
         for (int key = 0; key < 2_000; key++) {
-            String was = before.get(key);
+            String formerOwner = formerOwners.get(key);
             assertTrue(
-                    !was.equals("s7")
-                            ? owner(ring, key).equals(was)
+                    !formerOwner.equals("s7")
+                            ? owner(ring, key).equals(formerOwner)
                             : !owner(ring, key).equals("s7"));
         }
-        ring.place(fleet.get(7), POINTS);
+        ring.setPointCount(fleet.get(7), POINTS);
         for (int key = 0; key < 2_000; key++) {
-            assertEquals(before.get(key), owner(ring, key));
+            assertEquals(formerOwners.get(key), owner(ring, key));
         }
     }
 
