--- a/core/src/main/java/loadbalancer/policy/EndpointListKind.java
+++ b/core/src/main/java/loadbalancer/policy/EndpointListKind.java
@@ -2,24 +2,24 @@
 
 /** Where an endpoint list comes from, and whether it is complete. */
 public enum EndpointListKind {
-    /** The complete list that was kept over a restart of the balancer. */
+    /** The complete list, kept across a restart of the balancer. */
     CACHED,
     /** The complete list, from discovery. */
     SNAPSHOT,
     /** Changes only, from discovery. */
     DELTA,
-    /** Nothing: discovery could not be reached or did not answer. */
+    /** No list: discovery could not be reached or did not respond. */
     UNAVAILABLE,
-    /** Changes that this balancer's operators made, which say nothing about discovery. */
+    /** Changes made by this balancer's operators, which say nothing about discovery. */
     LOCAL_OVERRIDE;
 
-    /** Whether endpoints that the list lacks have gone. */
+    /** Whether endpoints that are missing from the list are gone. */
     public boolean isComplete() {
         return this == CACHED || this == SNAPSHOT;
     }
 
     /** Whether the list shows that discovery can be reached. */
-    public boolean isAnswerOfDiscovery() {
+    public boolean isFromDiscovery() {
         return this == SNAPSHOT || this == DELTA;
     }
 }
--- a/core/src/main/java/loadbalancer/policy/JsqDasPolicy.java
+++ b/core/src/main/java/loadbalancer/policy/JsqDasPolicy.java
@@ -5,9 +5,9 @@
 import java.util.Locale;
 
 /**
- * Load balancing by JSQ-DAS (Gardner and Stephens, "Smart Dispatching in Heterogeneous Systems"), within the rules of
- * the site. This class takes the events and carries a request through them; what is to be done is decided by the
- * classes that it calls, one for each rule:
+ * Load balancing by JSQ-DAS (Gardner and Stephens, "Smart Dispatching in Heterogeneous Systems"), within the
+ * rules of the site. This class receives the events and tracks each request until it is closed. The decisions are made
+ * by the classes that it calls, one for each rule:
  *
  * <ul>
  *   <li>whether a request is admitted: {@link AdmissionController}, {@link PriorityTiers}, {@link TenantQuotas};
@@ -16,8 +16,8 @@
  *   <li>which of them it goes to: {@link JsqDasSelector} with {@link AccomplishmentRanking} and {@link
  *       QueueLengthEstimator};
  *   <li>when it is sent: {@link RequestQueue}, {@link KeySequencer};
- *   <li>what follows an attempt: {@link OutcomeRecorder}, {@link RetryPolicy}, {@link HedgingPolicy};
- *   <li>when discovery is asked: {@link PollSchedule}.
+ *   <li>what happens after an attempt: {@link OutcomeRecorder}, {@link RetryPolicy}, {@link HedgingPolicy};
+ *   <li>when discovery is polled: {@link PollSchedule}.
  * </ul>
  *
  * <p>Not thread-safe, as {@link LoadBalancingPolicy} says.
@@ -30,9 +30,10 @@
     private long wakeAt = Long.MAX_VALUE;
 
     /**
-     * A policy for a balancer that has just started.
+     * Creates a policy for a balancer that has just started.
      *
-     * @param seed of all random choices: the same events in the same order with the same seed give the same actions
+     * @param seed seed of all random choices: with the same seed, the same events in the same order give the same
+     *     actions
      */
     public JsqDasPolicy(PolicySettings settings, long seed) {
         components = new PolicyComponents(settings, seed);
@@ -45,7 +46,7 @@
     public void endpoints(long now, EndpointListKind kind, List<Endpoint> list, Actions actions) {
         if (wakeAt == Long.MAX_VALUE) {
             statistics.start(now);
-            wakeBy(now, components.settings.tickMicros(), actions);
+            requestWakeUp(now, components.settings.tickMicros(), actions);
         }
         if (kind == EndpointListKind.UNAVAILABLE) {
             pollFailed(now, actions);
@@ -53,11 +54,11 @@
         }
         if (kind == EndpointListKind.CACHED && components.settings.current().discovery() == DiscoveryMode.POLL) {
             poll(now, actions);
-        } else if (kind.isAnswerOfDiscovery()) {
-            components.polls.answered();
+        } else if (kind.isFromDiscovery()) {
+            components.polls.recordResponse();
         }
         if (!kind.isComplete() && list.isEmpty()) {
-            return; // changes of endpoints that are outside of this balancer's part of the list, or none
+            return; // no changes, or only to endpoints outside of this balancer's subset of the list
         }
         components.endpoints.update(now, kind.isComplete(), list);
         components.selector.updateTopFraction(components.endpoints.listed());
@@ -66,12 +67,12 @@
 
     private void pollFailed(long now, Actions actions) {
         long pollIntervalMicros = components.settings.current().bounds().pollIntervalMicros();
-        int failures = components.polls.pollFailed(now, pollIntervalMicros);
+        int failures = components.polls.recordFailure(now, pollIntervalMicros);
         components.log.log(now, () -> "discovery failed " + failures + " times, polling again", actions);
     }
 
     private void poll(long now, Actions actions) {
-        components.polls.polled(now, components.settings.current().bounds().pollIntervalMicros());
+        components.polls.recordPoll(now, components.settings.current().bounds().pollIntervalMicros());
         actions.watch(true);
     }
 
@@ -94,10 +95,10 @@
         RequestState request =
                 components.requestFactory.create(now, id, requestClass, tenant, key, timeLeftMicros, work, clientRetry);
         components.openRequests.add(request);
-        wakeBy(now, components.settings.tickMicros(), actions);
+        requestWakeUp(now, components.settings.tickMicros(), actions);
         components.retryBudget.deposit();
         if (!components.admission.admit(components.settings.tiers().tierOf(request))) {
-            components.log.log(now, this::sheddingLine, actions);
+            components.log.log(now, this::sheddingLogLine, actions);
             components.openRequests.endNotAdmitted(request, actions);
             return;
         }
@@ -107,7 +108,7 @@
         dispatcher.sendOrQueue(request, now, actions);
     }
 
-    private String sheddingLine() {
+    private String sheddingLogLine() {
         return String.format(
                 Locale.ROOT,
                 "overload: rejecting requests, shed level %.2f, overload score %.2f",
@@ -197,7 +198,7 @@
     @Override
     public void wake(long now, Actions actions) {
         if (now < wakeAt) {
-            return; // asked for before an earlier one was
+            return; // an outdated wake-up: an earlier one was requested after it
         }
         wakeAt = Long.MAX_VALUE;
         statistics.advance(now);
@@ -213,10 +214,11 @@
             poll(now, actions);
         }
         boolean idle = components.openRequests.all().isEmpty();
-        wakeBy(now, idle ? StatisticsUpdater.REFRESH_INTERVAL_MICROS : components.settings.tickMicros(), actions);
+        requestWakeUp(
+                now, idle ? StatisticsUpdater.REFRESH_INTERVAL_MICROS : components.settings.tickMicros(), actions);
     }
 
-    private void wakeBy(long now, long delayMicros, Actions actions) {
+    private void requestWakeUp(long now, long delayMicros, Actions actions) {
         if (now + delayMicros < wakeAt) {
             wakeAt = now + delayMicros;
             actions.wakeAfter(delayMicros);
@@ -224,11 +226,11 @@
     }
 
     @Override
-    public void reconfigure(long now, PolicySettings next, int[] formerClasses, int[] formerTenants) {
-        Collection<RequestState> open = components.openRequests.all();
-        ClassRemapping remapping = ClassRemapping.of(formerClasses, components.latencies.classCount(), open);
-        components.settings.replace(next);
-        open.forEach(remapping::apply);
+    public void reconfigure(long now, PolicySettings newSettings, int[] formerClasses, int[] formerTenants) {
+        Collection<RequestState> openRequests = components.openRequests.all();
+        ClassRemapping remapping = ClassRemapping.of(formerClasses, components.latencies.classCount(), openRequests);
+        components.settings.replace(newSettings);
+        openRequests.forEach(remapping::apply);
         components.latencies.remap(remapping);
         components.clientRetryAge.remap(remapping);
         components.admission.updateTiers(
--- a/core/src/main/java/loadbalancer/policy/JsqDasSelector.java
+++ b/core/src/main/java/loadbalancer/policy/JsqDasSelector.java
@@ -10,16 +10,17 @@
  * with the highest accomplishment form the top group. <i>a</i> candidates are sampled from it and <i>d - a</i> from the
  * rest, without replacement, and the one with the shortest queue is selected; ties go to the higher rank.
  *
- * <p>Source: Gardner and Stephens, "Smart Dispatching in Heterogeneous Systems", whose symbols and defaults these are.
+ * <p>Source: Gardner and Stephens, "Smart Dispatching in Heterogeneous Systems". The symbols and default values are
+ * those of the paper.
  */
 final class JsqDasSelector {
-    /** The paper's <i>d</i>: endpoints sampled for a request. */
+    /** The paper's <i>d</i>: number of endpoints sampled for a request. */
     private static final int SAMPLE_SIZE = 4;
 
     /** The paper's <i>a</i>: how many of them are sampled from the top group. */
     private static final int TOP_SAMPLE_SIZE = 2;
 
-    /** The paper's <i>p</i> where endpoints don't differ in kind. */
+    /** The paper's <i>p</i>, used if all endpoints are of the same machine kind. */
     private static final double DEFAULT_TOP_FRACTION = 0.5;
 
     private final SplittableRandom random;
@@ -31,7 +32,7 @@
         this.queueLengths = queueLengths;
     }
 
-    /** Selects one of the candidates, of which there is at least one. */
+    /** Selects one of the candidates; there must be at least one. */
     EndpointStats select(List<EndpointStats> candidates, long now) {
         int count = candidates.size();
         if (count == 1) {
@@ -46,15 +47,16 @@
         return shortestSampled(ranked, topCount, count, restSamples, shortestOfTop, now);
     }
 
-    // Samples from the positions [from, to) by swapping the sampled ones to the front of that range.
+    // Samples from the positions [from, to) without replacement: each sampled endpoint is swapped to the front of the
+    // range.
     private EndpointStats shortestSampled(
             EndpointStats[] endpoints, int from, int to, int samples, EndpointStats shortestSoFar, long now) {
         EndpointStats shortest = shortestSoFar;
         double shortestLength = shortest == null ? 0 : queueLengths.queueLength(shortest, now);
         for (int i = from; i < from + samples; i++) {
-            int drawn = i + random.nextInt(to - i);
-            EndpointStats sampled = endpoints[drawn];
-            endpoints[drawn] = endpoints[i];
+            int sampledIndex = i + random.nextInt(to - i);
+            EndpointStats sampled = endpoints[sampledIndex];
+            endpoints[sampledIndex] = endpoints[i];
             endpoints[i] = sampled;
             double length = queueLengths.queueLength(sampled, now);
             if (shortest == null
@@ -67,7 +69,7 @@
         return shortest;
     }
 
-    /** Sets <i>p</i>: the fraction of endpoints of the kinds whose mean weight is not below the mean of all. */
+    /** Sets <i>p</i> to the fraction of endpoints whose machine kind has at least the mean weight of all endpoints. */
     void updateTopFraction(List<EndpointStats> listed) {
         Map<Integer, KindWeights> kinds = new LinkedHashMap<>();
         double totalWeight = 0;
@@ -86,7 +88,7 @@
         topFraction = kinds.size() < 2 ? DEFAULT_TOP_FRACTION : fastCount / listed.size();
     }
 
-    /** Sum of weights and number of the endpoints of one kind. */
+    /** Total weight and number of the endpoints of one machine kind. */
     private static final class KindWeights {
         private double totalWeight;
         private double count;
--- a/core/src/main/java/loadbalancer/policy/KeyAffinity.java
+++ b/core/src/main/java/loadbalancer/policy/KeyAffinity.java
@@ -4,20 +4,21 @@
 import java.util.Map;
 
 /**
- * Sends the requests of a key to few endpoints, which have what the key needs at hand. They are the same for all
- * balancers, however little of the key one of them sees, as what all of them send keeps the endpoints warm.
+ * Sends the requests of a key to few endpoints, as an endpoint needs less work for a key that it served recently. All
+ * balancers choose the same endpoints for a key, however few of its requests a single balancer receives, because the
+ * requests of all balancers together keep the endpoints warm for the key.
  *
- * <p>A key that a large part of the requests concern gets more endpoints, so that it adds little to the load of each.
+ * <p>A key with a large fraction of the requests gets more endpoints, so that it adds little to the load of each.
  */
 final class KeyAffinity {
-    /** Beyond so many endpoints a balancer can't keep connections to all, and keys don't count. */
+    /** Maximum number of endpoints with key affinity; a balancer can't keep connections to all of a longer list. */
     private static final int MAX_ENDPOINTS = 2_048;
 
-    /** Endpoints of a key at least: few enough that all of them are sampled. */
+    /** Minimum number of endpoints for a key: few enough that all of them are sampled. */
     private static final int MIN_SUBSET_SIZE = 3;
 
-    /** A key adds at most the inverse of this to the load of each of its endpoints. */
-    private static final double SPREAD = 4;
+    /** A key adds at most 1 / SPREAD_FACTOR of the mean load to each of its endpoints. */
+    private static final double SPREAD_FACTOR = 4;
 
     private final ActiveSettings settings;
     private final DecayScale scale;
@@ -28,25 +29,25 @@
         this.scale = scale;
     }
 
-    /** Counts a request that concerns the key, or null, and that its client sends for the first time. */
+    /** Counts a request that its client sends for the first time; its key may be null. */
     void recordArrival(String key) {
         if (settings.current().keyAffinity() && key != null) {
             requestCounts.merge(Hashing.hash(key), scale.unit(), Double::sum);
         }
     }
 
-    /** Whether the endpoints of a request depend on its key. */
+    /** Whether the candidates of the request depend on its key. */
     boolean appliesTo(RequestState request, int listedCount) {
         return settings.current().keyAffinity() && request.keyHash != 0 && listedCount <= MAX_ENDPOINTS;
     }
 
     /**
-     * How many endpoints the key's requests are spread over.
+     * Returns the number of endpoints over which the requests of the key are spread.
      *
      * @param arrivals decayed count of all requests
      */
     int subsetSize(long keyHash, int listedCount, double arrivals) {
-        return (int) Math.max(MIN_SUBSET_SIZE, SPREAD * fractionOfArrivals(keyHash, arrivals) * listedCount);
+        return (int) Math.max(MIN_SUBSET_SIZE, SPREAD_FACTOR * fractionOfArrivals(keyHash, arrivals) * listedCount);
     }
 
     private double fractionOfArrivals(long keyHash, double arrivals) {
@@ -54,12 +55,11 @@
         return Math.max(0, otherRequests) / Math.max(1, arrivals);
     }
 
-    /** Forgets keys that have hardly been asked for of late. */
+    /** Removes keys that were hardly requested recently. */
     void prune() {
         requestCounts.values().removeIf(count -> count < scale.unit() / 2);
     }
 
-    /** Forgets all keys. */
     void clear() {
         requestCounts.clear();
     }
--- a/core/src/main/java/loadbalancer/policy/KeyScope.java
+++ b/core/src/main/java/loadbalancer/policy/KeyScope.java
@@ -4,8 +4,8 @@
 public enum KeyScope {
     /** All endpoints. */
     ALL,
-    /** Those of the same zone. */
+    /** Endpoints of the same zone. */
     ZONE,
-    /** Those of the same cell. */
+    /** Endpoints of the same cell. */
     CELL
 }
--- a/core/src/main/java/loadbalancer/policy/LoadBalancingPolicy.java
+++ b/core/src/main/java/loadbalancer/policy/LoadBalancingPolicy.java
@@ -3,31 +3,31 @@
 import java.util.List;
 
 /**
- * The interface of the decisions of one balancer: the events that the balancer reports (the methods below), and what
- * the policy may ask for in return ({@link Actions}). The balancer carries actions out and decides nothing.
+ * Makes the decisions of one balancer. The balancer reports events by calling the methods below, and the policy
+ * requests {@link Actions} in return. The balancer carries the actions out and decides nothing itself.
  *
  * <p>All times and durations are microseconds in a {@code long}; {@code now} is the caller's clock and never goes back.
- * Ids are opaque. One object serves one balancer and is not thread-safe: events are handed over one at a time, in the
- * order in which they happened, and each returns before the next. Actions are carried out in the order in which they
- * are asked for, at the time {@code now}.
+ * Ids are opaque. An instance serves one balancer and is not thread-safe: events are delivered one at a time, in the
+ * order in which they happened, and each call returns before the next one. Actions are carried out in the order in
+ * which they are requested, at the time {@code now}.
  *
- * <p>A new or restarted balancer is a new object, and its first event is {@link #endpoints} with {@link
+ * <p>A new or restarted balancer uses a new instance, and its first event is {@link #endpoints} with {@link
  * EndpointListKind#CACHED}. Events about requests, attempts or endpoints that the policy no longer knows are legal and
  * ignored.
  */
 public interface LoadBalancingPolicy {
 
-    /** A list of endpoints has come; {@code endpoints} is empty for {@link EndpointListKind#UNAVAILABLE}. */
+    /** An endpoint list has arrived; {@code endpoints} is empty for {@link EndpointListKind#UNAVAILABLE}. */
     void endpoints(long now, EndpointListKind kind, List<Endpoint> endpoints, Actions actions);
 
     /**
-     * A request has come in and is owed one final answer before {@code timeLeftMicros} is over.
+     * A request has arrived. It must get exactly one final answer within {@code timeLeftMicros}.
      *
      * @param requestClass index of its class in the settings
-     * @param tenant index of its tenant in the settings, 0 where there are none
+     * @param tenant index of its tenant in the settings, 0 if there are none
      * @param key what the request concerns, or null
      * @param work the client's estimate of the work, or -1
-     * @param clientRetry the client says that it has tried before
+     * @param clientRetry whether the client says that it has sent this request before
      */
     void request(
             long now,
@@ -41,12 +41,13 @@
             Actions actions);
 
     /**
-     * An attempt has ended; each attempt that was sent ends once.
+     * An attempt has ended. Each attempt that was sent ends exactly once.
      *
-     * @param attempt the request's attempts are numbered 0, 1, 2 ... in the order in which they were sent
-     * @param latencyMicros time since it was sent
-     * @param closed the request has had its final answer (the caller passes an OK to the client)
-     * @param load null where no report came with it
+     * @param attempt number of the attempt; a request's attempts are numbered from 0 in the order in which they were
+     *      sent
+     * @param latencyMicros time since the attempt was sent
+     * @param closed whether the request has had its final answer (the caller passes an OK to the client)
+     * @param load null if no load report came with the outcome
      */
     void outcome(
             long now,
@@ -58,36 +59,36 @@
             LoadReport load,
             Actions actions);
 
-    /** A streamed answer has begun: the attempt belongs to the client, its time-outs no longer hold. */
+    /** A streamed response has begun. The client receives it from this attempt, whose timeouts no longer apply. */
     void streamStarted(long now, String request, int attempt, Actions actions);
 
-    /** The client has left: it is owed nothing more. */
+    /** The client has disconnected and needs no answer any more. */
     void clientGone(long now, String request, Actions actions);
 
-    /** A probe has come back. */
+    /** A probe has ended. */
     void probed(
             long now, String endpoint, AttemptOutcome outcome, long latencyMicros, LoadReport load, Actions actions);
 
-    /** The time asked for with {@link Actions#wakeAfter} has come. */
+    /** The time requested with {@link Actions#wakeAfter} has come. */
     void wake(long now, Actions actions);
 
-    /** A message from another balancer has come. The default ignores it. */
+    /** A message from another balancer has arrived. The default implementation ignores it. */
     default void peerMessage(long now, int from, byte[] data, Actions actions) {}
 
     /**
-     * Applies new settings to requests that come from here on. What has been learned stays.
+     * Applies new settings to requests that arrive from now on. Learned state is kept.
      *
-     * @param formerClasses for each class of the new settings its index in the former ones, or -1
+     * @param formerClasses for each class of the new settings, its index in the former settings, or -1
      * @param formerTenants the same for tenants
      */
     default void reconfigure(long now, PolicySettings settings, int[] formerClasses, int[] formerTenants) {}
 
-    /** What has been learned, for the policy of a successor process to go on from. */
+    /** Returns what the policy has learned, for the policy of a successor process. */
     default LearnedState learnedState(long now) {
         return LearnedState.NONE;
     }
 
-    /** Goes on from what the policy of a predecessor process has learned; what doesn't fit is ignored. */
+    /** Restores what the policy of a predecessor process has learned; parts that don't fit are ignored. */
     default void restore(long now, LearnedState learnedState) {}
 
     /**
@@ -97,39 +98,42 @@
      */
     default void setSlowStartBudgetFactor(double factor) {}
 
-    /** What a policy may ask for; the caller implements it. */
+    /** Actions that a policy may request; the caller implements them. */
     interface Actions {
-        /** Send an attempt; a {@code timeoutMicros} of 0 means until the request's deadline. */
+        /** Sends an attempt; a {@code timeoutMicros} of 0 means until the request's deadline. */
         void send(String request, String endpoint, long timeoutMicros);
 
-        /** Final answer: rejected, a retry by the client is harmless; {@code retryAfterMicros} 0 gives no advice. */
+        /**
+         * Final answer: the request is rejected, and a retry by the client is harmless. A {@code retryAfterMicros} of 0
+         * gives no advice.
+         */
         void reject(String request, long retryAfterMicros);
 
-        /** Final answer: failed, the request may have been executed. */
+        /** Final answer: the request has failed and may have been executed. */
         void fail(String request);
 
-        /** Stop waiting for an attempt. */
+        /** Stops waiting for an attempt. */
         void cancel(String request, int attempt);
 
-        /** Ask an endpoint for its load. */
+        /** Asks an endpoint for its load. */
         void probe(String endpoint);
 
-        /** Subscribe to changes of the list from here on, or end the subscription. */
+        /** Subscribes to changes of the endpoint list from now on, or ends the subscription. */
         void watch(boolean on);
 
-        /** Fetch the complete list once. */
+        /** Fetches the complete endpoint list once. */
         void fetchList();
 
-        /** Close the idle connections to an endpoint. */
+        /** Closes the idle connections to an endpoint. */
         void closeIdle(String endpoint);
 
-        /** Send at most 256 bytes to the balancer of that number, or to all where {@code peer} is -1. */
+        /** Sends at most 256 bytes to the balancer with that number, or to all if {@code peer} is -1. */
         void sendToPeer(int peer, byte[] data);
 
-        /** Call {@link LoadBalancingPolicy#wake} once after that time. */
+        /** Calls {@link LoadBalancingPolicy#wake} once after the delay. */
         void wakeAfter(long delayMicros);
 
-        /** Write a line to the log of the operators. */
+        /** Writes a line to the operators' log. */
         void log(String line);
     }
 }
--- a/core/src/main/java/loadbalancer/policy/LoadReport.java
+++ b/core/src/main/java/loadbalancer/policy/LoadReport.java
@@ -1,14 +1,14 @@
 package loadbalancer.policy;
 
 /**
- * An endpoint's own report of its load; a figure that the report lacks is NaN.
+ * An endpoint's own report of its load. Values that the report lacks are NaN.
  *
- * @param inFlight requests in flight
- * @param queued requests that wait in the endpoint
+ * @param inFlight number of requests in flight
+ * @param queued number of requests that wait at the endpoint
  * @param utilization fraction of the capacity in use
- * @param recentLatencyMicros mean latency of late
+ * @param recentLatencyMicros mean latency of recent requests
  * @param throughput requests per second
- * @param errorsPerSecond requests per second that failed
+ * @param errorsPerSecond failed requests per second
  */
 public record LoadReport(
         double inFlight,
--- a/core/src/main/java/loadbalancer/policy/LoadReporting.java
+++ b/core/src/main/java/loadbalancer/policy/LoadReporting.java
@@ -2,7 +2,7 @@
 
 /** When endpoints report their load. */
 public enum LoadReporting {
-    /** With each answer. */
+    /** With each response. */
     WITH_RESPONSES,
     /** When they are probed. */
     PROBE,
--- a/core/src/main/java/loadbalancer/policy/OutlierDetector.java
+++ b/core/src/main/java/loadbalancer/policy/OutlierDetector.java
@@ -3,18 +3,22 @@
 import java.util.SplittableRandom;
 
 /**
- * Keeps requests from endpoints that fail, are saturated or have fallen silent: as such an endpoint answers at once or
- * not at all, its queue looks short and it would be selected again and again.
+ * Keeps requests away from endpoints that fail, are saturated or have stalled. Such an endpoint responds at once or not
+ * at all, so its queue looks short and it would be selected again and again.
  *
- * <p>Enough failures eject an endpoint for a time that doubles with each ejection. It returns on probation: one attempt
- * at a time, and none that can't be repeated where other requests can, until several in a row have succeeded. When most
- * endpoints look unhealthy the fault is likely elsewhere, and all are used (panic).
+ * <p>Enough failures eject an endpoint for a time that doubles with each ejection. It returns on probation until
+ * several attempts in a row have succeeded: it is sent one attempt at a time and, if any request class is idempotent,
+ * only idempotent requests. When most endpoints look unhealthy, the fault is probably elsewhere, and all endpoints are
+ * used (panic).
  */
 final class OutlierDetector {
-    /** Ejection needs more failures than this. Two within some ten recent attempts are beyond any usual error rate. */
+    /**
+     * An endpoint is ejected only above this number of recent failures. Two failures within some ten recent attempts
+     * exceed any usual error rate.
+     */
     private static final double MIN_FAILURES = 1.6;
 
-    /** Ejection needs that failures are more than this fraction of the recent attempts. */
+    /** An endpoint is ejected only if failures are more than this fraction of the recent attempts. */
     private static final double MIN_FAILURE_FRACTION = 0.15;
 
     private static final long FIRST_EJECTION_MICROS = 1_000_000;
@@ -22,15 +26,16 @@
     private static final int EJECTION_JITTER_DIVISOR = 4;
     private static final int PROBATION_SUCCESSES = 3;
 
-    /** An endpoint that is silent for this multiple of the expected latency has stalled. */
+    /** An endpoint that is silent for more than this multiple of the expected latency has stalled. */
     private static final double STALL_LATENCIES = 3;
 
-    /** An endpoint that only rejects attempts for so long is not merely saturated. */
-    private static final double SATURATED_SILENCE_MICROS = 2_000_000;
+    /** An endpoint that has only rejected attempts for longer than this is failing and not just saturated. */
+    private static final double MAX_SATURATION_MICROS = 2_000_000;
 
-    /** Weight of a failure that the load may have caused. */
+    /** Weight of a failure that load may have caused. */
     private static final double LOAD_FAILURE_WEIGHT = 0.5;
 
+    /** An endpoint counts as saturated for at least this multiple of the expected latency. */
     private static final double MIN_SATURATION_LATENCIES = 0.5;
 
     private final ActiveSettings settings;
@@ -53,12 +58,12 @@
         this.random = random;
     }
 
-    /** Whether the endpoint is a candidate for the request; true of all while most look unhealthy. */
+    /** Whether the endpoint is a candidate for the request; always true while most endpoints look unhealthy. */
     boolean admits(EndpointStats stats, RequestState request, long now) {
         return panic || isHealthyFor(stats, request, now);
     }
 
-    /** Whether the endpoint looks healthy and, on probation, may be sent this request. */
+    /** Whether the endpoint looks healthy and, if it is on probation, may be sent this request. */
     boolean isHealthyFor(EndpointStats stats, RequestState request, long now) {
         return !looksUnhealthy(stats, now)
                 && (stats.probationSuccessesLeft == 0
@@ -77,12 +82,12 @@
         if (oldest == null) {
             return false;
         }
-        double patienceMicros =
+        double maxSilenceMicros =
                 STALL_LATENCIES * latencies.expectedMicros(oldest.request.classIndex) + settings.tickMicros();
-        return now - oldest.sentAt > patienceMicros && now - stats.lastSuccessAt > patienceMicros;
+        return now - oldest.sentAt > maxSilenceMicros && now - stats.lastSuccessAt > maxSilenceMicros;
     }
 
-    /** Determines whether most endpoints look unhealthy. */
+    /** Updates whether most endpoints look unhealthy. */
     void refresh(long now) {
         long unhealthy = endpoints.listed().stream()
                 .filter(stats -> looksUnhealthy(stats, now))
@@ -90,7 +95,7 @@
         panic = 2 * unhealthy > endpoints.listed().size();
     }
 
-    /** Records a success; returns whether it ends the endpoint's probation. */
+    /** Records a success and returns whether it ends the probation of the endpoint. */
     boolean recordSuccess(EndpointStats stats, long now) {
         stats.successCount += scale.unit();
         stats.lastSuccessAt = now;
@@ -102,28 +107,28 @@
         return recovered;
     }
 
-    /** Records a failure of the endpoint; returns the duration of the ejection that follows in µs, or 0. */
+    /** Records a failure of the endpoint; returns the duration in µs of the ejection that follows, or 0. */
     long recordFailure(EndpointStats stats, long now) {
         return recordFailure(stats, 1, now);
     }
 
-    /** Records a timeout, which load may have caused; returns the duration of the ejection that follows in µs, or 0. */
+    /** Records a timeout, which load may have caused; returns the duration in µs of the ejection that follows, or 0. */
     long recordTimeout(EndpointStats stats, long now) {
         return recordFailure(stats, LOAD_FAILURE_WEIGHT, now);
     }
 
     /**
-     * Records a rejection by the endpoint, which is a failure where it has not answered for long: a hung endpoint fills
-     * up and then only rejects.
+     * Records a rejection by the endpoint. It counts as a failure if the endpoint has had no success for long, as a
+     * hung endpoint fills up and then only rejects.
      *
-     * @return duration of the ejection that follows in µs, or 0
+     * @return the duration in µs of the ejection that follows, or 0
      */
     long recordRejection(EndpointStats stats, long now) {
-        boolean silent = now - stats.lastSuccessAt > SATURATED_SILENCE_MICROS;
+        boolean silent = now - stats.lastSuccessAt > MAX_SATURATION_MICROS;
         return recordFailure(stats, silent ? LOAD_FAILURE_WEIGHT : 0, now);
     }
 
-    /** Keeps attempts from an endpoint that has rejected one, for about the expected latency. */
+    /** Keeps requests away from an endpoint that has rejected one, for about the expected latency. */
     void markSaturated(EndpointStats stats, double expectedMicros, long now) {
         stats.saturatedUntil = now + (long) (expectedMicros * (MIN_SATURATION_LATENCIES + random.nextDouble()));
     }
--- a/core/src/main/java/loadbalancer/policy/PlacementRule.java
+++ b/core/src/main/java/loadbalancer/policy/PlacementRule.java
@@ -1,6 +1,6 @@
 package loadbalancer.policy;
 
-/** Placement: a request class may be bound to zones and kinds of machine, which holds for every attempt. */
+/** Restricts the requests of a class to zones and machine kinds. The restriction holds for every attempt. */
 final class PlacementRule {
     private PlacementRule() {}
 
--- a/core/src/main/java/loadbalancer/policy/PolicyComponents.java
+++ b/core/src/main/java/loadbalancer/policy/PolicyComponents.java
@@ -3,11 +3,11 @@
 import java.util.SplittableRandom;
 
 /**
- * The parts of one {@link JsqDasPolicy}, made and connected. Each part is handed what it depends on; this class is for
- * those that work on many of them.
+ * Creates and connects the components of a {@link JsqDasPolicy}. Each component is passed only what it depends on;
+ * classes that work with many components are passed this object.
  *
  * <p>All random choices are drawn from one generator, so that a run can be repeated from its seed. Only the advice to
- * rejected clients has a generator of its own, lest a rejection changes later selections.
+ * rejected clients has its own generator, so that a rejection doesn't change later selections.
  */
 final class PolicyComponents {
     final ActiveSettings settings;
--- a/core/src/main/java/loadbalancer/policy/PolicySettings.java
+++ b/core/src/main/java/loadbalancer/policy/PolicySettings.java
@@ -5,13 +5,13 @@
 /**
  * The settings of one balancer's policy.
  *
- * @param balancers how many balancers share the traffic
- * @param rank number of this one among them, from 0
- * @param zone number of its zone
- * @param overQuotaWeight factor on the priority weight of requests that are over their tenant's quota
- * @param weightByWork whether priority weights are per unit of work; else per request
+ * @param balancers number of balancers that share the traffic
+ * @param rank index of this balancer among them, from 0
+ * @param zone index of the zone of this balancer
+ * @param overQuotaWeight factor on the priority weight of requests over their tenant's quota
+ * @param weightByWork whether priority weights are per unit of work instead of per request
  * @param loadReporting when endpoints report their load
- * @param keyAffinity whether an endpoint needs less work for a key that it served lately
+ * @param keyAffinity whether an endpoint needs less work for a key that it served recently
  * @param tickMicros shortest step of the clock
  */
 public record PolicySettings(
@@ -33,7 +33,7 @@
     /**
      * Copies the lists.
      *
-     * @throws IllegalArgumentException for figures that no balancer can have
+     * @throws IllegalArgumentException if a value is out of its range
      */
     public PolicySettings {
         classes = List.copyOf(classes);
--- a/core/src/main/java/loadbalancer/policy/QueueLengthEstimator.java
+++ b/core/src/main/java/loadbalancer/policy/QueueLengthEstimator.java
@@ -1,34 +1,36 @@
 package loadbalancer.policy;
 
 /**
- * Estimates the queue of an endpoint, in requests at an endpoint of mean weight.
+ * Estimates the queue length of an endpoint, in units of one request at an endpoint of mean weight.
  *
- * <p>It adds this balancer's attempts in flight, the slots of attempts that failed a moment ago, and what the other
- * balancers have there. Without the last part a balancer that sees little of the traffic would nearly always find its
- * own queues empty, and ties would send all of its requests to the same endpoints.
+ * <p>The estimate is the sum of this balancer's attempts in flight, the slots of attempts that failed recently, and the
+ * requests of the other balancers at the endpoint. Without the last part, a balancer with little traffic would nearly
+ * always find its own queues empty, and ties would send all of its requests to the same endpoints.
  *
- * <p>The queues of other balancers are those of the endpoint's load report. Trust in a report decays, towards what
- * Little's law infers: as many as this balancer has at an endpoint on average, in the ratio of the endpoint's latency.
+ * <p>The requests of the other balancers are taken from the endpoint's load report. As a report ages, the estimate
+ * moves from the reported number to an inferred one: by Little's law, each of the other balancers has as many requests
+ * at the endpoint as this balancer has at an endpoint on average, in proportion to the endpoint's latency.
  *
- * <p>Where crossing zones has a price, a queue in another zone counts for longer, so that a crossing gains more than it
- * costs.
+ * <p>If crossing zones has a cost, queues in another zone count as longer, so that a request crosses zones only where
+ * it gains more than the crossing costs.
  */
 final class QueueLengthEstimator {
+    /** Time constant of the moving mean of the attempts in flight. */
     private static final double IN_FLIGHT_SMOOTHING_MICROS = 2_000_000;
 
-    /** Time constant of the trust in a load report, in expected latencies. */
+    /** Time constant of the trust in a load report, in multiples of the shortest expected latency. */
     private static final double REPORT_TRUST_LATENCIES = 2;
 
-    /** Weight of one answer in the slowness of an endpoint. */
+    /** Weight of one response in the slowness of an endpoint. */
     private static final double SLOWNESS_SMOOTHING = 0.25;
 
-    /** One answer counts as no slower than this multiple of the expected latency. */
+    /** The latency of one response counts as at most this multiple of the expected latency. */
     private static final double MAX_LATENCY_RATIO = 4;
 
-    /** By which fraction a queue in another zone seems longer, per unit of price. */
+    /** Fraction by which a queue in another zone counts as longer, per unit of cost. */
     private static final double CROSS_ZONE_PENALTY = 10;
 
-    /** Load reports of so many requests in flight, or more, are ignored as impossible. */
+    /** Load reports with this many requests in flight, or more, are ignored as impossible. */
     private static final double MAX_REPORTED_IN_FLIGHT = 1e6;
 
     private final ActiveSettings settings;
@@ -43,20 +45,21 @@
         this.latencies = latencies;
     }
 
-    /** The estimated queue; the unit is a request at an endpoint of mean weight. */
+    /** Returns the estimated queue length, in units of one request at an endpoint of mean weight. */
     double queueLength(EndpointStats stats, long now) {
         while (!stats.failedSlotExpiries.isEmpty() && stats.failedSlotExpiries.peekFirst() <= now) {
             stats.failedSlotExpiries.pollFirst();
         }
-        double crossing = stats.endpoint.zone() == settings.current().zone()
+        double crossZonePenalty = stats.endpoint.zone() == settings.current().zone()
                 ? 0
                 : CROSS_ZONE_PENALTY * settings.current().costs().crossZone();
-        double requests = stats.attemptsInFlight + stats.failedSlotExpiries.size() + remoteQueueLength(stats, now);
+        double requests =
+                stats.attemptsInFlight + stats.failedSlotExpiries.size() + requestsOfOtherBalancers(stats, now);
         double queue = requests * endpoints.meanWeight() / stats.endpoint.weight();
-        return queue + crossing * (1 + queue);
+        return queue + crossZonePenalty * (1 + queue);
     }
 
-    private double remoteQueueLength(EndpointStats stats, long now) {
+    private double requestsOfOtherBalancers(EndpointStats stats, long now) {
         double relativeWeight = stats.endpoint.weight() / endpoints.meanWeight();
         double trust = stats.reportedAt > 0
                 ? Math.exp(-(now - stats.reportedAt) / (REPORT_TRUST_LATENCIES * latencies.shortestExpectedMicros()))
@@ -68,19 +71,19 @@
         return slowness(stats, now) * (inferred + trust * (stats.reportedInFlight - inferred));
     }
 
-    /** The endpoint's latency in multiples of the expected one; it returns to 1 without answers. */
+    /** The endpoint's latency as a multiple of the expected latency; decays to 1 without responses. */
     static double slowness(EndpointStats stats, long now) {
         return 1 + (stats.slowness - 1) * Math.exp(-(now - stats.slownessAt) / DecayScale.COUNT_DECAY_MICROS);
     }
 
-    /** Records the latency of an answer, in multiples of the expected one, in the endpoint's slowness. */
+    /** Updates the slowness of the endpoint with the latency of a response, as a multiple of the expected latency. */
     void recordLatencyRatio(EndpointStats stats, double latencyRatio, long now) {
         double former = slowness(stats, now);
         stats.slowness = former + SLOWNESS_SMOOTHING * (Math.min(MAX_LATENCY_RATIO, latencyRatio) - former);
         stats.slownessAt = now;
     }
 
-    /** Records a load report; figures that are missing, negative or impossible are ignored. */
+    /** Records a load report; values that are missing, negative or impossibly large are ignored. */
     void recordReport(EndpointStats stats, LoadReport report, long now) {
         if (report != null && report.inFlight() >= 0 && report.inFlight() < MAX_REPORTED_IN_FLIGHT) {
             stats.reportedInFlight = report.inFlight();
@@ -88,7 +91,7 @@
         }
     }
 
-    /** Counts an attempt that failed as part of the queue until that time, as the endpoint may still work on it. */
+    /** Counts a failed attempt as part of the queue until the given time, as the endpoint may still work on it. */
     void keepFailedSlot(EndpointStats stats, long until) {
         stats.failedSlotExpiries.add(until);
     }
--- a/core/src/main/java/loadbalancer/policy/Requirements.java
+++ b/core/src/main/java/loadbalancer/policy/Requirements.java
@@ -1,13 +1,13 @@
 package loadbalancer.policy;
 
-/** Checks of the components of a record. Names in messages are those of the settings file. */
+/** Checks the components of records. Messages use the field names of the settings. */
 final class Requirements {
     private Requirements() {}
 
     /**
-     * Returns where the condition holds.
+     * Throws if the condition doesn't hold.
      *
-     * @throws IllegalArgumentException naming the figure and its value, where it doesn't
+     * @throws IllegalArgumentException naming the field and its value
      */
     static void require(boolean condition, String name, Object value) {
         if (!condition) {
--- a/core/src/main/java/loadbalancer/policy/SafetyBounds.java
+++ b/core/src/main/java/loadbalancer/policy/SafetyBounds.java
@@ -1,15 +1,15 @@
 package loadbalancer.policy;
 
 /**
- * Figures of the site's rules.
+ * Limits that the site's rules set for a balancer.
  *
- * @param responseSlackMicros how late after the deadline an answer may be
- * @param drainGracePeriodMicros how long a draining endpoint finishes its work
+ * @param responseSlackMicros how long after the deadline a response is still in time
+ * @param drainGracePeriodMicros how long a draining endpoint may go on with the requests that it has
  * @param pollIntervalMicros longest time between two polls of discovery
  * @param slowStartInitialWeight weight of an endpoint that has just started, above 0 and at most 1
- * @param slowStartDurationMicros time from the start until the weight is 1
- * @param overloadFactor multiple of its weighted capacity that overloads an endpoint in slow start
- * @param overloadWindowMicros time over which that is taken
+ * @param slowStartDurationMicros time from the start of an endpoint until its weight is 1
+ * @param overloadFactor an endpoint in slow start is overloaded by this multiple of its weighted capacity
+ * @param overloadWindowMicros length of the window in which the load of such an endpoint is measured
  * @param keySequencePauseMicros pause of a key after an attempt that may still run
  */
 public record SafetyBounds(
@@ -22,9 +22,9 @@
         long overloadWindowMicros,
         long keySequencePauseMicros) {
     /**
-     * Checks the figures.
+     * Checks the values.
      *
-     * @throws IllegalArgumentException for figures that no site can have
+     * @throws IllegalArgumentException if a value is out of its range
      */
     public SafetyBounds {
         Requirements.require(keySequencePauseMicros >= 0, "orderPause", keySequencePauseMicros);
--- a/core/src/main/java/loadbalancer/policy/SiteLimits.java
+++ b/core/src/main/java/loadbalancer/policy/SiteLimits.java
@@ -3,12 +3,12 @@
 /**
  * What the site allows a balancer to do.
  *
- * @param maxAttempts attempts of one request
+ * @param maxAttempts maximum number of attempts for one request
  * @param hedgingAllowed whether a request may have two attempts in flight
  * @param cancellationAllowed whether attempts may be cancelled
  * @param probingAllowed whether endpoints may be probed
- * @param connectTimeoutMicros time that a connection has to be made
- * @param maxRetryAfterMicros longest advice that clients observe, or 0
+ * @param connectTimeoutMicros time within which a connection must be established
+ * @param maxRetryAfterMicros longest Retry-After advice that clients follow, 0 if they follow none
  */
 public record SiteLimits(
         int maxAttempts,
@@ -18,9 +18,9 @@
         long connectTimeoutMicros,
         long maxRetryAfterMicros) {
     /**
-     * Checks the figures.
+     * Checks the values.
      *
-     * @throws IllegalArgumentException for figures that no site can have
+     * @throws IllegalArgumentException if a value is out of its range
      */
     public SiteLimits {
         Requirements.require(maxAttempts > 0, "maxAttempts", maxAttempts);
