--- a/core/src/test/java/loadbalancer/policy/Example.java
+++ b/core/src/test/java/loadbalancer/policy/Example.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The README's example: a caller that embeds the policy. */
+/** The example in the README: a program that embeds the policy. */
 final class Example {
     private Example() {}
 
     static List<String> run() {
-        List<String> done = new ArrayList<>();
+        List<String> sends = new ArrayList<>();
         RequestClass reads =
                 new RequestClass(Idempotency.IDEMPOTENT, KeyScope.ALL, 0, 300_000, 1_000_000, 0, 1, 0, false);
         PolicySettings settings = new PolicySettings(
@@ -28,23 +28,23 @@
                 new SafetyBounds(20_000, 1_000_000, 0, 0.2, 20_000_000, 2.5, 1_500_000, 100_000),
                 1_000);
         LoadBalancingPolicy policy = new JsqDasPolicy(settings, 42);
-        LoadBalancingPolicy.Actions actions = new Sink(done);
+        LoadBalancingPolicy.Actions actions = new SendRecorder(sends);
 
         long now = 0;
         policy.endpoints(
                 now, EndpointListKind.CACHED, List.of(new Endpoint("a:80", EndpointState.UP, 0, 1, 0, 0, 0)), actions);
-        // Asks for send("r1", "a:80", ..).
+        // Requests the action send("r1", "a:80", ...).
         policy.request(now, "r1", 0, 0, null, 1_000_000, -1, false, actions);
         now = 40_000;
         policy.outcome(now, "r1", 0, AttemptOutcome.OK, 40_000, true, null, actions);
-        return done;
+        return sends;
     }
 
-    /** Carries out what the policy asks for; here it only records sends. */
-    private record Sink(List<String> done) implements LoadBalancingPolicy.Actions {
+    /** Receives the actions that the policy requests; this example only records sends. */
+    private record SendRecorder(List<String> sends) implements LoadBalancingPolicy.Actions {
         @Override
         public void send(String request, String endpoint, long timeoutMicros) {
-            done.add("send " + request + " to " + endpoint);
+            sends.add("send " + request + " to " + endpoint);
         }
 
         @Override
--- a/core/src/test/java/loadbalancer/policy/FleetSlowStartTest.java
+++ b/core/src/test/java/loadbalancer/policy/FleetSlowStartTest.java
@@ -16,18 +16,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * An endpoint in slow start bears the sum of what all balancers of a fleet send, each of which knows its own part
- * alone: by the site's rules up to N + 2 x root of N + 2 requests in the overload window, N being what the settings
- * allow.
+ * Checks that all balancers of a fleet together don't overload endpoints in slow start, although each balancer knows
+ * only what it sends itself. By the site's rules, an endpoint takes up to N + 2 x root of N + 2 requests in the
+ * overload window, where N is what the settings allow.
  */
 class FleetSlowStartTest {
-    private static final long STEP = 1_000;
-    private static final int SLOTS = 4; // requests that an endpoint executes at once
-    private static final int QUEUE = 8; // requests that wait there; more are rejected
-    private static final long JOIN_AFTER = 15_000_000; // from the start until endpoints join
-    private static final long JOIN_DURATION = 40_000_000;
+    private static final long STEP_MICROS = 1_000;
+    private static final int SLOTS = 4; // requests that an endpoint executes concurrently
+    private static final int QUEUE_CAPACITY = 8; // requests that wait at an endpoint; more are rejected
+    private static final long JOIN_AFTER_MICROS = 15_000_000; // time before endpoints join
+    private static final long JOIN_DURATION_MICROS = 40_000_000; // simulated time after the first ones have joined
 
-    /** Executes so many requests a second when it is warm, and fewer in slow start. */
+    /** Executes {@code perSecond} requests per second when it is warm, and fewer in slow start. */
     private static final class StandInEndpoint {
         final Endpoint endpoint;
         final double perSecond;
@@ -39,12 +39,12 @@
             this.perSecond = perSecond;
         }
 
-        boolean startsSlowly() {
+        boolean hasSlowStart() {
             return endpoint.startedAt() > 0;
         }
 
         double slowStartWeight(long now, SafetyBounds bounds) {
-            return !startsSlowly()
+            return !hasSlowStart()
                     ? 1
                     : Math.min(
                             1,
@@ -56,12 +56,12 @@
     }
 
     private static final class Work {
-        final Harness by;
+        final Harness balancer;
         final Harness.Sent sent;
-        double left = 1; // of what an endpoint does in SLOTS / perSecond
+        double remaining = 1; // fraction of the work; a warm endpoint takes SLOTS / perSecond seconds for all of it
 
-        Work(Harness by, Harness.Sent sent) {
-            this.by = by;
+        Work(Harness balancer, Harness.Sent sent) {
+            this.balancer = balancer;
             this.sent = sent;
         }
     }
@@ -72,7 +72,7 @@
     private SafetyBounds bounds;
     private long now = Harness.START_MICROS;
 
-    private void fleet(int balancers, long seed) {
+    private void createFleet(int balancers, long seed) {
         PolicySettings base = Harness.settings(
                 balancers,
                 false,
@@ -87,7 +87,7 @@
         }
     }
 
-    private Endpoint join(String id, long startedAt, double perSecond) {
+    private Endpoint addStandIn(String id, long startedAt, double perSecond) {
         Endpoint endpoint = new Endpoint(id, EndpointState.UP, startedAt, 1, 0, 0, 0);
         standIns.put(id, new StandInEndpoint(endpoint, perSecond));
         return endpoint;
@@ -99,19 +99,19 @@
         }
     }
 
-    /** Lets a step pass; each balancer gets its own fraction of the requests. */
-    private void step(double perSecond, double[] fractions, SplittableRandom random) {
+    /** Simulates one step; each balancer receives its own fraction of the requests. */
+    private void step(double requestsPerSecond, double[] fractions, SplittableRandom random) {
         for (int i = 0; i < fleet.size(); i++) {
             Harness balancer = fleet.get(i);
             balancer.advance(now - balancer.now);
-            if (random.nextDouble() < perSecond * fractions[i] * STEP / 1e6) {
+            if (random.nextDouble() < requestsPerSecond * fractions[i] * STEP_MICROS / 1e6) {
                 balancer.request("r" + balancer.now, 0);
             }
             for (; seenSends.get(i) < balancer.sends.size(); seenSends.set(i, seenSends.get(i) + 1)) {
                 Harness.Sent sent = balancer.sends.get(seenSends.get(i));
                 StandInEndpoint standIn = standIns.get(sent.endpoint);
                 standIn.arrivals.add(now);
-                if (standIn.queue.size() >= SLOTS + QUEUE) {
+                if (standIn.queue.size() >= SLOTS + QUEUE_CAPACITY) {
                     balancer.end(sent, AttemptOutcome.FULL);
                 } else {
                     standIn.queue.add(new Work(balancer, sent));
@@ -119,21 +119,24 @@
             }
         }
         for (StandInEndpoint standIn : standIns.values()) {
-            double done = standIn.perSecond / SLOTS * standIn.slowStartWeight(now, bounds) * STEP / 1e6;
+            double done = standIn.perSecond / SLOTS * standIn.slowStartWeight(now, bounds) * STEP_MICROS / 1e6;
             List<Work> ended = new ArrayList<>();
-            standIn.queue.stream().limit(SLOTS).forEach(w -> {
-                w.left -= done;
-                if (w.left <= 0) {
-                    ended.add(w);
+            standIn.queue.stream().limit(SLOTS).forEach(work -> {
+                work.remaining -= done;
+                if (work.remaining <= 0) {
+                    ended.add(work);
                 }
             });
             standIn.queue.removeAll(ended);
-            ended.forEach(w -> w.by.end(w.sent, AttemptOutcome.OK));
+            ended.forEach(work -> work.balancer.end(work.sent, AttemptOutcome.OK));
         }
-        now += STEP;
+        now += STEP_MICROS;
     }
 
-    /** By how many requests the worst window exceeds its allowance; at most 0 where the endpoint stays up. */
+    /**
+     * Returns by how many requests the worst window exceeds what the endpoint takes; at most 0 if it is never
+     * overloaded.
+     */
     private static double excess(List<Long> arrivals, StandInEndpoint standIn, SafetyBounds bounds) {
         double worst = Double.NEGATIVE_INFINITY;
         for (int from = 0, to = 0;
@@ -153,10 +156,10 @@
     }
 
     @Test
-    void theCheckSeesAnOverloadedEndpoint() {
-        fleet(1, 1);
+    void theCheckDetectsAnOverloadedEndpoint() {
+        createFleet(1, 1);
         StandInEndpoint standIn = new StandInEndpoint(new Endpoint("a", EndpointState.UP, 1_000_000, 1, 0, 0, 0), 10);
-        // 2.5 x 0.2 x 10 in 1.5 s are 7.5; with 2 x 2.74 and 2 more: 14.98.
+        // N is 2.5 x 0.2 x 10 per second in 1.5 s, that is 7.5; the bound is 7.5 + 2 x 2.74 + 2 = 14.98.
         assertTrue(
                 excess(LongStream.range(0, 14).map(t -> 1_000_000 + t).boxed().toList(), standIn, bounds) < 0);
         assertTrue(
@@ -164,9 +167,10 @@
     }
 
     /**
-     * {@code JOIN}: one in five is new; {@code BACK}: half of them are lost and come back in slow start, in four steps;
-     * {@code RESTART}: the same, and all balancers have just started and know nothing. Half as much traffic again
-     * comes with it. One balancer gets a fifth of the traffic, others less than the mean.
+     * In {@code JOIN}, new endpoints join, one for every five existing ones. In {@code BACK}, half of the endpoints are
+     * lost and come back in slow start. Both happen in four steps. {@code RESTART} is {@code BACK} with all balancers
+     * just started and without learned state. The traffic is higher by half meanwhile. One balancer receives a fifth of
+     * the traffic, the others less than the mean.
      */
     @ParameterizedTest
     @CsvSource({
@@ -174,9 +178,9 @@
         "BACK, 20, 5, 5", "BACK, 30, 5, 6", "BACK, 20, 20, 7", "BACK, 30, 20, 8",
         "RESTART, 20, 5, 9", "RESTART, 30, 5, 10", "RESTART, 20, 20, 11", "RESTART, 30, 20, 12",
     })
-    void endpointsInSlowStartBearTheSumOfAFleet(String scenario, int balancers, double perSecond, long seed) {
+    void aFleetDoesNotOverloadEndpointsInSlowStart(String scenario, int balancers, double perSecond, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        fleet(balancers, seed);
+        createFleet(balancers, seed);
         int endpointCount = 40;
         double[] fractions = IntStream.range(0, balancers)
                 .mapToDouble(i -> 0.5 + random.nextDouble())
@@ -188,42 +192,38 @@
         }
         List<Endpoint> list = new ArrayList<>();
         for (int i = 0; i < endpointCount; i++) {
-            list.add(join("s" + i, 0, perSecond));
+            list.add(addStandIn("s" + i, 0, perSecond));
         }
         notifyBalancers(EndpointListKind.SNAPSHOT, list);
-        double load = 0.7 * endpointCount * perSecond;
+        double rate = 0.7 * endpointCount * perSecond;
         if (!scenario.equals("RESTART")) {
-            while (now < Harness.START_MICROS + JOIN_AFTER) {
-                step(load, fractions, random);
+            while (now < Harness.START_MICROS + JOIN_AFTER_MICROS) {
+                step(rate, fractions, random);
             }
         }
         long from = now;
-        for (int k = 0; now < from + JOIN_DURATION; k++) {
-            if (k % 1_000 == 0 && k < 4_000) {
+        for (int step = 0; now < from + JOIN_DURATION_MICROS; step++) {
+            if (step % 1_000 == 0 && step < 4_000) {
                 List<Endpoint> changes = new ArrayList<>();
-                for (int i = k / 1_000 * 5; i < k / 1_000 * 5 + (scenario.equals("JOIN") ? 2 : 5); i++) {
+                for (int i = step / 1_000 * 5; i < step / 1_000 * 5 + (scenario.equals("JOIN") ? 2 : 5); i++) {
                     if (!scenario.equals("JOIN")) {
                         changes.add(standIns.get("s" + i).endpoint.withState(EndpointState.GONE));
                     }
-                    changes.add(join("cold" + i, now, perSecond));
+                    changes.add(addStandIn("cold" + i, now, perSecond));
                 }
                 notifyBalancers(EndpointListKind.DELTA, changes);
             }
-            step(now < from + JOIN_DURATION / 2 ? 1.5 * load : load, fractions, random);
+            step(now < from + JOIN_DURATION_MICROS / 2 ? 1.5 * rate : rate, fractions, random);
         }
-        int used = 0;
+        int sentInSlowStart = 0;
         for (StandInEndpoint standIn : standIns.values()) {
-            if (standIn.startsSlowly()) {
+            if (standIn.hasSlowStart()) {
                 double excess = excess(standIn.arrivals, standIn, bounds);
-                assertTrue(excess <= 0, standIn.endpoint.id() + " falls, by " + excess + " requests");
-                used += standIn.arrivals.size();
+                assertTrue(excess <= 0, standIn.endpoint.id() + " is overloaded by " + excess + " requests");
+                sentInSlowStart += standIn.arrivals.size();
             }
         }
-        assertTrue(used > 100, "they are used: " + used);
-        assertEquals(
-                0,
-                fleet.stream()
-                        .mapToInt(balancer -> balancer.duplicateFinalAnswers)
-                        .sum());
+        assertTrue(sentInSlowStart > 100, "requests to endpoints in slow start: " + sentInSlowStart);
+        assertEquals(0, fleet.stream().mapToInt(b -> b.duplicateFinalAnswers).sum());
     }
 }
--- a/core/src/test/java/loadbalancer/policy/Harness.java
+++ b/core/src/test/java/loadbalancer/policy/Harness.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Drives one policy by hand and records what it asks for. */
+/** Reports events to one policy and records the actions that it requests. */
 final class Harness implements LoadBalancingPolicy.Actions {
     static final long START_MICROS = 1_000_000_000L;
     static final long LATENCY_OBJECTIVE_MICROS = 600_000;
     static final long DEADLINE_MICROS = 3_000_000;
     static final long KEY_SEQUENCE_PAUSE_MICROS = 100_000;
 
-    /** An attempt that was sent; {@code ended} once its outcome was reported. */
+    /** An attempt that the policy has sent; {@code ended} is set when its outcome is reported. */
     static final class Sent {
         final String request;
         final int attempt;
@@ -35,13 +35,13 @@
     final List<Sent> sends = new ArrayList<>();
     final Map<String, Integer> attempts = new LinkedHashMap<>();
     final Map<String, String> finalAnswers = new LinkedHashMap<>();
-    final List<String> cancels = new ArrayList<>();
+    final List<String> cancellations = new ArrayList<>();
     final List<String> log = new ArrayList<>();
     long now = START_MICROS;
     long wakeAt = Long.MAX_VALUE;
     int watchCalls;
     int duplicateFinalAnswers;
-    double reportedInFlight = Double.NaN; // in the load report of each outcome
+    double reportedInFlight = Double.NaN; // part of the load report of each outcome
 
     Harness(PolicySettings settings, long seed) {
         policy = new JsqDasPolicy(settings, seed);
@@ -52,7 +52,7 @@
                 idempotency, scope, 2_000_000, LATENCY_OBJECTIVE_MICROS, DEADLINE_MICROS, 0, 1, 0.3, false);
     }
 
-    /** A class with order and placement. */
+    /** A request class with ordered delivery and placement. */
     static RequestClass requestClass(
             Idempotency idempotency, boolean orderedDelivery, Set<Integer> zones, Set<Integer> machineKinds) {
         return new RequestClass(
@@ -120,7 +120,7 @@
                 base.tickMicros());
     }
 
-    /** A harness with so many endpoints. */
+    /** A harness with that number of endpoints. */
     static Harness withFleet(int endpoints, RequestClass... classes) {
         return new Harness(settings(classes), 11).list(EndpointListKind.CACHED, fleet(endpoints));
     }
@@ -147,7 +147,7 @@
         return this;
     }
 
-    /** Sends a request in and returns the attempt made at once, or null. */
+    /** Reports a request to the policy and returns the attempt that is sent at once, or null. */
     Sent request(String id, int requestClass) {
         return request(id, requestClass, 0, DEADLINE_MICROS);
     }
@@ -193,9 +193,9 @@
                 this);
     }
 
-    /** Lets time pass, waking the policy when it asked for it. */
-    void advance(long time) {
-        long until = now + time;
+    /** Advances the time, waking the policy whenever it has asked for it. */
+    void advance(long durationMicros) {
+        long until = now + durationMicros;
         while (wakeAt <= until) {
             now = wakeAt;
             wakeAt = Long.MAX_VALUE;
@@ -205,34 +205,37 @@
     }
 
     /** Serves requests one after another so that the policy learns the expected latency. */
-    void warmUp(int requests, int requestClass, long latency) {
+    void warmUp(int requests, int requestClass, long latencyMicros) {
         for (int i = 0; i < requests; i++) {
             Sent sent = request("warm-" + now + "-" + i, requestClass);
-            advance(latency);
+            advance(latencyMicros);
             end(sent, AttemptOutcome.OK);
         }
     }
 
-    /** Serves four requests of the first class at a time; attempts at the bad endpoints end as given. */
-    void serve(int rounds, long latency, Map<String, AttemptOutcome> bad) {
+    /**
+     * Serves four requests of the first class at a time. Attempts end with the outcome given for their endpoint, others
+     * with {@link AttemptOutcome#OK}.
+     */
+    void serve(int rounds, long latencyMicros, Map<String, AttemptOutcome> outcomes) {
         for (int i = 0; i < rounds; i++) {
             for (int j = 0; j < 4; j++) {
                 request("q" + now + "/" + i + "/" + j, 0);
             }
-            advance(latency);
+            advance(latencyMicros);
             sends.stream()
                     .filter(s -> !s.ended)
                     .toList()
-                    .forEach(s -> end(s, bad.getOrDefault(s.endpoint, AttemptOutcome.OK)));
+                    .forEach(s -> end(s, outcomes.getOrDefault(s.endpoint, AttemptOutcome.OK)));
         }
     }
 
-    /** Serves requests one by one, each answered after its latency; returns how many of them were sent. */
-    int serveOneByOne(int requests, int requestClass, int tenant, long latency) {
+    /** Serves requests one by one, each answered after the latency; returns how many of them were sent. */
+    int serveOneByOne(int requests, int requestClass, int tenant, long latencyMicros) {
         int sent = 0;
         for (int i = 0; i < requests; i++) {
             Sent first = request("o" + now + "/" + i, requestClass, tenant, DEADLINE_MICROS);
-            advance(latency);
+            advance(latencyMicros);
             if (first != null) {
                 sent++;
                 end(first, AttemptOutcome.OK);
@@ -261,27 +264,27 @@
         log.add(now + " send " + request + " " + endpoint + " " + timeoutMicros);
     }
 
-    private void answer(String request, String how) {
-        if (finalAnswers.putIfAbsent(request, how) != null) {
+    private void recordFinalAnswer(String request, String answer) {
+        if (finalAnswers.putIfAbsent(request, answer) != null) {
             duplicateFinalAnswers++;
         }
-        log.add(now + " " + how + " " + request);
+        log.add(now + " " + answer + " " + request);
     }
 
     @Override
     public void reject(String request, long retryAfterMicros) {
         log.add(now + " reject " + request + " " + retryAfterMicros);
-        answer(request, "refused");
+        recordFinalAnswer(request, "refused");
     }
 
     @Override
     public void fail(String request) {
-        answer(request, "failed");
+        recordFinalAnswer(request, "failed");
     }
 
     @Override
     public void cancel(String request, int attempt) {
-        cancels.add(request + "/" + attempt);
+        cancellations.add(request + "/" + attempt);
         log.add(now + " cancel " + request + " " + attempt);
     }
 
--- a/core/src/test/java/loadbalancer/policy/JsqDasPolicyTest.java
+++ b/core/src/test/java/loadbalancer/policy/JsqDasPolicyTest.java
@@ -14,22 +14,22 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What users of the library rely on. */
+/** Tests what programs that embed the policy rely on. */
 class JsqDasPolicyTest {
     private static final RequestClass IDEMPOTENT = Harness.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL);
 
     @Test
-    void theExampleOfTheReadmeRuns() throws IOException {
+    void theExampleInTheReadmeRuns() throws IOException {
         String readme = Files.readString(Path.of("../README.md"));
         String example = Files.readString(Path.of("src/test/java/loadbalancer/policy/Example.java"));
         int from = readme.indexOf("```java\n") + 8;
-        String shown = readme.substring(from, readme.indexOf("```\n", from));
-        assertTrue(example.contains(shown.strip()), "the README shows the code of Example.java");
+        String quoted = readme.substring(from, readme.indexOf("```\n", from));
+        assertTrue(example.contains(quoted.strip()), "the README must quote code of Example.java");
         assertEquals(List.of("send r1 to a:80"), Example.run());
     }
 
     @Test
-    void impossibleSettingsAreNamed() {
+    void invalidSettingsAreRejectedWithNameAndValue() {
         assertEquals(
                 "impossible aim: 0",
                 assertThrows(
@@ -52,54 +52,54 @@
 
     @ParameterizedTest
     @CsvSource({"0, 0, impossible balancers: 0", "2, 2, impossible rank: 2", "2, -1, impossible rank: -1"})
-    void impossibleNumbersOfBalancersAreNamed(int balancers, int rank, String complaint) {
-        PolicySettings s = Harness.settings(IDEMPOTENT);
+    void invalidBalancersAndRanksAreRejectedWithNameAndValue(int balancers, int rank, String message) {
+        PolicySettings base = Harness.settings(IDEMPOTENT);
         assertEquals(
-                complaint,
+                message,
                 assertThrows(
                                 IllegalArgumentException.class,
                                 () -> new PolicySettings(
                                         balancers,
                                         rank,
                                         0,
-                                        s.classes(),
+                                        base.classes(),
                                         List.of(),
                                         1,
-                                        s.objective(),
-                                        s.costs(),
+                                        base.objective(),
+                                        base.costs(),
                                         false,
-                                        s.discovery(),
-                                        s.loadReporting(),
+                                        base.discovery(),
+                                        base.loadReporting(),
                                         false,
-                                        s.limits(),
-                                        s.bounds(),
+                                        base.limits(),
+                                        base.bounds(),
                                         1_000))
                         .getMessage());
     }
 
-    /** Settings unlike any deployment: sensible behaviour, every request answered. */
+    /** With settings unlike those of any deployment, most requests are served and all of them are answered. */
     @ParameterizedTest
     @CsvSource({
-        // endpoints, balancers, latency objective, deadline, attempts, hedging, rate per second, latency
+        // endpoints, balancers, latency objective, deadline, maximum attempts, hedging, requests per second, latency
         "1, 1, 600000, 1200000, 3, true, 20, 20000",
         "60, 12, 600000, 1200000, 3, true, 200, 40000",
         "5, 2, 4000, 10000, 3, true, 500, 1000",
         "8, 3, 20000000, 60000000, 3, false, 8, 2000000",
         "6, 1, 600000, 1200000, 1, false, 50, 30000",
     })
-    void oddSettingsAreServed(
-            int endpoints,
+    void requestsAreServedWithUnusualSettings(
+            int endpointCount,
             int balancers,
             long latencyObjectiveMicros,
-            long deadline,
-            int attempts,
+            long deadlineMicros,
+            int maxAttempts,
             boolean hedging,
-            int rate,
-            long latency) {
-        for (Idempotency effect : Idempotency.values()) {
-            RequestClass kind =
-                    new RequestClass(effect, KeyScope.CELL, deadline, latencyObjectiveMicros, deadline, 0, 1, 0, false);
-            PolicySettings base = Harness.settings(balancers, hedging, DiscoveryMode.PUSH, List.of(), kind);
+            int requestsPerSecond,
+            long latencyMicros) {
+        for (Idempotency idempotency : Idempotency.values()) {
+            RequestClass requestClass = new RequestClass(
+                    idempotency, KeyScope.CELL, deadlineMicros, latencyObjectiveMicros, deadlineMicros, 0, 1, 0, false);
+            PolicySettings base = Harness.settings(balancers, hedging, DiscoveryMode.PUSH, List.of(), requestClass);
             Harness harness = new Harness(
                     new PolicySettings(
                             balancers,
@@ -114,27 +114,27 @@
                             base.discovery(),
                             LoadReporting.NONE,
                             false,
-                            new SiteLimits(attempts, hedging, false, false, 1000, 0),
+                            new SiteLimits(maxAttempts, hedging, false, false, 1000, 0),
                             base.bounds(),
                             1_000),
                     9);
-            harness.list(EndpointListKind.CACHED, Harness.fleet(endpoints));
+            harness.list(EndpointListKind.CACHED, Harness.fleet(endpointCount));
             for (int i = 0; i < 400; i++) {
-                harness.request("r" + i, 0, 0, deadline);
-                harness.advance(1_000_000 / rate);
+                harness.request("r" + i, 0, 0, deadlineMicros);
+                harness.advance(1_000_000 / requestsPerSecond);
                 harness.sends.stream()
-                        .filter(s -> !s.ended && harness.now - s.sentAt >= latency)
+                        .filter(s -> !s.ended && harness.now - s.sentAt >= latencyMicros)
                         .toList()
                         .forEach(s -> harness.end(s, AttemptOutcome.OK));
             }
-            harness.advance(deadline);
+            harness.advance(deadlineMicros);
             harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, AttemptOutcome.TIMEOUT));
-            harness.advance(deadline);
+            harness.advance(deadlineMicros);
             assertEquals(400, harness.finalAnswers.size());
             assertEquals(0, harness.duplicateFinalAnswers);
             long ok =
                     harness.finalAnswers.values().stream().filter("ok"::equals).count();
-            assertTrue(ok >= 360, "served " + ok + " of 400, " + effect);
+            assertTrue(ok >= 360, "served " + ok + " of 400 requests that are " + idempotency);
         }
     }
 
@@ -148,7 +148,7 @@
                     .filter(s -> !s.ended)
                     .toList()
                     .forEach(s -> harness.end(s, s.attempt % 7 == 6 ? AttemptOutcome.ERROR : AttemptOutcome.OK));
-            if (i % 50 == 0) { // machines come and go under new names
+            if (i % 50 == 0) { // endpoints are replaced by others with new ids
                 harness.list(
                         EndpointListKind.SNAPSHOT, List.of(Harness.up("a" + i), Harness.up("b" + i), Harness.up("c")));
                 harness.sends.clear();
@@ -165,8 +165,8 @@
 
     @Test
     void theReadmeQuotesLogLinesThatThePolicyWrites() throws IOException {
-        String rules = sourcesOfThePolicy();
-        String page = Files.readString(Path.of("../README.md"));
+        String sources = sourcesOfThePolicy();
+        String readme = Files.readString(Path.of("../README.md"));
         for (String line : List.of(
                 "overload: rejecting requests, shed level ",
                 "ejected ",
@@ -174,8 +174,8 @@
                 "recovered ",
                 "discovery failed ",
                 " times, polling again")) {
-            assertTrue(rules.contains(line), "the policy writes: " + line);
-            assertTrue(page.contains(line.strip()), "the README names: " + line);
+            assertTrue(sources.contains(line), "the policy must write: " + line);
+            assertTrue(readme.contains(line.strip()), "the README must quote: " + line);
         }
     }
 
--- a/core/src/test/java/loadbalancer/policy/PolicyPackagesTest.java
+++ b/core/src/test/java/loadbalancer/policy/PolicyPackagesTest.java
@@ -23,7 +23,10 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** What {@code policy} in the deploy file names holds every class that takes part in a decision, and only pure ones. */
+/**
+ * Checks that the key {@code policy} of the deploy file names every class that takes part in a decision, and that the
+ * packages of these classes are pure.
+ */
 class PolicyPackagesTest {
     private static final String SOURCES = "core/src/main/java/";
     private static final JavaClasses CORE = new ClassFileImporter()
@@ -35,25 +38,25 @@
         Set<String> named = namedFiles();
         Set<String> packages = namedPackages();
         Set<String> missing = new TreeSet<>();
-        for (JavaClass decides : reachableFrom(CORE.get(JsqDasPolicy.class))) {
-            if (!named.contains(sourceFile(decides))) {
-                missing.add(decides.getName());
+        for (JavaClass decidingClass : reachableFrom(CORE.get(JsqDasPolicy.class))) {
+            if (!named.contains(sourceFile(decidingClass))) {
+                missing.add(decidingClass.getName());
             }
         }
-        for (JavaClass inPackage : CORE) {
-            if (packages.contains(inPackage.getPackageName()) && !named.contains(sourceFile(inPackage))) {
-                missing.add(inPackage.getName());
+        for (JavaClass classInPackage : CORE) {
+            if (packages.contains(classInPackage.getPackageName()) && !named.contains(sourceFile(classInPackage))) {
+                missing.add(classInPackage.getName());
             }
         }
         missing.removeIf(name -> name.endsWith("package-info"));
-        assertEquals(Set.of(), missing, "classes that decide and that `policy` does not name");
+        assertEquals(Set.of(), missing, "classes that take part in decisions but are missing in `policy`");
     }
 
     @Test
     void thePackagesOfTheDeployFileArePure() throws IOException {
         Set<String> named = namedPackages();
         DescribedPredicate<JavaClass> inNamed =
-                DescribedPredicate.describe("in " + named, c -> named.contains(c.getPackageName()));
+                DescribedPredicate.describe("in " + named, javaClass -> named.contains(javaClass.getPackageName()));
         noClasses()
                 .that(inNamed)
                 .should()
@@ -78,18 +81,19 @@
                 .check(CORE);
     }
 
-    // Files of the deploy file's key `policy`; each of them must be there.
+    // The files that the key `policy` of the deploy file names; each of them must exist.
     private static Set<String> namedFiles() throws IOException {
         Path root = Path.of("").toAbsolutePath().getParent();
         Matcher key = Pattern.compile("(?m)^policy = \\[(.*?)]")
                 .matcher(Files.readString(root.resolve("deploy/balancer.toml")));
-        assertTrue(key.find(), "the deploy file names no policy");
+        assertTrue(key.find(), "the deploy file has no key `policy`");
         Set<String> files = new TreeSet<>();
         Matcher entry = Pattern.compile("\"([^\"]+)\"").matcher(key.group(1));
         while (entry.find()) {
             String file = entry.group(1);
             assertTrue(
-                    file.startsWith(SOURCES) && Files.isRegularFile(root.resolve(file)), "no source of core: " + file);
+                    file.startsWith(SOURCES) && Files.isRegularFile(root.resolve(file)),
+                    "not a source file of core: " + file);
             files.add(file);
         }
         assertFalse(files.isEmpty());
@@ -111,13 +115,13 @@
 
     private static Set<JavaClass> reachableFrom(JavaClass start) {
         Set<JavaClass> found = new HashSet<>();
-        Deque<JavaClass> next = new ArrayDeque<>(Set.of(start));
-        while (!next.isEmpty()) {
-            JavaClass reached = next.pop();
+        Deque<JavaClass> pending = new ArrayDeque<>(Set.of(start));
+        while (!pending.isEmpty()) {
+            JavaClass reached = pending.pop();
             if (reached.getName().startsWith("loadbalancer.") && found.add(reached)) {
                 reached.getDirectDependenciesFromSelf().stream()
                         .map(Dependency::getTargetClass)
-                        .forEach(next::push);
+                        .forEach(pending::push);
             }
         }
         return found;
--- a/core/src/test/java/loadbalancer/policy/PurityTest.java
+++ b/core/src/test/java/loadbalancer/policy/PurityTest.java
@@ -10,14 +10,14 @@
 import com.tngtech.archunit.library.dependencies.SlicesRuleDefinition;
 import org.junit.jupiter.api.Test;
 
-/** The packages that decide use neither sockets, files, threads nor clocks, and depend on no other module. */
+/** Checks that the module core uses no sockets, files, threads or clocks, and depends on no other module. */
 class PurityTest {
     private static final JavaClasses CORE = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("loadbalancer");
 
     @Test
-    void nothingReachesSocketsFilesOrThreads() {
+    void coreUsesNoSocketsFilesOrThreads() {
         noClasses()
                 .should()
                 .dependOnClassesThat()
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void itKnowsOnlyTheJdkAndItself() {
+    void coreDependsOnlyOnTheJdkAndItself() {
         noClasses()
                 .should()
                 .dependOnClassesThat()
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void thePartsOfCoreDontKnowEachOther() {
+    void packagesOfCoreDoNotDependOnEachOther() {
         SlicesRuleDefinition.slices()
                 .matching("loadbalancer.(*)..")
                 .should()
