--- a/core/src/main/java/loadbalancer/limits/AimdLimit.java
+++ b/core/src/main/java/loadbalancer/limits/AimdLimit.java
@@ -1,18 +1,18 @@
 package loadbalancer.limits;
 
 /**
- * Additive increase, multiplicative decrease, as TCP Reno (Jacobson, "Congestion avoidance and control", 1988): one
- * more with each round of answers while the limit is used, a tenth less where some were dropped, once per round.
+ * Additive increase, multiplicative decrease, as in TCP Reno (Jacobson, "Congestion avoidance and control", 1988). In
+ * each round trip the limit grows by one while it is used, and shrinks by a tenth, once, if requests were dropped.
  */
 final class AimdLimit implements ConcurrencyLimit {
     private static final double DECREASE_FACTOR = 0.9;
     private static final double LATENCY_SMOOTHING = 0.1;
-    /** The limit is in use where the requests in flight, times this, reach it. */
+    /** The limit counts as used if the requests in flight, multiplied by this, reach it. */
     private static final double USED_FACTOR = 2.0;
 
     private final ConcurrencyLimitConfig config;
     private double limit;
-    private double roundMicros; // smoothed latency
+    private double smoothedLatencyMicros; // the length of a round trip
     private long decreasedAtMicros = Long.MIN_VALUE;
 
     AimdLimit(ConcurrencyLimitConfig config) {
@@ -31,15 +31,15 @@
             decrease(nowMicros);
             return;
         }
-        roundMicros += LATENCY_SMOOTHING * (latencyMicros - roundMicros);
-        // Requests that end well below the limit say nothing of what the pool could take beyond it.
+        smoothedLatencyMicros += LATENCY_SMOOTHING * (latencyMicros - smoothedLatencyMicros);
+        // Requests in flight far below the limit don't show whether the pool could take more than the limit.
         if (USED_FACTOR * inFlight >= limit) {
             limit = Math.min(config.max(), limit + 1 / limit);
         }
     }
 
     private void decrease(long nowMicros) {
-        if (decreasedAtMicros == Long.MIN_VALUE || nowMicros - decreasedAtMicros >= roundMicros) {
+        if (decreasedAtMicros == Long.MIN_VALUE || nowMicros - decreasedAtMicros >= smoothedLatencyMicros) {
             limit = Math.max(config.min(), limit * DECREASE_FACTOR);
             decreasedAtMicros = nowMicros;
         }
--- a/core/src/main/java/loadbalancer/limits/BaseLatencyEstimator.java
+++ b/core/src/main/java/loadbalancer/limits/BaseLatencyEstimator.java
@@ -1,37 +1,38 @@
 package loadbalancer.limits;
 
 /**
- * Gathers latencies in windows, and estimates what a request takes where nothing waits. That base can't be seen while
- * a queue stands, so now and then the limit is lowered for a window or two and the base measured again, as Envoy's
- * adaptive concurrency filter does. A base that only ever fell to the lowest latency seen would never learn that work
- * has become heavier; one that rose on its own would take the queue for the work.
+ * Collects latencies in windows, and estimates the base latency: the latency of a request that does not wait in a
+ * queue. The base can't be measured while there is a queue, so from time to time the limit is lowered for one or two
+ * windows and the base measured again, as Envoy's adaptive concurrency filter does. A base that is the lowest latency
+ * ever seen would never learn that requests have become more expensive; a base that rises on its own would include
+ * queueing.
  */
 final class BaseLatencyEstimator {
-    /** What a probe leaves of the limit. */
+    /** The limit is multiplied by this during a probe. */
     static final double PROBE_FACTOR = 0.5;
 
     private static final long MIN_WINDOW_MICROS = 250_000;
     private static final int MIN_WINDOW_SAMPLES = 25;
-    /** A window in which requests are dropped closes with fewer samples after so many shortest windows. */
+    /** A window with dropped requests closes without enough samples after this many minimum windows. */
     private static final int DROPPED_WINDOW_FACTOR = 4;
-    /** A window lasts so many base latencies at the least. */
-    private static final int WINDOW_BASES = 2;
-    /** The limit counts as lowered at this part of what it was. */
+    /** A window lasts at least this many base latencies. */
+    private static final int MIN_WINDOW_BASE_LATENCIES = 2;
+    /** The limit counts as lowered at or below this fraction of the reference limit. */
     private static final double LOWERED_FACTOR = 0.7;
-    /** The latency counts as unchanged from this part of what it was. */
+    /** The latency counts as unchanged at or above this fraction of the reference latency. */
     private static final double UNCHANGED_FACTOR = 0.85;
 
     private static final long FIRST_PROBE_MICROS = 2_000_000;
     private static final long PROBE_INTERVAL_MICROS = 15_000_000;
 
-    /** Whether the base is being probed, and whether requests from before the probe are still ending. */
+    /** State of a probe; while it is SETTLING, requests from before the probe are still ending. */
     private enum Probe {
         NONE,
         SETTLING,
         MEASURING
     }
 
-    // the window that is open
+    // State of the current window.
     private double latencySumMicros;
     private int samples;
     private int maxInFlight;
@@ -41,27 +42,27 @@
     private Probe probe = Probe.NONE;
     private long nextProbeMicros = Long.MIN_VALUE;
     private double referenceLimit; // the limit before it was lowered
-    private double referenceMeanMicros; // and the mean latency then
+    private double referenceMeanMicros; // the mean latency at the reference limit
     private double baseMicros;
     private double meanMicros;
 
     /**
-     * Takes a request's end into account.
+     * Records the end of a request.
      *
-     * @return whether a window has closed that is not part of a probe; {@link #beginWindow} is due then
+     * @return whether this closed a window outside of a probe; {@link #beginWindow} must be called then
      */
-    boolean add(long nowMicros, long latencyMicros, boolean drop, int inFlight) {
+    boolean add(long nowMicros, long latencyMicros, boolean requestDropped, int inFlight) {
         if (windowStartMicros == Long.MIN_VALUE) {
             windowStartMicros = nowMicros;
             nextProbeMicros = nowMicros + FIRST_PROBE_MICROS;
         }
-        dropped |= drop;
+        dropped |= requestDropped;
         maxInFlight = Math.max(maxInFlight, inFlight);
-        if (!drop) {
+        if (!requestDropped) {
             latencySumMicros += latencyMicros;
             samples++;
         }
-        if (!windowIsOver(nowMicros - windowStartMicros, drop)) {
+        if (!windowIsOver(nowMicros - windowStartMicros, requestDropped)) {
             return false;
         }
         meanMicros = samples == 0 ? Math.max(meanMicros, baseMicros) : latencySumMicros / samples;
@@ -73,11 +74,12 @@
         return regular;
     }
 
-    private boolean windowIsOver(long elapsedMicros, boolean drop) {
-        if (elapsedMicros < Math.max(MIN_WINDOW_MICROS, WINDOW_BASES * baseMicros)) {
+    private boolean windowIsOver(long elapsedMicros, boolean requestDropped) {
+        if (elapsedMicros < Math.max(MIN_WINDOW_MICROS, MIN_WINDOW_BASE_LATENCIES * baseMicros)) {
             return false;
         }
-        return samples >= MIN_WINDOW_SAMPLES || drop && elapsedMicros > DROPPED_WINDOW_FACTOR * MIN_WINDOW_MICROS;
+        return samples >= MIN_WINDOW_SAMPLES
+                || requestDropped && elapsedMicros > DROPPED_WINDOW_FACTOR * MIN_WINDOW_MICROS;
     }
 
     private void updateBase(long nowMicros) {
@@ -98,12 +100,11 @@
     }
 
     /**
-     * Begins the next window; to be called after each for which {@link #add} returned true. Where a lowered limit has
-     * not lowered the latency, that latency is work and no queue, because a queue would have become shorter with the
-     * limit (Little's law). It becomes the base without a probe, or a pool that has become slower would be starved
-     * until the next one.
+     * Begins the next window; to be called each time {@link #add} returned true. If a lowered limit has not lowered the
+     * latency, the latency is not caused by a queue, because a queue becomes shorter with the limit (Little's law). It
+     * becomes the base without a probe; otherwise a pool that has become slower would be starved until the next probe.
      *
-     * @param limit in force from here on
+     * @param limit the limit from now on
      */
     void beginWindow(double limit) {
         dropped = false;
@@ -123,27 +124,27 @@
         referenceMeanMicros = meanMicros;
     }
 
-    /** Whether a probe is on: the limit is to be {@link #PROBE_FACTOR} of what it was. */
+    /** Whether a probe is running, during which the limit is multiplied by {@link #PROBE_FACTOR}. */
     boolean isProbing() {
         return probe != Probe.NONE;
     }
 
-    /** Mean latency of the last window that closed. */
+    /** Returns the mean latency of the last closed window. */
     double meanMicros() {
         return meanMicros;
     }
 
-    /** Latency where nothing waits. */
+    /** Returns the estimated latency of a request that does not wait in a queue. */
     double baseMicros() {
         return baseMicros;
     }
 
-    /** Whether a request was dropped in the window. */
+    /** Whether a request was dropped since the last {@link #beginWindow}. */
     boolean dropped() {
         return dropped;
     }
 
-    /** The most requests in flight in the window. */
+    /** Returns the largest number of requests in flight since the last {@link #beginWindow}. */
     int maxInFlight() {
         return maxInFlight;
     }
--- a/core/src/main/java/loadbalancer/limits/ConcurrencyLimit.java
+++ b/core/src/main/java/loadbalancer/limits/ConcurrencyLimit.java
@@ -1,20 +1,20 @@
 package loadbalancer.limits;
 
 /**
- * How many requests may be in flight at a pool at the same time. An implementation learns from how requests end.
- * Implementations are pure and not thread-safe; {@link ConcurrencyLimitConfig#create} makes them.
+ * Limits how many requests may be in flight at a pool at the same time, and adapts to how requests end.
+ * Implementations are pure and not thread-safe; {@link ConcurrencyLimitConfig#create} creates them.
  */
 public interface ConcurrencyLimit {
-    /** Requests that may be in flight, 1 or more; or 0 where nothing may. */
+    /** Returns the number of requests that may be in flight; 0 if none may. */
     int limit();
 
     /**
-     * A request has ended.
+     * Records the end of a request.
      *
      * @param nowMicros the caller's clock, which never goes back
-     * @param latencyMicros from its acceptance to its end
-     * @param dropped whether it was not served: timed out, failed or was rejected for lack of capacity
-     * @param inFlight requests in flight when it was accepted, itself included
+     * @param latencyMicros time from its admission to its end
+     * @param dropped whether it was not served, because it timed out, failed or was rejected for lack of capacity
+     * @param inFlight requests in flight when it was admitted, itself included
      */
     void ended(long nowMicros, long latencyMicros, boolean dropped, int inFlight);
 }
--- a/core/src/main/java/loadbalancer/limits/ConcurrencyLimitConfig.java
+++ b/core/src/main/java/loadbalancer/limits/ConcurrencyLimitConfig.java
@@ -1,29 +1,28 @@
 package loadbalancer.limits;
 
 /**
- * A concurrency limit as an operator asks for it. All numbers are requests and at least 1, except that a fixed limit
- * may be 0.
+ * Configuration of a concurrency limit. All numbers are requests and at least 1, except that a fixed limit may be 0.
  *
- * @param initial where the limit begins; for a fixed one, where it stays
+ * @param initial the limit at the start; a fixed limit keeps this value
  * @param min the limit never falls below this
  * @param max the limit never rises above this
  */
 public record ConcurrencyLimitConfig(LimitAlgorithm algorithm, int initial, int min, int max) {
-    /** Throws IllegalArgumentException for bounds that no limit can keep. */
+    /** Throws IllegalArgumentException if the bounds are out of order or out of range. */
     public ConcurrencyLimitConfig {
         boolean ordered = min >= 1 && initial >= min && max >= initial;
         if (algorithm == LimitAlgorithm.FIXED ? initial < 0 : !ordered) {
-            throw new IllegalArgumentException(
-                    "impossible limit: from " + min + " to " + max + ", at first " + initial);
+            throw new IllegalArgumentException("concurrency limit has min " + min + ", max " + max + ", initial "
+                    + initial + ": expected 1 <= min <= initial <= max, or a fixed limit of 0 or more");
         }
     }
 
-    /** A limit that never changes. */
+    /** Returns the configuration of a limit that never changes. */
     public static ConcurrencyLimitConfig fixed(int limit) {
         return new ConcurrencyLimitConfig(LimitAlgorithm.FIXED, limit, limit, limit);
     }
 
-    /** Makes a new limit, which knows of no request yet. */
+    /** Creates a limit in its initial state. */
     public ConcurrencyLimit create() {
         return switch (algorithm) {
             case FIXED -> new FixedLimit(initial);
@@ -33,7 +32,7 @@
         };
     }
 
-    /** The nearest value that the bounds allow. */
+    /** Returns the value within the bounds that is nearest to {@code limit}. */
     double clamp(double limit) {
         return Math.max(min, Math.min(max, limit));
     }
--- a/core/src/main/java/loadbalancer/limits/FixedLimit.java
+++ b/core/src/main/java/loadbalancer/limits/FixedLimit.java
@@ -1,6 +1,6 @@
 package loadbalancer.limits;
 
-/** A limit that stays as it was set. */
+/** A limit that never changes. */
 final class FixedLimit implements ConcurrencyLimit {
     private final int limit;
 
--- a/core/src/main/java/loadbalancer/limits/GradientLimit.java
+++ b/core/src/main/java/loadbalancer/limits/GradientLimit.java
@@ -1,12 +1,12 @@
 package loadbalancer.limits;
 
 /**
- * Moves the limit by the ratio of base to present latency, plus the square root of the limit as room for bursts, as in
- * Envoy's adaptive concurrency filter and the gradient limit of Netflix' concurrency-limits. Both grow with the limit,
- * so a large pool moves as fast as a small one.
+ * Multiplies the limit by the ratio of base latency to current latency and adds its square root as room for bursts, as
+ * Envoy's adaptive concurrency filter and the gradient limit of Netflix's concurrency-limits do. Both terms grow with
+ * the limit, so the limit of a large pool adapts as fast as that of a small one.
  */
 final class GradientLimit extends LatencyLimit {
-    /** Latency above the base, by this factor, does not count as queueing yet. */
+    /** Latency up to the base latency times this factor does not count as queueing. */
     private static final double LATENCY_TOLERANCE = 1.25;
 
     private static final double MIN_GRADIENT = 0.5;
--- a/core/src/main/java/loadbalancer/limits/LatencyLimit.java
+++ b/core/src/main/java/loadbalancer/limits/LatencyLimit.java
@@ -1,11 +1,11 @@
 package loadbalancer.limits;
 
 /**
- * A limit that compares present latency with the base latency, window by window, and that is lowered while the base is
- * probed. Subclasses say how the limit moves at the end of a window.
+ * A limit that compares the current latency with the base latency in each window, and that is lowered while the base is
+ * probed. Subclasses define how the limit changes at the end of a window.
  */
 abstract class LatencyLimit implements ConcurrencyLimit {
-    /** The limit is in use where the requests in flight, times this, reach it. */
+    /** The limit counts as used if the requests in flight, multiplied by this, reach it. */
     private static final double USED_FACTOR = 2.0;
 
     private final ConcurrencyLimitConfig config;
@@ -34,11 +34,11 @@
     }
 
     /**
-     * The limit after a window, before the configured bounds are applied.
+     * Returns the limit after a window, before the configured bounds are applied.
      *
-     * @param current the limit so far
-     * @param window what was seen in the window
-     * @param used whether the requests in flight came near the limit, so that a higher one could be of use
+     * @param current the limit during the window
+     * @param window the measurements of the window
+     * @param used whether the requests in flight came near the limit, so that a higher limit could be useful
      */
     abstract double next(double current, BaseLatencyEstimator window, boolean used);
 }
--- a/core/src/main/java/loadbalancer/limits/LimitAlgorithm.java
+++ b/core/src/main/java/loadbalancer/limits/LimitAlgorithm.java
@@ -1,13 +1,13 @@
 package loadbalancer.limits;
 
-/** How a {@link ConcurrencyLimit} learns. Operator files name these constants in lower case. */
+/** Algorithm of a {@link ConcurrencyLimit}. Operator files contain the names of these constants in lower case. */
 public enum LimitAlgorithm {
-    /** It does not learn: the limit stays as it was set. */
+    /** The limit never changes. */
     FIXED,
     /** Additive increase, multiplicative decrease. */
     AIMD,
-    /** Keeps the number of requests that wait between two bounds. */
+    /** Keeps the estimated number of queued requests between two bounds. */
     VEGAS,
-    /** Follows the ratio of the base latency to the present one. */
+    /** Follows the ratio of the base latency to the current latency. */
     GRADIENT
 }
--- a/core/src/main/java/loadbalancer/limits/RetryBudget.java
+++ b/core/src/main/java/loadbalancer/limits/RetryBudget.java
@@ -1,11 +1,11 @@
 package loadbalancer.limits;
 
 /**
- * How many retries a route may make: a ratio of its first attempts over a sliding window, and a few per second for
- * routes with little traffic, as in Finagle's RetryBudget. Where clients mark their own retries, those draw on the
- * budget too, so that a storm of them leaves none to the balancer.
+ * Limits the retries of a route to a ratio of its first attempts over a sliding window, plus a few per second for
+ * routes with little traffic, as Finagle's RetryBudget does. If clients mark their own retries, these are taken from
+ * the same budget, so that the balancer makes no further retries during a retry storm of clients.
  *
- * <p>Pure: the caller brings the time, which must not go back. Not thread-safe.
+ * <p>Pure: the caller passes the time, which must not go back. Not thread-safe.
  */
 public final class RetryBudget {
     private static final double MICROS_PER_SECOND = 1e6;
@@ -17,49 +17,49 @@
     private long updatedAtMicros = Long.MIN_VALUE;
 
     /**
-     * Creates a budget that holds the retries that are free within one window.
+     * Creates a budget that initially contains the minimum of retries for one window.
      *
-     * @param ratio retries for each first attempt, 0 or more
-     * @param minPerSecond retries per second that are free
-     * @param windowMicros over which first attempts count
-     * @throws IllegalArgumentException where one of them is out of its range
+     * @param ratio retries that each first attempt allows, 0 or more
+     * @param minPerSecond retries per second that are allowed in any case, 0 or more
+     * @param windowMicros time for which first attempts count, over 0
+     * @throws IllegalArgumentException if a parameter is out of range
      */
     public RetryBudget(double ratio, double minPerSecond, long windowMicros) {
         if (!(ratio >= 0) || !(minPerSecond >= 0) || windowMicros <= 0) {
-            throw new IllegalArgumentException(
-                    "impossible budget: share " + ratio + ", " + minPerSecond + " per second, window " + windowMicros);
+            throw new IllegalArgumentException("ratio is " + ratio + " (expected 0 or more), minPerSecond is "
+                    + minPerSecond + " (expected 0 or more), windowMicros is " + windowMicros + " (expected over 0)");
         }
         this.ratio = ratio;
         this.minPerSecond = minPerSecond;
         this.windowMicros = windowMicros;
-        this.balance = freeRetries();
+        this.balance = minRetriesPerWindow();
     }
 
-    private double freeRetries() {
+    private double minRetriesPerWindow() {
         return minPerSecond * windowMicros / MICROS_PER_SECOND;
     }
 
-    // Unused budget expires, so that an idle hour's savings cannot feed a retry storm.
+    // Unused budget expires, so that budget saved in an idle hour cannot feed a retry storm.
     private void expire(long nowMicros) {
         double elapsedMicros = updatedAtMicros == Long.MIN_VALUE ? 0 : Math.max(0, nowMicros - updatedAtMicros);
         updatedAtMicros = Math.max(updatedAtMicros, nowMicros);
-        double free = freeRetries();
-        balance = free + (balance - free) * Math.exp(-elapsedMicros / windowMicros);
+        double baseBalance = minRetriesPerWindow();
+        balance = baseBalance + (balance - baseBalance) * Math.exp(-elapsedMicros / windowMicros);
     }
 
-    /** Goes on with what another budget had left. */
+    /** Takes over the balance of a former budget. */
     public void restore(RetryBudget former) {
         balance = former.balance;
         updatedAtMicros = former.updatedAtMicros;
     }
 
-    /** A first attempt is made. */
+    /** Counts a first attempt. */
     public void deposit(long nowMicros) {
         expire(nowMicros);
         balance += ratio;
     }
 
-    /** Takes one retry; false, and nothing is taken, where none is left. */
+    /** Takes one retry from the budget; returns false and takes nothing if none is left. */
     public boolean tryWithdraw(long nowMicros) {
         expire(nowMicros);
         if (balance < 1) {
--- a/core/src/main/java/loadbalancer/limits/VegasLimit.java
+++ b/core/src/main/java/loadbalancer/limits/VegasLimit.java
@@ -1,14 +1,15 @@
 package loadbalancer.limits;
 
 /**
- * Holds the number of requests that wait between two small bounds, as TCP Vegas (Brakmo and Peterson, 1995) and
- * Netflix' concurrency-limits do. What waits is the limit times the part of the latency that is above the base. The
- * bounds grow with the logarithm of the limit, so at a large pool the noise of the mean latency alone exceeds them.
+ * Keeps the number of queued requests between two small bounds, as TCP Vegas (Brakmo and Peterson, 1995) and Netflix's
+ * concurrency-limits do. The queue is estimated as the limit times the fraction of the latency that exceeds the base.
+ * The bounds grow only with the logarithm of the limit, so at a large pool the noise of the mean latency alone exceeds
+ * them.
  */
 final class VegasLimit extends LatencyLimit {
-    /** Fewer requests wait than this, times the step: the limit rises. */
+    /** The limit rises if fewer requests are queued than this times the step. */
     private static final double ALPHA = 3;
-    /** More requests wait than this, times the step: the limit falls. */
+    /** The limit falls if more requests are queued than this times the step. */
     private static final double BETA = 6;
 
     VegasLimit(ConcurrencyLimitConfig config) {
@@ -18,10 +19,10 @@
     @Override
     double next(double current, BaseLatencyEstimator window, boolean used) {
         double step = Math.max(1, Math.log10(current));
-        double waiting = current * (1 - window.baseMicros() / Math.max(1, window.meanMicros()));
-        if (window.dropped() || waiting > BETA * step) {
+        double queued = current * (1 - window.baseMicros() / Math.max(1, window.meanMicros()));
+        if (window.dropped() || queued > BETA * step) {
             return current - step;
         }
-        return waiting < ALPHA * step && used ? current + step : current;
+        return queued < ALPHA * step && used ? current + step : current;
     }
 }
--- a/core/src/main/java/loadbalancer/limits/package-info.java
+++ b/core/src/main/java/loadbalancer/limits/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Limits of what may pass: concurrency, rates and retries. Each limit is pure: the caller brings the time, in
- * microseconds, and carries out what the limit says. None is thread-safe.
+ * Limits for concurrency, request rates and retries. Each limit is pure: the caller passes the time in microseconds and
+ * enforces the limit's decision. None is thread-safe.
  */
 package loadbalancer.limits;
--- a/core/src/main/java/loadbalancer/router/Destination.java
+++ b/core/src/main/java/loadbalancer/router/Destination.java
@@ -5,8 +5,8 @@
 /**
  * One part of a route's traffic split.
  *
- * @param weight of the pool among the route's destinations
- * @param spillTargets where the traffic goes as the pool's health falls, in order of preference
+ * @param weight relative weight of the pool among the route's destinations
+ * @param spillTargets pools that take over traffic as the pool's health falls, the preferred one first
  */
 public record Destination(String pool, double weight, List<SpillTarget> spillTargets) {
     /** Copies the list. */
--- a/core/src/main/java/loadbalancer/router/DestinationState.java
+++ b/core/src/main/java/loadbalancer/router/DestinationState.java
@@ -6,16 +6,16 @@
 import loadbalancer.routes.Overflow;
 import loadbalancer.routes.TrafficSplit;
 
-/** A destination of a route: its pool, those that traffic spills over to, and each one's share of the traffic. */
+/** State of one destination of a route: its pool, its spill targets, and the share of the traffic that each gets. */
 final class DestinationState {
-    private static final long SHARES_INTERVAL_MICROS = 50_000;
-    private static final int DISCARDED_BITS = 11; // the other 53 are exact in a double
-    private static final double UNIT = 0x1.0p-53;
+    private static final long SHARES_UPDATE_INTERVAL_MICROS = 50_000;
+    private static final int DISCARDED_BITS = 11; // a double represents the remaining 53 bits exactly
+    private static final double POSITION_SCALE = 0x1.0p-53;
 
     private final List<PoolState> pools = new ArrayList<>();
     private final Overflow overflow;
     private final double overprovisioningFactor;
-    private double[] shares; // null until first needed
+    private double[] shares; // null until first computed
     private long sharesAtMicros = Long.MIN_VALUE;
 
     DestinationState(RouteConfig route, Destination destination, Map<String, PoolState> poolsByName) {
@@ -31,14 +31,14 @@
         overflow = new Overflow(overprovisioningFactor, route.returnPerSecond(), maxShares);
     }
 
-    /** The pool for a key; null where no pool can take it. */
+    /** Returns the pool for a key, or null if no pool can take it. */
     PoolState choose(long nowMicros, long key) {
         if (pools.size() == 1) {
             return pools.get(0);
         }
         updateShares(nowMicros);
-        // By the key and not at random: the same keys spill first, and stay where they have been.
-        double position = (TrafficSplit.hash(Long.toString(key)) >>> DISCARDED_BITS) * UNIT;
+        // The position depends on the key and is not random, so the same keys always spill first and others stay.
+        double position = (TrafficSplit.hash(Long.toString(key)) >>> DISCARDED_BITS) * POSITION_SCALE;
         for (int i = 0; i < shares.length; i++) {
             position -= shares[i];
             if (position < 0) {
@@ -49,7 +49,7 @@
     }
 
     private void updateShares(long nowMicros) {
-        if (shares != null && nowMicros - sharesAtMicros < SHARES_INTERVAL_MICROS) {
+        if (shares != null && nowMicros - sharesAtMicros < SHARES_UPDATE_INTERVAL_MICROS) {
             return;
         }
         double[] healthyFractions = new double[pools.size()];
@@ -67,7 +67,7 @@
         return pool == 0 ? 1 : 0;
     }
 
-    /** The shares of its pools as last computed; empty where none were needed yet. */
+    /** Returns the shares of its pools as last computed; empty if they have not been computed yet. */
     double[] shares() {
         return shares == null ? new double[0] : shares.clone();
     }
@@ -76,7 +76,7 @@
         pools.replaceAll(pool -> pool == replaced ? kept : pool);
     }
 
-    /** Goes on from another's shares, where it is between the same pools. */
+    /** Takes over the shares of a former destination if that has the same pools in the same order. */
     void restore(DestinationState former) {
         if (poolNames().equals(former.poolNames())) {
             overflow.restore(former.overflow);
--- a/core/src/main/java/loadbalancer/router/LeaseEnd.java
+++ b/core/src/main/java/loadbalancer/router/LeaseEnd.java
@@ -2,12 +2,12 @@
 
 /** How an admitted request ended. */
 public enum LeaseEnd {
-    /** It was served. */
+    /** The request was served. */
     SERVED,
-    /** It failed, or was rejected, after at least one attempt was sent. */
+    /** The request failed or was rejected after at least one attempt had been sent. */
     FAILED,
-    /** Its pool rejected it before any attempt was sent. */
+    /** The pool rejected the request before any attempt was sent. */
     NOT_SENT,
-    /** Its client left. */
+    /** The client disconnected. */
     CLIENT_GONE
 }
--- a/core/src/main/java/loadbalancer/router/PoolConfig.java
+++ b/core/src/main/java/loadbalancer/router/PoolConfig.java
@@ -3,9 +3,9 @@
 import loadbalancer.limits.ConcurrencyLimitConfig;
 
 /**
- * A pool as the router knows it.
+ * Configuration of a pool, as far as the router needs it.
  *
- * @param limit of the requests in flight; null: none
- * @param fullStrength endpoints that the pool has as a rule; 0 to learn it
+ * @param limit concurrency limit of the pool; null for none
+ * @param fullStrength number of endpoints that the pool normally has; 0 to learn it
  */
 public record PoolConfig(String name, ConcurrencyLimitConfig limit, int fullStrength) {}
--- a/core/src/main/java/loadbalancer/router/PoolState.java
+++ b/core/src/main/java/loadbalancer/router/PoolState.java
@@ -4,13 +4,13 @@
 import loadbalancer.limits.ConcurrencyLimit;
 import loadbalancer.routes.PoolHealth;
 
-/** A pool's requests in flight, its limit and its health. */
+/** A pool's requests in flight, concurrency limit and health. */
 final class PoolState {
     private static final int NO_LIMIT = -1;
 
     private PoolConfig config;
     private PoolHealth health;
-    private ConcurrencyLimit limit; // null where there is none
+    private ConcurrencyLimit limit; // null if the pool has none
     private int inFlight;
 
     PoolState(PoolConfig config) {
@@ -23,7 +23,7 @@
         return config.name();
     }
 
-    /** Goes by the configuration of {@code fresh}: what has changed begins anew, requests in flight stay. */
+    /** Applies the configuration of {@code fresh}. Changed parts start with fresh state; requests in flight stay. */
     void reconfigure(PoolState fresh) {
         if (config.fullStrength() != fresh.config.fullStrength()) {
             fresh.health.setEndpointsUp(0, health.endpointsUp());
@@ -44,9 +44,9 @@
     }
 
     /**
-     * Admits a request; false where the pool is at its limit.
+     * Admits a request; returns false if the pool is at its limit.
      *
-     * @param reservedFraction of the limit that the request must leave to those of higher priority
+     * @param reservedFraction fraction of the limit that the request must leave to requests of higher priority
      */
     boolean tryAdmit(long nowMicros, double reservedFraction) {
         if (isFull(reservedFraction)) {
@@ -61,10 +61,10 @@
         if (limit == null) {
             return false;
         }
-        int max = limit.limit();
-        // A request of any priority is admitted at an idle pool, so that a small limit starves no class.
-        int atLeast = Math.min(1, max);
-        return inFlight >= Math.max(atLeast, (int) Math.ceil(max * (1 - reservedFraction)));
+        int maxInFlight = limit.limit();
+        // An idle pool admits a request of any priority, so that a small limit does not starve a class.
+        int minAllowed = Math.min(1, maxInFlight);
+        return inFlight >= Math.max(minAllowed, (int) Math.ceil(maxInFlight * (1 - reservedFraction)));
     }
 
     int inFlight() {
@@ -72,21 +72,22 @@
     }
 
     /**
-     * A request that was admitted has ended.
+     * Records the end of an admitted request.
      *
-     * @param inFlightThen requests in flight when it was admitted, itself included
+     * @param inFlightAtAdmission requests in flight when it was admitted, itself included
      */
-    void ended(long nowMicros, LeaseEnd end, long latencyMicros, int inFlightThen) {
+    void ended(long nowMicros, LeaseEnd end, long latencyMicros, int inFlightAtAdmission) {
         inFlight--;
         if (end == LeaseEnd.CLIENT_GONE) {
-            return; // says nothing of the pool
+            return; // a client that disconnects says nothing about the pool
         }
         boolean served = end == LeaseEnd.SERVED;
         health.ended(nowMicros, served);
-        // A request that was never sent says nothing of latency or capacity: the policy has shed it by its own
-        // measure, and if each of the two answered the other's shedding with more, they would starve the pool.
+        // A request that was never sent says nothing about latency or capacity: the policy shed it by its own
+        // criteria. If the limit reacted to that, limit and policy would answer each other's shedding with more
+        // shedding and starve the pool.
         if (limit != null && end != LeaseEnd.NOT_SENT) {
-            limit.ended(nowMicros, latencyMicros, !served, inFlightThen);
+            limit.ended(nowMicros, latencyMicros, !served, inFlightAtAdmission);
         }
     }
 
--- a/core/src/main/java/loadbalancer/router/QuotaConfig.java
+++ b/core/src/main/java/loadbalancer/router/QuotaConfig.java
@@ -4,11 +4,11 @@
 import loadbalancer.limits.RateLimit;
 
 /**
- * Rates of the whole site.
+ * Request rates allowed for the whole site.
  *
- * @param site rate of all requests together; null: there are no quotas
- * @param tenants by name
- * @param others rate of all tenants together that are not named, the unknown among them; null: the site's alone
+ * @param site rate of all requests together; null if there are no quotas
+ * @param tenants quotas of the named tenants, by name
+ * @param others rate that all other tenants share, unknown ones included; null if only the site's rate applies
  */
 public record QuotaConfig(RateLimit site, Map<String, TenantQuotaConfig> tenants, RateLimit others) {
     /** Copies the map. */
@@ -16,7 +16,7 @@
         tenants = Map.copyOf(tenants);
     }
 
-    /** No quotas at all. */
+    /** Returns a configuration without quotas. */
     public static QuotaConfig none() {
         return new QuotaConfig(null, Map.of(), null);
     }
--- a/core/src/main/java/loadbalancer/router/QuotaTree.java
+++ b/core/src/main/java/loadbalancer/router/QuotaTree.java
@@ -4,19 +4,22 @@
 import loadbalancer.limits.TokenBucketTree;
 import loadbalancer.routes.Route;
 
-/** The site's quotas as one tree of rates: the site, tenants and all others below it, routes below tenants. */
+/**
+ * The site's quotas as one tree of rates. The root is the site; below it are the named tenants and one node for all
+ * other tenants; below a tenant are its routes.
+ */
 final class QuotaTree {
-    // No tenant or route has an empty name, or one with a slash.
+    // These cannot clash with a tenant or route: their names are not empty and contain no slash.
     private static final String SITE = "";
     private static final String OTHERS = "/";
 
     private final QuotaConfig config;
-    private final TokenBucketTree tree; // null where there are no quotas
+    private final TokenBucketTree tree; // null if there are no quotas
 
     /**
-     * Creates quotas of which nothing is used.
+     * Creates quotas with full token buckets.
      *
-     * @param instances balancers that share the rates equally, without telling one another what is left
+     * @param instances number of balancers that share the rates equally; they do not exchange what is left
      */
     QuotaTree(QuotaConfig config, int instances) {
         this.config = config;
@@ -43,10 +46,10 @@
     }
 
     /**
-     * The node that a request counts at; null where there are no quotas.
+     * Returns the node that a request counts at, or null if there are no quotas.
      *
-     * @param tenant null where the request names none
-     * @param route null where none takes the request
+     * @param tenant null if the request names none
+     * @param route null if no route takes the request
      */
     String node(String tenant, Route route) {
         if (tree == null) {
@@ -62,24 +65,24 @@
         return routeNode != null && tree.has(routeNode) ? routeNode : tenant;
     }
 
-    /** Counts a request at a node; false where that is over its rate. Null, for no quotas, always passes. */
-    boolean passes(long nowMicros, String node, double reservedFraction) {
+    /** Counts a request at a node; returns false if the node is over its rate. A null node always has room. */
+    boolean tryTake(long nowMicros, String node, double reservedFraction) {
         return node == null || tree.tryTake(nowMicros, node, reservedFraction);
     }
 
-    /** After how many microseconds a request at that node may pass. */
+    /** Returns after how many microseconds a request at that node may pass. */
     long waitMicros(long nowMicros, String node) {
         return tree.waitMicros(nowMicros, node);
     }
 
-    /** Goes on from another tree, by the names of its nodes. */
+    /** Takes over the state of the nodes that have the same names in a former tree. */
     void restore(QuotaTree former) {
         if (tree != null && former.tree != null) {
             tree.restore(former.tree);
         }
     }
 
-    /** Names the quota that a request counts at, for operators; null where there is none. */
+    /** Returns a description for operators of the quota that a request counts at, or null if there is none. */
     String describe(String tenant, Route route) {
         String node = node(tenant, route);
         if (node == null) {
--- a/core/src/main/java/loadbalancer/router/RejectionReason.java
+++ b/core/src/main/java/loadbalancer/router/RejectionReason.java
@@ -1,21 +1,21 @@
 package loadbalancer.router;
 
-/** Why a request was not admitted. Log lines name these constants in lower case. */
+/** Why a request was not admitted. Log lines contain the names of these constants in lower case. */
 public enum RejectionReason {
-    /** It was admitted. */
+    /** The request was admitted. */
     NONE,
-    /** The route's retry budget has nothing left for a retry that its client marked as such. */
+    /** The request is marked as a client's retry, and the route's retry budget is used up. */
     CLIENT_RETRIES,
     /** The route is over its rate. */
     ROUTE_RATE,
     /** The tenant or the site is over its quota. */
     QUOTA,
-    /** No pool of the route can take it. */
+    /** No pool of the route can take the request. */
     NO_POOL,
-    /** The pool is over its limit. */
+    /** The pool is at its concurrency limit. */
     POOL_LIMIT,
-    /** No route takes it. */
+    /** No route matches the request. */
     NO_ROUTE,
-    /** Its path can't be routed. */
+    /** The path of the request can't be routed. */
     BAD_PATH
 }
--- a/core/src/main/java/loadbalancer/router/RequestRouter.java
+++ b/core/src/main/java/loadbalancer/router/RequestRouter.java
@@ -11,15 +11,16 @@
 import loadbalancer.routes.TrafficSplit;
 
 /**
- * Decides which pool takes a request, or that none does. What is rejected here is rejected at once, before any
- * attempt; what is admitted stays with its pool to the end, so nothing that may have run in one pool is ever sent to
+ * Decides which pool takes a request, or rejects it. A request is rejected immediately, before any attempt. An admitted
+ * request stays with its pool until it ends, so a request that may have been executed in one pool is never sent to
  * another.
  *
- * <p>The checks come in this order, the cheapest and the most final first: path and route, the budget for clients'
- * retries, rates (route, then tenant and site), the pool by split and overflow, the pool's concurrency limit. What an
- * earlier check has counted and a later one rejects is not given back: a rejected request is load, too.
+ * <p>The checks run from the cheapest and most final to the most expensive: path and route, retry budget for clients'
+ * retries, rates (of the route, then of tenant and site), choice of the pool by split and overflow, concurrency limit
+ * of the pool. If a check rejects a request, what earlier checks counted for it is not given back, because a rejected
+ * request is load, too.
  *
- * <p>Pure: the caller brings the time, in microseconds, which may stand still but not go back. Not thread-safe.
+ * <p>Pure: the caller passes the time in microseconds, which may stand still but must not go back. Not thread-safe.
  */
 public final class RequestRouter {
     private final RoutingConfig config;
@@ -28,34 +29,34 @@
     private final Map<Route, RouteState> routes = new IdentityHashMap<>();
     private final QuotaTree quotas;
 
-    /** Creates a router that has seen no request and knows no endpoints. */
+    /** Creates a router without requests in flight and without endpoints. */
     public RequestRouter(RoutingConfig config) {
         this.config = config;
         for (PoolConfig pool : config.pools()) {
             pools.put(pool.name(), new PoolState(pool));
         }
-        List<Route> matches = new ArrayList<>();
+        List<Route> tableRoutes = new ArrayList<>();
         for (RouteConfig route : config.routes()) {
-            matches.add(route.route());
+            tableRoutes.add(route.route());
             routes.put(route.route(), new RouteState(route, config.instances(), pools));
         }
-        table = new RouteTable(matches);
+        table = new RouteTable(tableRoutes);
         quotas = new QuotaTree(config.quotas(), config.instances());
     }
 
-    /** What it goes by. */
     public RoutingConfig config() {
         return config;
     }
 
-    /** Its routes, compiled. */
+    /** Returns the compiled routes. */
     public RouteTable table() {
         return table;
     }
 
     /**
-     * Goes on from another router: pools, rates, budgets and shares keep their state by name. Requests that the other
-     * admitted end here as well as there. The other must not be given requests any more.
+     * Takes over the state of a former router: pools, rates, retry budgets and traffic shares, matched by name. Leases
+     * of the former router stay valid and may be ended at either router. The former router must not receive further
+     * requests.
      */
     public void restore(RequestRouter former) {
         for (PoolState formerPool : former.pools.values()) {
@@ -76,13 +77,13 @@
         quotas.restore(former.quotas);
     }
 
-    // The state itself goes over, because the leases of its requests in flight refer to it.
+    // The object itself is taken over, because the leases of requests in flight refer to it.
     private void replacePool(PoolState replaced, PoolState kept) {
         pools.put(replaced.name(), kept);
         routes.values().forEach(route -> route.replacePool(replaced, kept));
     }
 
-    /** A pool has that many endpoints that requests may be sent to; an unknown pool is ignored. */
+    /** Sets how many endpoints of a pool requests may be sent to; an unknown pool is ignored. */
     public void setEndpointsUp(long nowMicros, String pool, int endpoints) {
         PoolState state = pools.get(pool);
         if (state != null) {
@@ -90,7 +91,7 @@
         }
     }
 
-    /** Decides about a request that has come in, and counts it. */
+    /** Decides about a request that has arrived, and counts it. */
     public RoutingDecision route(long nowMicros, RoutingRequest request) {
         if (request.attributes().path() == null) {
             return RoutingDecision.badPath();
@@ -100,16 +101,16 @@
         if (route == null && config.unmatchedPool() == null) {
             return RoutingDecision.notFound();
         }
-        double reservedFraction = config.reservedFraction() * (1 - request.rank());
-        if (route != null && !route.passesRetryBudget(nowMicros, request.clientRetry())) {
+        double reservedFraction = config.reservedFraction() * (1 - request.priority());
+        if (route != null && !route.tryPassRetryBudget(nowMicros, request.clientRetry())) {
             return rejected(RejectionReason.CLIENT_RETRIES, config.retryAfter().maxMicros(), request);
         }
-        if (route != null && !route.passesRate(nowMicros, reservedFraction)) {
+        if (route != null && !route.tryTakeRate(nowMicros, reservedFraction)) {
             return rejected(RejectionReason.ROUTE_RATE, route.rateWaitMicros(nowMicros), request);
         }
-        String quota = quotas.node(request.attributes().tenant(), match);
-        if (!quotas.passes(nowMicros, quota, reservedFraction)) {
-            return rejected(RejectionReason.QUOTA, quotas.waitMicros(nowMicros, quota), request);
+        String quotaNode = quotas.node(request.attributes().tenant(), match);
+        if (!quotas.tryTake(nowMicros, quotaNode, reservedFraction)) {
+            return rejected(RejectionReason.QUOTA, quotas.waitMicros(nowMicros, quotaNode), request);
         }
         return admit(nowMicros, route, reservedFraction, request);
     }
@@ -131,29 +132,29 @@
     }
 
     private RoutingDecision rejected(RejectionReason reason, long waitMicros, RoutingRequest request) {
-        return RoutingDecision.rejected(reason, config.retryAfter().advice(waitMicros, request.random()));
+        return RoutingDecision.rejected(reason, config.retryAfter().retryAfterMicros(waitMicros, request.random()));
     }
 
-    /** Whether an admitted request may be retried by its pool; counts the retry where so. */
+    /** Whether the pool may retry an admitted request; if so, the retry is taken from the retry budget. */
     public boolean allowsRetry(long nowMicros, RouteLease lease) {
         return lease.allowsRetry(nowMicros);
     }
 
-    /** An admitted request has ended; only the first call for a lease counts. */
+    /** Records the end of an admitted request; only the first call for a lease counts. */
     public void ended(long nowMicros, RouteLease lease, LeaseEnd end) {
         lease.end(nowMicros, end);
     }
 
-    /** All pools as they stand. */
+    /** Returns the current state of all pools. */
     public List<PoolStatus> poolStatus() {
         return pools.values().stream().map(PoolState::status).toList();
     }
 
     /**
-     * The shares of a destination's pool and of its spill targets, as last computed; empty where none were yet.
+     * Returns the last computed shares of a destination's pool and of its spill targets; empty if there are none yet.
      *
-     * @param destination its index in the route's configuration
-     * @throws IllegalArgumentException where there is no such route
+     * @param destination index of the destination in the route's configuration
+     * @throws IllegalArgumentException if there is no such route
      */
     public double[] shares(String route, int destination) {
         for (RouteState state : routes.values()) {
@@ -164,12 +165,12 @@
         throw new IllegalArgumentException("no route '" + route + "'");
     }
 
-    /** Names the quota that a request counts at, for operators; null where there is none. */
+    /** Returns a description for operators of the quota that a request counts at, or null if there is none. */
     public String describeQuota(String tenant, Route route) {
         return quotas.describe(tenant, route);
     }
 
-    /** The index of the destination that a key takes by the split alone; -1 where all weights are 0. */
+    /** Returns the index of the destination that the traffic split gives a key; -1 if all weights are 0. */
     public int destinationOf(Route route, String key) {
         return routes.get(route).destinationOf(TrafficSplit.hash(key));
     }
--- a/core/src/main/java/loadbalancer/router/RetryAfterBounds.java
+++ b/core/src/main/java/loadbalancer/router/RetryAfterBounds.java
@@ -1,31 +1,32 @@
 package loadbalancer.router;
 
 /**
- * Bounds of the {@code Retry-After} advice that goes with a rejection.
+ * Bounds of the {@code Retry-After} time that is sent with a rejection.
  *
- * @param maxMicros 0: no advice is given
+ * @param maxMicros 0 to send no {@code Retry-After}
  */
 public record RetryAfterBounds(long minMicros, long maxMicros) {
-    /** Throws IllegalArgumentException for bounds out of order. */
+    /** Throws IllegalArgumentException if a bound is negative, or the lower one is over the upper one. */
     public RetryAfterBounds {
         if (minMicros < 0 || maxMicros < minMicros && maxMicros != 0) {
-            throw new IllegalArgumentException("impossible advice: from " + minMicros + " to " + maxMicros);
+            throw new IllegalArgumentException("Retry-After bounds are minMicros " + minMicros + ", maxMicros "
+                    + maxMicros + ": expected 0 or more, and maxMicros either 0 or at least minMicros");
         }
     }
 
     /**
-     * The advice for a wait, in microseconds; 0 for none. It is spread at random, or all rejected clients would come
-     * back at the same moment.
+     * Returns the {@code Retry-After} time in microseconds; 0 for none. It is randomized, because otherwise all
+     * rejected clients would come back at the same moment.
      *
-     * @param waitMicros until a request may pass; {@link Long#MAX_VALUE} where never
+     * @param waitMicros time until a request may pass; {@link Long#MAX_VALUE} for never
      * @param random from 0 to under 1
      */
-    long advice(long waitMicros, double random) {
+    long retryAfterMicros(long waitMicros, double random) {
         if (maxMicros == 0) {
             return 0;
         }
-        long spreadMicros =
+        long randomizedMicros =
                 waitMicros > maxMicros ? maxMicros : (long) (waitMicros + random * Math.max(minMicros, waitMicros));
-        return Math.max(minMicros, Math.min(maxMicros, spreadMicros));
+        return Math.max(minMicros, Math.min(maxMicros, randomizedMicros));
     }
 }
--- a/core/src/main/java/loadbalancer/router/RetryBudgetConfig.java
+++ b/core/src/main/java/loadbalancer/router/RetryBudgetConfig.java
@@ -1,11 +1,11 @@
 package loadbalancer.router;
 
 /**
- * The retry budget of a route, see {@link loadbalancer.limits.RetryBudget}.
+ * Configuration of a route's {@link loadbalancer.limits.RetryBudget}.
  *
- * @param ratio retries for each first attempt
- * @param minPerSecond retries per second of the whole site that are free
- * @param windowMicros over which first attempts count
- * @param countClientRetries whether retries that clients mark as such draw on the budget
+ * @param ratio retries that each first attempt allows
+ * @param minPerSecond retries per second that are allowed in any case, for the whole site
+ * @param windowMicros time for which first attempts count
+ * @param countClientRetries whether requests that clients mark as retries are taken from the budget
  */
 public record RetryBudgetConfig(double ratio, double minPerSecond, long windowMicros, boolean countClientRetries) {}
--- a/core/src/main/java/loadbalancer/router/RouteConfig.java
+++ b/core/src/main/java/loadbalancer/router/RouteConfig.java
@@ -5,13 +5,14 @@
 import loadbalancer.routes.Route;
 
 /**
- * A route and what becomes of its requests.
+ * A route with its destinations and limits.
  *
- * @param overprovisioningFactor what a healthy endpoint can take of others' work, see {@link loadbalancer.routes.Overflow}
- * @param returnPerSecond fraction of the traffic that returns to a recovered pool per second
- * @param retryBudget null: none
- * @param rate the route's own limit for the whole site; null: none
- * @param deadlineMicros the longest that a request of this route may take; 0: as its client says
+ * @param overprovisioningFactor load that a healthy endpoint can take relative to its usual load, see {@link
+ *     loadbalancer.routes.Overflow}
+ * @param returnPerSecond fraction of the traffic that returns to a recovered pool per second, at most
+ * @param retryBudget null for none
+ * @param rate the route's rate limit for the whole site; null for none
+ * @param deadlineMicros longest time that a request of this route may take; 0 to use the client's deadline alone
  */
 public record RouteConfig(
         Route route,
--- a/core/src/main/java/loadbalancer/router/RouteLease.java
+++ b/core/src/main/java/loadbalancer/router/RouteLease.java
@@ -1,31 +1,31 @@
 package loadbalancer.router;
 
-/** What an admitted request holds until {@link RequestRouter#ended}. */
+/** Held by an admitted request until {@link RequestRouter#ended}: its route, its pool and its place in flight. */
 public final class RouteLease {
-    private final RouteState route; // null where no route took the request
+    private final RouteState route; // null if no route matched the request
     private final PoolState pool;
     private final long admittedAtMicros;
-    private final int inFlight; // at the pool when it was admitted, itself included
+    private final int inFlightAtAdmission; // requests in flight at the pool, this one included
     private boolean ended;
 
-    RouteLease(RouteState route, PoolState pool, long admittedAtMicros, int inFlight) {
+    RouteLease(RouteState route, PoolState pool, long admittedAtMicros, int inFlightAtAdmission) {
         this.route = route;
         this.pool = pool;
         this.admittedAtMicros = admittedAtMicros;
-        this.inFlight = inFlight;
+        this.inFlightAtAdmission = inFlightAtAdmission;
     }
 
-    /** Name of the pool that has the request. */
+    /** Returns the name of the pool that serves the request. */
     public String pool() {
         return pool.name();
     }
 
-    /** Name of the route that it came by; null where none took it. */
+    /** Returns the name of the request's route; null if no route matched it. */
     public String route() {
         return route == null ? null : route.name();
     }
 
-    /** The longest that it may take, in microseconds; 0: as its client says. */
+    /** Returns the route's deadline for the request in microseconds; 0 if the route sets none. */
     public long deadlineMicros() {
         return route == null ? 0 : route.config().deadlineMicros();
     }
@@ -37,7 +37,7 @@
     void end(long nowMicros, LeaseEnd end) {
         if (!ended) {
             ended = true;
-            pool.ended(nowMicros, end, nowMicros - admittedAtMicros, inFlight);
+            pool.ended(nowMicros, end, nowMicros - admittedAtMicros, inFlightAtAdmission);
         }
     }
 }
--- a/core/src/main/java/loadbalancer/router/RouteState.java
+++ b/core/src/main/java/loadbalancer/router/RouteState.java
@@ -6,20 +6,20 @@
 import loadbalancer.limits.TokenBucketTree;
 import loadbalancer.routes.TrafficSplit;
 
-/** A route's split, destinations, retry budget and rate. */
+/** State of a route: its traffic split, destinations, retry budget and rate. */
 final class RouteState {
-    private static final String RATE = ""; // the one node of the route's rate
+    private static final String RATE_NODE = ""; // the only node of the rate's token bucket tree
 
     private final RouteConfig config;
     private final TrafficSplit split;
     private final List<DestinationState> destinations;
-    private final RetryBudget retryBudget; // null where there is none
-    private final TokenBucketTree rate; // null where there is none
+    private final RetryBudget retryBudget; // null if there is none
+    private final TokenBucketTree rate; // null if there is none
 
     /**
-     * Creates the state of a route that has seen no request.
+     * Creates the state of a route before its first request.
      *
-     * @param instances balancers that share the route's rate and its free retries
+     * @param instances number of balancers that share the route's rate and its minimum of retries
      */
     RouteState(RouteConfig config, int instances, Map<String, PoolState> poolsByName) {
         this.config = config;
@@ -32,7 +32,7 @@
         this.retryBudget = config.retryBudget() == null ? null : retryBudget(config.retryBudget(), instances);
         this.rate = config.rate() == null
                 ? null
-                : new TokenBucketTree(RATE, config.rate().dividedBy(instances));
+                : new TokenBucketTree(RATE_NODE, config.rate().dividedBy(instances));
     }
 
     private static RetryBudget retryBudget(RetryBudgetConfig config, int instances) {
@@ -51,8 +51,8 @@
         return destinations;
     }
 
-    /** Counts a request against the retry budget; false where it is a client's retry and the budget is used up. */
-    boolean passesRetryBudget(long nowMicros, boolean clientRetry) {
+    /** Counts a request at the retry budget; returns false if it is a client's retry and the budget is used up. */
+    boolean tryPassRetryBudget(long nowMicros, boolean clientRetry) {
         if (retryBudget == null) {
             return true;
         }
@@ -63,27 +63,27 @@
         return true;
     }
 
-    /** Takes one of the balancer's own retries; false where the budget is used up. */
+    /** Takes one retry by the balancer from the budget; returns false if the budget is used up. */
     boolean tryWithdrawRetry(long nowMicros) {
         return retryBudget == null || retryBudget.tryWithdraw(nowMicros);
     }
 
-    /** Counts a request against the route's rate; false where it is over it. */
-    boolean passesRate(long nowMicros, double reservedFraction) {
-        return rate == null || rate.tryTake(nowMicros, RATE, reservedFraction);
+    /** Counts a request at the route's rate; returns false if the route is over its rate. */
+    boolean tryTakeRate(long nowMicros, double reservedFraction) {
+        return rate == null || rate.tryTake(nowMicros, RATE_NODE, reservedFraction);
     }
 
-    /** After how many microseconds a request may pass the route's rate. */
+    /** Returns after how many microseconds a request may pass the route's rate. */
     long rateWaitMicros(long nowMicros) {
-        return rate.waitMicros(nowMicros, RATE);
+        return rate.waitMicros(nowMicros, RATE_NODE);
     }
 
-    /** The index of the destination that a key takes by the split alone; -1 where all weights are 0. */
+    /** Returns the index of the destination that the traffic split gives a key; -1 if all weights are 0. */
     int destinationOf(long key) {
         return split.choose(key);
     }
 
-    /** The pool for a key; null where no pool can take it. */
+    /** Returns the pool for a key, or null if no pool can take it. */
     PoolState choosePool(long nowMicros, long key) {
         int index = split.choose(key);
         return index < 0 ? null : destinations.get(index).choose(nowMicros, key);
@@ -93,7 +93,7 @@
         destinations.forEach(destination -> destination.replacePool(replaced, kept));
     }
 
-    /** Goes on from the state of the route of that name in another router. */
+    /** Takes over the state of the route with the same name in a former router. */
     void restore(RouteState former) {
         if (retryBudget != null && former.retryBudget != null) {
             retryBudget.restore(former.retryBudget);
--- a/core/src/main/java/loadbalancer/router/RoutingConfig.java
+++ b/core/src/main/java/loadbalancer/router/RoutingConfig.java
@@ -5,12 +5,13 @@
 import java.util.Set;
 
 /**
- * All that a {@link RequestRouter} goes by. Immutable.
+ * Configuration of a {@link RequestRouter}. Immutable.
  *
- * @param unmatchedPool the pool for requests that no route takes; null: they are answered "not found"
- * @param instances balancers that share the rates, this one included, 1 or more
- * @param reservedFraction of a limit that is kept for the requests of the highest priority, from 0 to under 1
- * @param retryAfter bounds of the advice that goes with a rejection
+ * @param unmatchedPool pool for requests that no route matches; null to answer them with "not found"
+ * @param instances number of balancers that share the rates, this one included; 1 or more
+ * @param reservedFraction fraction of each limit that is reserved for requests of the highest priority, from 0 to under
+ *     1
+ * @param retryAfter bounds of the {@code Retry-After} time that is sent with a rejection
  */
 public record RoutingConfig(
         List<PoolConfig> pools,
@@ -20,7 +21,7 @@
         int instances,
         double reservedFraction,
         RetryAfterBounds retryAfter) {
-    /** Throws IllegalArgumentException for a pool that is named and missing, or named twice, and for odd numbers. */
+    /** Throws IllegalArgumentException for a duplicate or unknown pool name and for a number out of range. */
     public RoutingConfig {
         pools = List.copyOf(pools);
         routes = List.copyOf(routes);
@@ -32,8 +33,9 @@
             requirePool(poolNames, unmatchedPool, "(unmatched)");
         }
         if (instances < 1 || !(reservedFraction >= 0 && reservedFraction < 1)) {
-            throw new IllegalArgumentException(
-                    "impossible front: " + instances + " instances, reserve " + reservedFraction);
+            throw new IllegalArgumentException("instances is " + instances
+                    + " (expected 1 or more), reservedFraction is " + reservedFraction
+                    + " (expected from 0 to under 1)");
         }
     }
 
@@ -41,7 +43,7 @@
         Set<String> names = new HashSet<>();
         for (PoolConfig pool : pools) {
             if (!names.add(pool.name())) {
-                throw new IllegalArgumentException("two pools are called '" + pool.name() + "'");
+                throw new IllegalArgumentException("duplicate pool name '" + pool.name() + "'");
             }
         }
         return names;
@@ -50,7 +52,7 @@
     private static void requirePools(Set<String> poolNames, RouteConfig config) {
         String route = config.route().name();
         if (config.destinations().isEmpty()) {
-            throw new IllegalArgumentException("route '" + route + "' leads to no pool");
+            throw new IllegalArgumentException("route '" + route + "' has no destination");
         }
         for (Destination destination : config.destinations()) {
             requirePool(poolNames, destination.pool(), route);
@@ -60,7 +62,7 @@
 
     private static void requirePool(Set<String> poolNames, String pool, String route) {
         if (!poolNames.contains(pool)) {
-            throw new IllegalArgumentException("route '" + route + "': no pool '" + pool + "'");
+            throw new IllegalArgumentException("route '" + route + "': unknown pool '" + pool + "'");
         }
     }
 }
--- a/core/src/main/java/loadbalancer/router/RoutingDecision.java
+++ b/core/src/main/java/loadbalancer/router/RoutingDecision.java
@@ -1,10 +1,10 @@
 package loadbalancer.router;
 
 /**
- * What the router decides about a request.
+ * The router's decision about a request.
  *
- * @param lease what the request holds until {@link RequestRouter#ended}; null unless it was admitted
- * @param retryAfterMicros advice for the client; 0 for none
+ * @param lease held by the request until {@link RequestRouter#ended}; null unless it was admitted
+ * @param retryAfterMicros time after which the client may retry; 0 to send none
  */
 public record RoutingDecision(RoutingOutcome outcome, RejectionReason reason, RouteLease lease, long retryAfterMicros) {
     static RoutingDecision admitted(RouteLease lease) {
--- a/core/src/main/java/loadbalancer/router/RoutingOutcome.java
+++ b/core/src/main/java/loadbalancer/router/RoutingOutcome.java
@@ -1,13 +1,13 @@
 package loadbalancer.router;
 
-/** What becomes of a request at the router. */
+/** Outcome of a request at the router. */
 public enum RoutingOutcome {
-    /** It is handed to a pool. */
+    /** The request is handed to a pool. */
     ADMITTED,
-    /** It is over a limit; trying again later is harmless. */
+    /** The request is over a limit; it was not sent, so a later retry is harmless. */
     REJECTED,
-    /** No route takes it. */
+    /** No route matches the request. */
     NOT_FOUND,
-    /** Its path can't be routed. */
+    /** The path of the request can't be routed. */
     BAD_PATH
 }
--- a/core/src/main/java/loadbalancer/router/SpillTarget.java
+++ b/core/src/main/java/loadbalancer/router/SpillTarget.java
@@ -1,4 +1,4 @@
 package loadbalancer.router;
 
-/** A pool that a route's traffic spills over to, and the fraction of the route's traffic that it may take at most. */
+/** A pool that a route's traffic spills over to, and the largest fraction of the traffic that it may take. */
 public record SpillTarget(String pool, double maxShare) {}
--- a/core/src/main/java/loadbalancer/router/TenantQuotaConfig.java
+++ b/core/src/main/java/loadbalancer/router/TenantQuotaConfig.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import loadbalancer.limits.RateLimit;
 
-/** A tenant's rate for the whole site, and the rates of routes within it by the routes' names. */
+/** A tenant's rate for the whole site, and its rates on single routes, by route name. */
 public record TenantQuotaConfig(RateLimit rate, Map<String, RateLimit> routes) {
     /** Copies the map. */
     public TenantQuotaConfig {
--- a/core/src/main/java/loadbalancer/router/package-info.java
+++ b/core/src/main/java/loadbalancer/router/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The rules in front of the pools: which route and pool a request takes, and whether it is admitted at all. Joins
- * {@code routes} and {@code limits} into one pure state machine. Which endpoint of a pool is chosen, whether an attempt
- * is retried, and what a pool itself rejects is decided by each pool's policy.
+ * Routing in front of the pools: chooses the route and the pool of a request and decides whether it is admitted.
+ * Combines {@code routes} and {@code limits} in one pure state machine. The policy of each pool chooses endpoints,
+ * makes retries and may reject further requests.
  */
 package loadbalancer.router;
--- a/core/src/main/java/loadbalancer/routes/PathTemplate.java
+++ b/core/src/main/java/loadbalancer/routes/PathTemplate.java
@@ -4,51 +4,52 @@
 import java.util.List;
 
 /**
- * A path with parameters: {@code /api/{key}/seats} or {@code /static/**}. A parameter in braces stands for one segment
- * that is not empty, {@code **} at the end for any rest, also none. Segments are compared as they were sent: an encoded
- * slash is no slash (RFC 3986, section 2.2), and case counts. Immutable.
+ * A path with parameters, such as {@code /api/{key}/seats} or {@code /static/**}. A parameter in braces matches one
+ * segment that is not empty; {@code **} at the end matches any number of further segments, also none. Segments are
+ * compared as they were sent, in the same case; an encoded slash does not separate segments (RFC 3986, section 2.2).
+ * Immutable.
  *
- * @param rest whether any further segments may follow
+ * @param trailingWildcard whether the template ends with {@code **}
  */
-public record PathTemplate(List<Segment> segments, boolean rest) {
-    /** One part between slashes; {@code text} is the literal, or the name of a parameter. */
+public record PathTemplate(List<Segment> segments, boolean trailingWildcard) {
+    /** One segment; {@code text} is the literal, or the name of the parameter. */
     public record Segment(String text, boolean parameter) {}
 
-    private static final String REST = "**";
+    private static final String WILDCARD = "**";
     private static final int MAX_SEGMENTS = 64;
-    private static final int MAX_ENCODED_DOTS = "%2e%2e".length();
+    private static final int MAX_DOT_SEGMENT_LENGTH = "%2e%2e".length();
 
-    /** Copies the segments. */
+    /** Makes a defensive copy of the segments. */
     public PathTemplate {
         segments = List.copyOf(segments);
     }
 
     /**
-     * Reads a template.
+     * Parses a template.
      *
-     * @throws IllegalArgumentException that says what is wrong, for operators
+     * @throws IllegalArgumentException if the template is malformed; the message is meant for operators
      */
     public static PathTemplate of(String text) {
         if (!text.startsWith("/")) {
             throw new IllegalArgumentException("path '" + text + "' must begin with '/'");
         }
         List<Segment> segments = new ArrayList<>();
-        boolean rest = false;
+        boolean trailingWildcard = false;
         String[] parts = text.substring(1).split("/", -1);
         for (int i = 0; i < parts.length; i++) {
-            if (!parts[i].equals(REST)) {
+            if (!parts[i].equals(WILDCARD)) {
                 segments.add(segment(text, parts[i]));
             } else if (i < parts.length - 1) {
                 throw new IllegalArgumentException("path '" + text + "': '**' may only stand at the end");
             } else {
-                rest = true;
+                trailingWildcard = true;
             }
         }
         if (segments.size() > MAX_SEGMENTS) {
             throw new IllegalArgumentException(
-                    "path '" + text + "' has " + segments.size() + " segments, " + MAX_SEGMENTS + " at most");
+                    "path '" + text + "' has " + segments.size() + " segments, " + MAX_SEGMENTS + " are allowed");
         }
-        return new PathTemplate(segments, rest);
+        return new PathTemplate(segments, trailingWildcard);
     }
 
     private static Segment segment(String path, String part) {
@@ -66,9 +67,9 @@
     }
 
     /**
-     * The segments of a request's path, without its query; null for a path that servers may read differently: one that
-     * doesn't begin with a slash, or holds a segment {@code .} or {@code ..}, encoded or not (RFC 3986, section 5.2.4
-     * removes it, and the path without it might be another route's).
+     * Returns the segments of a request's path without its query. Returns null for a path that servers may interpret
+     * differently: one that doesn't begin with a slash, or contains a segment {@code .} or {@code ..}, encoded or not.
+     * RFC 3986, section 5.2.4, removes such segments, and the path without them might belong to another route.
      */
     public static String[] split(String path) {
         int end = path.length();
@@ -83,24 +84,24 @@
         }
         String[] segments = path.substring(1, end).split("/", -1);
         for (String segment : segments) {
-            if (isDots(segment)) {
+            if (isDotSegment(segment)) {
                 return null;
             }
         }
         return segments;
     }
 
-    private static boolean isDots(String segment) {
-        if (segment.isEmpty() || segment.length() > MAX_ENCODED_DOTS) {
+    private static boolean isDotSegment(String segment) {
+        if (segment.isEmpty() || segment.length() > MAX_DOT_SEGMENT_LENGTH) {
             return false;
         }
         String decoded = segment.replace("%2e", ".").replace("%2E", ".");
         return decoded.equals(".") || decoded.equals("..");
     }
 
-    /** Whether the segments of a request match: the definition, which {@link RouteTable} must agree with. */
+    /** Whether the segments of a request's path match this template; {@link RouteTable} must give the same result. */
     public boolean matches(String[] path) {
-        if (rest ? path.length < segments.size() : path.length != segments.size()) {
+        if (trailingWildcard ? path.length < segments.size() : path.length != segments.size()) {
             return false;
         }
         for (int i = 0; i < segments.size(); i++) {
@@ -118,6 +119,6 @@
         for (Segment segment : segments) {
             out.append('/').append(segment.parameter ? "{" + segment.text + "}" : segment.text);
         }
-        return out.append(rest ? "/**" : "").toString();
+        return out.append(trailingWildcard ? "/**" : "").toString();
     }
 }
--- a/core/src/main/java/loadbalancer/routes/Route.java
+++ b/core/src/main/java/loadbalancer/routes/Route.java
@@ -7,10 +7,10 @@
 import java.util.TreeMap;
 
 /**
- * What a request must be like to take this route. Empty sets and maps ask for nothing.
+ * A route and the conditions on its requests. An empty set or map is no condition.
  *
- * @param headers required values, compared exactly, by names, compared in any case
- * @param position of the route in the file, which decides between routes that are equally specific
+ * @param headers required values by header name; values are compared exactly, names without regard to case
+ * @param position position in the file, which decides between equally specific routes
  */
 public record Route(
         String name,
@@ -20,29 +20,29 @@
         Set<String> tenants,
         Set<String> classes,
         int position) {
-    /** Copies the collections, with the names of headers in lower case. */
+    /** Makes defensive copies of the collections and converts the header names to lower case. */
     public Route {
         methods = Set.copyOf(methods);
         tenants = Set.copyOf(tenants);
         classes = Set.copyOf(classes);
-        Map<String, String> lowerCase = new TreeMap<>();
-        headers.forEach((header, value) -> lowerCase.put(header.toLowerCase(Locale.ROOT), value));
-        headers = Map.copyOf(lowerCase);
+        Map<String, String> lowerCaseHeaders = new TreeMap<>();
+        headers.forEach((header, value) -> lowerCaseHeaders.put(header.toLowerCase(Locale.ROOT), value));
+        headers = Map.copyOf(lowerCaseHeaders);
     }
 
     /**
-     * The stated order: the more specific first. The path decides segment by segment (a literal before a parameter, a
-     * parameter before the end of a {@code **}), then the number of headers, then whether methods, tenants and classes
-     * are named, in that order, and at last the position in the file.
+     * Orders routes by specificity, the most specific first. The path decides segment by segment: a literal comes
+     * before a parameter, and a parameter before a trailing {@code **}. Then the number of headers decides, then
+     * whether methods, tenants and classes are named, in that order, and finally the position in the file.
      */
-    public static final Comparator<Route> MOST_SPECIFIC = Comparator.comparing(Route::path, Route::comparePaths)
+    public static final Comparator<Route> MOST_SPECIFIC_FIRST = Comparator.comparing(Route::path, Route::comparePaths)
             .thenComparing(route -> -route.headers.size())
             .thenComparing(route -> route.methods.isEmpty())
             .thenComparing(route -> route.tenants.isEmpty())
             .thenComparing(route -> route.classes.isEmpty())
             .thenComparingInt(Route::position);
 
-    // Of two templates that match one path, the first difference decides; the texts of literals can't differ then.
+    // The first difference decides. Two templates that match the same path cannot differ in the text of a literal.
     private static int comparePaths(PathTemplate left, PathTemplate right) {
         int common = Math.min(left.segments().size(), right.segments().size());
         for (int i = 0; i < common; i++) {
@@ -54,10 +54,10 @@
         }
         int longerFirst =
                 Integer.compare(right.segments().size(), left.segments().size());
-        return longerFirst != 0 ? longerFirst : Boolean.compare(left.rest(), right.rest());
+        return longerFirst != 0 ? longerFirst : Boolean.compare(left.trailingWildcard(), right.trailingWildcard());
     }
 
-    /** Why this route doesn't take the request, as a sentence for operators; null where it does. */
+    /** Returns why this route doesn't match the request, as a sentence for operators; null if it does. */
     public String mismatch(RouteRequest request) {
         if (!path.matches(request.path())) {
             return "the path isn't " + path;
@@ -65,7 +65,7 @@
         return mismatchBeyondPath(request);
     }
 
-    /** The same where the path is known to match. */
+    /** Like {@link #mismatch}, for a request whose path is known to match. */
     String mismatchBeyondPath(RouteRequest request) {
         if (!methods.isEmpty() && !methods.contains(request.method())) {
             return "the method is " + request.method() + ", not "
--- a/core/src/main/java/loadbalancer/routes/RouteRequest.java
+++ b/core/src/main/java/loadbalancer/routes/RouteRequest.java
@@ -3,12 +3,12 @@
 import java.util.Map;
 
 /**
- * What of a request decides its route.
+ * The properties of a request that decide its route.
  *
- * @param path its segments, as {@link PathTemplate#split} gives them
- * @param headers by names in lower case
- * @param tenant null where the request names none
- * @param requestClass name of its class; null where the request names none
+ * @param path segments of the path, as returned by {@link PathTemplate#split}
+ * @param headers values by header name in lower case
+ * @param tenant null if the request names none
+ * @param requestClass name of the request class; null if the request names none
  */
 public record RouteRequest(
         String method, String[] path, Map<String, String> headers, String tenant, String requestClass) {}
--- a/core/src/main/java/loadbalancer/routes/RouteTable.java
+++ b/core/src/main/java/loadbalancer/routes/RouteTable.java
@@ -6,13 +6,14 @@
 import java.util.Map;
 
 /**
- * Routes, compiled once into a tree by segments: a look-up costs the length of the path, however many routes there
- * are. Where several routes end at one node, those that name tenants are found by the tenant. Immutable.
+ * Routes, compiled once into a tree of path segments, so that the cost of a look-up depends on the length of the path
+ * and not on the number of routes. Among several routes that end at one node, those with tenants are found by the
+ * tenant. Immutable.
  */
 public final class RouteTable {
     private static final List<Route> NONE = List.of();
 
-    /** Routes that end at one node, the most specific first, by tenant; under null those that name no tenant. */
+    /** Routes that end at one node, by tenant, the most specific first; routes without tenants are under null. */
     private static final class RoutesAtNode {
         private final Map<String, List<Route>> byTenant = new HashMap<>();
 
@@ -26,12 +27,13 @@
         }
 
         Route first(RouteRequest request) {
-            Route any = first(byTenant.getOrDefault(null, NONE), request);
-            Route own = request.tenant() == null ? null : first(byTenant.getOrDefault(request.tenant(), NONE), request);
-            if (any == null || own == null) {
-                return any == null ? own : any;
+            Route anyTenant = first(byTenant.getOrDefault(null, NONE), request);
+            Route ownTenant =
+                    request.tenant() == null ? null : first(byTenant.getOrDefault(request.tenant(), NONE), request);
+            if (anyTenant == null || ownTenant == null) {
+                return anyTenant == null ? ownTenant : anyTenant;
             }
-            return Route.MOST_SPECIFIC.compare(own, any) < 0 ? own : any;
+            return Route.MOST_SPECIFIC_FIRST.compare(ownTenant, anyTenant) < 0 ? ownTenant : anyTenant;
         }
 
         private static Route first(List<Route> routes, RouteRequest request) {
@@ -46,17 +48,17 @@
 
     private static final class Node {
         private final Map<String, Node> literals = new HashMap<>();
-        private Node parameter; // for any segment that is not empty
-        private RoutesAtNode exact; // of templates that end here
-        private RoutesAtNode rest; // of templates with any rest behind this
+        private Node parameter; // matches any segment that is not empty
+        private RoutesAtNode exact; // routes whose templates end here
+        private RoutesAtNode wildcard; // routes whose templates end here with **
     }
 
     private final Node root = new Node();
     private final List<Route> routes;
 
-    /** Compiles {@code routes}; their order in the list doesn't matter, only their positions do. */
+    /** Compiles {@code routes}. Their order in the list doesn't matter; {@link Route#position} does. */
     public RouteTable(List<Route> routes) {
-        this.routes = routes.stream().sorted(Route.MOST_SPECIFIC).toList();
+        this.routes = routes.stream().sorted(Route.MOST_SPECIFIC_FIRST).toList();
         this.routes.forEach(this::insert);
     }
 
@@ -65,9 +67,9 @@
         for (PathTemplate.Segment segment : route.path().segments()) {
             node = child(node, segment);
         }
-        if (route.path().rest()) {
-            node.rest = node.rest == null ? new RoutesAtNode() : node.rest;
-            node.rest.add(route);
+        if (route.path().trailingWildcard()) {
+            node.wildcard = node.wildcard == null ? new RoutesAtNode() : node.wildcard;
+            node.wildcard.add(route);
         } else {
             node.exact = node.exact == null ? new RoutesAtNode() : node.exact;
             node.exact.add(route);
@@ -84,17 +86,17 @@
         return node.parameter;
     }
 
-    /** All routes, the most specific first. */
+    /** Returns all routes, the most specific first. */
     public List<Route> routes() {
         return routes;
     }
 
-    /** The most specific route that takes the request; null where none does. */
+    /** Returns the most specific route that matches the request; null if none does. */
     public Route find(RouteRequest request) {
         return find(root, request, 0);
     }
 
-    // Literals first, then parameters, then the rest: the stated order, met by going down the tree.
+    // Literals are tried first, then parameters, then wildcards, which gives the order of MOST_SPECIFIC_FIRST.
     private static Route find(Node node, RouteRequest request, int depth) {
         String[] path = request.path();
         Route found = null;
@@ -107,10 +109,10 @@
                 found = find(node.parameter, request, depth + 1);
             }
         }
-        return found != null || node.rest == null ? found : node.rest.first(request);
+        return found != null || node.wildcard == null ? found : node.wildcard.first(request);
     }
 
-    /** Which route takes the request, and for each other one why it doesn't. */
+    /** Returns which route takes the request, and why each other one doesn't. */
     public RouteExplanation explain(RouteRequest request) {
         Route match = find(request);
         List<String> others = new ArrayList<>();
--- a/core/src/main/java/loadbalancer/staleness/package-info.java
+++ b/core/src/main/java/loadbalancer/staleness/package-info.java
@@ -1,2 +1,5 @@
-/** When an endpoint list counts as out of date, and what then counts as notified. Pure: no clock, no sockets. */
+/**
+ * Determines when an endpoint list is out of date, and when missed changes count as notified. Pure: no clock, no
+ * sockets.
+ */
 package loadbalancer.staleness;
--- a/core/src/main/java/loadbalancer/subset/AdaptiveSample.java
+++ b/core/src/main/java/loadbalancer/subset/AdaptiveSample.java
@@ -5,17 +5,17 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Gathers the entries of one list that a balancer holds, in one pass and never more than a bound: each time there
- * would be more, the subset is halved and entries outside of it are removed, as in Wegman's adaptive sampling
- * (Flajolet, "On adaptive sampling", 1990). Which entries remain depends on the list and the balancer's point alone,
- * not on the order of the entries. Not thread-safe.
+ * Collects the entries of a list that a balancer holds, in one pass and never more than a maximum. Each time the
+ * maximum is exceeded, the subset is halved and entries outside of it are removed, as in Wegman's adaptive sampling
+ * (Flajolet, "On adaptive sampling", 1990). The entries that remain depend only on the list and on the balancer's
+ * point, not on the order of the entries. Not thread-safe.
  *
- * @param <T> an entry
+ * @param <T> type of an entry
  */
 public final class AdaptiveSample<T> {
     /**
-     * A subset of twice the size is only kept where it leaves this fraction of the bound free, so that lists of varying
-     * length don't make a balancer drop and add half of its endpoints in turn.
+     * A subset of twice the size is kept only if this fraction of the maximum remains free. Otherwise a list whose
+     * length varies around the maximum would make a balancer drop and add half of its endpoints again and again.
      */
     private static final double WIDENING_HEADROOM = 0.25;
 
@@ -29,15 +29,15 @@
     /**
      * Creates an empty sample.
      *
-     * @param former the subset held so far
-     * @param completeList whether the list names all endpoints there are, so that a wider subset may be held
-     * @param maxEntries entries that may be held, 1 or more
-     * @param hash of an entry's id, spread over all 64 bits
-     * @throws IllegalArgumentException for a bound under 1
+     * @param former the subset that the balancer has held so far
+     * @param completeList whether the list contains all endpoints, so that the subset may become wider
+     * @param maxEntries maximum number of entries to hold, 1 or more
+     * @param hash returns the hash of an entry's id, spread over all 64 bits
+     * @throws IllegalArgumentException if {@code maxEntries} is under 1
      */
     public AdaptiveSample(Subset former, boolean completeList, int maxEntries, ToLongFunction<T> hash) {
         if (maxEntries < 1) {
-            throw new IllegalArgumentException("impossible bound: " + maxEntries);
+            throw new IllegalArgumentException("maxEntries is " + maxEntries + ": expected 1 or more");
         }
         this.former = former;
         this.maxEntries = maxEntries;
@@ -45,7 +45,7 @@
         subset = completeList ? former.wider() : former;
     }
 
-    /** Whether an entry of that hash would be held; one that would not need not be read further. */
+    /** Whether an entry with this hash belongs to the subset. Others need not be decoded completely. */
     public boolean accepts(long entryHash) {
         return subset.contains(entryHash);
     }
@@ -55,14 +55,14 @@
         listedCount++;
     }
 
-    /** Adds an entry that is accepted. */
+    /** Adds an accepted entry. */
     public void add(T entry) {
         listedCount++;
         entries.add(entry);
         while (entries.size() > maxEntries && subset.level() < Subset.MAX_LEVEL) {
             narrowTo(subset.narrower());
         }
-        if (entries.size() > maxEntries) { // more entries of one hash than any real list has
+        if (entries.size() > maxEntries) { // more entries with the same hash than any real list has
             entries.remove(entries.size() - 1);
         }
     }
@@ -72,7 +72,7 @@
         entries.removeIf(entry -> !narrower.contains(hash.applyAsLong(entry)));
     }
 
-    /** Ends the list; returns the entries that are held of it. */
+    /** Ends the list and returns the entries to hold. */
     public List<T> finish() {
         if (subset.level() < former.level() && entries.size() > maxEntries * (1 - WIDENING_HEADROOM)) {
             narrowTo(former);
@@ -80,12 +80,12 @@
         return entries;
     }
 
-    /** The subset that contains what {@link #finish} returned. */
+    /** Returns the subset to which the entries belong that {@link #finish} returned. */
     public Subset subset() {
         return subset;
     }
 
-    /** How many entries the list has named. */
+    /** Returns the number of entries in the list. */
     public long listedCount() {
         return listedCount;
     }
--- a/core/src/test/java/loadbalancer/limits/ConcurrencyLimitTest.java
+++ b/core/src/test/java/loadbalancer/limits/ConcurrencyLimitTest.java
@@ -9,127 +9,141 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The limits before a station of so many servers, first come first served, with a waiting room. */
+/** Concurrency limits in front of a simulated station: a number of servers with one FIFO queue of limited length. */
 class ConcurrencyLimitTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
-    /** What came of a run: mean limit, goodput as a share of capacity and mean latency over its last half. */
-    private record Seen(double limit, double goodput, double latency) {}
+    /** Result of a run: mean limit, goodput as a fraction of capacity, and mean latency, all over its last quarter. */
+    private record RunResult(double limit, double goodput, double latencyMicros) {}
 
-    private record End(long at, long began, int open) implements Comparable<End> {
+    private record Completion(long atMicros, long startMicros, int inFlight) implements Comparable<Completion> {
         @Override
-        public int compareTo(End other) {
-            return Long.compare(at, other.at);
+        public int compareTo(Completion other) {
+            return Long.compare(atMicros, other.atMicros);
         }
     }
 
-    // Arrivals at `load` times capacity; each takes 10 ms of a server, `heavier` times that after half of the time.
-    private static Seen run(ConcurrencyLimitConfig plan, int servers, double load, double heavier, int room) {
-        ConcurrencyLimit limit = plan.create();
+    // Requests arrive at `load` times the capacity. Each takes 10 ms of a server on average, and `workFactor` times
+    // that in the second half of the run.
+    private static RunResult run(
+            ConcurrencyLimitConfig config, int servers, double load, double workFactor, int maxQueueLength) {
+        ConcurrencyLimit limit = config.create();
         Random random = new Random(7);
-        PriorityQueue<End> running = new PriorityQueue<>();
-        ArrayDeque<long[]> waiting = new ArrayDeque<>();
-        long span = 120 * SECOND;
-        double work = 10_000;
-        double gap = work / servers / load;
-        double next = 0;
-        int open = 0;
-        double limits = 0;
-        long looked = 0;
+        PriorityQueue<Completion> running = new PriorityQueue<>();
+        ArrayDeque<long[]> queue = new ArrayDeque<>();
+        long durationMicros = 120 * SECOND_MICROS;
+        double meanServiceMicros = 10_000;
+        double meanInterarrivalMicros = meanServiceMicros / servers / load;
+        double nextArrivalMicros = 0;
+        int inFlight = 0;
+        double limitSum = 0;
+        long limitSamples = 0;
         long served = 0;
-        double latency = 0;
-        while (next < span) {
-            double mean = next > span / 2 ? work * heavier : work;
-            while (!running.isEmpty() && running.peek().at <= next) {
-                End e = running.poll();
-                open--;
-                limit.ended(e.at, e.at - e.began, false, e.open);
-                if (e.at > span * 3 / 4) {
+        double latencySumMicros = 0;
+        while (nextArrivalMicros < durationMicros) {
+            double currentMeanMicros =
+                    nextArrivalMicros > durationMicros / 2 ? meanServiceMicros * workFactor : meanServiceMicros;
+            while (!running.isEmpty() && running.peek().atMicros <= nextArrivalMicros) {
+                Completion completion = running.poll();
+                inFlight--;
+                limit.ended(
+                        completion.atMicros, completion.atMicros - completion.startMicros, false, completion.inFlight);
+                if (completion.atMicros > durationMicros * 3 / 4) {
                     served++;
-                    latency += e.at - e.began;
+                    latencySumMicros += completion.atMicros - completion.startMicros;
                 }
-                long[] w = waiting.poll();
-                if (w != null) {
-                    running.add(new End(e.at + time(random, mean), w[0], (int) w[1]));
+                long[] queued = queue.poll();
+                if (queued != null) {
+                    running.add(new Completion(
+                            completion.atMicros + serviceMicros(random, currentMeanMicros), queued[0], (int)
+                                    queued[1]));
                 }
             }
-            long now = (long) next;
-            if (open < limit.limit()) {
-                open++;
+            long nowMicros = (long) nextArrivalMicros;
+            if (inFlight < limit.limit()) {
+                inFlight++;
                 if (running.size() < servers) {
-                    running.add(new End(now + time(random, mean), now, open));
-                } else if (waiting.size() < room) {
-                    waiting.add(new long[] {now, open});
+                    running.add(
+                            new Completion(nowMicros + serviceMicros(random, currentMeanMicros), nowMicros, inFlight));
+                } else if (queue.size() < maxQueueLength) {
+                    queue.add(new long[] {nowMicros, inFlight});
                 } else {
-                    open--;
-                    limit.ended(now, 0, true, open + 1);
+                    inFlight--;
+                    limit.ended(nowMicros, 0, true, inFlight + 1);
                 }
             }
-            if (now > span * 3 / 4) {
-                limits += limit.limit();
-                looked++;
+            if (nowMicros > durationMicros * 3 / 4) {
+                limitSum += limit.limit();
+                limitSamples++;
             }
-            next += -Math.log(1 - random.nextDouble()) * gap;
+            nextArrivalMicros += -Math.log(1 - random.nextDouble()) * meanInterarrivalMicros;
         }
-        return new Seen(limits / looked, served * work * heavier / servers / (span / 4.0), latency / served);
+        return new RunResult(
+                limitSum / limitSamples,
+                served * meanServiceMicros * workFactor / servers / (durationMicros / 4.0),
+                latencySumMicros / served);
     }
 
-    private static long time(Random random, double mean) {
-        return Math.max(1, (long) (-Math.log(1 - random.nextDouble()) * mean));
+    private static long serviceMicros(Random random, double meanMicros) {
+        return Math.max(1, (long) (-Math.log(1 - random.nextDouble()) * meanMicros));
     }
 
     @Test
     void aFixedLimitNeverChanges() {
-        Seen seen = run(ConcurrencyLimitConfig.fixed(40), 10, 1.5, 1, 1000);
-        assertEquals(40, seen.limit, 1e-9);
+        RunResult result = run(ConcurrencyLimitConfig.fixed(40), 10, 1.5, 1, 1000);
+        assertEquals(40, result.limit, 1e-9);
         assertEquals(
                 0,
                 new ConcurrencyLimitConfig(LimitAlgorithm.FIXED, 0, 0, 0)
                         .create()
                         .limit());
-        for (int[] p : new int[][] {{5, 10, 20}, {30, 10, 20}, {10, 0, 20}}) {
+        for (int[] bounds : new int[][] {{5, 10, 20}, {30, 10, 20}, {10, 0, 20}}) {
             assertThrows(
                     IllegalArgumentException.class,
-                    () -> new ConcurrencyLimitConfig(LimitAlgorithm.AIMD, p[0], p[1], p[2]));
+                    () -> new ConcurrencyLimitConfig(LimitAlgorithm.AIMD, bounds[0], bounds[1], bounds[2]));
         }
     }
 
     @Test
-    void allKeepGoodputAndLatencyBasedLimitsKeepTheQueueShort() {
+    void allLimitsKeepGoodputAndLatencyBasedOnesKeepTheQueueShort() {
         for (int servers : new int[] {10, 100}) {
-            double aimd = run(
+            double aimdLatencyMicros = run(
                             new ConcurrencyLimitConfig(LimitAlgorithm.AIMD, servers, 1, 100 * servers),
                             servers,
                             1.4,
                             1,
                             20 * servers)
-                    .latency;
-            for (LimitAlgorithm kind :
+                    .latencyMicros;
+            for (LimitAlgorithm algorithm :
                     new LimitAlgorithm[] {LimitAlgorithm.AIMD, LimitAlgorithm.VEGAS, LimitAlgorithm.GRADIENT}) {
-                Seen s =
-                        run(new ConcurrencyLimitConfig(kind, servers, 1, 100 * servers), servers, 1.4, 1, 20 * servers);
-                assertTrue(s.goodput > 0.8, kind + " before " + servers + ": " + s);
+                RunResult result = run(
+                        new ConcurrencyLimitConfig(algorithm, servers, 1, 100 * servers),
+                        servers,
+                        1.4,
+                        1,
+                        20 * servers);
+                assertTrue(result.goodput > 0.8, algorithm + " before " + servers + ": " + result);
                 assertTrue(
-                        kind == LimitAlgorithm.AIMD || s.latency < aimd / 3,
-                        kind + " before " + servers + ": " + s + ", " + aimd);
+                        algorithm == LimitAlgorithm.AIMD || result.latencyMicros < aimdLatencyMicros / 3,
+                        algorithm + " before " + servers + ": " + result + ", " + aimdLatencyMicros);
             }
         }
     }
 
     @Test
     void slowerWorkIsLearnedAsTheNewBaseLatency() {
-        for (LimitAlgorithm kind : new LimitAlgorithm[] {LimitAlgorithm.VEGAS, LimitAlgorithm.GRADIENT}) {
-            Seen s = run(new ConcurrencyLimitConfig(kind, 10, 1, 10_000), 10, 1.4, 4, 1000);
-            assertTrue(s.goodput > 0.75, kind + ": " + s);
+        for (LimitAlgorithm algorithm : new LimitAlgorithm[] {LimitAlgorithm.VEGAS, LimitAlgorithm.GRADIENT}) {
+            RunResult result = run(new ConcurrencyLimitConfig(algorithm, 10, 1, 10_000), 10, 1.4, 4, 1000);
+            assertTrue(result.goodput > 0.75, algorithm + ": " + result);
         }
     }
 
     @Test
     void anUnusedLimitDoesNotGrow() {
-        for (LimitAlgorithm kind :
+        for (LimitAlgorithm algorithm :
                 new LimitAlgorithm[] {LimitAlgorithm.AIMD, LimitAlgorithm.VEGAS, LimitAlgorithm.GRADIENT}) {
-            Seen s = run(new ConcurrencyLimitConfig(kind, 100, 1, 10_000), 10, 0.3, 1, 1000);
-            assertTrue(s.limit <= 101, kind + ": " + s);
+            RunResult result = run(new ConcurrencyLimitConfig(algorithm, 100, 1, 10_000), 10, 0.3, 1, 1000);
+            assertTrue(result.limit <= 101, algorithm + ": " + result);
         }
     }
 }
--- a/core/src/test/java/loadbalancer/router/RequestRouterTest.java
+++ b/core/src/test/java/loadbalancer/router/RequestRouterTest.java
@@ -24,102 +24,115 @@
 import org.junit.jupiter.api.Test;
 
 class RequestRouterTest {
-    private static final long SECOND = 1_000_000;
-    private static final RetryAfterBounds ADVICE = new RetryAfterBounds(100_000, 1_500_000);
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final RetryAfterBounds RETRY_AFTER = new RetryAfterBounds(100_000, 1_500_000);
 
-    private static Route match(String name, String path, int place) {
-        return new Route(name, PathTemplate.of(path), Set.of(), Map.of(), Set.of(), Set.of(), place);
+    private static Route route(String name, String path, int position) {
+        return new Route(name, PathTemplate.of(path), Set.of(), Map.of(), Set.of(), Set.of(), position);
     }
 
-    private static RouteConfig route(String name, String path, Destination... ways) {
-        return new RouteConfig(match(name, path, 1), List.of(ways), 1.2, 0.05, null, null, 0);
+    private static RouteConfig routeConfig(String name, String path, Destination... destinations) {
+        return new RouteConfig(route(name, path, 1), List.of(destinations), 1.2, 0.05, null, null, 0);
     }
 
-    private static Destination way(String pool, double weight, SpillTarget... spills) {
-        return new Destination(pool, weight, List.of(spills));
+    private static Destination destination(String pool, double weight, SpillTarget... spillTargets) {
+        return new Destination(pool, weight, List.of(spillTargets));
     }
 
     private static PoolConfig pool(String name) {
         return new PoolConfig(name, null, 0);
     }
 
-    private static RoutingConfig plan(
+    private static RoutingConfig routingConfig(
             List<PoolConfig> pools, List<RouteConfig> routes, QuotaConfig quotas, int instances) {
-        return new RoutingConfig(pools, routes, null, quotas, instances, 0.2, ADVICE);
+        return new RoutingConfig(pools, routes, null, quotas, instances, 0.2, RETRY_AFTER);
     }
 
-    private static RoutingRequest get(String path, String key, String tenant) {
+    private static RoutingRequest getRequest(String path, String key, String tenant) {
         return new RoutingRequest(
                 new RouteRequest("GET", PathTemplate.split(path), Map.of(), tenant, null), key, 1, false, 0.5);
     }
 
     @Test
     void rejectsUnroutableRequestsImmediately() {
-        RoutingConfig strict =
-                plan(List.of(pool("a")), List.of(route("r", "/api/{key}", way("a", 1))), QuotaConfig.none(), 1);
+        RoutingConfig strict = routingConfig(
+                List.of(pool("a")),
+                List.of(routeConfig("r", "/api/{key}", destination("a", 1))),
+                QuotaConfig.none(),
+                1);
         RequestRouter router = new RequestRouter(strict);
         assertEquals(
                 RoutingOutcome.BAD_PATH,
-                router.route(0, get("/api/../x", "k", null)).outcome());
+                router.route(0, getRequest("/api/../x", "k", null)).outcome());
         assertEquals(
                 RoutingOutcome.NOT_FOUND,
-                router.route(0, get("/other", "k", null)).outcome());
+                router.route(0, getRequest("/other", "k", null)).outcome());
         assertEquals(
                 RoutingOutcome.NOT_FOUND,
-                router.route(0, get("/api//", "k", null)).outcome(),
-                "doubled slashes are two");
-        assertEquals("a", router.route(0, get("/api/a%2Fb", "k", null)).lease().pool(), "an encoded slash is none");
+                router.route(0, getRequest("/api//", "k", null)).outcome(),
+                "a doubled slash separates an empty segment");
+        assertEquals(
+                "a",
+                router.route(0, getRequest("/api/a%2Fb", "k", null)).lease().pool(),
+                "an encoded slash does not separate segments");
         RoutingConfig lenient =
-                new RoutingConfig(strict.pools(), strict.routes(), "a", QuotaConfig.none(), 1, 0, ADVICE);
+                new RoutingConfig(strict.pools(), strict.routes(), "a", QuotaConfig.none(), 1, 0, RETRY_AFTER);
         assertNull(new RequestRouter(lenient)
-                .route(0, get("/other", "k", null))
+                .route(0, getRequest("/other", "k", null))
                 .lease()
                 .route());
         assertThrows(
                 IllegalArgumentException.class,
-                () -> plan(List.of(pool("a")), List.of(route("r", "/x", way("agnets", 1))), QuotaConfig.none(), 1));
+                () -> routingConfig(
+                        List.of(pool("a")),
+                        List.of(routeConfig("r", "/x", destination("agnets", 1))),
+                        QuotaConfig.none(),
+                        1));
     }
 
     @Test
-    void rejectsWhereAllWeightsOrTheLimitAreZero() {
-        RequestRouter router = new RequestRouter(plan(
-                List.of(pool("a"), pool("b"), new PoolConfig("shut", ConcurrencyLimitConfig.fixed(0), 0)),
-                List.of(route("none", "/n", way("a", 0), way("b", 0)), route("shut", "/s", way("shut", 1))),
+    void rejectsIfAllWeightsOrThePoolLimitAreZero() {
+        RequestRouter router = new RequestRouter(routingConfig(
+                List.of(pool("a"), pool("b"), new PoolConfig("closed", ConcurrencyLimitConfig.fixed(0), 0)),
+                List.of(
+                        routeConfig("none", "/n", destination("a", 0), destination("b", 0)),
+                        routeConfig("closed", "/s", destination("closed", 1))),
                 QuotaConfig.none(),
                 1));
-        RoutingDecision none = router.route(0, get("/n", "k", null));
+        RoutingDecision none = router.route(0, getRequest("/n", "k", null));
         assertEquals(RejectionReason.NO_POOL, none.reason());
-        assertTrue(none.retryAfterMicros() >= ADVICE.minMicros() && none.retryAfterMicros() <= ADVICE.maxMicros());
+        assertTrue(none.retryAfterMicros() >= RETRY_AFTER.minMicros()
+                && none.retryAfterMicros() <= RETRY_AFTER.maxMicros());
         assertEquals(
                 RejectionReason.POOL_LIMIT,
-                router.route(0, get("/s", "k", null)).reason());
+                router.route(0, getRequest("/s", "k", null)).reason());
     }
 
     @Test
     void rejectsTheLowestPriorityFirstAtAPoolLimit() {
-        RequestRouter router = new RequestRouter(plan(
+        RequestRouter router = new RequestRouter(routingConfig(
                 List.of(new PoolConfig("a", ConcurrencyLimitConfig.fixed(10), 0)),
-                List.of(route("r", "/x", way("a", 1))),
+                List.of(routeConfig("r", "/x", destination("a", 1))),
                 QuotaConfig.none(),
                 1));
         RouteRequest request = new RouteRequest("GET", PathTemplate.split("/x"), Map.of(), null, null);
-        int cheap = 0;
+        int lowPriorityAdmitted = 0;
         while (router.route(0, new RoutingRequest(request, "k", 0, false, 0)).lease() != null) {
-            cheap++;
+            lowPriorityAdmitted++;
         }
-        assertEquals(8, cheap, "a fifth is kept for those worth more");
-        List<RouteLease> dear = new ArrayList<>();
-        for (RouteLease t = router.route(0, new RoutingRequest(request, "k", 1, false, 0))
+        assertEquals(8, lowPriorityAdmitted, "a fifth is reserved for higher priorities");
+        List<RouteLease> highPriorityLeases = new ArrayList<>();
+        for (RouteLease lease = router.route(0, new RoutingRequest(request, "k", 1, false, 0))
                         .lease();
-                t != null;
-                t = router.route(0, new RoutingRequest(request, "k", 1, false, 0))
+                lease != null;
+                lease = router.route(0, new RoutingRequest(request, "k", 1, false, 0))
                         .lease()) {
-            dear.add(t);
+            highPriorityLeases.add(lease);
         }
-        assertEquals(2, dear.size());
-        router.ended(1, dear.get(0), LeaseEnd.SERVED);
-        router.ended(1, dear.get(0), LeaseEnd.SERVED);
-        assertEquals(9, router.poolStatus().get(0).inFlight(), "an end that is told twice counts once");
+        assertEquals(2, highPriorityLeases.size());
+        router.ended(1, highPriorityLeases.get(0), LeaseEnd.SERVED);
+        router.ended(1, highPriorityLeases.get(0), LeaseEnd.SERVED);
+        assertEquals(9, router.poolStatus().get(0).inFlight(), "a repeated end counts once");
     }
 
     @Test
@@ -128,206 +141,220 @@
                 new RateLimit(100, 10, 100),
                 Map.of("known", new TenantQuotaConfig(new RateLimit(50, 5, 50), Map.of("r", new RateLimit(10, 1, 10)))),
                 new RateLimit(5, 5, 5));
-        RequestRouter router = new RequestRouter(plan(
-                List.of(pool("a")), List.of(route("r", "/x", way("a", 1)), route("s", "/y", way("a", 1))), quotas, 1));
-        int strangers = 0;
+        RequestRouter router = new RequestRouter(routingConfig(
+                List.of(pool("a")),
+                List.of(routeConfig("r", "/x", destination("a", 1)), routeConfig("s", "/y", destination("a", 1))),
+                quotas,
+                1));
+        int unknownAdmitted = 0;
         for (int i = 0; i < 50; i++) {
-            RoutingRequest stranger = get("/x", "k", i % 3 == 0 ? null : i % 3 == 1 ? "/" : "t" + i);
-            strangers += router.route(0, stranger).lease() != null ? 1 : 0;
+            RoutingRequest unknown = getRequest("/x", "k", i % 3 == 0 ? null : i % 3 == 1 ? "/" : "t" + i);
+            unknownAdmitted += router.route(0, unknown).lease() != null ? 1 : 0;
         }
-        assertEquals(5, strangers);
+        assertEquals(5, unknownAdmitted);
         assertEquals(
                 RoutingOutcome.ADMITTED,
-                router.route(0, get("/x", "k", "known")).outcome());
+                router.route(0, getRequest("/x", "k", "known")).outcome());
         assertEquals(
-                RejectionReason.QUOTA, router.route(0, get("/x", "k", "known")).reason(), "its rate on this route");
+                RejectionReason.QUOTA,
+                router.route(0, getRequest("/x", "k", "known")).reason(),
+                "the tenant is over its rate on this route");
         assertEquals(
                 RoutingOutcome.ADMITTED,
-                router.route(0, get("/y", "k", "known")).outcome(),
-                "not on another");
+                router.route(0, getRequest("/y", "k", "known")).outcome(),
+                "other routes are not affected");
     }
 
     @Test
     void eachInstanceAppliesItsPartOfTheSiteRate() {
-        for (int n : new int[] {1, 2, 16}) {
-            RequestRouter router = new RequestRouter(plan(
+        for (int instances : new int[] {1, 2, 16}) {
+            RequestRouter router = new RequestRouter(routingConfig(
                     List.of(pool("a")),
-                    List.of(route("r", "/x", way("a", 1))),
+                    List.of(routeConfig("r", "/x", destination("a", 1))),
                     new QuotaConfig(new RateLimit(160, 16, 160), Map.of(), null),
-                    n));
+                    instances));
             int passed = 0;
-            for (long now = 0; now < 10 * SECOND; now += 1000) {
-                passed += router.route(now, get("/x", "k", null)).lease() != null ? 1 : 0;
+            for (long nowMicros = 0; nowMicros < 10 * SECOND_MICROS; nowMicros += 1000) {
+                passed += router.route(nowMicros, getRequest("/x", "k", null)).lease() != null ? 1 : 0;
             }
-            assertEquals(1600.0 / n, passed, 16.0 / n + 1, n + " instances");
+            assertEquals(1600.0 / instances, passed, 16.0 / instances + 1, instances + " instances");
         }
     }
 
     @Test
     void clientRetriesAndPoolRetriesDrawOnTheSameBudget() {
-        RouteConfig r = new RouteConfig(
-                match("r", "/x", 1),
-                List.of(way("a", 1)),
+        RouteConfig routeConfig = new RouteConfig(
+                route("r", "/x", 1),
+                List.of(destination("a", 1)),
                 1.2,
                 0.05,
-                new RetryBudgetConfig(0.2, 0, 10 * SECOND, true),
+                new RetryBudgetConfig(0.2, 0, 10 * SECOND_MICROS, true),
                 null,
                 0);
-        RequestRouter router = new RequestRouter(plan(List.of(pool("a")), List.of(r), QuotaConfig.none(), 1));
-        RoutingRequest again = new RoutingRequest(get("/x", "k", null).attributes(), "k", 1, true, 0.5);
-        assertEquals(RejectionReason.CLIENT_RETRIES, router.route(0, again).reason());
-        RouteLease t = null;
+        RequestRouter router =
+                new RequestRouter(routingConfig(List.of(pool("a")), List.of(routeConfig), QuotaConfig.none(), 1));
+        RoutingRequest clientRetry =
+                new RoutingRequest(getRequest("/x", "k", null).attributes(), "k", 1, true, 0.5);
+        assertEquals(
+                RejectionReason.CLIENT_RETRIES, router.route(0, clientRetry).reason());
+        RouteLease lease = null;
         for (int i = 0; i < 11; i++) {
-            t = router.route(0, get("/x", "k", null)).lease();
+            lease = router.route(0, getRequest("/x", "k", null)).lease();
         }
-        assertEquals(RoutingOutcome.ADMITTED, router.route(0, again).outcome());
-        assertTrue(router.allowsRetry(0, t));
-        assertEquals(RejectionReason.CLIENT_RETRIES, router.route(0, again).reason());
-        assertTrue(!router.allowsRetry(0, t), "a fifth of eleven were two");
+        assertEquals(RoutingOutcome.ADMITTED, router.route(0, clientRetry).outcome());
+        assertTrue(router.allowsRetry(0, lease));
+        assertEquals(
+                RejectionReason.CLIENT_RETRIES, router.route(0, clientRetry).reason());
+        assertTrue(!router.allowsRetry(0, lease), "11 first attempts allow 2 retries");
     }
 
     @Test
     void trafficSpillsGraduallyAndTheSameKeysFirst() {
-        RequestRouter router = new RequestRouter(plan(
+        RequestRouter router = new RequestRouter(routingConfig(
                 List.of(pool("first"), pool("second")),
-                List.of(route("r", "/x", way("first", 1, new SpillTarget("second", 0.5)))),
+                List.of(routeConfig("r", "/x", destination("first", 1, new SpillTarget("second", 0.5)))),
                 QuotaConfig.none(),
                 1));
         router.setEndpointsUp(0, "first", 10);
         router.setEndpointsUp(0, "second", 10);
-        assertEquals(1, of(router, 0, "first"), 1e-9);
+        assertEquals(1, fractionAt(router, 0, "first"), 1e-9);
         router.setEndpointsUp(1, "first", 4);
-        double[] some = {of(router, SECOND, "first"), of(router, SECOND, "second")};
-        assertEquals(0.48, some[0], 0.06, "what 4 of 10 can take, with a fifth to spare");
-        assertEquals(0.5, some[1], 0.06, "no more than its limit; the rest is refused");
-        router.setEndpointsUp(2 * SECOND, "first", 10);
-        double soon = of(router, 3 * SECOND, "first");
-        assertTrue(soon < 0.65, "return is slow: " + soon);
-        assertEquals(1, of(router, 30 * SECOND, "first"), 1e-9);
-        router.setEndpointsUp(31 * SECOND, "first", 0);
-        assertEquals(0, of(router, 32 * SECOND, "first"), 1e-9, "a pool without upstreams");
+        double[] fractions = {fractionAt(router, SECOND_MICROS, "first"), fractionAt(router, SECOND_MICROS, "second")};
+        assertEquals(0.48, fractions[0], 0.06, "4 of 10 endpoints take 1.2 times their usual load");
+        assertEquals(0.5, fractions[1], 0.06, "at most its maximum share; the rest is rejected");
+        router.setEndpointsUp(2 * SECOND_MICROS, "first", 10);
+        double afterOneSecond = fractionAt(router, 3 * SECOND_MICROS, "first");
+        assertTrue(afterOneSecond < 0.65, "traffic returned too fast: " + afterOneSecond);
+        assertEquals(1, fractionAt(router, 30 * SECOND_MICROS, "first"), 1e-9);
+        router.setEndpointsUp(31 * SECOND_MICROS, "first", 0);
+        assertEquals(
+                0, fractionAt(router, 32 * SECOND_MICROS, "first"), 1e-9, "a pool without endpoints gets no traffic");
     }
 
-    private static double of(RequestRouter router, long now, String pool) {
-        int there = 0;
-        for (long t = now; t < now + 200_000; t += 200) {
-            RoutingDecision v = router.route(t, get("/x", "key" + t / 200, null));
-            if (v.lease() != null) {
-                there += v.lease().pool().equals(pool) && t >= now ? 1 : 0;
-                router.ended(t, v.lease(), LeaseEnd.SERVED);
+    /** Returns the fraction of requests that the pool gets in the 200 ms from {@code startMicros} on. */
+    private static double fractionAt(RequestRouter router, long startMicros, String pool) {
+        int admitted = 0;
+        for (long nowMicros = startMicros; nowMicros < startMicros + 200_000; nowMicros += 200) {
+            RoutingDecision decision = router.route(nowMicros, getRequest("/x", "key" + nowMicros / 200, null));
+            if (decision.lease() != null) {
+                admitted += decision.lease().pool().equals(pool) && nowMicros >= startMicros ? 1 : 0;
+                router.ended(nowMicros, decision.lease(), LeaseEnd.SERVED);
             }
         }
-        return there / 1000.0;
+        return admitted / 1000.0;
     }
 
     @Test
     void aPoolWithALowSuccessRateLosesTraffic() {
-        RequestRouter router = new RequestRouter(plan(
+        RequestRouter router = new RequestRouter(routingConfig(
                 List.of(pool("first"), pool("second")),
-                List.of(route("r", "/x", way("first", 1, new SpillTarget("second", 1)))),
+                List.of(routeConfig("r", "/x", destination("first", 1, new SpillTarget("second", 1)))),
                 QuotaConfig.none(),
                 1));
         router.setEndpointsUp(0, "first", 10);
         router.setEndpointsUp(0, "second", 10);
-        Map<String, Integer> got = new HashMap<>();
-        for (long now = 0; now < 20 * SECOND; now += 1000) {
-            RouteLease t = router.route(now, get("/x", "k" + now % 977, null)).lease();
-            got.merge(t.pool(), now > 5 * SECOND ? 1 : 0, Integer::sum);
-            // The first can do 500 a second, and turns the rest away.
-            boolean fails = t.pool().equals("first") && now % 2000 != 0 && got.get("first") >= 0;
-            router.ended(now, t, fails ? LeaseEnd.NOT_SENT : LeaseEnd.SERVED);
+        Map<String, Integer> requests = new HashMap<>();
+        for (long nowMicros = 0; nowMicros < 20 * SECOND_MICROS; nowMicros += 1000) {
+            RouteLease lease = router.route(nowMicros, getRequest("/x", "k" + nowMicros % 977, null))
+                    .lease();
+            requests.merge(lease.pool(), nowMicros > 5 * SECOND_MICROS ? 1 : 0, Integer::sum);
+            // The first pool serves 500 requests per second and rejects the rest.
+            boolean fails = lease.pool().equals("first") && nowMicros % 2000 != 0 && requests.get("first") >= 0;
+            router.ended(nowMicros, lease, fails ? LeaseEnd.NOT_SENT : LeaseEnd.SERVED);
         }
-        assertTrue(got.get("second") > 5000, "half or more goes elsewhere: " + got);
+        assertTrue(requests.get("second") > 5000, "the second pool should get at least half: " + requests);
     }
 
     @Test
     void replacingTheRouterRepeatedlyGrantsNoBurstAndLosesNoRequest() {
-        RoutingConfig plan = plan(
+        RoutingConfig config = routingConfig(
                 List.of(new PoolConfig("a", ConcurrencyLimitConfig.fixed(50), 0)),
-                List.of(route("r", "/x", way("a", 1))),
+                List.of(routeConfig("r", "/x", destination("a", 1))),
                 new QuotaConfig(new RateLimit(10, 10, 10), Map.of(), null),
                 1);
-        RequestRouter router = new RequestRouter(plan);
-        List<RouteLease> open = new ArrayList<>();
+        RequestRouter router = new RequestRouter(config);
+        List<RouteLease> leases = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            for (RouteLease t = router.route(i, get("/x", "k", null)).lease();
-                    t != null;
-                    t = router.route(i, get("/x", "k", null)).lease()) {
-                open.add(t);
+            for (RouteLease lease = router.route(i, getRequest("/x", "k", null)).lease();
+                    lease != null;
+                    lease = router.route(i, getRequest("/x", "k", null)).lease()) {
+                leases.add(lease);
             }
-            RequestRouter next = new RequestRouter(plan);
+            RequestRouter next = new RequestRouter(config);
             next.restore(router);
             router = next;
         }
-        assertEquals(10, open.size());
+        assertEquals(10, leases.size());
         assertEquals(10, router.poolStatus().get(0).inFlight());
-        for (RouteLease t : open) {
-            router.ended(200, t, LeaseEnd.SERVED);
+        for (RouteLease lease : leases) {
+            router.ended(200, lease, LeaseEnd.SERVED);
         }
         assertEquals(0, router.poolStatus().get(0).inFlight());
     }
 
-    /** Whatever happens in whatever order: what is open is what was taken and hasn't ended, and limits hold. */
+    /** In any order of events, the requests in flight are those admitted and not ended, and limits are kept. */
     @Property(tries = 300, seed = "11")
     void requestsInFlightMatchTheOpenLeases(@ForAll long seed, @ForAll @IntRange(min = 1, max = 20) int limit) {
         Random random = new Random(seed);
-        RoutingConfig plan = plan(
+        RoutingConfig config = routingConfig(
                 List.of(
                         new PoolConfig("a", ConcurrencyLimitConfig.fixed(limit), 0),
                         new PoolConfig("b", new ConcurrencyLimitConfig(LimitAlgorithm.AIMD, limit, 1, 20), 0)),
-                List.of(route("r", "/x", way("a", 1, new SpillTarget("b", 0.7)), way("b", 1))),
+                List.of(routeConfig("r", "/x", destination("a", 1, new SpillTarget("b", 0.7)), destination("b", 1))),
                 QuotaConfig.none(),
                 1);
-        RequestRouter router = new RequestRouter(plan);
-        ArrayDeque<RouteLease> open = new ArrayDeque<>();
-        Map<String, Integer> count = new HashMap<>(Map.of("a", 0, "b", 0));
-        long now = 0;
+        RequestRouter router = new RequestRouter(config);
+        ArrayDeque<RouteLease> openLeases = new ArrayDeque<>();
+        Map<String, Integer> expectedInFlight = new HashMap<>(Map.of("a", 0, "b", 0));
+        long nowMicros = 0;
         for (int i = 0; i < 400; i++) {
-            now += random.nextInt(20_000);
+            nowMicros += random.nextInt(20_000);
             switch (random.nextInt(8)) {
-                case 0 -> router.setEndpointsUp(now, random.nextBoolean() ? "a" : "b", random.nextInt(5));
+                case 0 -> router.setEndpointsUp(nowMicros, random.nextBoolean() ? "a" : "b", random.nextInt(5));
                 case 1 -> {
-                    RequestRouter next = new RequestRouter(plan);
+                    RequestRouter next = new RequestRouter(config);
                     next.restore(router);
                     router = next;
                 }
                 case 2, 3, 4 -> {
-                    RouteLease t = open.poll();
-                    if (t != null) {
-                        count.merge(t.pool(), -1, Integer::sum);
-                        router.ended(now, t, LeaseEnd.values()[random.nextInt(4)]);
+                    RouteLease ended = openLeases.poll();
+                    if (ended != null) {
+                        expectedInFlight.merge(ended.pool(), -1, Integer::sum);
+                        router.ended(nowMicros, ended, LeaseEnd.values()[random.nextInt(4)]);
                     }
                 }
                 default -> {
-                    RouteLease lease = assertConsistent(router.route(now, randomRequest(random)));
+                    RouteLease lease = assertConsistent(router.route(nowMicros, randomRequest(random)));
                     if (lease != null) {
-                        open.add(lease);
-                        count.merge(lease.pool(), 1, Integer::sum);
+                        openLeases.add(lease);
+                        expectedInFlight.merge(lease.pool(), 1, Integer::sum);
                     }
                 }
             }
-            for (PoolStatus p : router.poolStatus()) {
-                assertEquals(count.get(p.name()), p.inFlight(), p.name());
+            for (PoolStatus status : router.poolStatus()) {
+                assertEquals(expectedInFlight.get(status.name()), status.inFlight(), status.name());
             }
-            assertTrue(count.get("a") <= limit);
+            assertTrue(expectedInFlight.get("a") <= limit);
         }
     }
 
     private static RoutingRequest randomRequest(Random random) {
         return new RoutingRequest(
-                get("/x", "k", null).attributes(),
+                getRequest("/x", "k", null).attributes(),
                 "k" + random.nextInt(50),
                 random.nextDouble(),
                 false,
                 random.nextDouble());
     }
 
-    /** Checks that a request is either admitted with a lease or rejected with advice; returns the lease, or null. */
+    /**
+     * Checks that a request is either admitted with a lease or rejected with a Retry-After; returns the lease, or null.
+     */
     private static RouteLease assertConsistent(RoutingDecision decision) {
         assertEquals(decision.outcome() == RoutingOutcome.ADMITTED, decision.lease() != null);
         if (decision.lease() == null) {
-            assertTrue(decision.retryAfterMicros() >= ADVICE.minMicros()
-                    && decision.retryAfterMicros() <= ADVICE.maxMicros());
+            assertTrue(decision.retryAfterMicros() >= RETRY_AFTER.minMicros()
+                    && decision.retryAfterMicros() <= RETRY_AFTER.maxMicros());
         }
         return decision.lease();
     }
--- a/core/src/test/java/loadbalancer/routes/RouteTableTest.java
+++ b/core/src/test/java/loadbalancer/routes/RouteTableTest.java
@@ -20,33 +20,34 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class RouteTableTest {
-    private static final Arbitrary<String> PARTS = Arbitraries.of("a", "b", "{x}", "");
+    private static final Arbitrary<String> SEGMENTS = Arbitraries.of("a", "b", "{x}", "");
 
     @Provide
     Arbitrary<List<Route>> routes() {
         Arbitrary<String> path = Combinators.combine(
-                        PARTS.list().ofMinSize(1).ofMaxSize(3), Arbitraries.of(true, false))
+                        SEGMENTS.list().ofMinSize(1).ofMaxSize(3), Arbitraries.of(true, false))
                 .as((parts, rest) -> "/" + String.join("/", parts) + (rest ? "/**" : ""));
-        Arbitrary<Set<String>> some = Arbitraries.of(Set.of(), Set.of("s"), Set.of("s", "t"));
+        Arbitrary<Set<String>> names = Arbitraries.of(Set.of(), Set.of("s"), Set.of("s", "t"));
         Arbitrary<Set<String>> methods = Arbitraries.of(Set.of(), Set.of("GET"), Set.of("POST"));
         Arbitrary<Map<String, String>> headers = Arbitraries.of(Map.of(), Map.of("H", "1"), Map.of("h", "2", "I", "1"));
-        return Combinators.combine(path, methods, headers, some, some)
-                .as((p, m, h, t, c) -> new Route("", PathTemplate.of(p), m, h, t, c, 0))
+        return Combinators.combine(path, methods, headers, names, names)
+                .as((template, methodSet, headerMap, tenants, classes) ->
+                        new Route("", PathTemplate.of(template), methodSet, headerMap, tenants, classes, 0))
                 .list()
                 .ofMaxSize(12)
                 .map(list -> {
-                    List<Route> placed = new ArrayList<>();
-                    for (Route r : list) {
-                        placed.add(new Route(
-                                "r" + placed.size(),
-                                r.path(),
-                                r.methods(),
-                                r.headers(),
-                                r.tenants(),
-                                r.classes(),
-                                placed.size()));
+                    List<Route> positioned = new ArrayList<>();
+                    for (Route route : list) {
+                        positioned.add(new Route(
+                                "r" + positioned.size(),
+                                route.path(),
+                                route.methods(),
+                                route.headers(),
+                                route.tenants(),
+                                route.classes(),
+                                positioned.size()));
                     }
-                    return placed;
+                    return positioned;
                 });
     }
 
@@ -56,7 +57,7 @@
                 .list()
                 .ofMinSize(1)
                 .ofMaxSize(4)
-                .map(l -> PathTemplate.split("/" + String.join("/", l)));
+                .map(segments -> PathTemplate.split("/" + String.join("/", segments)));
         return Combinators.combine(
                         Arbitraries.of("GET", "POST"),
                         path,
@@ -66,13 +67,13 @@
                 .as(RouteRequest::new);
     }
 
-    /** The tree finds just what the plain definition finds: the first in the stated order that refuses nothing. */
+    /** The tree must find the same as the definition: the first route in order of specificity that matches. */
     @Property(tries = 2000, seed = "7")
     void theTreeAgreesWithTheDefinition(
             @ForAll("routes") List<Route> routes, @ForAll("requests") RouteRequest request) {
         Route expected = routes.stream()
-                .sorted(Route.MOST_SPECIFIC)
-                .filter(r -> r.mismatch(request) == null)
+                .sorted(Route.MOST_SPECIFIC_FIRST)
+                .filter(route -> route.mismatch(request) == null)
                 .findFirst()
                 .orElse(null);
         RouteTable table = new RouteTable(routes);
@@ -89,22 +90,22 @@
     @ParameterizedTest
     @CsvSource({
         "/api/x, literal",
-        "/api/y, place",
-        "/api/x/z, rest",
-        "/api, whole",
-        "/api/, rest",
+        "/api/y, parameter",
+        "/api/x/z, wildcard",
+        "/api, exact",
+        "/api/, wildcard",
         "/other, all",
-        "/api/%2e%2e%2Fx, place",
-        "/api//x, rest",
+        "/api/%2e%2e%2Fx, parameter",
+        "/api//x, wildcard",
         "/API/x, all",
         "/api/x?q=/../y, literal",
-        "/api/a%2Fb, place"
+        "/api/a%2Fb, parameter"
     })
     void theMostSpecificRouteOfSeveralDepthsMatches(String path, String name) {
         List<Route> routes = new ArrayList<>();
-        Map.of("literal", "/api/x", "place", "/api/{key}", "rest", "/api/**", "whole", "/api", "all", "/**")
-                .forEach((n, p) ->
-                        routes.add(new Route(n, PathTemplate.of(p), Set.of(), Map.of(), Set.of(), Set.of(), 0)));
+        Map.of("literal", "/api/x", "parameter", "/api/{key}", "wildcard", "/api/**", "exact", "/api", "all", "/**")
+                .forEach((routeName, template) -> routes.add(
+                        new Route(routeName, PathTemplate.of(template), Set.of(), Map.of(), Set.of(), Set.of(), 0)));
         assertEquals(name, new RouteTable(routes).find(get(path)).name());
     }
 
@@ -125,10 +126,10 @@
                 "/a/../b | no request with '..' is routed",
                 "/{}/x | '{}' is neither"
             })
-    void malformedTemplatesAreNamed(String text, String complaint) {
-        String said = assertThrows(IllegalArgumentException.class, () -> PathTemplate.of(text))
+    void theFaultOfAMalformedTemplateIsNamed(String text, String expected) {
+        String message = assertThrows(IllegalArgumentException.class, () -> PathTemplate.of(text))
                 .getMessage();
-        assertTrue(said.contains(complaint), said);
+        assertTrue(message.contains(expected), message);
     }
 
     @Test
@@ -137,9 +138,9 @@
         RouteTable table = new RouteTable(List.of(route));
         RouteRequest request = new RouteRequest("GET", new String[] {"a"}, Map.of("x-pool", "New"), null, null);
         assertEquals(route, table.find(request));
-        RouteRequest other = new RouteRequest("GET", new String[] {"a"}, Map.of("x-pool", "new"), null, null);
+        RouteRequest otherCase = new RouteRequest("GET", new String[] {"a"}, Map.of("x-pool", "new"), null, null);
         assertEquals(
                 "r: header x-pool is 'new', not 'New'",
-                table.explain(other).others().get(0));
+                table.explain(otherCase).others().get(0));
     }
 }
--- a/core/src/test/java/loadbalancer/routes/TrafficSplitTest.java
+++ b/core/src/test/java/loadbalancer/routes/TrafficSplitTest.java
@@ -13,22 +13,22 @@
 class TrafficSplitTest {
     private static final String[] POOLS = {"old", "new", "spare"};
 
-    /** From 0 to all in twenty steps: each key moves once, to the growing pool, and stays. */
+    /** A weight grows from 0 in twenty steps: each key moves at most once, to the growing pool. */
     @Test
     void aKeyMovedByAGrowingWeightNeverMovesBack() {
-        int[] at = new int[20_000];
+        int[] poolOfKey = new int[20_000];
         for (int step = 0; step <= 20; step++) {
             TrafficSplit split = new TrafficSplit(POOLS, new double[] {5, step * step, 2});
-            int moved = 0;
-            for (int key = 0; key < at.length; key++) {
+            int atGrowingPool = 0;
+            for (int key = 0; key < poolOfKey.length; key++) {
                 int pool = split.choose(TrafficSplit.hash("key" + key));
-                boolean allowed = step == 0 || pool == at[key] || pool == 1;
-                assertTrue(allowed, "key " + key + " went from " + at[key] + " to " + pool);
-                moved += pool == 1 ? 1 : 0;
-                at[key] = pool;
+                boolean allowed = step == 0 || pool == poolOfKey[key] || pool == 1;
+                assertTrue(allowed, "key " + key + " moved from " + poolOfKey[key] + " to " + pool);
+                atGrowingPool += pool == 1 ? 1 : 0;
+                poolOfKey[key] = pool;
             }
             double share = step * step / (7.0 + step * step);
-            assertEquals(share, moved / (double) at.length, 0.015);
+            assertEquals(share, atGrowingPool / (double) poolOfKey.length, 0.015);
         }
     }
 
