--- a/toml/src/main/java/loadbalancer/toml/ConfigException.java
+++ b/toml/src/main/java/loadbalancer/toml/ConfigException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A file that can't be used: every fault in a line of its own, with file, line and what is wrong. */
+/** Thrown for an invalid file. Each fault has its own line in the message: {@code FILE:LINE: description}. */
 public final class ConfigException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
@@ -13,7 +13,7 @@
         this.lines = List.copyOf(lines);
     }
 
-    /** The faults, in the order of the file. */
+    /** Returns the faults, in the order of the file. */
     public List<String> lines() {
         return lines;
     }
--- a/toml/src/main/java/loadbalancer/toml/KeyLocations.java
+++ b/toml/src/main/java/loadbalancer/toml/KeyLocations.java
@@ -10,11 +10,11 @@
 import java.util.regex.Pattern;
 
 /**
- * Where each key of a file, and of what it includes, stands. The TOML library keeps no locations, so they are found by
- * a scan for heads of tables and for keys at the start of lines.
+ * Locations of the keys of a file and of the files that it includes. The TOML library keeps no locations, so they are
+ * found by a scan for table headers and for keys at the start of lines.
  */
 final class KeyLocations {
-    private static final Pattern HEAD = Pattern.compile("^\\s*\\[(\\[?)\\s*([^\\]]+?)\\s*\\]\\]?\\s*(#.*)?$");
+    private static final Pattern TABLE_HEADER = Pattern.compile("^\\s*\\[(\\[?)\\s*([^\\]]+?)\\s*\\]\\]?\\s*(#.*)?$");
     private static final Pattern KEY = Pattern.compile("^\\s*([A-Za-z0-9_.\"-]+)\\s*=");
 
     private final Map<String, String> locations = new HashMap<>();
@@ -24,20 +24,20 @@
         this.root = root;
     }
 
-    /** Adds the keys of one file; they replace those of the files that it includes. */
+    /** Adds the keys of one file, which replace those of the files that it includes. */
     void scan(Path file) throws IOException {
-        Map<String, Integer> listSizes = new LinkedHashMap<>();
+        Map<String, Integer> tableArraySizes = new LinkedHashMap<>();
         String table = "";
-        int number = 0;
+        int lineNumber = 0;
         for (String line : Files.readAllLines(file)) {
-            number++;
-            Matcher head = HEAD.matcher(line);
+            lineNumber++;
+            Matcher tableHeader = TABLE_HEADER.matcher(line);
             Matcher key = KEY.matcher(line);
-            String location = file.getFileName() + ":" + number;
-            if (head.matches()) {
-                table = head.group(2);
-                if (!head.group(1).isEmpty()) {
-                    table += "[" + (listSizes.merge(table, 1, Integer::sum) - 1) + "]";
+            String location = file.getFileName() + ":" + lineNumber;
+            if (tableHeader.matches()) {
+                table = tableHeader.group(2);
+                if (!tableHeader.group(1).isEmpty()) {
+                    table += "[" + (tableArraySizes.merge(table, 1, Integer::sum) - 1) + "]";
                 }
                 locations.put(table, location);
             } else if (key.find()) {
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Where a key stands, or the table that should hold it: {@code FILE:LINE}. */
+    /** Returns the location of a key, or of the table that should contain it, as {@code FILE:LINE}. */
     String location(String path) {
         String enclosing = path;
         while (!enclosing.isEmpty() && !locations.containsKey(enclosing)) {
--- a/toml/src/main/java/loadbalancer/toml/Section.java
+++ b/toml/src/main/java/loadbalancer/toml/Section.java
@@ -11,18 +11,18 @@
 import java.util.Set;
 
 /**
- * One table of a file. Its accessors read keys strictly: a value that is missing, of the wrong type or out of range is
- * noted as a fault in the {@link Source}, and a placeholder is returned, so that one reading finds all faults.
+ * One table of a file. Its accessors read keys strictly: if a value is missing, of the wrong type or out of range, they
+ * record a fault in the {@link Source} and return a placeholder, so that all faults are found in one pass.
  */
 public final class Section {
     private final Source source;
     private final ObjectNode node;
     private final String path;
-    private final boolean silent; // a placeholder for what is at fault already: notes no faults of its own
+    private final boolean silent; // a placeholder for an invalid table: records no further faults
     private final Set<String> readKeys = new HashSet<>();
-    private final Set<String> knownKeys = new HashSet<>(); // asked for, whether given or not
+    private final Set<String> knownKeys = new HashSet<>(); // keys asked for, whether present or not
 
-    /** The table {@code node}, which stands at {@code path} in the file. */
+    /** Creates a section for the table {@code node}, which is at {@code path} in the file. */
     public Section(Source source, ObjectNode node, String path) {
         this(source, node, path, false);
     }
@@ -47,65 +47,65 @@
         return node.get(key);
     }
 
-    /** Notes a fault at one of its keys, or at the table itself for an empty key. */
+    /** Records a fault at one of its keys, or at the table itself if the key is empty. */
     public void fault(String key, String what) {
         if (!silent) {
             source.fault(pathOf(key), what);
         }
     }
 
-    private void faultyValue(String key, JsonNode value, String expected) {
+    private void invalidValue(String key, JsonNode value, String expected) {
         fault(key, "'" + key + "' is " + value + ": expected " + expected);
     }
 
-    private void missing(String key, String form) {
-        fault(key, "'" + key + "' is missing in [" + path + "]: expected " + form);
+    private void missing(String key, String expected) {
+        fault(key, "'" + key + "' is missing in [" + path + "]: expected " + expected);
     }
 
-    /** Whether the key is given. */
+    /** Whether the key is present. */
     public boolean has(String key) {
         knownKeys.add(key);
         return node.has(key);
     }
 
-    /** A figure, or two for a range: the first and the last; a missing one is a fault. */
+    /** Returns the first and the last number of a range; a single number stands for both. A missing key is a fault. */
     public double[] range(String key, Measure measure) {
         JsonNode value = read(key);
         if (value == null) {
-            missing(key, measure.form() + " or a pair of them");
+            missing(key, measure.description() + " or a pair of them");
         } else if (!value.isArray()) {
-            double figure = figure(key, value, measure);
-            return new double[] {figure, figure};
+            double number = parseNumber(key, value, measure);
+            return new double[] {number, number};
         } else if (value.size() == 2) {
-            return new double[] {figure(key, value.get(0), measure), figure(key, value.get(1), measure)};
+            return new double[] {parseNumber(key, value.get(0), measure), parseNumber(key, value.get(1), measure)};
         } else {
             fault(key, "'" + key + "' has " + value.size() + " values: expected one, or two for a range");
         }
         return new double[] {measure.placeholder(), measure.placeholder()};
     }
 
-    /** A figure; a missing one is a fault. */
+    /** Returns a number; a missing key is a fault. */
     public double number(String key, Measure measure) {
         JsonNode value = read(key);
         if (value == null) {
-            missing(key, measure.form());
+            missing(key, measure.description());
             return measure.placeholder();
         }
-        return figure(key, value, measure);
+        return parseNumber(key, value, measure);
     }
 
-    /** A figure, or {@code fallback} where it is missing. */
+    /** Returns a number, or {@code fallback} if the key is missing. */
     public double number(String key, Measure measure, double fallback) {
         return has(key) ? number(key, measure) : fallback;
     }
 
-    private double figure(String key, JsonNode value, Measure measure) {
-        Double figure = measure == Measure.TIME ? time(value) : number(value);
-        if (figure == null || !measure.allows(figure)) {
-            faultyValue(key, value, measure.form());
+    private double parseNumber(String key, JsonNode value, Measure measure) {
+        Double number = measure == Measure.TIME ? time(value) : number(value);
+        if (number == null || !measure.allows(number)) {
+            invalidValue(key, value, measure.description());
             return measure.placeholder();
         }
-        return figure;
+        return number;
     }
 
     private static Double time(JsonNode value) {
@@ -116,29 +116,32 @@
         return value.isNumber() ? value.asDouble() : null;
     }
 
-    /** A time in microseconds; a missing one is a fault. */
+    /** Returns a time in microseconds; a missing key is a fault. */
     public long time(String key) {
         return Math.round(number(key, Measure.TIME));
     }
 
-    /** A time in microseconds, or {@code fallbackMicros} where it is missing. */
+    /** Returns a time in microseconds, or {@code fallbackMicros} if the key is missing. */
     public long time(String key, long fallbackMicros) {
         return has(key) ? time(key) : fallbackMicros;
     }
 
-    /** True or false, or {@code fallback} where it is missing. */
+    /** Returns a boolean, or {@code fallback} if the key is missing. */
     public boolean flag(String key, boolean fallback) {
         JsonNode value = read(key);
         if (value == null) {
             return fallback;
         }
         if (!value.isBoolean()) {
-            faultyValue(key, value, "true or false");
+            invalidValue(key, value, "true or false");
         }
         return value.asBoolean();
     }
 
-    /** A text, or {@code fallback} where it is missing; null makes that a fault, and the text empty. */
+    /**
+     * Returns a string, or {@code fallback} if the key is missing. If {@code fallback} is null, a missing key is a
+     * fault and an empty string is returned.
+     */
     public String text(String key, String fallback) {
         JsonNode value = read(key);
         if (value == null) {
@@ -149,67 +152,69 @@
             return fallback;
         }
         if (!value.isTextual()) {
-            faultyValue(key, value, "a string in quotes");
+            invalidValue(key, value, "a string in quotes");
         }
         return value.asText();
     }
 
-    /** The constant of an enumeration whose name in lower case is given; null as {@code fallback} makes it required. */
-    public <E extends Enum<E>> E choice(String key, Class<E> words, E fallback) {
-        Map<String, E> table = new LinkedHashMap<>();
-        for (E constant : words.getEnumConstants()) {
-            table.put(constant.name().toLowerCase(Locale.ROOT), constant);
+    /** Returns the enum constant whose name in lower case is given; the key is required if {@code fallback} is null. */
+    public <E extends Enum<E>> E choice(String key, Class<E> type, E fallback) {
+        Map<String, E> choices = new LinkedHashMap<>();
+        for (E constant : type.getEnumConstants()) {
+            choices.put(constant.name().toLowerCase(Locale.ROOT), constant);
         }
-        return choice(key, table, fallback);
+        return choice(key, choices, fallback);
     }
 
-    /** The value of one of the words of a table, whose keys are in lower case; null makes it required. */
-    public <E> E choice(String key, Map<String, E> words, E fallback) {
-        String fallbackWord = words.keySet().stream()
-                .filter(word -> words.get(word) == fallback)
+    /**
+     * Returns the value for one of the given lower-case names; the key is required if {@code fallback} is null.
+     */
+    public <E> E choice(String key, Map<String, E> choices, E fallback) {
+        String fallbackName = choices.keySet().stream()
+                .filter(name -> choices.get(name) == fallback)
                 .findFirst()
                 .orElse(null);
-        String text = text(key, fallbackWord);
-        E found = words.get(text.toLowerCase(Locale.ROOT));
+        String text = text(key, fallbackName);
+        E found = choices.get(text.toLowerCase(Locale.ROOT));
         if (found != null) {
             return found;
         }
-        List<String> names = List.copyOf(words.keySet());
+        List<String> names = List.copyOf(choices.keySet());
         fault(
                 key,
                 "'" + key + "' is \"" + text + "\": expected one of " + String.join(", ", names)
                         + Suggestion.didYouMean(text, names));
-        return fallback == null ? words.values().iterator().next() : fallback;
+        return fallback == null ? choices.values().iterator().next() : fallback;
     }
 
-    /** A list of texts, or {@code fallback} where it is missing. */
+    /** Returns a list of strings, or {@code fallback} if the key is missing. */
     public List<String> texts(String key, List<String> fallback) {
         JsonNode value = read(key);
         if (value == null) {
             return fallback;
         }
         if (!value.isArray()) {
-            faultyValue(key, value, "a list of strings");
+            invalidValue(key, value, "a list of strings");
         }
         List<String> texts = new ArrayList<>();
         value.forEach(item -> texts.add(item.asText()));
         return texts;
     }
 
-    /** A figure with a unit, such as a rate or a size, in base units; null where missing or at fault. */
+    /** Returns a quantity with a unit, such as a rate or a size, in base units; null if it is missing or invalid. */
     public Double quantity(String key, Units units) {
         JsonNode value = read(key);
         if (value == null) {
             return null;
         }
-        Double figure = value.isTextual() ? units.parse(value.asText()) : null;
-        if (figure == null) {
-            faultyValue(key, value, units.form());
+        Double quantity = value.isTextual() ? units.parse(value.asText()) : null;
+        if (quantity == null) {
+            invalidValue(key, value, units.description());
         }
-        return figure;
+        return quantity;
     }
 
-    /** The values of a list, or one value without a list; none where missing. */
+    /** Returns the values of a list, or a single value; none if the key is missing. */
     public List<TextOrTable> items(String key) {
         JsonNode value = read(key);
         List<TextOrTable> items = new ArrayList<>();
@@ -236,36 +241,36 @@
         }
     }
 
-    /** Whether the key is given as an empty list. */
+    /** Whether the value of the key is an empty list. */
     public boolean isEmptyList(String key) {
         JsonNode value = node.get(key);
         return value != null && value.isArray() && value.isEmpty();
     }
 
-    /** Names of all its keys, in the order of the file. */
+    /** Returns the names of all its keys, in the order of the file. */
     public List<String> keys() {
         List<String> names = new ArrayList<>();
         node.fieldNames().forEachRemaining(names::add);
         return names;
     }
 
-    /** Where one of its keys stands, or the table itself for an empty key: {@code FILE:LINE}. */
+    /** Returns the location of one of its keys, or of the table itself if the key is empty, as {@code FILE:LINE}. */
     public String location(String key) {
         return source.location(pathOf(key));
     }
 
-    /** A table within this one; an empty one where it is missing. */
+    /** Returns a table within this one; an empty one if the key is missing. */
     public Section table(String key) {
         JsonNode value = read(key);
-        boolean faulty = value != null && !value.isObject();
-        if (faulty) {
-            faultyValue(key, value, "a table");
+        boolean invalid = value != null && !value.isObject();
+        if (invalid) {
+            invalidValue(key, value, "a table");
         }
-        ObjectNode table = value instanceof ObjectNode given ? given : node.objectNode();
-        return new Section(source, table, pathOf(key), silent || faulty);
+        ObjectNode table = value instanceof ObjectNode object ? object : node.objectNode();
+        return new Section(source, table, pathOf(key), silent || invalid);
     }
 
-    /** The tables of a list; none where it is missing. */
+    /** Returns the tables of an array of tables; none if the key is missing. */
     public List<Section> tables(String key) {
         JsonNode value = read(key);
         List<Section> tables = new ArrayList<>();
@@ -283,7 +288,7 @@
         return tables;
     }
 
-    /** Ends the reading of the table: each key that was never read is a fault. */
+    /** Records a fault for each key that was never read; to be called after all others. */
     public void rejectUnknownKeys() {
         for (String key : keys()) {
             if (!readKeys.contains(key)) {
--- a/toml/src/main/java/loadbalancer/toml/Source.java
+++ b/toml/src/main/java/loadbalancer/toml/Source.java
@@ -13,12 +13,12 @@
 import java.util.TreeMap;
 
 /**
- * A TOML file with all that it includes, as one tree, and the faults that are found in it. The key {@code include} at
- * the root names a file whose keys this one adds to or replaces.
+ * A TOML file merged with the files that it includes, and the faults that are found in it. The key {@code include} at
+ * the root names a file whose keys this file adds to or replaces.
  */
 public final class Source {
     private static final String INCLUDE = "include";
-    private static final int LINE_PART = 1; // of FILE:LINE: what
+    private static final int LINE_PART = 1; // index of LINE in the parts of FILE:LINE: description
 
     private final KeyLocations locations;
     private final List<String> faults = new ArrayList<>();
@@ -31,8 +31,8 @@
     /**
      * Reads a file.
      *
-     * @throws ConfigException where it, or what it includes, can't be read as TOML
-     * @throws IOException where reading fails
+     * @throws ConfigException if the file, or one that it includes, is missing or not valid TOML
+     * @throws IOException if reading fails
      */
     public static Source read(Path file) throws IOException {
         Source source = new Source(file);
@@ -40,7 +40,7 @@
         return source;
     }
 
-    /** The whole tree; the root of every section. */
+    /** Returns the root table of the merged file. */
     public ObjectNode tree() {
         return tree;
     }
@@ -59,7 +59,7 @@
         ObjectNode own = parse(file);
         JsonNode include = own.remove(INCLUDE);
         ObjectNode base = include == null ? null : load(file.resolveSibling(include.asText()), includingFiles);
-        locations.scan(file); // after what it includes, whose locations it replaces
+        locations.scan(file); // after the included files, whose locations it replaces
         includingFiles.remove(path);
         return base == null ? own : merge(base, own);
     }
@@ -88,8 +88,9 @@
     /** Merges tables key by key; any other value of {@code overriding} replaces the one in {@code base}. */
     private static ObjectNode merge(ObjectNode base, ObjectNode overriding) {
         for (Map.Entry<String, JsonNode> entry : List.copyOf(overriding.properties())) {
-            if (entry.getValue() instanceof ObjectNode own && base.get(entry.getKey()) instanceof ObjectNode included) {
-                merge(included, own);
+            if (entry.getValue() instanceof ObjectNode ownTable
+                    && base.get(entry.getKey()) instanceof ObjectNode includedTable) {
+                merge(includedTable, ownTable);
             } else {
                 base.set(entry.getKey(), entry.getValue());
             }
@@ -97,20 +98,20 @@
         return base;
     }
 
-    /** Notes a fault at a key, or at the table that should hold it. */
-    public void fault(String path, String what) {
-        faults.add(location(path) + ": " + what);
+    /** Records a fault at a key, or at the table that should contain it. */
+    public void fault(String path, String description) {
+        faults.add(location(path) + ": " + description);
     }
 
-    /** Where a key stands, or the table that should hold it: {@code FILE:LINE}. */
+    /** Returns the location of a key, or of the table that should contain it, as {@code FILE:LINE}. */
     public String location(String path) {
         return locations.location(path);
     }
 
     /**
-     * Ends the reading.
+     * Throws an exception if faults have been recorded.
      *
-     * @throws ConfigException with all faults at once, in the order of their lines, where there are any
+     * @throws ConfigException with all faults, in the order of their lines
      */
     public void throwIfFaulty() {
         if (faults.isEmpty()) {
--- a/toml/src/main/java/loadbalancer/toml/Suggestion.java
+++ b/toml/src/main/java/loadbalancer/toml/Suggestion.java
@@ -2,24 +2,24 @@
 
 import java.util.Collection;
 
-/** Proposes the known name that a mistyped one was probably meant to be. */
+/** Suggests a known name for a mistyped one. */
 public final class Suggestion {
     private static final int MAX_DISTANCE = 2;
 
     private Suggestion() {}
 
-    /** "; did you mean ...?" where a known name is close to {@code word}; empty where none is. */
+    /** Returns "; did you mean ...?" if a known name is close to {@code word}, or an empty string. */
     public static String didYouMean(String word, Collection<String> knownNames) {
-        String closest = null;
-        int shortest = MAX_DISTANCE + 1;
+        String closestName = null;
+        int closestDistance = MAX_DISTANCE + 1;
         for (String name : knownNames.stream().sorted().toList()) {
             int distance = levenshteinDistance(word, name);
-            if (distance < shortest) {
-                shortest = distance;
-                closest = name;
+            if (distance < closestDistance) {
+                closestDistance = distance;
+                closestName = name;
             }
         }
-        return closest == null ? "" : "; did you mean '" + closest + "'?";
+        return closestName == null ? "" : "; did you mean '" + closestName + "'?";
     }
 
     private static int levenshteinDistance(String left, String right) {
--- a/toml/src/main/java/loadbalancer/toml/Units.java
+++ b/toml/src/main/java/loadbalancer/toml/Units.java
@@ -5,7 +5,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Figures that are written with their unit, which is never guessed. */
+/** Quantities that must be written with a unit. */
 public enum Units {
     /** Requests per second: {@code "20/s"}, {@code "90/min"}. */
     RATE("a rate with its unit, such as \"200/s\"", Map.of("/s", 1.0, "/min", 1 / 60.0, "/h", 1 / 3600.0)),
@@ -19,44 +19,44 @@
     private static final Pattern QUANTITY = Pattern.compile("([0-9]+(?:\\.[0-9]+)?)\\s*([A-Za-z/]+)");
     private static final double ROUNDING_TOLERANCE = 1e-9;
 
-    private final String form;
-    private final Map<String, Double> factors; // to the base unit
+    private final String description;
+    private final Map<String, Double> factors; // of each unit, relative to the base unit
 
-    Units(String form, Map<String, Double> factors) {
-        this.form = form;
+    Units(String description, Map<String, Double> factors) {
+        this.description = description;
         this.factors = factors;
     }
 
-    /** How such a figure is written, for messages. */
-    String form() {
-        return form;
+    /** Describes how a quantity is written, for messages. */
+    String description() {
+        return description;
     }
 
-    /** The figure in base units; null where the text is none. */
+    /** Returns a quantity in base units; null if the text is not a valid quantity. */
     Double parse(String text) {
-        Matcher quantity = QUANTITY.matcher(text.strip());
-        Double factor = quantity.matches() ? factors.get(quantity.group(2)) : null;
-        return factor == null ? null : Double.valueOf(Double.parseDouble(quantity.group(1)) * factor);
+        Matcher matcher = QUANTITY.matcher(text.strip());
+        Double factor = matcher.matches() ? factors.get(matcher.group(2)) : null;
+        return factor == null ? null : Double.valueOf(Double.parseDouble(matcher.group(1)) * factor);
     }
 
-    /** The figure as operators would write it, in the unit that makes it shortest and keeps it whole. */
-    public String format(double figure) {
-        String best = null;
+    /** Formats a quantity in the unit that gives the shortest text with a whole number. */
+    public String format(double quantity) {
+        String shortest = null;
         for (Map.Entry<String, Double> unit : factors.entrySet()) {
-            double value = figure / unit.getValue();
+            double value = quantity / unit.getValue();
             if (Math.abs(value - Math.rint(value)) <= ROUNDING_TOLERANCE * Math.abs(value)) {
-                best = shorter(best, Math.round(value) + unit.getKey());
+                shortest = shorter(shortest, Math.round(value) + unit.getKey());
             }
         }
-        return best != null ? best : String.format(Locale.ROOT, "%.3f%s", figure, baseUnit());
+        return shortest != null ? shortest : String.format(Locale.ROOT, "%.3f%s", quantity, baseUnit());
     }
 
-    // Of texts of one length the first in the alphabet, so that the result does not depend on the order of the map.
-    private static String shorter(String best, String text) {
-        if (best == null || text.length() < best.length()) {
+    // Of two texts of the same length, takes the alphabetically first, so that the order of the map does not matter.
+    private static String shorter(String shortest, String text) {
+        if (shortest == null || text.length() < shortest.length()) {
             return text;
         }
-        return text.length() == best.length() && text.compareTo(best) < 0 ? text : best;
+        return text.length() == shortest.length() && text.compareTo(shortest) < 0 ? text : shortest;
     }
 
     private String baseUnit() {
--- a/toml/src/main/java/loadbalancer/toml/package-info.java
+++ b/toml/src/main/java/loadbalancer/toml/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Strict reading of TOML files: every fault is noted with file, line and what was expected, and all of them are
- * reported together before anything of the file is used. Not thread-safe.
+ * Strict reading of TOML files: each fault is recorded with file, line and what was expected, and all faults are
+ * reported together before anything in the file is used. Not thread-safe.
  */
 package loadbalancer.toml;
