--- a/core/src/main/java/loadbalancer/router/RequestRouter.java
+++ b/core/src/main/java/loadbalancer/router/RequestRouter.java
@@ -44,6 +44,7 @@
         quotas = new QuotaTree(config.quotas(), config.instances());
     }
 
+    /** Returns the configuration of the router. */
     public RoutingConfig config() {
         return config;
     }
--- a/core/src/test/java/loadbalancer/limits/ConcurrencyLimitTest.java
+++ b/core/src/test/java/loadbalancer/limits/ConcurrencyLimitTest.java
@@ -23,48 +23,43 @@
         }
     }
 
-    // Requests arrive at `load` times the capacity. Each takes 10 ms of a server on average, and `workFactor` times
+    // Requests arrive at `load` times the capacity. Each takes 10 ms of a server on average, and `slowdown` times
     // that in the second half of the run.
     private static RunResult run(
-            ConcurrencyLimitConfig config, int servers, double load, double workFactor, int maxQueueLength) {
+            ConcurrencyLimitConfig config, int servers, double load, double slowdown, int maxQueueLength) {
         ConcurrencyLimit limit = config.create();
         Random random = new Random(7);
         PriorityQueue<Completion> running = new PriorityQueue<>();
         ArrayDeque<long[]> queue = new ArrayDeque<>();
-        long durationMicros = 120 * SECOND_MICROS;
-        double meanServiceMicros = 10_000;
-        double meanInterarrivalMicros = meanServiceMicros / servers / load;
-        double nextArrivalMicros = 0;
+        long endMicros = 120 * SECOND_MICROS;
+        double workMicros = 10_000;
+        double interarrivalMicros = workMicros / servers / load;
+        double arrivalMicros = 0;
         int inFlight = 0;
         double limitSum = 0;
-        long limitSamples = 0;
+        long samples = 0;
         long served = 0;
-        double latencySumMicros = 0;
-        while (nextArrivalMicros < durationMicros) {
-            double currentMeanMicros =
-                    nextArrivalMicros > durationMicros / 2 ? meanServiceMicros * workFactor : meanServiceMicros;
-            while (!running.isEmpty() && running.peek().atMicros <= nextArrivalMicros) {
-                Completion completion = running.poll();
+        double latencySum = 0;
+        while (arrivalMicros < endMicros) {
+            double meanMicros = arrivalMicros > endMicros / 2 ? workMicros * slowdown : workMicros;
+            while (!running.isEmpty() && running.peek().atMicros <= arrivalMicros) {
+                Completion done = running.poll();
                 inFlight--;
-                limit.ended(
-                        completion.atMicros, completion.atMicros - completion.startMicros, false, completion.inFlight);
-                if (completion.atMicros > durationMicros * 3 / 4) {
+                limit.ended(done.atMicros, done.atMicros - done.startMicros, false, done.inFlight);
+                if (done.atMicros > endMicros * 3 / 4) {
                     served++;
-                    latencySumMicros += completion.atMicros - completion.startMicros;
+                    latencySum += done.atMicros - done.startMicros;
                 }
                 long[] queued = queue.poll();
                 if (queued != null) {
-                    running.add(new Completion(
-                            completion.atMicros + serviceMicros(random, currentMeanMicros), queued[0], (int)
-                                    queued[1]));
+                    running.add(new Completion(done.atMicros + sample(random, meanMicros), queued[0], (int) queued[1]));
                 }
             }
-            long nowMicros = (long) nextArrivalMicros;
+            long nowMicros = (long) arrivalMicros;
             if (inFlight < limit.limit()) {
                 inFlight++;
                 if (running.size() < servers) {
-                    running.add(
-                            new Completion(nowMicros + serviceMicros(random, currentMeanMicros), nowMicros, inFlight));
+                    running.add(new Completion(nowMicros + sample(random, meanMicros), nowMicros, inFlight));
                 } else if (queue.size() < maxQueueLength) {
                     queue.add(new long[] {nowMicros, inFlight});
                 } else {
@@ -72,19 +67,17 @@
                     limit.ended(nowMicros, 0, true, inFlight + 1);
                 }
             }
-            if (nowMicros > durationMicros * 3 / 4) {
+            if (nowMicros > endMicros * 3 / 4) {
                 limitSum += limit.limit();
-                limitSamples++;
+                samples++;
             }
-            nextArrivalMicros += -Math.log(1 - random.nextDouble()) * meanInterarrivalMicros;
+            arrivalMicros += -Math.log(1 - random.nextDouble()) * interarrivalMicros;
         }
         return new RunResult(
-                limitSum / limitSamples,
-                served * meanServiceMicros * workFactor / servers / (durationMicros / 4.0),
-                latencySumMicros / served);
+                limitSum / samples, served * workMicros * slowdown / servers / (endMicros / 4.0), latencySum / served);
     }
 
-    private static long serviceMicros(Random random, double meanMicros) {
+    private static long sample(Random random, double meanMicros) {
         return Math.max(1, (long) (-Math.log(1 - random.nextDouble()) * meanMicros));
     }
 
