--- a/balancer/src/main/java/loadbalancer/Main.java
+++ b/balancer/src/main/java/loadbalancer/Main.java
@@ -15,18 +15,21 @@
 import loadbalancer.wire.SimulatorWireAdapter;
 import loadbalancer.wire.WireException;
 
-/** The program's entry: a balancer, the simulator's wire on standard input and output, or a tool. */
+/**
+ * Entry point of the program: runs a balancer, serves the simulator's wire protocol on standard input and output, or
+ * runs a command-line tool.
+ */
 public final class Main {
     private static final String SERVE = "serve";
     private static final String WIRE_HOST = "wirehost";
     private static final int BUFFER_BYTES = 1 << 16;
-    private static final int EXIT_WIRE_FAILED = 1;
+    private static final int EXIT_WIRE_ERROR = 1;
 
     private Main() {}
 
     /**
-     * Runs the command that the arguments name. The two that a platform starts are recognized here, so that a start
-     * does not load the tools' option parser.
+     * Runs the command that the arguments name. {@code serve} and {@code wirehost}, which a platform starts, are matched
+     * here, so that their start does not load the option parser of the command-line tools.
      */
     public static void main(String[] args) {
         String command = args.length == 1 ? args[0] : "";
@@ -35,7 +38,7 @@
                 System.exit(ServeCommand.run(System.getenv()));
             }
             case WIRE_HOST -> {
-                hostOnWire();
+                runWireHost();
             }
             default -> {
                 System.exit(Commands.run(args));
@@ -43,7 +46,7 @@
         }
     }
 
-    private static void hostOnWire() {
+    private static void runWireHost() {
         try (BufferedReader in = new BufferedReader(
                         new InputStreamReader(new FileInputStream(FileDescriptor.in), StandardCharsets.UTF_8),
                         BUFFER_BYTES);
@@ -51,7 +54,7 @@
             new SimulatorWireAdapter(JsqDasPolicy::new, in, out).run();
         } catch (WireException | IOException e) {
             System.err.println("load-balancer: " + e.getMessage());
-            System.exit(EXIT_WIRE_FAILED);
+            System.exit(EXIT_WIRE_ERROR);
         }
     }
 }
--- a/balancer/src/main/java/loadbalancer/process/BalancerConfig.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerConfig.java
@@ -13,16 +13,16 @@
 /**
  * The configuration of a balancer, as {@link BalancerConfigReader} reads it. Immutable.
  *
- * @param name of the process
- * @param listen the address for clients
- * @param admin the address for operators; null where they cannot call
- * @param discovery the address of discovery
- * @param seed of the random sources
- * @param maxDescriptors sockets that the process may have open
- * @param maxEndpoints endpoints of a list that a pool may keep
- * @param knownList the endpoints as they were known when the configuration was written
- * @param boot the settings, typed
- * @param settings the same as paths and values, to compare two configurations by
+ * @param name the name of the process
+ * @param listen the address that accepts client connections
+ * @param admin the address that accepts operators' calls; null where there is none
+ * @param discovery the address of the discovery service
+ * @param seed the seed of the random number generators
+ * @param maxDescriptors how many file descriptors the process may have open
+ * @param maxEndpoints how many endpoints of a list a pool may keep
+ * @param knownList the endpoints that were known when the configuration was written
+ * @param boot the settings, parsed
+ * @param settings the same settings as text values by path, for comparing two configurations
  */
 record BalancerConfig(
         String name,
@@ -35,7 +35,7 @@
         EndpointList knownList,
         BootSettings boot,
         Map<String, String> settings) {
-    /** Lists in the settings whose entries may become more or fewer. */
+    /** Lists in the settings whose number of entries may change on a reload. */
     private static final List<String> ENTRY_LISTS = List.of("Classes", "Realms");
 
     private static final String ENTRY_COUNT = ".count";
@@ -44,11 +44,12 @@
     private static final Set<String> OPTIONAL_ENTRY_FIELDS = Set.of("AimStretch");
 
     /**
-     * Returns a key of the settings that these lack and those before had, or null: a file may have lost a part and
-     * still be readable. An entry of a list must have the fields that all entries had before.
+     * Returns a required settings key that the previous configuration has and this one lacks; null where there is none.
+     * This detects a file that has lost a part and can still be parsed. Each entry of a list must have the fields that
+     * all entries of the list had before.
      */
-    String missingKey(BalancerConfig before) {
-        for (String key : before.settings.keySet()) {
+    String missingKey(BalancerConfig previous) {
+        for (String key : previous.settings.keySet()) {
             boolean required =
                     !OPTIONAL_KEY.matcher(key).find() && !ENTRY_KEY.matcher(key).find();
             if (required && !settings.containsKey(key)) {
@@ -56,7 +57,7 @@
             }
         }
         for (String list : ENTRY_LISTS) {
-            for (String field : commonFields(list, before.settings)) {
+            for (String field : commonFields(list, previous.settings)) {
                 for (int i = 0; i < entryCount(list, settings); i++) {
                     String key = entryPrefix(list, i) + field;
                     if (!settings.containsKey(key)) {
--- a/balancer/src/main/java/loadbalancer/process/BalancerConfigReader.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerConfigReader.java
@@ -25,13 +25,13 @@
 import loadbalancer.settings.SocketAddresses;
 
 /**
- * Reads a {@link BalancerConfig} from the environment and the configuration file: the only place that knows the names
- * of the environment's variables and of the file's fields. A variable wins over the field for the same value.
+ * Reads a {@link BalancerConfig} from the environment and the configuration file. Only this class knows the names of
+ * the environment variables and of the file's fields. A variable takes precedence over the field for the same value.
  * Stateless.
  */
 final class BalancerConfigReader {
-    /** The variable that names the configuration file. */
-    static final String FILE_VARIABLE = "ROUTER_CONFIG";
+    /** The environment variable with the path of the configuration file. */
+    static final String CONFIG_FILE_VARIABLE = "ROUTER_CONFIG";
 
     private static final String OPERATOR_FILE_VARIABLE = "ROUTER_OPERATOR_FILE";
     private static final String HANDOVER_DIRECTORY_VARIABLE = "TMPDIR";
@@ -51,10 +51,12 @@
     private static final String MAX_DESCRIPTORS = "sockets";
     private static final String MAX_ENDPOINTS = "upstreams";
 
-    /** Where neither the file nor the operating system gives a limit. */
+    /** Used where neither the file nor the operating system sets a limit. */
     private static final int DEFAULT_MAX_DESCRIPTORS = 1024;
 
+    /** Stands for the addresses that a check of a file does not need. */
     private static final String CHECK_ADDRESS = "127.0.0.1:0";
+
     private static final int SEED_RADIX = 16;
     private static final EndpointList EMPTY_LIST = new EndpointList(0, true, List.of());
     private static final JsonFactory JSON_FILE =
@@ -62,27 +64,27 @@
 
     private BalancerConfigReader() {}
 
-    /** Returns the operator file that the environment names; null where it names none. */
+    /** Returns the path of the operator file from the environment; null where the variable is not set. */
     static Path operatorFile(Map<String, String> environment) {
         String file = environment.get(OPERATOR_FILE_VARIABLE);
         return file == null || file.isBlank() ? null : Path.of(file.strip());
     }
 
-    /** Returns the directory in which processes that replace each other meet; null where the environment names none. */
+    /** Returns the directory of the handover sockets from the environment; null where the variable is not set. */
     static Path handoverDirectory(Map<String, String> environment) {
         String directory = environment.get(HANDOVER_DIRECTORY_VARIABLE);
         return directory == null || directory.isBlank() ? null : Path.of(directory);
     }
 
     /**
-     * Reads the file that the environment names, for the start of a process.
+     * Reads the configuration file that the environment names, at the start of a process.
      *
-     * @throws ProcessConfigException where it cannot be used
+     * @throws ProcessConfigException if the configuration cannot be read or is invalid
      */
     static BalancerConfig read(Map<String, String> environment) {
-        String file = environment.get(FILE_VARIABLE);
+        String file = environment.get(CONFIG_FILE_VARIABLE);
         if (file == null || file.isBlank()) {
-            throw new ProcessConfigException(FILE_VARIABLE + " is not set");
+            throw new ProcessConfigException(CONFIG_FILE_VARIABLE + " is not set");
         }
         Path path = Path.of(file);
         boolean regular = Files.isRegularFile(path);
@@ -99,10 +101,10 @@
     }
 
     /**
-     * Reads the file again, for a running process: where it names another discovery, that is the one to use from here
-     * on, whatever the environment said at the start.
+     * Reads the configuration file again for a running process. The file may name another address of discovery, so the
+     * environment variable for that address no longer takes precedence.
      *
-     * @throws ProcessConfigException where it cannot be used
+     * @throws ProcessConfigException if the configuration cannot be read or is invalid
      */
     static BalancerConfig reread(Map<String, String> environment) {
         Map<String, String> withoutDiscovery = new HashMap<>(environment);
@@ -111,13 +113,14 @@
     }
 
     /**
-     * Reads a file for a check of it, without an environment: what that would give is filled in.
+     * Reads a configuration file in order to check it. Placeholders stand in for the values that the environment would
+     * set.
      *
-     * @throws ProcessConfigException where it cannot be used
+     * @throws ProcessConfigException if the configuration cannot be read or is invalid
      */
     static BalancerConfig readForCheck(Path file) {
         return read(Map.of(
-                FILE_VARIABLE,
+                CONFIG_FILE_VARIABLE,
                 file.toString(),
                 NAME_VARIABLE,
                 "check",
@@ -128,10 +131,10 @@
     }
 
     /**
-     * Reads a configuration that is in memory.
+     * Reads a configuration that has already been parsed.
      *
-     * @param fields the file's, as a JSON parser gives them
-     * @throws ProcessConfigException where it cannot be used
+     * @param fields the top-level fields of the file, as a JSON parser returns them
+     * @throws ProcessConfigException if the configuration cannot be read or is invalid
      */
     static BalancerConfig read(Map<String, String> environment, Map<String, Object> fields) {
         try {
@@ -144,11 +147,14 @@
                 }
             });
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // it is in memory
+            throw new UncheckedIOException(e); // not expected: the list is in memory
         }
     }
 
-    /** A file, which may be read more than once; or the bytes of what may not, such as a pipe. */
+    /**
+     * The source of the configuration: a regular file, which can be read more than once, or the bytes of one that cannot,
+     * such as a pipe. One of the components is null.
+     */
     private record Source(FileChannel channel, byte[] bytes) {
         JsonParser parser() throws IOException {
             if (channel == null) {
@@ -159,28 +165,28 @@
         }
     }
 
-    /** Takes a field whose value's first token is the parser's current one. */
+    /** Handles one top-level field. The parser's current token is the first token of the value. */
     private interface FieldHandler {
-        void field(String name, JsonParser value) throws IOException;
+        void handle(String name, JsonParser value) throws IOException;
     }
 
-    private static void eachField(Source source, FieldHandler handler) throws IOException {
+    private static void forEachField(Source source, FieldHandler handler) throws IOException {
         try (JsonParser parser = source.parser()) {
             JsonToken first = parser.nextToken();
             if (first != null && first != JsonToken.START_OBJECT) {
-                throw new IllegalArgumentException("not an object");
+                throw new IllegalArgumentException("expected a JSON object at the top level");
             }
             while (first != null && parser.nextToken() == JsonToken.FIELD_NAME) {
                 String name = parser.currentName();
                 parser.nextToken();
-                handler.field(name, parser);
+                handler.handle(name, parser);
             }
         }
     }
 
     private static Map<String, Object> fieldsWithoutKnownList(Source source) throws IOException {
         Map<String, Object> fields = new HashMap<>();
-        eachField(source, (name, parser) -> {
+        forEachField(source, (name, parser) -> {
             if (name.equals(KNOWN_LIST)) {
                 parser.skipChildren();
             } else {
@@ -190,10 +196,11 @@
         return fields;
     }
 
-    // Read apart, once the settings are known, and never as a whole: it may be far longer than what can be kept.
+    // The known list can be far longer than the part that is kept, so it is read in a second pass, entry by entry, with
+    // the settings that the first pass has read.
     private static EndpointList readKnownList(Source source, ListLimits limits) throws IOException {
         EndpointList[] known = {EMPTY_LIST};
-        eachField(source, (name, parser) -> {
+        forEachField(source, (name, parser) -> {
             if (!name.equals(KNOWN_LIST) || parser.currentToken() == JsonToken.VALUE_NULL) {
                 parser.skipChildren();
                 return;
@@ -208,10 +215,10 @@
         return known[0];
     }
 
-    /** By what settings the list is read, and how many endpoints of it may be kept. */
+    /** The settings that the known list is read by, and how many of its endpoints may be kept. */
     private record ListLimits(BootSettings boot, int maxEndpoints) {}
 
-    /** Reads the list of endpoints as it was known. */
+    /** Reads the endpoints that were known when the configuration was written. */
     private interface KnownListReader {
         EndpointList read(ListLimits limits) throws IOException;
     }
@@ -226,7 +233,7 @@
         Map<String, String> settings = settings(fields.get(SETTINGS));
         BootSettings boot = SettingsReader.read(
                 settings, (path, error) -> new ProcessConfigException(SETTINGS + ": " + path + ": " + error));
-        Map<?, ?> limits = fields.get(LIMITS) instanceof Map<?, ?> given ? given : Map.of();
+        Map<?, ?> limits = fields.get(LIMITS) instanceof Map<?, ?> configured ? configured : Map.of();
         int maxEndpoints = maxEndpoints(limits.get(MAX_ENDPOINTS));
         EndpointList known = knownList.read(new ListLimits(boot, maxEndpoints));
         return new BalancerConfig(
@@ -244,7 +251,7 @@
 
     private static Map<String, String> settings(Object value) {
         if (!(value instanceof Map)) {
-            throw new ProcessConfigException("the configuration has no settings");
+            throw new ProcessConfigException("the configuration has no settings object");
         }
         Map<String, String> settings = new HashMap<>();
         SettingsReader.flatten("", value, settings);
@@ -271,7 +278,7 @@
             return null;
         }
         if (!(fromFile instanceof String text)) {
-            throw new ProcessConfigException(field + ": not a text: " + fromFile);
+            throw new ProcessConfigException(field + ": expected a string, got " + fromFile);
         }
         return text.isBlank() ? null : text.strip();
     }
@@ -290,16 +297,16 @@
         return limit == DescriptorLimit.UNLIMITED ? DEFAULT_MAX_DESCRIPTORS : limit;
     }
 
-    // As many as the heap has room for, unless fewer are configured.
+    // The configured number, but no more than the heap has room for.
     private static int maxEndpoints(Object value) {
         int limit = EndpointSubset.maxEndpointsForHeap(Runtime.getRuntime().maxMemory());
         if (value == null) {
             return limit;
         }
-        boolean isWhole = value instanceof Number number && number.longValue() == number.doubleValue();
-        if (!isWhole || ((Number) value).longValue() < 1) {
+        boolean isWholeNumber = value instanceof Number number && number.longValue() == number.doubleValue();
+        if (!isWholeNumber || ((Number) value).longValue() < 1) {
             throw new ProcessConfigException(
-                    LIMITS + ": " + MAX_ENDPOINTS + ": a whole number of 1 or more is wanted: " + value);
+                    LIMITS + ": " + MAX_ENDPOINTS + ": expected a whole number of 1 or more, got " + value);
         }
         return (int) Math.min(limit, ((Number) value).longValue());
     }
@@ -311,7 +318,8 @@
         try {
             return Long.parseUnsignedLong(String.valueOf(value), SEED_RADIX);
         } catch (NumberFormatException e) {
-            throw new ProcessConfigException(SEED + ": not hexadecimal: '" + value + "'", e);
+            throw new ProcessConfigException(
+                    SEED + ": expected a number or a 64-bit hexadecimal string, got '" + value + "'", e);
         }
     }
 }
--- a/balancer/src/main/java/loadbalancer/process/BalancerPools.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerPools.java
@@ -10,13 +10,13 @@
 import loadbalancer.settings.BootSettings;
 
 /**
- * The site's pool and, once an operator file is in use, the pools that the file defines: what concerns all of them goes
- * through here. Belongs to the event loop's thread.
+ * The site's pool and, once an operator file is in force, the pools that the file defines. Carries out the operations
+ * that concern all of them. Confined to the event loop's thread.
  */
 final class BalancerPools {
     private final Membership membership;
     private final RequestDispatcher dispatcher;
-    private RoutingGateway gateway; // null without an operator file
+    private RoutingGateway gateway; // null while no operator file is in force
 
     /** Creates the set with the site's pool alone. */
     BalancerPools(Membership membership, RequestDispatcher dispatcher) {
@@ -29,17 +29,25 @@
         gateway = newGateway;
     }
 
-    /** Returns what routes requests to the pools of the operator file; null without one. */
+    /** Returns the gateway that routes requests to the operator file's pools; null while no operator file is in force. */
     RoutingGateway gateway() {
         return gateway;
     }
 
-    /** Drains an endpoint administratively, drained or not; false where no pool knows the id. */
+    /**
+     * Drains an endpoint administratively; one that is drained already stays so.
+     *
+     * @return false where no pool knows the id
+     */
     boolean drain(String endpointId) {
         return membership.drain(endpointId) || gateway != null && gateway.drainEndpoint(endpointId);
     }
 
-    /** Restores an endpoint, drained or not; false where no pool knows the id. */
+    /**
+     * Restores an endpoint; one that is not drained stays so.
+     *
+     * @return false where no pool knows the id
+     */
     boolean restore(String endpointId) {
         return membership.restore(endpointId) || gateway != null && gateway.restoreEndpoint(endpointId);
     }
@@ -53,8 +61,7 @@
     }
 
     /**
-     * Makes the operator file's pools go by new settings; the site's pool is reconfigured by {@link
-     * Reconfiguration}.
+     * Applies new settings to the operator file's pools. {@link Reconfiguration} applies them to the site's pool.
      */
     void reconfigure(BootSettings settings) {
         if (gateway != null) {
@@ -62,7 +69,7 @@
         }
     }
 
-    /** Returns what a successor starts from. */
+    /** Returns the state that a successor starts from. */
     HandoverDocument handoverDocument(BootSettings settings) {
         OperatorDrains drains = membership.drains();
         HandoverState site = new HandoverState(
@@ -71,10 +78,10 @@
     }
 
     /**
-     * Restores what the predecessor knew: the site's pool first, then the others.
+     * Restores the predecessor's state: the site's pool first, then the others.
      *
-     * @return what was restored of the site's pool
-     * @throws HandoverFormatException where the state of a pool cannot be read; those before it are restored
+     * @return the restored state of the site's pool
+     * @throws HandoverFormatException if the state of a pool cannot be read; the pools before it stay restored
      */
     HandoverState restore(HandoverDocument document, BootSettings settings) throws HandoverFormatException {
         HandoverState site = document.site(settings);
@@ -86,18 +93,18 @@
         return site;
     }
 
-    /** Runs {@code then} on the event loop's thread once no pool owes an answer. */
-    void whenIdle(Runnable then) {
+    /** Runs {@code callback} on the event loop's thread once every pool has answered all of its requests. */
+    void whenIdle(Runnable callback) {
         dispatcher.whenIdle(() -> {
             if (gateway == null) {
-                then.run();
+                callback.run();
             } else {
-                gateway.whenIdle(then);
+                gateway.whenIdle(callback);
             }
         });
     }
 
-    /** Returns the figures of all pools, for the log. */
+    /** Returns the counts of all pools, for the log. */
     String summary() {
         return dispatcher.summary() + (gateway == null ? "" : gateway.summary());
     }
--- a/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
@@ -35,12 +35,12 @@
 import loadbalancer.upstream.UpstreamConnectionPool;
 
 /**
- * One balancer with its sockets: puts its parts together, starts them and stops them. All of it runs on one event loop;
- * the methods here may be called on any other thread, save where they say otherwise.
+ * One balancer with its sockets: creates and connects its components, starts them and stops them. All of them run on one
+ * event loop. The methods of this class may be called on any other thread, except where they say otherwise.
  */
 final class BalancerProcess {
-    /** How long nothing is sent by the list of the start where lists are pushed and discovery is silent. */
-    private static final long OLD_LIST_HOLD_MILLIS = 10_000;
+    /** How long the cached list is withheld where discovery pushes lists but does not respond. */
+    private static final long CACHED_LIST_HOLD_MILLIS = 10_000;
 
     private final Log log;
     private final UnreadTimeEstimator unreadTime = new UnreadTimeEstimator(System::nanoTime);
@@ -61,15 +61,15 @@
     private final OperatorCalls operatorCalls;
 
     /**
-     * What a process is given besides its configuration; each may be null.
+     * What the platform passes to a process besides its configuration; each component may be null.
      *
-     * @param listener the clients' listening socket, where the platform holds it
-     * @param handoverDirectory where a process finds its predecessor
+     * @param listener the listening socket for clients, if the platform holds it
+     * @param handoverDirectory the directory of the handover sockets, where a process finds its predecessor
      */
     record Platform(ServerSocketChannel listener, Path handoverDirectory) {}
 
     /**
-     * Creates a process that opens its own listening socket and has neither predecessor nor successor.
+     * Creates a process that opens its own listening socket and takes no part in a handover.
      *
      * @see #BalancerProcess(BalancerConfig, Platform, BiFunction, boolean, Log)
      */
@@ -82,10 +82,10 @@
     }
 
     /**
-     * Creates a process that is not started.
+     * Creates a process without starting it.
      *
-     * @param policies makes the policy of a pool from its settings and a seed
-     * @param warmsUp whether requests of its own warm the process up before it is ready
+     * @param policies creates the policy of a pool from its settings and a seed
+     * @param warmsUp whether the process warms up with requests of its own before it is ready
      */
     BalancerProcess(
             BalancerConfig config,
@@ -123,7 +123,7 @@
         pools = new BalancerPools(membership, dispatcher);
         reconfiguration = new Reconfiguration(
                 config,
-                new Reconfiguration.Parts(
+                new Reconfiguration.Components(
                         loop, policies, descriptors, dispatcher, upstreams, clients, membership, discovery, pools),
                 log);
         handover = new HandoverParticipant(
@@ -136,18 +136,18 @@
     }
 
     /**
-     * Takes operators' calls from here on, also before the process is ready.
+     * Starts to accept operators' calls; may be called before the process is ready.
      *
-     * @return the address in use
+     * @return the address that the listener is bound to
      */
     InetSocketAddress listenForOperators() throws IOException {
         return admin.listen(config().admin());
     }
 
     /**
-     * Listens and begins to work.
+     * Opens the listener for clients and starts the process.
      *
-     * @return the address in use
+     * @return the address that the listener is bound to
      */
     InetSocketAddress start() throws IOException {
         boolean hasPredecessor = handover.connectToPredecessor();
@@ -169,7 +169,9 @@
         return address;
     }
 
-    // Where the platform's listener is shared, requests of the warm-up sent to it could reach the other process.
+    // Warm-up requests to a listener that is shared with another process could reach that process, so they need a
+    // socket
+    // of their own. Null where none is needed or there is no directory for it.
     private UnixDomainSocketAddress warmUpAddress() {
         if (!warmsUp || platform.listener() == null || platform.handoverDirectory() == null) {
             return null;
@@ -178,10 +180,10 @@
         return UnixDomainSocketAddress.of(platform.handoverDirectory().resolve(name));
     }
 
-    // Where lists are pushed, what the agent has counts as notified from the first moment on: by an older list requests
-    // would go to endpoints that have left. An agent that is down is not waited for without end. Long before that the
-    // process is ready: what comes meanwhile is queued in the policy, or rejected in time, as where no endpoint is
-    // free.
+    // Where lists are pushed, the balancer counts as notified of the agent's list from its start on, and an older list
+    // could send requests to endpoints that have left. The cached list is therefore withheld until the agent responds,
+    // but no longer than CACHED_LIST_HOLD_MILLIS, as the agent may be down. The process becomes ready long before that;
+    // until there is a list the policy queues requests or rejects them in time, as when no endpoint is free.
     private void applyKnownList() {
         EndpointList known = config().knownList();
         if (config().boot().settings().discovery() == DiscoveryMode.POLL) {
@@ -190,18 +192,18 @@
         }
         membership.update(EndpointListKind.CACHED, new EndpointList(known.version(), true, List.of()));
         membership.holdBack(known);
-        loop.schedule(this::discoverySilent, discovery.startupTimeoutMicros(), TimeUnit.MICROSECONDS);
-        loop.schedule(() -> membership.release(), OLD_LIST_HOLD_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::discoveryTimedOut, discovery.startupTimeoutMicros(), TimeUnit.MICROSECONDS);
+        loop.schedule(() -> membership.release(), CACHED_LIST_HOLD_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void discoverySilent() {
+    private void discoveryTimedOut() {
         if (!readiness.hasEndpoints() && membership.hasUsableEndpoint()) {
             log.accept("no response from discovery: ready, and nothing is sent by the cached list yet");
             readiness.endpointsAvailable();
         }
     }
 
-    // Ready once an endpoint may be sent to: the cached list will do until discovery answers.
+    // The process is ready once the list has a usable endpoint; the cached list suffices until discovery responds.
     void endpointsListed(EndpointListKind kind, EndpointList endpoints) {
         membership.update(kind, endpoints);
         if (kind == EndpointListKind.SNAPSHOT || endpoints != null && membership.hasUsableEndpoint()) {
@@ -221,7 +223,7 @@
         warmUp.start(address);
     }
 
-    // The last step before the process serves: the predecessor's state should be as fresh as can be.
+    // This is the last step before the process serves, so that the predecessor's state is as recent as possible.
     private void restoreFromPredecessor() {
         handover.restoreFromPredecessor(hasEndpoints -> {
             if (hasEndpoints) {
@@ -240,33 +242,33 @@
     /**
      * Waits until the process serves clients.
      *
-     * @return false where it does not after that time
+     * @return false if it does not within the time-out
      */
-    boolean awaitReady(long millis) throws InterruptedException {
-        return readiness.await(millis);
+    boolean awaitReady(long timeoutMillis) throws InterruptedException {
+        return readiness.await(timeoutMillis);
     }
 
     /**
-     * Puts a replaced configuration into force: its settings and its discovery. One that cannot be used changes
+     * Applies the settings and the discovery address of a replaced configuration. An invalid configuration changes
      * nothing.
      *
-     * @param read reads the configuration, on the caller's thread
+     * @param reader reads the configuration, on the caller's thread
      */
-    void reload(Supplier<BalancerConfig> read) {
-        reconfiguration.reload(read);
+    void reload(Supplier<BalancerConfig> reader) {
+        reconfiguration.reload(reader);
     }
 
     /**
-     * Puts an operator file into force, or keeps the one before where it cannot be used.
+     * Applies an operator file; an invalid one leaves the previous one in force.
      *
-     * @param configuresLog whether the process's own log goes by it as well
+     * @param configuresLog whether the file also configures the log of the process
      * @return whether the file is in force
      */
-    boolean operate(Path file, boolean configuresLog) {
+    boolean applyOperatorFile(Path file, boolean configuresLog) {
         return reconfiguration.applyOperatorFile(file, configuresLog);
     }
 
-    /** Stops in order, as after SIGTERM, and returns when all that was accepted has been answered. */
+    /** Stops gracefully, as after SIGTERM; returns once all accepted requests have been answered. */
     void stop() {
         shutdown.begin();
         shutdown.await();
@@ -289,17 +291,20 @@
         return reconfiguration.config();
     }
 
-    /** Returns what operators may do, for the event loop's thread. */
+    /** Returns the operators' commands; to be called on the event loop's thread only. */
     OperatorActions operatorActions() {
         return operatorCalls;
     }
 
-    /** Returns the event loop that all of the process runs on. */
+    /** Returns the event loop that runs the whole process. */
     EventLoop loop() {
         return loop;
     }
 
-    /** Returns what routes by the operator file, for the event loop's thread; null without a file. */
+    /**
+     * Returns the gateway that routes by the operator file; null while no operator file is in force. To be used on the
+     * event loop's thread only.
+     */
     RoutingGateway gateway() {
         return pools.gateway();
     }
--- a/balancer/src/main/java/loadbalancer/process/ClassArchiveTraining.java
+++ b/balancer/src/main/java/loadbalancer/process/ClassArchiveTraining.java
@@ -9,7 +9,7 @@
 
 /**
  * Starts a balancer, lets it warm up and stops it. The build runs this once, so that the JVM archives the classes that
- * a start loads: loading them anew is about half of the time of a start.
+ * a start loads; without the archive, loading them takes about half of the time of a start.
  */
 public final class ClassArchiveTraining {
     private static final long READY_TIMEOUT_MILLIS = TimeUnit.SECONDS.toMillis(30);
@@ -33,9 +33,9 @@
 
     private ClassArchiveTraining() {}
 
-    /** Runs the training; the exit code is 0 where the balancer became ready. */
+    /** Runs the training. The exit code is 0 if the balancer became ready in time. */
     public static void main(String[] args) throws IOException, InterruptedException {
-        ReloadSignal.take().onEach(() -> {}); // for the classes that it loads
+        ReloadSignal.install().onEach(() -> {}); // so that its classes are archived too
         BalancerProcess process = new BalancerProcess(readConfig(), JsqDasPolicy::new, true, line -> {});
         process.start();
         boolean ready = process.awaitReady(READY_TIMEOUT_MILLIS);
@@ -43,12 +43,12 @@
         System.exit(ready ? EXIT_READY : EXIT_NOT_READY);
     }
 
-    // From a file, for the classes that this loads.
+    // Reads the configuration from a file, so that the classes that this loads are archived too.
     private static BalancerConfig readConfig() throws IOException {
         Path file = Files.createTempFile("class-archive-training", ".json");
         try {
             Files.writeString(file, CONFIG);
-            return BalancerConfigReader.read(Map.of(BalancerConfigReader.FILE_VARIABLE, file.toString()));
+            return BalancerConfigReader.read(Map.of(BalancerConfigReader.CONFIG_FILE_VARIABLE, file.toString()));
         } finally {
             Files.delete(file);
         }
--- a/balancer/src/main/java/loadbalancer/process/DescriptorBudget.java
+++ b/balancer/src/main/java/loadbalancer/process/DescriptorBudget.java
@@ -4,15 +4,16 @@
 import loadbalancer.upstream.ConnectionBudget;
 
 /**
- * Counts the sockets of this process against its limit on descriptors, so that neither an accept nor a connect fails
- * for want of one: some stay in reserve for what is not counted here (files, the selector, discovery, the listeners),
- * and a fraction for upstream connections, whatever clients open. Belongs to the event loop's thread.
+ * Counts this process's connections against its limit on file descriptors, so that neither an accept nor a connect
+ * fails for lack of one. Some descriptors are reserved for what is not counted here (files, the selector, discovery, the
+ * listeners), and clients may use only a fraction of the rest, so that upstream connections can always be opened.
+ * Confined to the event loop's thread.
  */
 final class DescriptorBudget implements ConnectionBudget, ClientConnectionBudget {
     private static final int RESERVED_DESCRIPTORS = 64;
-    /** Of the limit, for this process in any case while another one shares it. */
+    /** Fraction of the limit that this process always keeps while another process shares the limit. */
     private static final double MIN_OWN_FRACTION = 0.4;
-    /** Of what is not in reserve, for clients at most. */
+    /** Largest fraction of the unreserved descriptors that client connections may use. */
     private static final double MAX_CLIENT_FRACTION = 0.65;
 
     private static final int MIN_CONNECTIONS = 2;
@@ -24,9 +25,9 @@
     private int clientConnections;
 
     /**
-     * Begins without an open socket.
+     * Creates a budget with no open connections.
      *
-     * @param limit descriptors that the process may have open
+     * @param limit how many descriptors the process may have open
      */
     DescriptorBudget(int limit) {
         this.limit = limit;
@@ -34,23 +35,23 @@
     }
 
     /**
-     * Leaves to the other process of a handover what it holds: the two have one limit together. A fraction remains for
-     * this one in any case, as the other cannot close at once what it has open above its own.
+     * Subtracts the descriptors of the other process in a handover, since both share one limit. A fraction of the limit
+     * always remains for this process, because the other cannot at once close what it has open beyond its own share.
      *
-     * @param descriptors that the other process has open
+     * @param descriptors how many descriptors the other process has open
      */
     void setUsedByPeer(int descriptors) {
-        int own = Math.max((int) (limit * MIN_OWN_FRACTION), limit - descriptors);
-        maxConnections = Math.max(MIN_CONNECTIONS, own - Math.min(RESERVED_DESCRIPTORS, own / 2));
+        int ownDescriptors = Math.max((int) (limit * MIN_OWN_FRACTION), limit - descriptors);
+        maxConnections = Math.max(MIN_CONNECTIONS, ownDescriptors - Math.min(RESERVED_DESCRIPTORS, ownDescriptors / 2));
         maxClientConnections = Math.max(MIN_CONNECTIONS, (int) (maxConnections * MAX_CLIENT_FRACTION));
     }
 
-    /** Returns how many upstream connections there may be beside as many clients as possible. */
+    /** Returns how many upstream connections fit beside the largest number of client connections. */
     int maxUpstreamConnections() {
         return Math.max(1, maxConnections - maxClientConnections);
     }
 
-    /** Returns how many connections are open, to clients and upstreams. */
+    /** Returns how many connections to clients and upstreams are open. */
     int openConnections() {
         return openConnections;
     }
--- a/balancer/src/main/java/loadbalancer/process/DescriptorLimit.java
+++ b/balancer/src/main/java/loadbalancer/process/DescriptorLimit.java
@@ -5,9 +5,9 @@
 import java.nio.file.Path;
 import java.util.Locale;
 
-/** Reads the operating system's limit on this process's descriptors. */
+/** Reads the operating system's limit on the file descriptors of this process. */
 final class DescriptorLimit {
-    /** What is read where there is no limit, or none is known. */
+    /** The result where there is no limit or it cannot be read. */
     static final int UNLIMITED = Integer.MAX_VALUE;
 
     private static final Path LIMITS_FILE = Path.of("/proc/self/limits");
@@ -16,7 +16,7 @@
 
     private DescriptorLimit() {}
 
-    /** Returns the soft limit. Read without the JDK's management classes, which would make a start longer. */
+    /** Returns the soft limit. It is not read through the JDK's management classes, as loading them slows the start. */
     static int read() {
         try {
             for (String line : Files.readAllLines(LIMITS_FILE)) {
@@ -26,7 +26,7 @@
                 }
             }
         } catch (IOException | NumberFormatException e) {
-            return UNLIMITED; // the word "unlimited", or a system without this file
+            return UNLIMITED; // the value is "unlimited", or the system has no such file
         }
         return UNLIMITED;
     }
--- a/balancer/src/main/java/loadbalancer/process/GracefulShutdown.java
+++ b/balancer/src/main/java/loadbalancer/process/GracefulShutdown.java
@@ -6,30 +6,31 @@
 import loadbalancer.http.ClientListener;
 
 /**
- * Ends a process in order: all requests that were accepted are answered, and clients get time to go elsewhere.
+ * Stops a process gracefully: all accepted requests are answered, and clients get time to connect to other balancers.
  *
- * <p>Changed on the event loop's thread only; {@link #begin()}, {@link #state()} and {@link #await()} may be called on
- * any thread.
+ * <p>The state changes on the event loop's thread only; {@link #begin()}, {@link #isStopping()}, {@link #state()} and
+ * {@link #await()} may be called on any thread.
  */
 final class GracefulShutdown {
-    /** The states, in their order. */
+    /** The states of a shutdown, in their order. */
     enum State {
-        /** Not asked to stop. */
+        /** No shutdown has begun. */
         RUNNING,
-        /** Not ready any more, but still accepting: clients go on coming for a while. */
+        /** Reports that it is not ready, but accepts connections, because clients still come for a while. */
         LINGERING,
-        /** Accepts no more, and waits for the connections that hold a request, whole or in part. */
+        /** Accepts no more connections, and waits for those with a complete or partial request. */
         DRAINING,
-        /** The drain deadline is over: only requests that have been accepted are still answered. */
+        /** The drain time-out has passed; only requests that were accepted are still answered. */
         FINISHING,
-        /** Nothing is left to answer. */
+        /** All accepted requests have been answered. */
         STOPPED
     }
 
+    /** How long connections are still accepted after the process reports that it is not ready. */
     private static final long LINGER_MILLIS = 600;
-    /** For requests that are still coming in when the process accepts no more. */
+    /** How long requests that are still arriving when the listeners close are waited for. */
     private static final long DRAIN_TIMEOUT_MILLIS = 2_600;
-    /** For the last answers to leave, and between two looks at what is left. */
+    /** Time for the last responses to be sent, and the interval between checks for open requests. */
     private static final long FLUSH_MILLIS = 20;
 
     private final EventLoop loop;
@@ -42,11 +43,11 @@
     private volatile State state = State.RUNNING;
 
     /**
-     * Creates the sequence, not begun.
+     * Creates a shutdown that has not begun.
      *
-     * @param listenerIsShared whether the platform holds the clients' listener, which another process may serve
-     *     meanwhile
-     * @param closeListeners runs on the event loop's thread when no further connections are to be accepted
+     * @param listenerIsShared whether the platform holds the listener for clients, so that another process may accept
+     *     connections meanwhile
+     * @param closeListeners runs on the event loop's thread when connections are no longer to be accepted
      * @param onStopped runs on the event loop's thread as the last step
      */
     GracefulShutdown(
@@ -64,7 +65,7 @@
         this.onStopped = onStopped;
     }
 
-    /** Begins to stop, and returns at once. */
+    /** Begins the shutdown, and returns at once. */
     void begin() {
         loop.execute(this::linger);
         loop.schedule(this::drain, LINGER_MILLIS, TimeUnit.MILLISECONDS);
@@ -88,21 +89,21 @@
         }
     }
 
-    // Where a successor serves already, connections that hold a request, whole or in part, are seen to their end.
-    // Where none does, each moment until the exit is one in which nobody serves: only answers are waited for. What has
-    // been accepted is answered in any case.
+    // Accepted requests are answered in any case. With a shared listener a successor already serves, so the process
+    // waits until every connection has ended. Otherwise nobody serves until it exits, so it waits for pending responses
+    // only.
     private void stopWhenDrained() {
         boolean requestsLeft = listenerIsShared ? !clients.isEmpty() : clients.hasPendingResponses();
-        if (requestsLeft && beforeDeadline() || clients.isStreaming()) {
+        if (requestsLeft && beforeDrainTimeout() || clients.isStreaming()) {
             loop.schedule(this::stopWhenDrained, FLUSH_MILLIS, TimeUnit.MILLISECONDS);
             return;
         }
         pools.whenIdle(() -> loop.schedule(this::stopIfNothingIsLeft, FLUSH_MILLIS, TimeUnit.MILLISECONDS));
     }
 
-    // Looks once more: a request may have come in completely since, or a response may still wait for its client.
+    // Checks again: a request may have become complete meanwhile, or a response may still be on its way to the client.
     private void stopIfNothingIsLeft() {
-        if (clients.hasPendingResponses() && beforeDeadline()) {
+        if (clients.hasPendingResponses() && beforeDrainTimeout()) {
             stopWhenDrained();
             return;
         }
@@ -111,16 +112,16 @@
         stopped.countDown();
     }
 
-    private boolean beforeDeadline() {
+    private boolean beforeDrainTimeout() {
         return state.compareTo(State.FINISHING) < 0;
     }
 
-    /** Whether the process has been asked to stop. */
+    /** Returns whether the shutdown has begun. */
     boolean isStopping() {
         return state != State.RUNNING;
     }
 
-    /** Returns where the sequence stands. */
+    /** Returns the state of the shutdown. */
     State state() {
         return state;
     }
--- a/balancer/src/main/java/loadbalancer/process/HandoverParticipant.java
+++ b/balancer/src/main/java/loadbalancer/process/HandoverParticipant.java
@@ -16,17 +16,17 @@
 import loadbalancer.settings.BootSettings;
 
 /**
- * A process's part in a handover: as a successor it restores the predecessor's state, as a predecessor it gives its
- * own, and while there are two they share the descriptors and the slow-start budget, and what operators drain
- * or restore at one holds for both.
+ * One process's part in a handover. A successor restores the state that its predecessor sends. While both processes
+ * run, they share the descriptor limit and the slow-start budget, and an endpoint that operators drain or restore at one
+ * is drained or restored at both.
  *
- * <p>Belongs to the event loop's thread, save {@link #connectToPredecessor()}.
+ * <p>Confined to the event loop's thread, except {@link #connectToPredecessor()}.
  */
 final class HandoverParticipant implements HandoverLink.Listener {
     private static final long DESCRIPTOR_REPORT_INTERVAL_MILLIS = 100;
-    /** Descriptors of a process besides its connections, for its files and listeners. */
+    /** Descriptors that the other process uses besides its connections, for files and listeners. */
     private static final int OTHER_DESCRIPTORS = 24;
-    /** Of the slow-start budget, for each of two processes that serve. */
+    /** Fraction of the slow-start budget for each process while two serve. */
     private static final double SHARED_FRACTION = 0.5;
 
     private final EventLoop loop;
@@ -35,13 +35,13 @@
     private final DescriptorBudget descriptors;
     private final Supplier<BootSettings> settings;
     private final Log log;
-    private Future<?> descriptorReports; // null while there is no other process
+    private Future<?> descriptorReports; // null while no other process is connected
 
     /**
-     * Creates a participant that is not joined to another process yet.
+     * Creates a participant that is not yet connected to another process.
      *
-     * @param directory where processes find each other; null where there is no other process
-     * @param settings the settings in force
+     * @param directory the directory of the handover sockets; null for a process that takes no part in handovers
+     * @param settings supplies the settings in force
      */
     HandoverParticipant(
             EventLoop loop,
@@ -58,23 +58,23 @@
         link = new HandoverLink(loop, directory, this, log::accept);
     }
 
-    /** Connects to a predecessor, and returns whether there is one. Blocks: not for the event loop's thread. */
+    /** Connects to a predecessor, and returns whether there is one. Blocks, so it must not run on the event loop's thread. */
     boolean connectToPredecessor() {
         return link.connectToPredecessor();
     }
 
     /**
-     * Restores the predecessor's state, where there is one that answers in time.
+     * Restores the predecessor's state, if there is a predecessor that responds in time.
      *
-     * @param then gets, on the event loop's thread, whether the restored list has an endpoint to send to
+     * @param callback receives, on the event loop's thread, whether the restored list has a usable endpoint
      */
-    void restoreFromPredecessor(Consumer<Boolean> then) {
+    void restoreFromPredecessor(Consumer<Boolean> callback) {
         link.requestState(document -> {
             boolean hasEndpoints = document.isPresent() && restore(document.get());
             if (document.isPresent()) {
                 pools.setSlowStartFraction(SHARED_FRACTION);
             }
-            then.accept(hasEndpoints);
+            callback.accept(hasEndpoints);
         });
     }
 
@@ -92,23 +92,23 @@
         }
     }
 
-    /** Tells the other process that this one serves, and lets a successor find it. */
+    /** Notifies the other process that this one serves, and starts to accept a successor's connection. */
     void announceServing() {
         link.sendToPeer(new HandoverMessage.ServingNotice());
         link.acceptSuccessor();
     }
 
-    /** Tells the other process that an operator has drained an endpoint here. */
+    /** Notifies the other process that an operator has drained an endpoint here. */
     void announceDrained(String endpointId) {
         link.sendToPeer(new HandoverMessage.EndpointDrained(endpointId));
     }
 
-    /** Tells the other process that an operator has restored an endpoint here. */
+    /** Notifies the other process that an operator has restored an endpoint here. */
     void announceRestored(String endpointId) {
         link.sendToPeer(new HandoverMessage.EndpointRestored(endpointId));
     }
 
-    /** Parts from the other process. */
+    /** Disconnects from the other process. */
     void close() {
         link.close();
     }
--- a/balancer/src/main/java/loadbalancer/process/OperatorCalls.java
+++ b/balancer/src/main/java/loadbalancer/process/OperatorCalls.java
@@ -4,7 +4,10 @@
 import loadbalancer.admin.OperatorActions;
 import loadbalancer.logs.Log;
 
-/** Carries out operators' calls: here, and at the other process of a handover. On the event loop's thread. */
+/**
+ * Carries out operators' calls in this process and forwards them to the other process of a handover. Confined to the
+ * event loop's thread.
+ */
 final class OperatorCalls implements OperatorActions {
     private final Readiness readiness;
     private final GracefulShutdown shutdown;
@@ -14,9 +17,9 @@
     private final Log log;
 
     /**
-     * Creates the calls of one process.
+     * Creates the commands of one process.
      *
-     * @param note what there is to say of a process that is ready; gives null for nothing
+     * @param note supplies a remark on a process that is ready, or null
      */
     OperatorCalls(
             Readiness readiness,
--- a/balancer/src/main/java/loadbalancer/process/OperatorFileLoader.java
+++ b/balancer/src/main/java/loadbalancer/process/OperatorFileLoader.java
@@ -9,16 +9,16 @@
 import loadbalancer.toml.ConfigException;
 
 /**
- * Reads an operator file against the platform's configuration. Stateless. A process loads this class only where it is
- * given such a file.
+ * Reads an operator file and checks it against the balancer's configuration. Stateless. A process loads this class only
+ * if it is given an operator file.
  */
 public final class OperatorFileLoader {
     private OperatorFileLoader() {}
 
     /**
-     * Reads an operator file for a process with those settings.
+     * Reads an operator file for a process with the given settings.
      *
-     * @throws ProcessConfigException where it cannot be used
+     * @throws ProcessConfigException if the file cannot be read or is invalid
      */
     static OperatorConfig read(Path file, BootSettings settings) {
         try {
@@ -39,9 +39,9 @@
     }
 
     /**
-     * Returns what a balancer's configuration says that an operator file must fit.
+     * Returns the part of a balancer's configuration that operator files are checked against.
      *
-     * @throws IllegalArgumentException for a configuration that cannot be used, in one line
+     * @throws IllegalArgumentException if the configuration cannot be read or is invalid; the message is one line
      */
     public static SiteConfig site(Path config) {
         try {
--- a/balancer/src/main/java/loadbalancer/process/Readiness.java
+++ b/balancer/src/main/java/loadbalancer/process/Readiness.java
@@ -4,21 +4,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How far a process is from serving clients. It becomes ready, once and for good, when its warm-up has ended, with the
- * predecessor's state restored, and it has a list with an endpoint to send to; either may come first.
+ * Tracks a process on its way to serving clients. It becomes ready, once and for good, when two conditions hold, in
+ * either order: its warm-up has ended and the predecessor's state is restored, and it has a list with a usable endpoint.
  *
- * <p>Changed on the event loop's thread only; may be read and waited for on any thread.
+ * <p>The state changes on the event loop's thread only; it may be read and awaited on any thread.
  */
 final class Readiness {
-    /** The states, from the start of the process on. */
+    /** The states of a process up to readiness. */
     enum State {
-        /** Neither is the warm-up over nor is there a list. */
+        /** The warm-up has not ended, and there is no list with a usable endpoint. */
         STARTING,
-        /** There is a list; the warm-up is not over. */
+        /** There is a list with a usable endpoint; the warm-up has not ended. */
         WARMING_UP,
-        /** The warm-up is over; there is no list. */
+        /** The warm-up has ended; there is no list with a usable endpoint. */
         AWAITING_ENDPOINTS,
-        /** Serves clients. */
+        /** The process serves clients. */
         READY
     }
 
@@ -27,9 +27,9 @@
     private volatile State state;
 
     /**
-     * Begins before any list.
+     * Creates the initial state, without a list.
      *
-     * @param warmsUp whether there is a warm-up at all
+     * @param warmsUp whether the process warms up
      * @param onReady runs on the event loop's thread as the process becomes ready
      */
     Readiness(boolean warmsUp, Runnable onReady) {
@@ -37,7 +37,7 @@
         this.onReady = onReady;
     }
 
-    /** There is a list with endpoints to send to; it may be said more than once. */
+    /** Records that there is a list with a usable endpoint. May be called more than once. */
     void endpointsAvailable() {
         if (state == State.STARTING) {
             state = State.WARMING_UP;
@@ -46,7 +46,7 @@
         }
     }
 
-    /** The warm-up is over, or there was none, and the predecessor's state has been restored. */
+    /** Records that the warm-up has ended, or there was none, and that the predecessor's state is restored. */
     void warmUpCompleted() {
         if (state == State.STARTING) {
             state = State.AWAITING_ENDPOINTS;
@@ -61,18 +61,18 @@
         ready.countDown();
     }
 
-    /** Whether a list with endpoints to send to has come. */
+    /** Returns whether there is a list with a usable endpoint. */
     boolean hasEndpoints() {
         return state == State.WARMING_UP || state == State.READY;
     }
 
-    /** Returns where the process stands. */
+    /** Returns the state of the process. */
     State state() {
         return state;
     }
 
-    /** Waits until the process is ready; false where it is not after that time. */
-    boolean await(long millis) throws InterruptedException {
-        return ready.await(millis, TimeUnit.MILLISECONDS);
+    /** Waits until the process is ready; returns false if it is not within the time-out. */
+    boolean await(long timeoutMillis) throws InterruptedException {
+        return ready.await(timeoutMillis, TimeUnit.MILLISECONDS);
     }
 }
--- a/balancer/src/main/java/loadbalancer/process/Reconfiguration.java
+++ b/balancer/src/main/java/loadbalancer/process/Reconfiguration.java
@@ -20,14 +20,14 @@
 import loadbalancer.upstream.UpstreamConnectionPool;
 
 /**
- * Holds the configuration in force, and puts a replaced configuration or operator file into force while the process
- * runs. What cannot be used changes nothing.
+ * Holds the configuration in force, and applies a replaced configuration or operator file while the process runs. An
+ * invalid file changes nothing.
  *
- * <p>{@link #reload} and {@link #applyOperatorFile} read files, and may be called on any thread but the event loop's.
+ * <p>{@link #reload} and {@link #applyOperatorFile} read files, so they may be called on any thread but the event loop's.
  */
 final class Reconfiguration {
-    /** The parts of a process that go by its configuration; all of them belong to the event loop's thread. */
-    record Parts(
+    /** The components that the configuration applies to. All of them are confined to the event loop's thread. */
+    record Components(
             EventLoop loop,
             BiFunction<PolicySettings, Long, LoadBalancingPolicy> policies,
             DescriptorBudget descriptors,
@@ -38,77 +38,79 @@
             DiscoveryClient discovery,
             BalancerPools pools) {}
 
-    private final Parts parts;
+    private final Components components;
     private final Log log;
     private volatile BalancerConfig config;
 
-    /** Begins with the configuration of the start, which is in force already. */
-    Reconfiguration(BalancerConfig config, Parts parts, Log log) {
+    /** Starts from the configuration that the process was started with, which is already in force. */
+    Reconfiguration(BalancerConfig config, Components components, Log log) {
         this.config = config;
-        this.parts = parts;
+        this.components = components;
         this.log = log;
     }
 
-    /** Returns the configuration in force; on any thread. */
+    /** Returns the configuration in force. May be called on any thread. */
     BalancerConfig config() {
         return config;
     }
 
-    /** Returns the settings in force; on any thread. */
+    /** Returns the settings in force. May be called on any thread. */
     BootSettings settings() {
         return config.boot();
     }
 
     /**
-     * Puts a replaced configuration's settings and discovery into force. All else in it waits for a restart.
+     * Applies the settings and the discovery address of a replaced configuration. Its other fields apply only after a
+     * restart.
      *
-     * @param read reads the configuration
+     * @param reader reads the configuration
      */
-    synchronized void reload(Supplier<BalancerConfig> read) {
+    synchronized void reload(Supplier<BalancerConfig> reader) {
         BalancerConfig next;
         try {
-            next = read.get();
+            next = reader.get();
             String missing = next.missingKey(config);
             if (missing != null) {
-                throw new ProcessConfigException("settings: " + missing + ": was there before and is missing");
+                throw new ProcessConfigException(
+                        "settings: " + missing + ": missing, but set in the configuration in force");
             }
         } catch (ProcessConfigException e) {
             log.warn("configuration rejected: " + e.getMessage(), "config", "kept");
             return;
         }
-        BootSettings before = config.boot();
+        BootSettings previous = config.boot();
         config = next;
-        log.accept(describe(next, before));
-        parts.loop.execute(() -> apply(next, before));
+        log.accept(describe(next, previous));
+        components.loop.execute(() -> apply(next, previous));
     }
 
-    private static String describe(BalancerConfig next, BootSettings before) {
+    private static String describe(BalancerConfig next, BootSettings previous) {
         String line = "configuration reloaded: discovery at "
                 + next.discovery().getAddress().getHostAddress() + ":"
                 + next.discovery().getPort();
-        return next.boot().equals(before)
+        return next.boot().equals(previous)
                 ? line
                 : line + "; new settings, classes "
                         + String.join(", ", next.boot().classes());
     }
 
-    private void apply(BalancerConfig next, BootSettings before) {
+    private void apply(BalancerConfig next, BootSettings previous) {
         BootSettings settings = next.boot();
-        if (!settings.equals(before)) {
-            parts.membership.renumber(before, settings);
-            parts.dispatcher.reconfigure(settings);
-            parts.upstreams.reconfigure(settings);
-            parts.clients.reconfigure(settings);
-            parts.pools.reconfigure(settings);
-            parts.discovery.reconfigure(settings);
+        if (!settings.equals(previous)) {
+            components.membership.renumber(previous, settings);
+            components.dispatcher.reconfigure(settings);
+            components.upstreams.reconfigure(settings);
+            components.clients.reconfigure(settings);
+            components.pools.reconfigure(settings);
+            components.discovery.reconfigure(settings);
         }
-        parts.discovery.moveTo(next.discovery());
+        components.discovery.moveTo(next.discovery());
     }
 
     /**
-     * Puts an operator file into force, and returns when it is, or keeps the one before where it cannot be used.
+     * Applies an operator file, and returns once it is in force. An invalid file leaves the previous one in force.
      *
-     * @param configuresLog whether the process's own log goes by the file as well
+     * @param configuresLog whether the file also configures the log of the process
      * @return whether the file is in force
      */
     synchronized boolean applyOperatorFile(Path file, boolean configuresLog) {
@@ -123,17 +125,17 @@
         if (configuresLog) {
             Slf4jProvider.writer().configure(next.log().json(), next.log().queueLines());
         }
-        parts.loop.submit(() -> apply(next)).syncUninterruptibly();
+        components.loop.submit(() -> apply(next)).syncUninterruptibly();
         return true;
     }
 
     private void apply(OperatorConfig next) {
-        if (parts.pools.gateway() == null) {
+        if (components.pools.gateway() == null) {
             RoutingGateway gateway = createGateway();
-            parts.pools.attach(gateway);
-            parts.clients.setRequestHandler(gateway);
+            components.pools.attach(gateway);
+            components.clients.setRequestHandler(gateway);
         }
-        parts.pools.gateway().configure(next);
+        components.pools.gateway().configure(next);
         int pools = next.pools().size();
         int routes = next.routing().routes().size();
         log.event(
@@ -148,18 +150,18 @@
 
     private RoutingGateway createGateway() {
         PoolEnvironment environment = new PoolEnvironment(
-                parts.loop,
-                parts.policies,
+                components.loop,
+                components.policies,
                 config.seed(),
                 config.maxEndpoints(),
-                parts.descriptors,
-                parts.clients::closeLeastNeeded,
+                components.descriptors,
+                components.clients::closeLeastNeeded,
                 log);
         return new RoutingGateway(
-                new SitePool(parts.dispatcher, parts.membership),
+                new SitePool(components.dispatcher, components.membership),
                 environment,
                 config.boot(),
-                parts.descriptors.maxUpstreamConnections(),
+                components.descriptors.maxUpstreamConnections(),
                 ClientListener.MAX_BODY_MEMORY_BYTES);
     }
 }
--- a/balancer/src/main/java/loadbalancer/process/ReloadSignal.java
+++ b/balancer/src/main/java/loadbalancer/process/ReloadSignal.java
@@ -4,15 +4,15 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Takes SIGHUP, by which operators say that the configuration has been replaced, in place of the JVM, which would end
- * the process. There is no public interface for signals; the one that every JDK carries is reached by its name, as the
- * compiler warns of each direct use.
+ * Handles SIGHUP, with which operators ask for a reload of the configuration. By default the JVM would end the process.
+ * Java has no public API for signals; the internal one of every JDK is used by reflection, because the compiler warns of
+ * each direct use.
  *
- * <p>A process that is started with SIGHUP ignored, as by nohup, never gets it: the JVM leaves it ignored, and says so
- * only by the former handler that it returns. No flag of the JVM changes that, so the {@code run} line of the deploy
- * file undoes it before the JVM starts.
+ * <p>A process that is started with SIGHUP ignored, as by nohup, never receives it: the JVM leaves the signal ignored,
+ * and only the previous handler that it returns shows this. No JVM flag changes that, so the {@code run} line of the
+ * deploy file resets the signal before the JVM starts.
  *
- * <p>Thread-safe. The signal comes on a thread of its own.
+ * <p>Thread-safe. The JVM delivers the signal on a separate thread.
  */
 final class ReloadSignal {
     private static final String SIGNAL_CLASS = "sun.misc.Signal";
@@ -20,27 +20,27 @@
     private static final String HANGUP = "HUP";
     private static final String IGNORED =
             "SIGHUP is ignored here, as under nohup: a new configuration needs a restart; "
-                    + "begun with 'env --default-signal=HUP', as by the run line, the process takes it";
+                    + "start the process with 'env --default-signal=HUP', as the run line does, to enable reloads";
     private static final String UNAVAILABLE = "no SIGHUP here: a new configuration needs a restart";
 
-    private Runnable action; // null until the process can put another configuration into force
-    private boolean missed; // a signal has come before there was an action
-    private String unavailability;
+    private Runnable action; // null until the process can reload its configuration
+    private boolean pending; // a signal has come before the action was set
+    private String unavailability; // null if SIGHUP is handled
 
     private ReloadSignal() {}
 
-    /** Takes each SIGHUP from here on, and remembers one that comes before {@link #onEach}. */
-    static ReloadSignal take() {
+    /** Installs the handler. A SIGHUP that comes before {@link #onEach} is kept for it. */
+    static ReloadSignal install() {
         ReloadSignal reloadSignal = new ReloadSignal();
         try {
             Class<?> signalClass = Class.forName(SIGNAL_CLASS);
             Class<?> handlerClass = Class.forName(HANDLER_CLASS);
             Object handler = Proxy.newProxyInstance(
                     handlerClass.getClassLoader(), new Class<?>[] {handlerClass}, reloadSignal.invocationHandler());
-            Object formerHandler = signalClass
+            Object previousHandler = signalClass
                     .getMethod("handle", signalClass, handlerClass)
                     .invoke(null, signalClass.getConstructor(String.class).newInstance(HANGUP), handler);
-            if (handlerClass.getField("SIG_IGN").get(null).equals(formerHandler)) {
+            if (handlerClass.getField("SIG_IGN").get(null).equals(previousHandler)) {
                 reloadSignal.unavailability = IGNORED;
             }
         } catch (ReflectiveOperationException e) {
@@ -61,22 +61,25 @@
         };
     }
 
-    /** Returns why no signal will ever come, and how the configuration is replaced then; null where each is taken. */
+    /**
+     * Returns why SIGHUP will never be received, and how the configuration can be replaced instead; null if SIGHUP is
+     * handled.
+     */
     String unavailability() {
         return unavailability;
     }
 
     private synchronized void received() {
-        missed = action == null;
+        pending = action == null;
         if (action != null) {
             action.run();
         }
     }
 
-    /** Runs {@code then} at each SIGHUP, on the signal's thread, and now where one has come already. */
-    synchronized void onEach(Runnable then) {
-        action = then;
-        if (missed) {
+    /** Runs {@code newAction} at each SIGHUP, on the signal's thread, and at once if one has already come. */
+    synchronized void onEach(Runnable newAction) {
+        action = newAction;
+        if (pending) {
             received();
         }
     }
--- a/balancer/src/main/java/loadbalancer/process/ServeCommand.java
+++ b/balancer/src/main/java/loadbalancer/process/ServeCommand.java
@@ -10,17 +10,17 @@
 import loadbalancer.policy.JsqDasPolicy;
 import org.slf4j.LoggerFactory;
 
-/** The command {@code serve}: runs a balancer by the process's environment and its signals. */
+/** The command {@code serve}: runs a balancer, configured by environment variables and controlled by signals. */
 public final class ServeCommand {
     private static final int EXIT_OK = 0;
     private static final int EXIT_CANNOT_START = 1;
-    /** For the line that says why the process cannot start to leave. */
+    /** How long to wait for the line with the reason of a failed start to be written. */
     private static final long ERROR_LINE_TIMEOUT_MILLIS = 2_000;
-    /** For the last lines of an orderly end to leave. */
+    /** How long to wait for the last log lines of a graceful shutdown to be written. */
     private static final long LAST_LINES_TIMEOUT_MILLIS = 20;
 
     private final Map<String, String> environment;
-    private final Path operatorFile; // null where there is none
+    private final Path operatorFile; // null if the environment names none
     private final Log log;
 
     private ServeCommand(Map<String, String> environment, Log log) {
@@ -30,12 +30,12 @@
     }
 
     /**
-     * Runs a balancer until SIGTERM ends the process; returns only where it cannot start.
+     * Runs a balancer until SIGTERM ends the process; returns early if the balancer cannot start.
      *
      * @return the exit code
      */
     public static int run(Map<String, String> environment) {
-        ReloadSignal reloadSignal = ReloadSignal.take(); // first of all: until then SIGHUP ends the process
+        ReloadSignal reloadSignal = ReloadSignal.install(); // first, because until then SIGHUP ends the process
         Slf4jProvider.install();
         Log log = Log.to(LoggerFactory.getLogger("load-balancer"));
         int exitCode = new ServeCommand(environment, log).run(reloadSignal);
@@ -51,13 +51,13 @@
         InetSocketAddress address;
         try {
             address = process.start();
-        } catch (IOException | RuntimeException e) { // a failed bind is rethrown as it is, declared or not
+        } catch (IOException | RuntimeException e) { // a failed bind throws its own exception, checked or not
             log.accept("can't listen on " + process.config().listen() + ": " + e.getMessage());
             return EXIT_CANNOT_START;
         }
         Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(process)));
-        takeReloads(process, reloadSignal);
-        // Logged only now: whoever reads the line may send signals at once.
+        handleReloads(process, reloadSignal);
+        // Logged last, because whoever reads the line may send signals at once.
         log.accept("listening on " + address.getAddress().getHostAddress() + ":" + address.getPort());
         process.awaitStopped();
         return EXIT_OK;
@@ -75,7 +75,7 @@
     }
 
     private boolean loadOperatorFile(BalancerProcess process) {
-        return operatorFile == null || process.operate(operatorFile, true);
+        return operatorFile == null || process.applyOperatorFile(operatorFile, true);
     }
 
     private boolean listenForOperators(BalancerProcess process) {
@@ -85,13 +85,13 @@
         try {
             process.listenForOperators();
             return true;
-        } catch (IOException | RuntimeException e) { // as above
+        } catch (IOException | RuntimeException e) { // a failed bind throws its own exception, checked or not
             log.accept("can't listen for operators on " + process.config().admin() + ": " + e.getMessage());
             return false;
         }
     }
 
-    private void takeReloads(BalancerProcess process, ReloadSignal reloadSignal) {
+    private void handleReloads(BalancerProcess process, ReloadSignal reloadSignal) {
         if (reloadSignal.unavailability() != null) {
             log.warn(reloadSignal.unavailability(), "sighup", "ignored");
         }
@@ -104,7 +104,7 @@
     private static void stop(BalancerProcess process) {
         process.stop();
         Slf4jProvider.writer().drain(LAST_LINES_TIMEOUT_MILLIS);
-        // Without this the exit code would be that of the signal, not that of an orderly end.
+        // Without this the exit code would be that of the signal instead of EXIT_OK.
         Runtime.getRuntime().halt(EXIT_OK);
     }
 }
--- a/balancer/src/main/java/loadbalancer/process/WarmUp.java
+++ b/balancer/src/main/java/loadbalancer/process/WarmUp.java
@@ -26,56 +26,59 @@
 import loadbalancer.upstream.UpstreamConnectionPool;
 
 /**
- * Sends requests through the whole path of the process, from its own clients' side to itself as an upstream, before
- * clients come: code that the JVM has not compiled yet takes many times as long, and the process would fall behind
- * under a full load. It has a policy, a dispatcher and connections of its own, which end with it, so that the process's
- * own ones learn nothing from it. Belongs to the event loop's thread.
+ * Warms up the process before clients come: it sends requests to itself as a client, and forwards them to itself as an
+ * upstream. Code that the JVM has not compiled yet takes many times as long, and under a full load the process would
+ * fall behind. The warm-up has a policy, a dispatcher and connections of its own, so that those of the process learn
+ * nothing from it. Confined to the event loop's thread.
  */
 final class WarmUp implements WarmUpTraffic {
-    private static final String TOKEN_HEADER = "Rehearsal"; // with a value that no one else knows
+    /** Its value is random, so that no client can pass for the warm-up. */
+    private static final String TOKEN_HEADER = "Rehearsal";
+
     private static final String ID_PREFIX = "rehearsal-";
 
-    // The more balancers there are, the fewer requests each has to be ready for at once; and the more of them start
-    // together after a release, on cores that they share.
+    // The number of requests falls with the number of balancers: each then has less load to be ready for, and more of
+    // them start together after a release, on cores that they share.
     private static final int REQUESTS_OF_ALL_BALANCERS = 900;
     private static final int MAX_REQUESTS = 300;
     private static final int MIN_REQUESTS = 100;
 
     private static final int CONCURRENT_REQUESTS = 8;
     private static final int ENDPOINTS = 8;
-    private static final int KINDS = 2;
-    private static final int BODY_BYTES = 200; // of requests that have one
-    /** In the second half of the requests, every so many-th is rejected by the upstream, to warm up retries. */
+    private static final int MACHINE_KINDS = 2;
+    private static final int BODY_BYTES = 200; // of requests with a body
+    /** In the second half of the warm-up the upstream rejects one in this many requests, to warm up retries. */
     private static final int REJECTION_INTERVAL = 3;
 
-    private static final long MAX_DURATION_MILLIS = 4_000; // reached where the machine is busy
+    private static final long MAX_DURATION_MILLIS = 4_000; // reached when the machine is busy
     private static final long REQUEST_TIMEOUT_MICROS = 1_000_000;
 
     private final EventLoop loop;
     private final BootSettings settings;
-    private final Runnable then;
+    private final Runnable onEnd;
     private final String token;
-    private final int requests;
+    private final int totalRequests;
     private final RequestDispatcher dispatcher;
-    private final UpstreamConnectionPool upstreams; // from the dispatcher to this process
-    private final UpstreamConnectionPool clients; // to this process as its clients
+    private final UpstreamConnectionPool upstreams; // connections to this process as an upstream
+    private final UpstreamConnectionPool clients; // connections to this process as a client
     private int sent;
     private int completed;
-    private int returned;
+    private int receivedAsUpstream;
     private boolean ended;
 
     /**
-     * Creates a warm-up that is not started.
+     * Creates a warm-up without starting it.
      *
-     * @param address a Unix socket of its own to this process; null where it uses the address of {@link #start}
-     * @param then runs on the event loop's thread when it has ended
+     * @param address the Unix socket of this process that requests are sent to; null for the address that {@link #start}
+     *     gets
+     * @param onEnd runs on the event loop's thread when the warm-up has ended
      */
-    WarmUp(EventLoop loop, BalancerConfig config, UnixDomainSocketAddress address, Runnable then) {
+    WarmUp(EventLoop loop, BalancerConfig config, UnixDomainSocketAddress address, Runnable onEnd) {
         this.loop = loop;
         this.settings = config.boot();
-        this.then = then;
+        this.onEnd = onEnd;
         int share = REQUESTS_OF_ALL_BALANCERS / settings.settings().balancers();
-        this.requests = Math.max(MIN_REQUESTS, Math.min(MAX_REQUESTS, share));
+        this.totalRequests = Math.max(MIN_REQUESTS, Math.min(MAX_REQUESTS, share));
         this.token = Long.toHexString(new SplittableRandom(config.seed() ^ System.nanoTime()).nextLong());
         LoadBalancingPolicy policy = new JsqDasPolicy(settings.settings(), config.seed());
         dispatcher = new RequestDispatcher(loop, settings, policy, line -> {});
@@ -95,7 +98,7 @@
         return token.equals(headers.get(TOKEN_HEADER));
     }
 
-    /** Starts to send requests to this process, which listens at that address. */
+    /** Starts to send requests to this process, which listens at the given address. */
     void start(InetSocketAddress self) {
         EndpointList list = new EndpointList(0, true, endpoints(self));
         clients.updateEndpoints(list, dispatcher.nowMicros());
@@ -110,7 +113,7 @@
         List<EndpointList.Entry> entries = new ArrayList<>();
         int zone = settings.settings().zone();
         for (int i = 0; i < ENDPOINTS; i++) {
-            Endpoint endpoint = new Endpoint(ID_PREFIX + i, EndpointState.UP, 0, 1, 0, i % KINDS, zone);
+            Endpoint endpoint = new Endpoint(ID_PREFIX + i, EndpointState.UP, 0, 1, 0, i % MACHINE_KINDS, zone);
             entries.add(new EndpointList.Entry(endpoint, self));
         }
         return entries;
@@ -118,23 +121,23 @@
 
     @Override
     public boolean declines() {
-        returned++;
-        return sent > requests / 2 && returned % REJECTION_INTERVAL == 0;
+        receivedAsUpstream++;
+        return sent > totalRequests / 2 && receivedAsUpstream % REJECTION_INTERVAL == 0;
     }
 
     private void sendNext() {
-        if (sent >= requests) {
+        if (sent >= totalRequests) {
             return;
         }
         int requestClass = sent++ % settings.classes().size();
         clients.send(
-                ID_PREFIX + 0, request(requestClass), REQUEST_TIMEOUT_MICROS, (outcome, answer, load) -> completed());
+                ID_PREFIX + 0, request(requestClass), REQUEST_TIMEOUT_MICROS, (outcome, response, load) -> completed());
     }
 
     private InboundRequest request(int requestClass) {
         Idempotency idempotency =
                 settings.settings().classes().get(requestClass).idempotency();
-        boolean safe = idempotency == Idempotency.IDEMPOTENT;
+        boolean idempotent = idempotency == Idempotency.IDEMPOTENT;
         String id = ID_PREFIX + sent;
         HttpHeaders headers = new DefaultHttpHeaders()
                 .set(TOKEN_HEADER, token)
@@ -144,15 +147,15 @@
         if (idempotency == Idempotency.IDEMPOTENT_WITH_KEY) {
             headers.set(HeaderNames.IDEMPOTENCY_KEY, id);
         }
-        HttpMethod method = safe ? HttpMethod.GET : HttpMethod.POST;
-        byte[] body = new byte[safe ? 0 : BODY_BYTES];
+        HttpMethod method = idempotent ? HttpMethod.GET : HttpMethod.POST;
+        byte[] body = new byte[idempotent ? 0 : BODY_BYTES];
         return new InboundRequest(
                 id, method, CLIENT_PATH, headers, body, null, requestClass, 0, null, REQUEST_TIMEOUT_MICROS, -1, false);
     }
 
     private void completed() {
         completed++;
-        if (completed >= requests) {
+        if (completed >= totalRequests) {
             end();
         } else if (!ended) {
             loop.execute(this::sendNext);
@@ -162,11 +165,11 @@
     private void end() {
         if (!ended) {
             ended = true;
-            sent = requests;
+            sent = totalRequests;
             dispatcher.retire();
             clients.close();
             upstreams.close();
-            then.run();
+            onEnd.run();
         }
     }
 }
--- a/balancer/src/main/java/loadbalancer/process/package-info.java
+++ b/balancer/src/main/java/loadbalancer/process/package-info.java
@@ -1,5 +1,5 @@
 /**
- * One balancer as a process: its configuration, the assembly of its parts, its way to readiness and its orderly stop,
- * the reload of its configuration, and its part in a handover to another process.
+ * One balancer as a process: its configuration, the assembly of its components, its readiness, graceful shutdown and
+ * reload of the configuration, and its part in a handover between processes.
  */
 package loadbalancer.process;
--- a/balancer/src/test/java/loadbalancer/process/HandoverDocumentTest.java
+++ b/balancer/src/test/java/loadbalancer/process/HandoverDocumentTest.java
@@ -152,7 +152,7 @@
         Path file = Files.writeString(
                 folder.resolve("operator.toml"),
                 "[[pool]]\nname = \"one\"\nupstreams = [\"127.0.0.1:18201\", \"127.0.0.1:18202\"]\n");
-        assertTrue(balancer.operate(file, false));
+        assertTrue(balancer.applyOperatorFile(file, false));
         listenAddress = balancer.start();
         predecessor = new Peer(predecessorSocket.accept());
         assertTrue(balancer.awaitReady(20_000));
--- a/balancer/src/test/java/loadbalancer/process/HandoverParticipantTest.java
+++ b/balancer/src/test/java/loadbalancer/process/HandoverParticipantTest.java
@@ -105,7 +105,7 @@
         Path file = Files.writeString(
                 folder.resolve("operator.toml"),
                 "[[pool]]\nname = \"one\"\nupstreams = [\"" + upstream.address() + "\", \"127.0.0.1:9\"]\n");
-        assertTrue(process.operate(file, false));
+        assertTrue(process.applyOperatorFile(file, false));
         listenAddress = process.start();
         assertTrue(process.awaitReady(20_000));
         return process;
--- a/balancer/src/test/java/loadbalancer/process/OperatorFileLoaderTest.java
+++ b/balancer/src/test/java/loadbalancer/process/OperatorFileLoaderTest.java
@@ -19,6 +19,6 @@
         Path config = Files.writeString(folder.resolve("config.json"), "{\"settings\": 1}");
         IllegalArgumentException error =
                 assertThrows(IllegalArgumentException.class, () -> OperatorFileLoader.site(config));
-        assertEquals("the configuration has no settings", error.getMessage());
+        assertEquals("the configuration has no settings object", error.getMessage());
     }
 }
--- a/balancer/src/test/java/loadbalancer/process/PartialEndpointListTest.java
+++ b/balancer/src/test/java/loadbalancer/process/PartialEndpointListTest.java
@@ -188,7 +188,7 @@
                 () -> BalancerConfigReader.read(Map.of("ROUTER_CONFIG", file.toString())));
         Files.delete(file);
         assertEquals(
-                "limits: upstreams: a whole number of 1 or more is wanted: " + bound.replace("\"", ""),
+                "limits: upstreams: expected a whole number of 1 or more, got " + bound.replace("\"", ""),
                 bad.getMessage());
     }
 }
--- a/balancer/src/test/java/loadbalancer/process/RoutingGatewayTest.java
+++ b/balancer/src/test/java/loadbalancer/process/RoutingGatewayTest.java
@@ -53,7 +53,7 @@
     }
 
     private boolean operate(String text) throws IOException {
-        return balancer.operate(Files.writeString(folder.resolve("operator.toml"), text), false);
+        return balancer.applyOperatorFile(Files.writeString(folder.resolve("operator.toml"), text), false);
     }
 
     private String pool(String name, FakeUpstream at1, String more) {
