--- a/balancer/src/main/java/loadbalancer/Main.java
+++ b/balancer/src/main/java/loadbalancer/Main.java
@@ -28,8 +28,8 @@
     private Main() {}
 
     /**
-     * Runs the command that the arguments name. {@code serve} and {@code wirehost}, which a platform starts, are matched
-     * here, so that their start does not load the option parser of the command-line tools.
+     * Runs the command that the arguments name. {@code serve} and {@code wirehost}, which a platform starts, are
+     * matched here, so that their start does not load the option parser of the command-line tools.
      */
     public static void main(String[] args) {
         String command = args.length == 1 ? args[0] : "";
--- a/balancer/src/main/java/loadbalancer/process/BalancerConfigReader.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerConfigReader.java
@@ -152,8 +152,8 @@
     }
 
     /**
-     * The source of the configuration: a regular file, which can be read more than once, or the bytes of one that cannot,
-     * such as a pipe. One of the components is null.
+     * The source of the configuration: a regular file, which can be read more than once, or the bytes of one that
+     * cannot, such as a pipe. One of the components is null.
      */
     private record Source(FileChannel channel, byte[] bytes) {
         JsonParser parser() throws IOException {
--- a/balancer/src/main/java/loadbalancer/process/BalancerPools.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerPools.java
@@ -29,7 +29,9 @@
         gateway = newGateway;
     }
 
-    /** Returns the gateway that routes requests to the operator file's pools; null while no operator file is in force. */
+    /**
+     * Returns the gateway that routes requests to the operator file's pools; null while no operator file is in force.
+     */
     RoutingGateway gateway() {
         return gateway;
     }
--- a/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
@@ -35,8 +35,8 @@
 import loadbalancer.upstream.UpstreamConnectionPool;
 
 /**
- * One balancer with its sockets: creates and connects its components, starts them and stops them. All of them run on one
- * event loop. The methods of this class may be called on any other thread, except where they say otherwise.
+ * One balancer with its sockets: creates and connects its components, starts them and stops them. All of them run on
+ * one event loop. The methods of this class may be called on any other thread, except where they say otherwise.
  */
 final class BalancerProcess {
     /** How long the cached list is withheld where discovery pushes lists but does not respond. */
--- a/balancer/src/main/java/loadbalancer/process/DescriptorBudget.java
+++ b/balancer/src/main/java/loadbalancer/process/DescriptorBudget.java
@@ -5,8 +5,8 @@
 
 /**
  * Counts this process's connections against its limit on file descriptors, so that neither an accept nor a connect
- * fails for lack of one. Some descriptors are reserved for what is not counted here (files, the selector, discovery, the
- * listeners), and clients may use only a fraction of the rest, so that upstream connections can always be opened.
+ * fails for lack of one. Some descriptors are reserved for what is not counted here (files, the selector, discovery,
+ * the listeners), and clients may use only a fraction of the rest, so that upstream connections can always be opened.
  * Confined to the event loop's thread.
  */
 final class DescriptorBudget implements ConnectionBudget, ClientConnectionBudget {
--- a/balancer/src/main/java/loadbalancer/process/HandoverParticipant.java
+++ b/balancer/src/main/java/loadbalancer/process/HandoverParticipant.java
@@ -17,8 +17,8 @@
 
 /**
  * One process's part in a handover. A successor restores the state that its predecessor sends. While both processes
- * run, they share the descriptor limit and the slow-start budget, and an endpoint that operators drain or restore at one
- * is drained or restored at both.
+ * run, they share the descriptor limit and the slow-start budget, and an endpoint that operators drain or restore at
+ * one is drained or restored at both.
  *
  * <p>Confined to the event loop's thread, except {@link #connectToPredecessor()}.
  */
@@ -58,7 +58,10 @@
         link = new HandoverLink(loop, directory, this, log::accept);
     }
 
-    /** Connects to a predecessor, and returns whether there is one. Blocks, so it must not run on the event loop's thread. */
+    /**
+     * Connects to a predecessor, and returns whether there is one. Blocks, so it must not run on the event loop's
+     * thread.
+     */
     boolean connectToPredecessor() {
         return link.connectToPredecessor();
     }
--- a/balancer/src/main/java/loadbalancer/process/Readiness.java
+++ b/balancer/src/main/java/loadbalancer/process/Readiness.java
@@ -5,7 +5,8 @@
 
 /**
  * Tracks a process on its way to serving clients. It becomes ready, once and for good, when two conditions hold, in
- * either order: its warm-up has ended and the predecessor's state is restored, and it has a list with a usable endpoint.
+ * either order: its warm-up has ended and the predecessor's state is restored, and it has a list with a usable
+ * endpoint.
  *
  * <p>The state changes on the event loop's thread only; it may be read and awaited on any thread.
  */
--- a/balancer/src/main/java/loadbalancer/process/Reconfiguration.java
+++ b/balancer/src/main/java/loadbalancer/process/Reconfiguration.java
@@ -23,7 +23,8 @@
  * Holds the configuration in force, and applies a replaced configuration or operator file while the process runs. An
  * invalid file changes nothing.
  *
- * <p>{@link #reload} and {@link #applyOperatorFile} read files, so they may be called on any thread but the event loop's.
+ * <p>{@link #reload} and {@link #applyOperatorFile} read files, so they may be called on any thread but the event
+ * loop's.
  */
 final class Reconfiguration {
     /** The components that the configuration applies to. All of them are confined to the event loop's thread. */
--- a/balancer/src/main/java/loadbalancer/process/ReloadSignal.java
+++ b/balancer/src/main/java/loadbalancer/process/ReloadSignal.java
@@ -5,8 +5,8 @@
 
 /**
  * Handles SIGHUP, with which operators ask for a reload of the configuration. By default the JVM would end the process.
- * Java has no public API for signals; the internal one of every JDK is used by reflection, because the compiler warns of
- * each direct use.
+ * Java has no public API for signals; the internal one of every JDK is used by reflection, because the compiler warns
+ * of each direct use.
  *
  * <p>A process that is started with SIGHUP ignored, as by nohup, never receives it: the JVM leaves the signal ignored,
  * and only the previous handler that it returns shows this. No JVM flag changes that, so the {@code run} line of the
--- a/balancer/src/main/java/loadbalancer/process/WarmUp.java
+++ b/balancer/src/main/java/loadbalancer/process/WarmUp.java
@@ -69,8 +69,8 @@
     /**
      * Creates a warm-up without starting it.
      *
-     * @param address the Unix socket of this process that requests are sent to; null for the address that {@link #start}
-     *     gets
+     * @param address the Unix socket of this process that requests are sent to; null for the address that {@link
+     *     #start} gets
      * @param onEnd runs on the event loop's thread when the warm-up has ended
      */
     WarmUp(EventLoop loop, BalancerConfig config, UnixDomainSocketAddress address, Runnable onEnd) {
--- a/balancer/src/test/java/loadbalancer/DocumentationTest.java
+++ b/balancer/src/test/java/loadbalancer/DocumentationTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Pages for those who read the code name only types that there are. */
+/** Checks that the documentation for developers names only types that exist. */
 class DocumentationTest {
     private static final Path ROOT = Path.of("").toAbsolutePath().getParent();
     private static final Pattern TYPE_NAME = Pattern.compile("`([A-Z][a-z]+(?:[A-Z]\\w*)+)(?:\\.java)?`");
     private static final Pattern DECLARATION = Pattern.compile("\\b(?:class|record|interface|enum) (\\w+)");
 
-    /** Names of the platform's settings, which pages quote beside the code's. */
+    /** Names of the platform's settings that the pages mention in the same format as types. */
     private static final Set<String> SETTINGS = Set.of(
             "AllowancePerS",
             "AskWithin",
@@ -51,7 +51,7 @@
                 "docs/overload.md",
                 "docs/ROADMAP.md"
             })
-    void pagesNameOnlyTypesThatThereAre(String page) throws IOException {
+    void pagesNameOnlyExistingTypes(String page) throws IOException {
         Set<String> unknown = new TreeSet<>();
         Matcher name = TYPE_NAME.matcher(Files.readString(ROOT.resolve(page)));
         Set<String> types = declaredTypes();
@@ -66,7 +66,8 @@
     private static Set<String> declaredTypes() throws IOException {
         Set<String> types = new TreeSet<>();
         try (Stream<Path> files = Files.walk(ROOT)) {
-            for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
+            for (Path file :
+                    files.filter(path -> path.toString().endsWith(".java")).toList()) {
                 Matcher declaration = DECLARATION.matcher(Files.readString(file));
                 while (declaration.find()) {
                     types.add(declaration.group(1));
--- a/balancer/src/test/java/loadbalancer/MainTest.java
+++ b/balancer/src/test/java/loadbalancer/MainTest.java
@@ -22,21 +22,21 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The program as it is started: arguments, exit codes and what goes to which stream. */
+/** Runs the program as a process: its arguments, exit codes, output streams and signals. */
 class MainTest {
     private static final String JAVA =
             Path.of(System.getProperty("java.home"), "bin", "java").toString();
 
     private static final List<Process> STARTED = new ArrayList<>();
 
-    /** A test that fails half-way leaves no process behind. */
+    /** Ends processes that a failed test has left running. */
     @AfterEach
-    void end() {
+    void endProcesses() {
         STARTED.forEach(Process::destroyForcibly);
         STARTED.clear();
     }
 
-    private record Run(int exit, String out, String err) {}
+    private record Run(int exitCode, String out, String err) {}
 
     private static Run run(String input, String... arguments) throws IOException, InterruptedException {
         List<String> command = new ArrayList<>(List.of(
@@ -49,14 +49,14 @@
         Path out = Files.createTempFile("load-balancer", ".out");
         Path err = Files.createTempFile("load-balancer", ".err");
         Files.writeString(in, input);
-        int exit = new ProcessBuilder(command)
+        int exitCode = new ProcessBuilder(command)
                 .redirectInput(in.toFile())
                 .redirectOutput(out.toFile())
                 .redirectError(err.toFile())
                 .start()
                 .waitFor();
         Run run = new Run(
-                exit, Files.readString(out, StandardCharsets.UTF_8), Files.readString(err, StandardCharsets.UTF_8));
+                exitCode, Files.readString(out, StandardCharsets.UTF_8), Files.readString(err, StandardCharsets.UTF_8));
         for (Path file : List.of(in, out, err)) {
             Files.delete(file);
         }
@@ -67,12 +67,12 @@
     @ValueSource(strings = {"", "adapter", "wirehost extra"})
     void wrongArgumentsGetAUsageLine(String arguments) throws IOException, InterruptedException {
         Run run = run("", arguments.isEmpty() ? new String[0] : arguments.split(" "));
-        assertEquals(2, run.exit());
+        assertEquals(2, run.exitCode());
         assertTrue(run.err().contains(arguments.isEmpty() ? "Usage: load-balancer" : "Unmatched argument"), run.err());
     }
 
     @Test
-    void theEndOfInputBetweenBatchesIsNormal() throws IOException, InterruptedException {
+    void theEndOfInputBetweenBatchesIsNotAnError() throws IOException, InterruptedException {
         assertEquals(new Run(0, "DONE\nDONE\n", ""), run("TICK\t1\nGO\nTICK\t2\nGO\n", "wirehost"));
     }
 
@@ -83,11 +83,12 @@
                 "TICK 1 NOISE | line 2: NOISE: field Balancer: no AT line names the instance",
                 "TICK 1 | line 2: GO: field GO: the input ends within a batch",
             })
-    void malformedInputIsOneMessageAndExitOne(String words, String complaint) throws IOException, InterruptedException {
+    void malformedInputIsOneMessageAndExitCodeOne(String words, String message)
+            throws IOException, InterruptedException {
         String input = words.strip().replace(" NOISE", "\nNOISE").replace("TICK 1", "TICK\t1") + "\n";
         Run run = run(input, "wirehost");
-        assertEquals(1, run.exit());
-        assertTrue(run.err().equals("load-balancer: " + complaint.strip() + "\n"), run.err());
+        assertEquals(1, run.exitCode());
+        assertTrue(run.err().equals("load-balancer: " + message.strip() + "\n"), run.err());
         assertEquals("", run.out());
     }
 
@@ -98,19 +99,19 @@
                 "/nowhere/config.json | can't read the configuration /nowhere/config.json: ",
                 "'' | ROUTER_CONFIG is not set",
             })
-    void aBalancerWithoutConfigurationEndsWithOneLine(String file, String complaint)
+    void aBalancerWithoutConfigurationEndsWithOneLine(String file, String message)
             throws IOException, InterruptedException {
         Process process = serve(file);
         String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(1, process.waitFor());
-        assertTrue(err.startsWith("load-balancer: " + complaint), err);
+        assertTrue(err.startsWith("load-balancer: " + message), err);
         assertEquals(1, err.lines().count(), err);
     }
 
     @Test
     void anAddressInUseEndsTheBalancerWithOneLine() throws IOException, InterruptedException {
-        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Path config = config("127.0.0.1:" + taken.getLocalPort());
+        try (ServerSocket other = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            Path config = config("127.0.0.1:" + other.getLocalPort());
             Process process = serve(config.toString());
             String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
             assertEquals(1, process.waitFor());
@@ -133,9 +134,9 @@
         Files.delete(config);
     }
 
-    /** By itself a JVM ends on SIGHUP. */
+    /** Without a handler the JVM ends on SIGHUP. */
     @Test
-    void sighupReloadsTheConfigurationAndEndsNothing() throws IOException, InterruptedException {
+    void sighupReloadsTheConfigurationAndDoesNotEndTheProcess() throws IOException, InterruptedException {
         Path config = config("127.0.0.1:0");
         Process process = serve(config.toString());
         try (BufferedReader err = process.errorReader(StandardCharsets.UTF_8)) {
@@ -154,21 +155,23 @@
         Files.delete(config);
     }
 
-    /** It comes while the process still reads its configuration, as when all are told of a new one in a release. */
+    /**
+     * The signal arrives while the process reads its configuration, as when a release notifies all processes at once.
+     */
     @Test
-    void sighupDuringTheStartEndsNothingAndIsHandledAfterIt() throws IOException, InterruptedException {
+    void sighupDuringTheStartDoesNotEndTheProcessAndIsHandledAfterIt() throws IOException, InterruptedException {
         Path file = config("127.0.0.1:0");
         String text = Files.readString(file);
         Files.delete(file);
         assertEquals(0, new ProcessBuilder("mkfifo", file.toString()).start().waitFor());
         Process process = serve(file.toString());
         try (BufferedReader err = process.errorReader(StandardCharsets.UTF_8)) {
-            try (Writer config = Files.newBufferedWriter(file)) { // waits until it is being read
+            try (Writer config = Files.newBufferedWriter(file)) { // blocks until the process opens it for reading
                 hangup(process);
                 config.write(text);
             }
-            awaitClosed(process, file); // else what comes next would be read as the same file's
-            // Waits until it is read once more; without a reader it would wait for good, so the process must live.
+            awaitClosed(process, file); // else the next write would be read as part of the first
+            // Blocks until the process reads the file again. If the process ends first, the pipe needs another reader.
             process.onExit().thenRun(() -> drainTo(file));
             Files.writeString(file, text.replace("127.0.0.1:9\"", "127.0.0.1:7\""));
             assertEquals(
@@ -179,7 +182,7 @@
         Files.delete(file);
     }
 
-    /** As under nohup: the JVM leaves the signal ignored, and gives no other sign of it. */
+    /** If SIGHUP is ignored at the start, as under nohup, the JVM leaves it ignored without a message. */
     @Test
     void anIgnoredSighupIsLoggedAtTheStart() throws IOException, InterruptedException {
         Path config = config("127.0.0.1:0");
@@ -199,26 +202,26 @@
             assertTrue(err.readLine().startsWith("load-balancer: listening on "));
             Files.writeString(config, Files.readString(config).replace("127.0.0.1:9\"", "127.0.0.1:7\""));
             hangup(process);
-            signal("TERM", process); // Process.destroy would close the stream as well
+            signal("TERM", process); // Process.destroy would also close the stream
             assertEquals(null, nextWith("configuration", err));
             assertEquals(0, process.waitFor());
         }
         Files.delete(config);
     }
 
-    /** The deploy file's own line, with this test's classes in place of the jar. */
+    /** Runs the deploy file's run line, with the classes under test in place of the jar. */
     @Test
-    void theRunLineTakesSighupUnderNohup() throws IOException, InterruptedException {
+    void theRunLineEnablesSighupUnderNohup() throws IOException, InterruptedException {
         String run = Files.readAllLines(Path.of("..", "deploy", "balancer.toml")).stream()
-                .filter(l -> l.startsWith("run = \""))
+                .filter(line -> line.startsWith("run = \""))
                 .findFirst()
                 .orElseThrow()
                 .split("\"")[1];
-        String here = run.replaceFirst("-XX:SharedArchiveFile=\\S+", "")
+        String command = run.replaceFirst("-XX:SharedArchiveFile=\\S+", "")
                 .replaceFirst(" java ", " '" + JAVA + "' ")
                 .replaceFirst("-jar \\S+", "-cp '" + System.getProperty("java.class.path") + "' loadbalancer.Main");
         Path config = config("127.0.0.1:0");
-        Process process = start(config.toString(), "sh", "-c", "trap '' HUP; " + here);
+        Process process = start(config.toString(), "sh", "-c", "trap '' HUP; " + command);
         try (BufferedReader err = process.errorReader(StandardCharsets.UTF_8)) {
             String line = nextWith("load-balancer", err);
             assertTrue(line.startsWith("load-balancer: listening on "), line);
@@ -236,13 +239,14 @@
         boolean open = true;
         while (open && process.isAlive()) {
             open = false;
-            try (DirectoryStream<Path> all = Files.newDirectoryStream(Path.of("/proc/" + process.pid() + "/fd"))) {
-                for (Path fd : all) {
-                    open |= Files.isSymbolicLink(fd)
-                            && Files.readSymbolicLink(fd).equals(file);
+            try (DirectoryStream<Path> descriptors =
+                    Files.newDirectoryStream(Path.of("/proc/" + process.pid() + "/fd"))) {
+                for (Path descriptor : descriptors) {
+                    open |= Files.isSymbolicLink(descriptor)
+                            && Files.readSymbolicLink(descriptor).equals(file);
                 }
             } catch (NoSuchFileException e) {
-                open = true; // one was closed while they were looked at
+                open = true; // a descriptor was closed during the listing
             }
         }
     }
@@ -290,9 +294,12 @@
                         .formatted(listen));
     }
 
-    /** With the heap of the run line: it once ended by memory from 50,000 upstreams on. */
+    /**
+     * With the heap size of the run line, a list of 50,000 upstreams or more once ended the start with an out-of-memory
+     * error.
+     */
     @Test
-    void aStartWithTheLongestListServes() throws IOException, InterruptedException {
+    void aStartWithAVeryLongKnownListServes() throws IOException, InterruptedException {
         Path file = config("127.0.0.1:0");
         String settings = Files.readString(file).strip();
         try (Writer out = Files.newBufferedWriter(file)) {
@@ -345,7 +352,7 @@
     @Test
     void aBalancerWithoutAnOperatorFileLoadsNoneOfItsClasses() throws IOException, InterruptedException {
         Path loaded = Files.createTempFile("load-balancer", ".loaded");
-        int exit = new ProcessBuilder(
+        int exitCode = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-Xlog:class+load:file=" + loaded,
                         "-cp",
@@ -355,10 +362,10 @@
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .start()
                 .waitFor();
-        assertEquals(0, exit);
-        String all = Files.readString(loaded);
+        assertEquals(0, exitCode);
+        String classLog = Files.readString(loaded);
         Files.delete(loaded);
-        assertTrue(all.contains("loadbalancer.process.BalancerProcess"));
+        assertTrue(classLog.contains("loadbalancer.process.BalancerProcess"));
         for (String part : List.of(
                 "loadbalancer.operator",
                 "loadbalancer.router",
@@ -369,9 +376,9 @@
                 "loadbalancer.routing.RoutingGateway",
                 "com.fasterxml.jackson.databind",
                 "picocli")) {
-            assertTrue(!all.contains(" " + part + "."), part);
+            assertTrue(!classLog.contains(" " + part + "."), part);
         }
-        assertTrue(!all.contains("loadbalancer.routing.RoutingGateway")
-                && !all.contains("loadbalancer.routing.UpstreamPool "));
+        assertTrue(!classLog.contains("loadbalancer.routing.RoutingGateway")
+                && !classLog.contains("loadbalancer.routing.UpstreamPool "));
     }
 }
--- a/balancer/src/test/java/loadbalancer/PackageDependenciesTest.java
+++ b/balancer/src/test/java/loadbalancer/PackageDependenciesTest.java
@@ -8,14 +8,17 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Which package may know which: core is below the balancer, and the laboratory is never in it. */
+/**
+ * Checks which packages may depend on which: core does not depend on the balancer, and nothing that the balancer
+ * contains depends on the simulator.
+ */
 class PackageDependenciesTest {
-    private static final JavaClasses ALL = new ClassFileImporter()
+    private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("loadbalancer");
 
     @Test
-    void decisionsKnowNothingOfTheBalancer() {
+    void thePolicyDoesNotDependOnTheBalancer() {
         noClasses()
                 .that()
                 .resideInAPackage("loadbalancer.policy..")
@@ -32,20 +35,20 @@
                         "loadbalancer.admin..",
                         "loadbalancer.drain..",
                         "loadbalancer.handover..")
-                .check(ALL);
+                .check(CLASSES);
     }
 
     @Test
-    void theLaboratoryIsNotInTheBalancer() {
+    void nothingDependsOnTheSimulator() {
         noClasses()
                 .should()
                 .dependOnClassesThat()
                 .resideInAPackage("loadbalancer.simulator..")
-                .check(ALL);
+                .check(CLASSES);
     }
 
     @Test
-    void thePartsBelowTheNodeDontKnowIt() {
+    void supportingPackagesDoNotDependOnRequestHandling() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -67,7 +70,7 @@
                         "loadbalancer.dispatch..",
                         "loadbalancer.routing..",
                         "loadbalancer.process..")
-                .check(ALL);
+                .check(CLASSES);
     }
 
     @Test
@@ -94,6 +97,6 @@
                 .mayOnlyBeAccessedByLayers("process", "http", "routing")
                 .whereLayer("upstream")
                 .mayOnlyBeAccessedByLayers("process", "routing", "dispatch")
-                .check(ALL);
+                .check(CLASSES);
     }
 }
--- a/balancer/src/test/java/loadbalancer/process/AttemptOutcomeTest.java
+++ b/balancer/src/test/java/loadbalancer/process/AttemptOutcomeTest.java
@@ -12,33 +12,33 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** One response to each request, and the outcome of each attempt as the policy gets it. */
+/** Each request gets one response, and the policy receives the outcome of each attempt. */
 class AttemptOutcomeTest extends BalancerFixture {
     @Test
     void aRequestAndItsResponseAreForwardedUnchanged() throws IOException, InterruptedException {
         start();
-        byte[] big = new byte[64 * 1024];
-        new Random(1).nextBytes(big);
+        byte[] body = new byte[64 * 1024];
+        new Random(1).nextBytes(body);
         try (Client client = new Client(listenAddress)) {
             client.send(IDEMPOTENT_REQUEST);
             assertEquals("0 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
-            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
-            assertEquals("GET /api/k1?x=%20y HTTP/1.1", got.requestLine());
-            assertEquals("r1", got.header("Req-Id"));
-            assertTrue(Integer.parseInt(got.header("Req-Deadline-Ms")) < 20_000);
-            got.respond(200, "Srv-Load: TEXT eps=0.1, inflight=7\r\n", big);
+            FakeUpstream.ReceivedRequest received = upstream.nextRequest();
+            assertEquals("GET /api/k1?x=%20y HTTP/1.1", received.requestLine());
+            assertEquals("r1", received.header("Req-Id"));
+            assertTrue(Integer.parseInt(received.header("Req-Deadline-Ms")) < 20_000);
+            received.respond(200, "Srv-Load: TEXT eps=0.1, inflight=7\r\n", body);
             assertEquals(200, client.readStatus());
-            assertArrayEquals(big, client.body);
+            assertArrayEquals(body, client.body);
             assertEquals("OK 7.0 closed", policy.nextEvent());
             client.send(post("pay", "Idempotency-Key: abc\r\nReq-Deadline-Ms: 20000\r\n", "hello"));
-            got = upstream.nextRequest();
-            assertEquals("abc", got.header("Idempotency-Key"));
-            assertEquals("hello", new String(got.body(), StandardCharsets.UTF_8));
-            got.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n");
+            received = upstream.nextRequest();
+            assertEquals("abc", received.header("Idempotency-Key"));
+            assertEquals("hello", new String(received.body(), StandardCharsets.UTF_8));
+            received.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n");
             assertEquals(200, client.readStatus());
             assertEquals("abc", new String(client.body, StandardCharsets.UTF_8));
         }
-        assertEquals(1, upstream.connectionCount()); // kept and used again
+        assertEquals(1, upstream.connectionCount()); // the connection was kept open and used again
     }
 
     @ParameterizedTest
@@ -51,14 +51,14 @@
         "500,Srv-Declined: 1,ERROR,502",
         "429,'',ERROR,502"
     })
-    void onlyADeclineProvesThatTheRequestDidNotRun(int status, String header, String told, int passed)
+    void onlyADeclineProvesThatTheRequestDidNotRun(int status, String header, String outcome, int clientStatus)
             throws IOException, InterruptedException {
         start();
         try (Client client = new Client(listenAddress)) {
             client.send(IDEMPOTENT_REQUEST);
             upstream.nextRequest().respond(status, header.isEmpty() ? "" : header + "\r\n", "");
-            assertEquals(told, policy.nextEvent());
-            assertEquals(passed, client.readStatus());
+            assertEquals(outcome, policy.nextEvent());
+            assertEquals(clientStatus, client.readStatus());
         }
     }
 
@@ -71,9 +71,9 @@
             assertEquals("RESET", policy.nextEvent());
             assertEquals(502, client.readStatus());
             client.send(IDEMPOTENT_REQUEST);
-            FakeUpstream.ReceivedRequest half = upstream.nextRequest();
-            half.write("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
-            half.socket().close();
+            FakeUpstream.ReceivedRequest truncated = upstream.nextRequest();
+            truncated.write("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
+            truncated.socket().close();
             assertEquals("RESET", policy.nextEvent());
             assertEquals(502, client.readStatus());
         }
@@ -95,23 +95,23 @@
         policy.timeoutMicros = 100_000;
         try (Client client = new Client(listenAddress)) {
             client.send(IDEMPOTENT_REQUEST);
-            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
-            assertTrue(Integer.parseInt(got.header("Req-Deadline-Ms")) <= 100);
+            FakeUpstream.ReceivedRequest received = upstream.nextRequest();
+            assertTrue(Integer.parseInt(received.header("Req-Deadline-Ms")) <= 100);
             assertEquals("TIMEOUT", policy.nextEvent());
             assertEquals(502, client.readStatus());
-            assertTrue(got.awaitClosedByPeer());
+            assertTrue(received.awaitClosedByPeer());
         }
     }
 
     @Test
-    void aGoneClientIsNotifiedToThePolicyAndItsAttemptCancelled() throws IOException, InterruptedException {
+    void thePolicyIsNotifiedOfAGoneClientAndItsAttemptIsCancelled() throws IOException, InterruptedException {
         start();
         Client client = new Client(listenAddress).send(IDEMPOTENT_REQUEST);
-        FakeUpstream.ReceivedRequest got = upstream.nextRequest();
+        FakeUpstream.ReceivedRequest received = upstream.nextRequest();
         client.close();
         assertEquals("client gone", policy.nextEvent());
         assertEquals("CANCELLED closed", policy.nextEvent());
-        assertTrue(got.awaitClosedByPeer());
+        assertTrue(received.awaitClosedByPeer());
     }
 
     @Test
@@ -125,8 +125,7 @@
         }
         synchronized (log) {
             assertTrue(
-                    log.contains("last-resort failure responses, as the policy chose none in time: 1"),
-                    log.toString());
+                    log.contains("last-resort failure responses, as the policy chose none in time: 1"), log.toString());
         }
     }
 
@@ -139,8 +138,7 @@
                     502, client.send(IDEMPOTENT_REQUEST.replace("20000", "150")).readStatus());
             assertEquals("client gone", policy.nextEvent());
             synchronized (log) {
-                assertTrue(
-                        log.get(log.size() - 2).startsWith("exception 1 in a policy event: "), log.toString());
+                assertTrue(log.get(log.size() - 2).startsWith("exception 1 in a policy event: "), log.toString());
             }
             policy.throwsOnRequest = false;
             client.send(IDEMPOTENT_REQUEST);
--- a/balancer/src/test/java/loadbalancer/process/BalancerFixture.java
+++ b/balancer/src/test/java/loadbalancer/process/BalancerFixture.java
@@ -28,9 +28,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A real balancer over loopback sockets, with a policy that does what the test says. */
+/** Runs a real balancer over loopback sockets, with a policy that the test scripts. */
 public abstract class BalancerFixture {
-    /** A policy that notes the events that it gets and sends each request where {@code onRequest} says. */
+    /** A policy that records the events that it receives and sends each request to {@code endpointId}. */
     public static class ScriptedPolicy implements LoadBalancingPolicy {
         public final BlockingQueue<String> events = new LinkedBlockingQueue<>();
         public final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
@@ -45,11 +45,13 @@
         public volatile LoadBalancingPolicy.Actions actions;
 
         @Override
-        public void endpoints(long now, EndpointListKind kind, List<Endpoint> servers, Actions out) {
-            actions = out;
-            servers.forEach(s -> startedAt.put(s.id(), s.startedAt()));
+        public void endpoints(long now, EndpointListKind kind, List<Endpoint> endpoints, Actions actions) {
+            this.actions = actions;
+            endpoints.forEach(endpoint -> startedAt.put(endpoint.id(), endpoint.startedAt()));
             events.add(kind + " "
-                    + servers.stream().map(s -> s.id() + "=" + s.state()).toList());
+                    + endpoints.stream()
+                            .map(endpoint -> endpoint.id() + "=" + endpoint.state())
+                            .toList());
         }
 
         @Override
@@ -59,16 +61,16 @@
                 int requestClass,
                 int tenant,
                 String key,
-                long timeLeft,
+                long timeLeftMicros,
                 long work,
                 boolean clientRetry,
-                Actions out) {
+                Actions actions) {
             requests.add(requestClass + " " + key + " " + work + " " + clientRetry);
             if (throwsOnRequest) {
                 throw new IllegalStateException("broken");
             }
             if (endpointId != null) {
-                out.send(request, endpointId, timeoutMicros);
+                actions.send(request, endpointId, timeoutMicros);
             }
         }
 
@@ -78,39 +80,44 @@
                 String request,
                 int attempt,
                 AttemptOutcome outcome,
-                long latency,
+                long latencyMicros,
                 boolean closed,
                 LoadReport load,
-                Actions out) {
+                Actions actions) {
             events.add(outcome + (load == null ? "" : " " + load.inFlight()) + (closed ? " closed" : ""));
             onOutcome.run();
             if (!closed && retriesWhenFull && outcome == AttemptOutcome.FULL) {
-                out.send(request, endpointId, timeoutMicros);
+                actions.send(request, endpointId, timeoutMicros);
             } else if (!closed) {
-                out.fail(request);
+                actions.fail(request);
             }
         }
 
         @Override
-        public void streamStarted(long now, String request, int attempt, Actions out) {}
+        public void streamStarted(long now, String request, int attempt, Actions actions) {}
 
         @Override
-        public void clientGone(long now, String request, Actions out) {
+        public void clientGone(long now, String request, Actions actions) {
             events.add("client gone");
             if (cancelsForGoneClients) {
-                out.cancel(request, 0);
+                actions.cancel(request, 0);
             }
         }
 
         @Override
         public void probed(
-                long now, String server, AttemptOutcome outcome, long latency, LoadReport load, Actions out) {
+                long now,
+                String endpoint,
+                AttemptOutcome outcome,
+                long latencyMicros,
+                LoadReport load,
+                Actions actions) {
             events.add("probed " + outcome + " " + (load == null ? "-" : load.inFlight()));
         }
 
         @Override
-        public void reconfigure(long now, PolicySettings settings, int[] classes, int[] tenants) {
-            events.add("reconfigured " + Arrays.toString(classes) + " " + Arrays.toString(tenants));
+        public void reconfigure(long now, PolicySettings settings, int[] formerClasses, int[] formerTenants) {
+            events.add("reconfigured " + Arrays.toString(formerClasses) + " " + Arrays.toString(formerTenants));
         }
 
         @Override
@@ -119,20 +126,21 @@
         }
 
         @Override
-        public void restore(long now, LearnedState from) {
-            if (from.traffic() != null) {
-                events.add("restored arrivals " + from.traffic().arrivals());
+        public void restore(long now, LearnedState restored) {
+            if (restored.traffic() != null) {
+                events.add("restored arrivals " + restored.traffic().arrivals());
             }
         }
 
         @Override
         public void setSlowStartBudgetFactor(double factor) {
-            events.add("slow-start fraction " + factor);
+            events.add("slow-start budget factor " + factor);
         }
 
         @Override
-        public void wake(long now, Actions out) {}
+        public void wake(long now, Actions actions) {}
 
+        /** Waits for the next event; fails if none comes. */
         public String nextEvent() throws InterruptedException {
             String event = events.poll(20, TimeUnit.SECONDS);
             if (event == null) {
@@ -142,14 +150,14 @@
         }
     }
 
-    /** A client's connection. */
+    /** A connection of a client to the balancer. */
     public static final class Client implements Closeable {
         public final Socket socket;
         public final InputStream in;
         public byte[] body;
 
-        public Client(InetSocketAddress to) throws IOException {
-            socket = new Socket(to.getAddress(), to.getPort());
+        public Client(InetSocketAddress address) throws IOException {
+            socket = new Socket(address.getAddress(), address.getPort());
             socket.setSoTimeout(20_000);
             in = new BufferedInputStream(socket.getInputStream());
         }
@@ -160,7 +168,10 @@
             return this;
         }
 
-        /** The head of the next answer; its body is kept. Null at the end of the connection. */
+        /**
+         * Reads the next response and returns its head; the body is in {@code body}. Returns null at the end of the
+         * connection.
+         */
         public String readResponse() throws IOException {
             String head = FakeUpstream.readHead(in);
             if (head != null) {
@@ -170,6 +181,7 @@
             return head;
         }
 
+        /** Reads the next response and returns its status. */
         public int readStatus() throws IOException {
             return Integer.parseInt(readResponse().split(" ")[1]);
         }
@@ -180,6 +192,7 @@
         }
     }
 
+    /** A GET request of the class "read", with a deadline of 20 s. */
     public static final String IDEMPOTENT_REQUEST =
             "GET /api/k1?x=%20y HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\n"
                     + "Req-Kind: read\r\nReq-Deadline-Ms: 20000\r\nReq-Cost: 700\r\nReq-Retry: 1\r\n\r\n";
@@ -187,7 +200,9 @@
     public final ScriptedPolicy policy = new ScriptedPolicy();
     public final List<String> log = new ArrayList<>();
     public boolean warmsUp;
+    /** The listed address of endpoint s1; null for the address of {@code upstream}. */
     public String endpointAddress;
+
     public FakeUpstream upstream;
     public FakeUpstream discovery;
     public BalancerProcess balancer;
@@ -208,12 +223,13 @@
         discovery.close();
     }
 
-    public static Map<String, Object> kind(String name, String effect) {
+    /** Returns the settings of a request class. */
+    public static Map<String, Object> requestClass(String name, String idempotency) {
         return Map.of(
                 "Name",
                 name,
                 "Idempotency",
-                effect,
+                idempotency,
                 "DedupScope",
                 "cell",
                 "GoalTime",
@@ -224,12 +240,13 @@
                 1_000_000);
     }
 
-    public static Map<String, Object> rules(long grace) {
+    /** Returns the rules of the site, with the given drain grace period. */
+    public static Map<String, Object> siteRules(long drainGracePeriodMicros) {
         return Map.of(
                 "AnswerSlack",
                 8_000,
                 "DrainGrace",
-                grace,
+                drainGracePeriodMicros,
                 "AskWithin",
                 10_000_000,
                 "ColdFrom",
@@ -245,7 +262,9 @@
     public static Map<String, Object> settings() {
         Map<String, Object> settings = new HashMap<>();
         settings.put("Balancers", 1);
-        settings.put("Classes", List.of(kind("read", "safe"), kind("pay", "keyed"), kind("book", "unsafe")));
+        settings.put(
+                "Classes",
+                List.of(requestClass("read", "safe"), requestClass("pay", "keyed"), requestClass("book", "unsafe")));
         settings.put(
                 "Limits",
                 new HashMap<>(Map.of(
@@ -262,7 +281,7 @@
                         "IdleClose",
                         30_000_000)));
         settings.put("MembershipMode", "ask");
-        settings.put("Rules", rules(1_000_000));
+        settings.put("Rules", siteRules(1_000_000));
         settings.put("Quantum", 2_000);
         settings.put("Areas", List.of("podrum"));
         settings.put("Kinds", List.of("puni", "slabi"));
@@ -270,22 +289,24 @@
         return settings;
     }
 
-    public String target(String state) {
+    /** Returns the JSON of endpoint s1, as discovery lists it. */
+    public String endpointEntry(String state) {
         return "{\"uid\":\"s1\",\"endpoint\":\"" + (endpointAddress == null ? upstream.address() : endpointAddress)
                 + "\",\"az\":\"podrum\","
                 + "\"model\":\"slabi\",\"pod_group\":3,\"state\":\"" + state
                 + "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
     }
 
-    public String list(int rev, boolean all, String state) {
-        return "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[" + target(state) + "]}\n";
+    /** Returns the JSON of a list with endpoint s1: a snapshot if {@code all} is true, else a delta. */
+    public String endpointList(int rev, boolean all, String state) {
+        return "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[" + endpointEntry(state) + "]}\n";
     }
 
-    public BalancerConfig config(int sockets, Map<String, Object> settings, int port) throws IOException {
-        return config(sockets, settings, port, discovery.address());
+    public BalancerConfig config(int maxDescriptors, Map<String, Object> settings, int port) throws IOException {
+        return config(maxDescriptors, settings, port, discovery.address());
     }
 
-    public BalancerConfig config(int sockets, Map<String, Object> settings, int port, String discovery)
+    public BalancerConfig config(int maxDescriptors, Map<String, Object> settings, int port, String discoveryAddress)
             throws IOException {
         return BalancerConfigReader.read(
                 Map.of(),
@@ -297,55 +318,60 @@
                         "admin_addr",
                         "127.0.0.1:0",
                         "discovery",
-                        discovery,
+                        discoveryAddress,
                         "seed",
                         "8c1f30d27a5be964",
                         "limits",
-                        Map.of("sockets", sockets),
+                        Map.of("sockets", maxDescriptors),
                         "settings",
                         settings,
                         "known",
-                        com.fasterxml.jackson.jr.ob.JSON.std.mapFrom(list(41, true, "in_service"))));
+                        com.fasterxml.jackson.jr.ob.JSON.std.mapFrom(endpointList(41, true, "in_service"))));
     }
 
     public void start() throws IOException, InterruptedException {
         start(Map.of(), 1024);
     }
 
-    public void start(Map<String, Object> limits, int sockets) throws IOException, InterruptedException {
-        start(limits, sockets, "ask");
+    public void start(Map<String, Object> limits, int maxDescriptors) throws IOException, InterruptedException {
+        start(limits, maxDescriptors, "ask");
     }
 
-    public void start(Map<String, Object> limits, int sockets, String membership)
+    public void start(Map<String, Object> limits, int maxDescriptors, String membershipMode)
             throws IOException, InterruptedException {
         Map<String, Object> settings = settings();
-        settings.put("MembershipMode", membership);
-        if (membership.equals("push")) { // with a long grace period the response timeout is seconds long
-            settings.put("Rules", rules(8_000_000));
+        settings.put("MembershipMode", membershipMode);
+        if (membershipMode.equals("push")) { // a long grace period makes the response time-out seconds long
+            settings.put("Rules", siteRules(8_000_000));
         }
         @SuppressWarnings("unchecked")
-        Map<String, Object> all = (Map<String, Object>) settings.get("Limits");
-        all.putAll(limits);
-        balancer = new BalancerProcess(config(sockets, settings, 0), (s, seed) -> policy, warmsUp, line -> {
-            synchronized (log) {
-                log.add(line);
-            }
-        });
+        Map<String, Object> limitSettings = (Map<String, Object>) settings.get("Limits");
+        limitSettings.putAll(limits);
+        balancer = new BalancerProcess(
+                config(maxDescriptors, settings, 0), (policySettings, seed) -> policy, warmsUp, line -> {
+                    synchronized (log) {
+                        log.add(line);
+                    }
+                });
         listenAddress = balancer.start();
-        assertEquals(membership.equals("ask") ? "CACHED [s1=UP]" : "CACHED []", policy.nextEvent());
+        assertEquals(membershipMode.equals("ask") ? "CACHED [s1=UP]" : "CACHED []", policy.nextEvent());
     }
 
-    public static String post(String kind, String extra, String body) {
-        return "POST /api/k1 HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\nReq-Kind: " + kind + "\r\n" + extra
-                + "Content-Length: " + body.length() + "\r\n\r\n" + body;
+    /** Returns a POST request of a class, with further header lines. */
+    public static String post(String requestClass, String headers, String body) {
+        return "POST /api/k1 HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\nReq-Kind: " + requestClass + "\r\n"
+                + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    // The upstream's reader consumes the end of the stream; the socket shows it by rejecting writes.
-    public static boolean isClosedSoon(FakeUpstream.ReceivedRequest got) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (System.nanoTime() < until) {
+    /**
+     * Waits until the balancer has closed the connection of a request. The upstream's reader consumes the end of the
+     * stream, so the test detects it by a write that fails.
+     */
+    public static boolean isClosedSoon(FakeUpstream.ReceivedRequest received) throws InterruptedException {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        while (System.nanoTime() < deadline) {
             try {
-                got.write("\r\n");
+                received.write("\r\n");
             } catch (IOException e) {
                 return true;
             }
@@ -354,10 +380,12 @@
         return false;
     }
 
+    /** Returns a chunk of a chunked body. */
     public static String chunk(String text) {
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
+    /** Runs an action on the balancer's event loop, without waiting for it. */
     public void onLoop(Runnable action) {
         balancer.loop().execute(action);
     }
--- a/balancer/src/test/java/loadbalancer/process/BalancerProcessTest.java
+++ b/balancer/src/test/java/loadbalancer/process/BalancerProcessTest.java
@@ -19,16 +19,20 @@
 
 /** The start of a process, its configuration and its stop. */
 class BalancerProcessTest extends BalancerFixture {
-    /** Interrupted, the starting thread never comes to hold the listener that clients reach all the same. */
+    /**
+     * The starting thread is interrupted, so start() fails and the process never gets a reference to the listener,
+     * which clients can connect to nevertheless.
+     */
     @Test
     void aConnectionBeforeTheStartHasReturnedIsServed() throws Exception {
         int port;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        balancer = new BalancerProcess(config(1024, settings(), port), (s, seed) -> policy, false, line -> {});
+        balancer = new BalancerProcess(
+                config(1024, settings(), port), (policySettings, seed) -> policy, false, line -> {});
         CountDownLatch startHasReturned = new CountDownLatch(1);
-        balancer.loop().submit(() -> startHasReturned.await(20, TimeUnit.SECONDS)); // no bind is done before that
+        balancer.loop().submit(() -> startHasReturned.await(20, TimeUnit.SECONDS)); // delays the bind until then
         Thread.currentThread().interrupt();
         try {
             assertThrows(IOException.class, balancer::start);
@@ -36,10 +40,11 @@
             startHasReturned.countDown();
         }
         assertTrue(Thread.interrupted());
-        balancer.loop().submit(() -> {}).get(20, TimeUnit.SECONDS); // the listener is registered, which queues its bind
-        balancer.loop().submit(() -> {}).get(20, TimeUnit.SECONDS); // and the bind has been carried out
-        InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-        try (Client client = new Client(to)) {
+        // After the first task the listener is registered and its bind queued; after the second the bind is done.
+        balancer.loop().submit(() -> {}).get(20, TimeUnit.SECONDS);
+        balancer.loop().submit(() -> {}).get(20, TimeUnit.SECONDS);
+        InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
+        try (Client client = new Client(address)) {
             assertEquals(
                     503, client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus());
         }
@@ -75,40 +80,41 @@
         start();
         Client idle = new Client(listenAddress);
         assertEquals(200, idle.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus());
-        Client held = new Client(listenAddress).send(IDEMPOTENT_REQUEST);
-        FakeUpstream.ReceivedRequest got = upstream.nextRequest();
+        Client open = new Client(listenAddress).send(IDEMPOTENT_REQUEST);
+        FakeUpstream.ReceivedRequest received = upstream.nextRequest();
         Thread stop = new Thread(balancer::stop);
         stop.start();
-        int ready = 200;
-        while (ready == 200) {
+        int readyStatus = 200;
+        while (readyStatus == 200) {
             try (Client late = new Client(listenAddress)) {
-                ready = late.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus();
+                readyStatus =
+                        late.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus();
             }
         }
-        assertEquals(503, ready);
-        assertNull(idle.readResponse()); // dropped at rest
-        got.respond(200, "", "late but whole");
-        String head = held.readResponse();
+        assertEquals(503, readyStatus);
+        assertNull(idle.readResponse()); // an idle connection is closed
+        received.respond(200, "", "late but whole");
+        String head = open.readResponse();
         assertTrue(head.startsWith("HTTP/1.1 200"), head);
         assertTrue(head.toLowerCase().contains("connection: close"), head);
-        assertNull(held.readResponse());
+        assertNull(open.readResponse());
         stop.join();
         balancer = null;
     }
 
-    /** It could become whole just as the process ends: taken, and never answered. */
+    /** Otherwise a request that becomes complete just as the process ends would be accepted and never answered. */
     @Test
-    void anIncompleteRequestAtTheEndIsRejectedAndNotCutOff() throws IOException, InterruptedException {
+    void anIncompleteRequestAtTheEndIsRejectedRatherThanDropped() throws IOException, InterruptedException {
         start();
-        try (Client part = new Client(listenAddress)) {
-            part.send(IDEMPOTENT_REQUEST.substring(0, 40));
+        try (Client client = new Client(listenAddress)) {
+            client.send(IDEMPOTENT_REQUEST.substring(0, 40));
             Thread stop = new Thread(balancer::stop);
             stop.start();
-            String head = part.readResponse();
-            assertNotNull(head, "ended without an answer");
+            String head = client.readResponse();
+            assertNotNull(head, "the connection ended without a response");
             assertTrue(head.startsWith("HTTP/1.1 503"), head);
-            part.send(IDEMPOTENT_REQUEST.substring(40));
-            assertNull(part.readResponse());
+            client.send(IDEMPOTENT_REQUEST.substring(40));
+            assertNull(client.readResponse());
             stop.join();
             balancer = null;
         }
@@ -125,13 +131,13 @@
                 "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"settings\":{\"Quantum\":1}} "
                         + "| settings: ",
             })
-    void anInvalidConfigurationIsAnErrorThatNamesTheField(String json, String complaint) throws IOException {
+    void anInvalidConfigurationIsAnErrorThatNamesTheField(String json, String message) throws IOException {
         try {
             BalancerConfigReader.read(Map.of("ROUTER_NAME", "n1"), com.fasterxml.jackson.jr.ob.JSON.std.mapFrom(json));
         } catch (ProcessConfigException e) {
-            assertTrue(e.getMessage().startsWith(complaint), e.getMessage());
+            assertTrue(e.getMessage().startsWith(message), e.getMessage());
             return;
         }
-        throw new AssertionError("taken");
+        throw new AssertionError("the configuration was accepted");
     }
 }
--- a/balancer/src/test/java/loadbalancer/process/BodyStreamTest.java
+++ b/balancer/src/test/java/loadbalancer/process/BodyStreamTest.java
@@ -19,14 +19,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Bodies that are not held whole: they pass through, in pieces cut anywhere. */
+/** Bodies that are too large to buffer are streamed through the balancer, in pieces that may end anywhere. */
 class BodyStreamTest extends BalancerFixture {
-    private static final int MANY = 3_000_000;
+    private static final int LARGE_BODY_BYTES = 3_000_000;
 
-    private static byte[] noise(int bytes) {
-        byte[] noise = new byte[bytes];
-        new Random(7).nextBytes(noise);
-        return noise;
+    private static byte[] randomBytes(int bytes) {
+        byte[] random = new byte[bytes];
+        new Random(7).nextBytes(random);
+        return random;
     }
 
     private static String postHead(String framing) {
@@ -37,20 +37,20 @@
     @Test
     void aLargeResponseIsStreamedAndTheConnectionsAreKept() throws Exception {
         start();
-        byte[] big = noise(MANY);
+        byte[] body = randomBytes(LARGE_BODY_BYTES);
         try (Client client = new Client(listenAddress)) {
             for (int i = 0; i < 2; i++) {
                 client.send(IDEMPOTENT_REQUEST);
-                FakeUpstream.ReceivedRequest got = upstream.nextRequest();
+                FakeUpstream.ReceivedRequest received = upstream.nextRequest();
                 CompletableFuture<Void> answering = CompletableFuture.runAsync(() -> {
                     try {
-                        got.respond(200, "", big);
+                        received.respond(200, "", body);
                     } catch (IOException e) {
                         throw new IllegalStateException(e);
                     }
                 });
                 assertEquals(200, client.readStatus());
-                assertArrayEquals(big, client.body);
+                assertArrayEquals(body, client.body);
                 answering.get(20, TimeUnit.SECONDS);
                 assertEquals("OK closed", policy.nextEvent());
             }
@@ -61,16 +61,16 @@
     @Test
     void aResponseThatTheClientDoesNotReadIsNotReadFromItsUpstream() throws Exception {
         start();
-        byte[] piece = noise(1 << 16);
+        byte[] piece = randomBytes(1 << 16);
         try (Client client = new Client(listenAddress)) {
             client.send(IDEMPOTENT_REQUEST);
-            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
-            got.write("HTTP/1.1 200 X\r\nContent-Length: " + (30 << 20) + "\r\n\r\n");
+            FakeUpstream.ReceivedRequest received = upstream.nextRequest();
+            received.write("HTTP/1.1 200 X\r\nContent-Length: " + (30 << 20) + "\r\n\r\n");
             long[] sent = new long[1];
             Thread writer = new Thread(() -> {
                 try {
                     for (int i = 0; i < (30 << 20) / piece.length; i++) {
-                        got.write(piece);
+                        received.write(piece);
                         sent[0] += piece.length;
                     }
                 } catch (IOException e) {
@@ -89,83 +89,86 @@
     @Test
     void aResponseWithoutLengthIsChunkedAndEndsWithItsConnection() throws Exception {
         start();
-        byte[] big = noise(200_000);
+        byte[] body = randomBytes(200_000);
         try (Client client = new Client(listenAddress)) {
             client.send(IDEMPOTENT_REQUEST);
-            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
-            got.write("HTTP/1.1 200 X\r\nConnection: close\r\n\r\n");
-            got.write(big);
-            got.socket().shutdownOutput();
+            FakeUpstream.ReceivedRequest received = upstream.nextRequest();
+            received.write("HTTP/1.1 200 X\r\nConnection: close\r\n\r\n");
+            received.write(body);
+            received.socket().shutdownOutput();
             String head = FakeUpstream.readHead(client.in);
             assertTrue(head.toLowerCase().contains("transfer-encoding: chunked"), head);
-            assertArrayEquals(big, unchunked(client.in));
+            assertArrayEquals(body, readChunkedBody(client.in));
         }
     }
 
-    /** Its end shows only behind all of its body. Many leave, one after the other: none keeps any of the room. */
+    /**
+     * The end of the connection can be read only after the whole body. Many clients leave one after another; none may
+     * keep a share of the memory for bodies.
+     */
     @Test
     void aClientGoneBeforeItsLargeBodyHasAnUpstreamIsNoticed() throws Exception {
         start();
-        policy.endpointId = null; // none is free
-        byte[] big = noise(500_000);
+        policy.endpointId = null; // no endpoint is free
+        byte[] body = randomBytes(500_000);
         for (int i = 1; i <= 20; i++) {
             try (Client client = new Client(listenAddress)) {
-                client.send(postHead("Content-Length: " + big.length));
-                client.socket.getOutputStream().write(big);
+                client.send(postHead("Content-Length: " + body.length));
+                client.socket.getOutputStream().write(body);
                 assertEquals("2 k1 -1 false", policy.requests.poll(20, TimeUnit.SECONDS));
             }
             assertEquals("client gone", policy.nextEvent());
-            String left = String.valueOf(i);
-            onLoop(() -> policy.actions.send(left, "s1", 0));
+            String requestId = String.valueOf(i);
+            onLoop(() -> policy.actions.send(requestId, "s1", 0));
         }
         balancer.loop().submit(() -> {}).awaitUninterruptibly(20_000);
         assertEquals(0, upstream.connectionCount());
     }
 
-    /** It is read while it waits, or part of it, and passed on as it came. */
+    /** While the request waits, its body is read, at least in part; it is forwarded unchanged. */
     @ParameterizedTest
-    @ValueSource(ints = {500_000, MANY})
+    @ValueSource(ints = {500_000, LARGE_BODY_BYTES})
     void aLargeBodyThatWaitedForItsUpstreamIsStreamed(int bytes) throws Exception {
         start();
         policy.endpointId = null;
-        byte[] big = noise(bytes);
+        byte[] body = randomBytes(bytes);
         try (Client client = new Client(listenAddress)) {
             client.send(postHead("Content-Length: " + bytes));
             CompletableFuture<Void> sending = CompletableFuture.runAsync(() -> {
                 try {
-                    client.socket.getOutputStream().write(big);
+                    client.socket.getOutputStream().write(body);
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
                 }
             });
             assertEquals("2 k1 -1 false", policy.requests.poll(20, TimeUnit.SECONDS));
-            if (bytes < MANY) {
+            if (bytes < LARGE_BODY_BYTES) {
                 sending.get(20, TimeUnit.SECONDS);
             }
             onLoop(() -> policy.actions.send("1", "s1", 0));
-            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
-            assertArrayEquals(big, got.body());
-            got.respond(200, "", "ok");
+            FakeUpstream.ReceivedRequest received = upstream.nextRequest();
+            assertArrayEquals(body, received.body());
+            received.respond(200, "", "ok");
             assertEquals(200, client.readStatus());
             sending.get(20, TimeUnit.SECONDS);
         }
     }
 
-    private static byte[] unchunked(InputStream in) throws IOException {
-        java.io.ByteArrayOutputStream all = new java.io.ByteArrayOutputStream();
+    private static byte[] readChunkedBody(InputStream in) throws IOException {
+        java.io.ByteArrayOutputStream body = new java.io.ByteArrayOutputStream();
         while (true) {
             StringBuilder size = new StringBuilder();
             for (int c = in.read(); c != '\n'; c = in.read()) {
                 if (c < 0) {
-                    throw new IOException("the connection ended in the middle");
+                    throw new IOException("the connection ended within the body");
                 }
                 size.append((char) c);
             }
             int bytes = Integer.parseInt(size.toString().strip(), 16);
-            all.write(in.readNBytes(bytes));
+            body.write(in.readNBytes(bytes));
             in.readNBytes(2);
             if (bytes == 0) {
-                return all.toByteArray();
+                return body.toByteArray();
             }
         }
     }
@@ -175,49 +178,49 @@
         start();
         try (Client client = new Client(listenAddress)) {
             client.send(IDEMPOTENT_REQUEST);
-            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
-            got.write("HTTP/1.1 200 X\r\nContent-Length: 500000\r\n\r\n");
-            got.write(noise(100_000));
+            FakeUpstream.ReceivedRequest received = upstream.nextRequest();
+            received.write("HTTP/1.1 200 X\r\nContent-Length: 500000\r\n\r\n");
+            received.write(randomBytes(100_000));
             assertEquals("OK closed", policy.nextEvent());
-            got.socket().close();
+            received.socket().close();
             FakeUpstream.readHead(client.in);
             assertTrue(client.in.readAllBytes().length < 500_000);
         }
     }
 
-    /** The upstream here reads for itself: it must get the first bytes while the last are not yet sent. */
+    /** The test acts as the upstream: it must receive the first bytes before the client has sent the last. */
     @Test
     void aLargeBodyIsForwardedAsItArrives() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             endpointAddress = "127.0.0.1:" + server.getLocalPort();
-            for (String framing : new String[] {"Content-Length: " + MANY, "Transfer-Encoding: chunked"}) {
+            for (String framing : new String[] {"Content-Length: " + LARGE_BODY_BYTES, "Transfer-Encoding: chunked"}) {
                 if (balancer == null) {
                     start();
                 }
-                byte[] big = noise(MANY);
+                byte[] body = randomBytes(LARGE_BODY_BYTES);
                 boolean chunked = framing.endsWith("chunked");
                 try (Client client = new Client(listenAddress)) {
                     client.send(postHead(framing));
                     OutputStream out = client.socket.getOutputStream();
-                    write(out, big, 0, MANY / 2, chunked);
-                    try (Socket taken = server.accept()) {
-                        taken.setSoTimeout(20_000);
-                        InputStream in = new java.io.BufferedInputStream(taken.getInputStream());
+                    write(out, body, 0, LARGE_BODY_BYTES / 2, chunked);
+                    try (Socket accepted = server.accept()) {
+                        accepted.setSoTimeout(20_000);
+                        InputStream in = new java.io.BufferedInputStream(accepted.getInputStream());
                         String head = FakeUpstream.readHead(in);
                         assertTrue(head.toLowerCase().contains(framing.toLowerCase()), head);
-                        CompletableFuture<byte[]> body = CompletableFuture.supplyAsync(() -> {
+                        CompletableFuture<byte[]> receivedBody = CompletableFuture.supplyAsync(() -> {
                             try {
-                                return chunked ? unchunked(in) : in.readNBytes(MANY);
+                                return chunked ? readChunkedBody(in) : in.readNBytes(LARGE_BODY_BYTES);
                             } catch (IOException e) {
                                 throw new IllegalStateException(e);
                             }
                         });
-                        write(out, big, MANY / 2, MANY, chunked);
+                        write(out, body, LARGE_BODY_BYTES / 2, LARGE_BODY_BYTES, chunked);
                         if (chunked) {
                             client.send("0\r\n\r\n");
                         }
-                        assertArrayEquals(big, body.get(20, TimeUnit.SECONDS));
-                        taken.getOutputStream()
+                        assertArrayEquals(body, receivedBody.get(20, TimeUnit.SECONDS));
+                        accepted.getOutputStream()
                                 .write("HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\nok"
                                         .getBytes(StandardCharsets.ISO_8859_1));
                         assertEquals(200, client.readStatus());
@@ -228,14 +231,14 @@
         }
     }
 
-    private static void write(OutputStream out, byte[] from, int begin, int end, boolean chunked) throws IOException {
+    private static void write(OutputStream out, byte[] source, int begin, int end, boolean chunked) throws IOException {
         int step = 50_021;
         for (int i = begin; i < end; i += step) {
             int bytes = Math.min(step, end - i);
             if (chunked) {
                 out.write((Integer.toHexString(bytes) + ";x=y\r\n").getBytes(StandardCharsets.ISO_8859_1));
             }
-            out.write(from, i, bytes);
+            out.write(source, i, bytes);
             if (chunked) {
                 out.write("\r\n".getBytes(StandardCharsets.ISO_8859_1));
             }
@@ -248,17 +251,17 @@
         policy.retriesWhenFull = true;
         try (Client client = new Client(listenAddress)) {
             client.send(postHead("Content-Length: 200000"));
-            client.socket.getOutputStream().write(noise(200_000));
-            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
-            got.respond(503, "Srv-Declined: 1\r\n", "");
+            client.socket.getOutputStream().write(randomBytes(200_000));
+            FakeUpstream.ReceivedRequest received = upstream.nextRequest();
+            received.respond(503, "Srv-Declined: 1\r\n", "");
             assertEquals("FULL", policy.nextEvent());
             String second = policy.nextEvent();
             assertTrue(second.equals("NOT_SENT"), second);
             assertEquals(502, client.readStatus());
-            client.send(IDEMPOTENT_REQUEST); // what follows on the connection is read as before
+            client.send(IDEMPOTENT_REQUEST); // the connection remains usable
             upstream.nextRequest().respond(200, "", "ok");
             assertEquals(200, client.readStatus());
-            assertNull(got.header("Transfer-Encoding"));
+            assertNull(received.header("Transfer-Encoding"));
         }
     }
 
@@ -276,9 +279,9 @@
         start();
         try (Client client = new Client(listenAddress)) {
             client.send(IDEMPOTENT_REQUEST.replace("GET /api", "GET http://backend.local/api"));
-            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
-            assertEquals("GET /api/k1?x=%20y HTTP/1.1", got.requestLine());
-            got.respond(200, "", "ok");
+            FakeUpstream.ReceivedRequest received = upstream.nextRequest();
+            assertEquals("GET /api/k1?x=%20y HTTP/1.1", received.requestLine());
+            received.respond(200, "", "ok");
             assertEquals(200, client.readStatus());
         }
     }
--- a/balancer/src/test/java/loadbalancer/process/ClientProtectionTest.java
+++ b/balancer/src/test/java/loadbalancer/process/ClientProtectionTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Faulty and hostile clients: what they get, and that they do not affect others. */
+/** Invalid requests and hostile clients are rejected or closed, and do not affect other clients. */
 class ClientProtectionTest extends BalancerFixture {
     @ParameterizedTest
     @ValueSource(
@@ -46,14 +46,14 @@
 
     @Test
     void idleConnectionsAreClosedFirstToFreeDescriptors() throws IOException, InterruptedException {
-        start(Map.of(), 4); // a reserve of two, two for use
+        start(Map.of(), 4); // two descriptors are reserved, two can be used
         try (Client client = new Client(listenAddress)) {
             client.send(IDEMPOTENT_REQUEST);
-            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
-            got.respond(200, "", "ok");
+            FakeUpstream.ReceivedRequest received = upstream.nextRequest();
+            received.respond(200, "", "ok");
             assertEquals(200, client.readStatus());
             try (Client second = new Client(listenAddress)) {
-                assertTrue(isClosedSoon(got));
+                assertTrue(isClosedSoon(received));
                 assertEquals(
                         200,
                         second.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus());
@@ -61,21 +61,23 @@
         }
     }
 
-    /** Clients alone are too many here: no connection to an upstream is closed for them. */
+    /** The clients alone exceed the descriptor limit; no upstream connection is closed to make room for them. */
     @Test
     void manyClientsCloseNoUpstreamConnection() throws IOException, InterruptedException {
-        start(Map.of(), 24); // twelve for use, seven of them for clients
-        List<Client> crowd = new ArrayList<>();
+        start(Map.of(), 24); // twelve descriptors can be used, seven of them by clients
+        List<Client> idleClients = new ArrayList<>();
         try (Client client = new Client(listenAddress)) {
             client.send(IDEMPOTENT_REQUEST);
             upstream.nextRequest().respond(200, "", "ok");
             assertEquals(200, client.readStatus());
-            for (int i = 0; i < 20; i++) { // each asks once and stays
-                Client one = new Client(listenAddress);
-                crowd.add(one);
+            for (int i = 0; i < 20; i++) { // each sends one request and stays connected
+                Client idleClient = new Client(listenAddress);
+                idleClients.add(idleClient);
                 assertEquals(
                         200,
-                        one.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus());
+                        idleClient
+                                .send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+                                .readStatus());
             }
             try (Client late = new Client(listenAddress)) {
                 late.send(IDEMPOTENT_REQUEST.replace("r1", "r2"));
@@ -83,14 +85,14 @@
                 assertEquals(200, late.readStatus());
             }
         } finally {
-            for (Client one : crowd) {
-                one.close();
+            for (Client idleClient : idleClients) {
+                idleClient.close();
             }
         }
         assertEquals(1, upstream.connectionCount());
     }
 
-    /** Each could be parsed in two ways, or hides another request; none is forwarded. */
+    /** Each request can be parsed in two ways or hides another request, so none is forwarded. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -111,14 +113,15 @@
                 "Req-Id: second\r\nContent-Length: 0\r\n\r\n",
                 "Req-Deadline-Ms: 5\r\nContent-Length: 0\r\n\r\n",
             })
-    void anAmbiguousRequestIsRejectedAndItsConnectionClosed(String rest) throws IOException, InterruptedException {
+    void anAmbiguousRequestIsRejectedAndItsConnectionClosed(String headersAndBody)
+            throws IOException, InterruptedException {
         start();
         try (Client client = new Client(listenAddress)) {
             client.send("POST /api/k HTTP/1.1\r\nHost: x\r\nReq-Id: r\r\nReq-Kind: book\r\n"
-                    + "Req-Deadline-Ms: 900\r\n" + rest + post("book", "Req-Deadline-Ms: 900\r\n", ""));
+                    + "Req-Deadline-Ms: 900\r\n" + headersAndBody + post("book", "Req-Deadline-Ms: 900\r\n", ""));
             int status = client.readStatus();
             assertTrue(status >= 400 && status < 500 && status != 429, "status " + status);
-            assertNull(client.readResponse(), "one answer, and the end");
+            assertNull(client.readResponse(), "expected one response and then the end of the connection");
         }
         assertTrue(policy.requests.isEmpty());
         assertEquals(0, upstream.connectionCount());
@@ -143,7 +146,7 @@
         assertTrue(policy.requests.isEmpty());
     }
 
-    /** Of a huge body only the head is needed for the answer; the rest is never read. */
+    /** The head is enough to reject a request with a huge body; the body is never read. */
     @Test
     void aTooLargeBodyIsRejectedAtItsHeadAndNotReadToItsEnd() throws IOException, InterruptedException {
         start();
@@ -151,10 +154,10 @@
             client.send("POST /api/k HTTP/1.1\r\nHost: x\r\nReq-Id: r\r\nReq-Kind: book\r\n"
                     + "Req-Deadline-Ms: 900\r\nContent-Length: 60000000\r\n\r\n");
             assertEquals(413, client.readStatus());
-            byte[] some = new byte[1 << 16];
+            byte[] piece = new byte[1 << 16];
             assertThrows(IOException.class, () -> {
                 for (int i = 0; i < 1_000; i++) {
-                    client.socket.getOutputStream().write(some);
+                    client.socket.getOutputStream().write(piece);
                 }
             });
         }
@@ -170,33 +173,33 @@
         }
     }
 
-    /** Two of one id could not be distinguished upstream: the second is rejected, the first is served. */
+    /** Upstreams could not distinguish two open requests with one id, so the second is rejected. */
     @Test
     void aSecondRequestWithAnOpenIdIsRejected() throws IOException, InterruptedException {
         start();
         try (Client client = new Client(listenAddress);
-                Client thief = new Client(listenAddress)) {
+                Client other = new Client(listenAddress)) {
             client.send(IDEMPOTENT_REQUEST);
-            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
-            assertEquals(409, thief.send(IDEMPOTENT_REQUEST).readStatus());
-            assertNull(thief.readResponse());
-            got.respond(200, "", "mine");
+            FakeUpstream.ReceivedRequest received = upstream.nextRequest();
+            assertEquals(409, other.send(IDEMPOTENT_REQUEST).readStatus());
+            assertNull(other.readResponse());
+            received.respond(200, "", "first");
             assertEquals(200, client.readStatus());
-            assertEquals("mine", new String(client.body, StandardCharsets.UTF_8));
-            client.send(IDEMPOTENT_REQUEST); // free again
+            assertEquals("first", new String(client.body, StandardCharsets.UTF_8));
+            client.send(IDEMPOTENT_REQUEST); // the id is free again
             upstream.nextRequest().respond(200, "", "ok");
             assertEquals(200, client.readStatus());
         }
     }
 
-    /** Nothing, half a head, half a body, and a byte now and then: each times out. */
+    /** No byte at all, part of a head, or part of a body: each times out. */
     @ParameterizedTest
     @ValueSource(strings = {"", "GET /api/k HT", "POST /api/k HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nabc"})
-    void anIncompleteRequestIsRejectedOrItsConnectionClosed(String part) throws IOException, InterruptedException {
+    void anIncompleteRequestIsRejectedOrItsConnectionClosed(String sent) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(listenAddress)) {
-            String head = client.send(part).readResponse();
-            if (part.isEmpty()) {
+            String head = client.send(sent).readResponse();
+            if (sent.isEmpty()) {
                 assertNull(head);
             } else {
                 assertTrue(head.startsWith("HTTP/1.1 408"), head);
@@ -219,11 +222,11 @@
             assertNull(client.readResponse());
         }
         try (Client client = new Client(listenAddress)) {
-            StringBuilder many = new StringBuilder();
+            StringBuilder requests = new StringBuilder();
             for (int i = 0; i < 300; i++) {
-                many.append(IDEMPOTENT_REQUEST.replace("r1", "m" + i));
+                requests.append(IDEMPOTENT_REQUEST.replace("r1", "m" + i));
             }
-            client.send(many.toString());
+            client.send(requests.toString());
             int served = 0;
             int status = 200;
             while (status == 200) {
@@ -239,31 +242,34 @@
         }
     }
 
-    /** The client closes while its request waits to be read: there is no one to answer, and nothing is forwarded. */
+    /** The client closes its connection before the balancer reads its request, so the request is not forwarded. */
     @Test
     void aClientGoneBeforeItsRequestIsReadIsNotServed() throws Exception {
         start();
-        CountDownLatch held = new CountDownLatch(1);
+        CountDownLatch releaseLoop = new CountDownLatch(1);
         onLoop(() -> {
             try {
-                held.await();
+                releaseLoop.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
         new Client(listenAddress).send(IDEMPOTENT_REQUEST.replace("r1", "left")).close();
-        held.countDown();
-        try (Client stays = new Client(listenAddress)) {
-            stays.send(IDEMPOTENT_REQUEST);
-            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
-            assertEquals("r1", got.header("Req-Id"));
-            got.respond(200, "", "ok");
-            assertEquals(200, stays.readStatus());
+        releaseLoop.countDown();
+        try (Client remaining = new Client(listenAddress)) {
+            remaining.send(IDEMPOTENT_REQUEST);
+            FakeUpstream.ReceivedRequest received = upstream.nextRequest();
+            assertEquals("r1", received.header("Req-Id"));
+            received.respond(200, "", "ok");
+            assertEquals(200, remaining.readStatus());
         }
         assertEquals(1, policy.requests.size());
     }
 
-    /** As many as are queued, and then the end of the connection: noticed while the first is still being served. */
+    /**
+     * The client pipelines as many requests as are queued and closes its connection, which is noticed while the first
+     * request is still being served.
+     */
     @Test
     void aClientGoneWithPipelinedRequestsIsNoticedAndNoneIsForwarded() throws IOException, InterruptedException {
         start();
@@ -271,37 +277,37 @@
         try (Client client = new Client(listenAddress)) {
             client.send(IDEMPOTENT_REQUEST);
             first = upstream.nextRequest();
-            StringBuilder ahead = new StringBuilder();
+            StringBuilder pipelined = new StringBuilder();
             for (int i = 0; i < 16; i++) {
-                ahead.append(IDEMPOTENT_REQUEST.replace("r1", "a" + i));
+                pipelined.append(IDEMPOTENT_REQUEST.replace("r1", "a" + i));
             }
-            client.send(ahead.toString());
+            client.send(pipelined.toString());
         }
         assertEquals("client gone", policy.nextEvent());
         assertTrue(first.awaitClosedByPeer());
         assertEquals(1, policy.requests.size());
     }
 
-    /** Hundreds of silent connections must not keep others from being served. */
+    /** Hundreds of connections without a request must not keep other clients from being served. */
     @Test
     void idleConnectionsAreClosedForNewOnes() throws IOException, InterruptedException {
         start(Map.of(), 40);
-        List<Client> silent = new ArrayList<>();
-        try (Client usual = new Client(listenAddress)) {
+        List<Client> idleClients = new ArrayList<>();
+        try (Client active = new Client(listenAddress)) {
             assertEquals(
-                    200, usual.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus());
+                    200, active.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus());
             for (int i = 0; i < 200; i++) {
-                silent.add(new Client(listenAddress));
+                idleClients.add(new Client(listenAddress));
             }
             assertEquals(
-                    200, usual.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus());
+                    200, active.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus());
             try (Client late = new Client(listenAddress)) {
                 late.send(IDEMPOTENT_REQUEST);
                 upstream.nextRequest().respond(200, "", "ok");
                 assertEquals(200, late.readStatus());
             }
         } finally {
-            for (Client client : silent) {
+            for (Client client : idleClients) {
                 client.close();
             }
         }
--- a/balancer/src/test/java/loadbalancer/process/DescriptorExhaustionTest.java
+++ b/balancer/src/test/java/loadbalancer/process/DescriptorExhaustionTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A process of its own, whose system really has no more descriptors than it may use. */
+/** Runs a balancer in a separate process, whose descriptor limit is set by the operating system. */
 @Timeout(120)
 class DescriptorExhaustionTest {
-    private static final String OPEN = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    private static final String ASK = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
+    private static final String WATCH_RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final String READY_REQUEST = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
     private FakeUpstream upstream;
     private FakeUpstream discovery;
@@ -46,7 +46,7 @@
         Files.delete(config);
     }
 
-    private void start(int descriptors, String membership) throws IOException {
+    private void start(int maxDescriptors, String membershipMode) throws IOException {
         Files.writeString(
                 config,
                 """
@@ -58,11 +58,11 @@
               "Rules": {"AnswerSlack": 20000, "DrainGrace": 1000000, "AskWithin": 10000000, "ColdFrom": 0.2,
                 "RampTime": 20000000, "OverloadFactor": 2.5, "Fall": 1500000}}}
             """
-                        .formatted(discovery.address(), target(), membership));
+                        .formatted(discovery.address(), endpointEntry(), membershipMode));
         ProcessBuilder builder = new ProcessBuilder(
                 "sh",
                 "-c",
-                "ulimit -n " + descriptors + "; exec \"$0\" \"$@\"",
+                "ulimit -n " + maxDescriptors + "; exec \"$0\" \"$@\"",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
                 System.getProperty("java.class.path"),
@@ -76,7 +76,7 @@
         listenAddress = new InetSocketAddress("127.0.0.1", Integer.parseInt(line.substring(line.lastIndexOf(':') + 1)));
     }
 
-    private String target() {
+    private String endpointEntry() {
         return "{\"uid\": \"s1\", \"endpoint\": \"" + upstream.address()
                 + "\", \"state\": \"in_service\", \"boot_ms\": 0}";
     }
@@ -86,7 +86,7 @@
         while (line != null && !line.contains(word)) {
             line = err.readLine();
         }
-        assertTrue(line != null, "it has ended without a word of: " + word);
+        assertTrue(line != null, "the process ended without a line that contains: " + word);
         return line;
     }
 
@@ -94,7 +94,7 @@
         assertEquals(0, new ProcessBuilder(command).inheritIO().start().waitFor());
     }
 
-    private void served() throws IOException, InterruptedException {
+    private void assertRequestIsServed() throws IOException, InterruptedException {
         try (BalancerFixture.Client client = new BalancerFixture.Client(listenAddress)) {
             client.send(BalancerFixture.IDEMPOTENT_REQUEST);
             upstream.nextRequest().respond(200, "", "ok");
@@ -102,70 +102,73 @@
         }
     }
 
-    /** Discovery is down, and clients that ask once and stay fill all that there is. */
+    /**
+     * Discovery is down, and clients that send one request and stay connected use all descriptors that clients may use.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"ask", "push"})
-    void idleClientsLeaveDescriptorsToDiscoveryAndTheNextConfiguration(String membership)
+    void idleClientsLeaveDescriptorsToDiscoveryAndTheNextConfiguration(String membershipMode)
             throws IOException, InterruptedException {
-        start(128, membership);
+        start(128, membershipMode);
         FakeUpstream.ReceivedRequest watch = discovery.nextRequest();
-        watch.write(OPEN + BalancerFixture.chunk("\n"));
-        served();
-        List<BalancerFixture.Client> crowd = new ArrayList<>();
+        watch.write(WATCH_RESPONSE_HEAD + BalancerFixture.chunk("\n"));
+        assertRequestIsServed();
+        List<BalancerFixture.Client> idleClients = new ArrayList<>();
         try {
             for (int i = 0; i < 200; i++) {
-                BalancerFixture.Client one = new BalancerFixture.Client(listenAddress);
-                crowd.add(one);
+                BalancerFixture.Client idleClient = new BalancerFixture.Client(listenAddress);
+                idleClients.add(idleClient);
                 if (i < 30) {
-                    one.send(ASK).readStatus();
+                    idleClient.send(READY_REQUEST).readStatus();
                 } else {
-                    one.send(ASK); // some are let in later, or never
+                    idleClient.send(READY_REQUEST); // accepted later, or never
                 }
             }
             for (int i = 0; i < 3; i++) {
                 watch.reset(); // by discovery that is down: each call ends like that
                 watch = discovery.nextRequest();
             }
-            watch.write(OPEN + BalancerFixture.chunk("\n"));
-            long held;
+            watch.write(WATCH_RESPONSE_HEAD + BalancerFixture.chunk("\n"));
+            long openDescriptors;
             try (Stream<Path> open = Files.list(Path.of("/proc", String.valueOf(process.pid()), "fd"))) {
-                held = open.count();
+                openDescriptors = open.count();
             }
-            // As many clients as it lets in, and its own.
-            assertTrue(held > 41 && held <= 128, held + " descriptors");
+            // The descriptors of the process itself, and of as many clients as it accepts.
+            assertTrue(openDescriptors > 41 && openDescriptors <= 128, openDescriptors + " descriptors");
             Files.writeString(config, Files.readString(config).replace("\"seed\"", "\"noted\": 1, \"seed\""));
             run("kill", "-HUP", String.valueOf(process.pid()));
             nextWith("configuration reloaded");
-            served();
+            assertRequestIsServed();
         } finally {
-            for (BalancerFixture.Client one : crowd) {
-                one.close();
+            for (BalancerFixture.Client idleClient : idleClients) {
+                idleClient.close();
             }
         }
     }
 
-    /** The system has none left at all for a while: not a call, not a connection to an upstream. */
+    /** For a while the process can open no descriptor at all, neither for a call to discovery nor for an upstream. */
     @ParameterizedTest
     @ValueSource(strings = {"ask", "push"})
-    void callsThatFindNoDescriptorAreRetriedOnceThereIsOne(String membership) throws IOException, InterruptedException {
-        start(256, membership);
-        discovery.nextRequest().socket().close(); // all that a failure needs has been loaded
+    void callsThatFindNoDescriptorAreRetriedOnceThereIsOne(String membershipMode)
+            throws IOException, InterruptedException {
+        start(256, membershipMode);
+        discovery.nextRequest().socket().close(); // loads the classes that a failed call needs
         FakeUpstream.ReceivedRequest watch = discovery.nextRequest();
-        watch.write(OPEN + BalancerFixture.chunk("\n"));
+        watch.write(WATCH_RESPONSE_HEAD + BalancerFixture.chunk("\n"));
         try (BalancerFixture.Client client = new BalancerFixture.Client(listenAddress)) {
             client.send(BalancerFixture.IDEMPOTENT_REQUEST);
-            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
-            got.respond(200, "Connection: close\r\n", "ok");
+            FakeUpstream.ReceivedRequest received = upstream.nextRequest();
+            received.respond(200, "Connection: close\r\n", "ok");
             assertEquals(200, client.readStatus());
             run("prlimit", "--pid", String.valueOf(process.pid()), "--nofile=1:256");
             watch.socket().close();
-            for (int i = 0; i < 200; i++) { // more tries than the balancer may have descriptors
+            for (int i = 0; i < 200; i++) { // more attempts than the balancer may have descriptors
                 client.send(BalancerFixture.IDEMPOTENT_REQUEST);
                 int status = client.readStatus();
                 assertTrue(status == 503 || status == 502, "status " + status);
             }
             run("prlimit", "--pid", String.valueOf(process.pid()), "--nofile=256:256");
-            discovery.nextRequest().write(OPEN + BalancerFixture.chunk("\n"));
+            discovery.nextRequest().write(WATCH_RESPONSE_HEAD + BalancerFixture.chunk("\n"));
             client.send(BalancerFixture.IDEMPOTENT_REQUEST);
             upstream.nextRequest().respond(200, "", "ok");
             assertEquals(200, client.readStatus());
--- a/balancer/src/test/java/loadbalancer/process/FakeUpstream.java
+++ b/balancer/src/test/java/loadbalancer/process/FakeUpstream.java
@@ -19,9 +19,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The other side of a connection, for tests: hands each request over, and answers what the test says. */
+/** A server for tests: queues each request that it receives, and the test writes the response. */
 public final class FakeUpstream implements Closeable {
-    /** A request as it came, and the connection to answer on. */
+    /** A request as it was received, and the connection to respond on. */
     public record ReceivedRequest(String head, byte[] body, Socket socket, int connectionNumber) {
         public String requestLine() {
             return head.substring(0, head.indexOf("\r\n"));
@@ -63,7 +63,7 @@
             socket.close();
         }
 
-        /** Waits for the other side to end the connection. */
+        /** Waits for the other side to close the connection; returns false if it does not. */
         public boolean awaitClosedByPeer() {
             try {
                 socket.setSoTimeout(20_000);
@@ -78,7 +78,7 @@
     private final BlockingQueue<ReceivedRequest> requests = new LinkedBlockingQueue<>();
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final AtomicInteger connections = new AtomicInteger();
-    private final List<Thread> readers = new CopyOnWriteArrayList<>();
+    private final List<Thread> threads = new CopyOnWriteArrayList<>();
     private final Thread acceptor;
 
     public FakeUpstream() throws IOException {
@@ -87,48 +87,48 @@
             while (true) {
                 Socket socket = server.accept();
                 sockets.add(socket);
-                int number = connections.incrementAndGet();
-                run(() -> read(socket, number));
+                int connectionNumber = connections.incrementAndGet();
+                run(() -> read(socket, connectionNumber));
             }
         });
     }
 
-    private interface Work {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private Thread run(Work work) {
+    private Thread run(IoTask task) {
         Thread thread = new Thread(() -> {
             try {
-                work.run();
+                task.run();
             } catch (IOException e) {
-                Thread.currentThread().interrupt(); // the socket has ended, and so does its reader
+                Thread.currentThread().interrupt(); // the socket is closed, so its thread ends
             }
         });
         thread.setDaemon(true);
-        readers.add(thread);
+        threads.add(thread);
         thread.start();
         return thread;
     }
 
-    private void read(Socket socket, int number) throws IOException {
+    private void read(Socket socket, int connectionNumber) throws IOException {
         InputStream in = new BufferedInputStream(socket.getInputStream());
         while (true) {
             String head = readHead(in);
             if (head == null) {
                 return;
             }
-            ReceivedRequest got = new ReceivedRequest(head, new byte[0], socket, number);
-            String length = got.header("Content-Length");
+            ReceivedRequest received = new ReceivedRequest(head, new byte[0], socket, connectionNumber);
+            String length = received.header("Content-Length");
             byte[] body = in.readNBytes(length == null ? 0 : Integer.parseInt(length));
-            requests.add(new ReceivedRequest(head, body, socket, number));
+            requests.add(new ReceivedRequest(head, body, socket, connectionNumber));
             if (head.contains("watch=1")) {
-                return; // the test reads the rest, if anything
+                return; // the test reads the rest of a watch itself
             }
         }
     }
 
-    /** Reads up to the empty line; null at the end of the stream. */
+    /** Reads up to the empty line after the headers; returns null at the end of the stream. */
     public static String readHead(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
@@ -149,20 +149,23 @@
         return connections.get();
     }
 
-    /** The next request; fails where none comes. */
+    /** Waits for the next request; fails if none comes. */
     public ReceivedRequest nextRequest() throws InterruptedException {
-        ReceivedRequest got = requests.poll(20, TimeUnit.SECONDS);
-        if (got == null) {
+        ReceivedRequest received = requests.poll(20, TimeUnit.SECONDS);
+        if (received == null) {
             throw new AssertionError("no request came");
         }
-        return got;
+        return received;
     }
 
     public boolean isEmpty() {
         return requests.isEmpty();
     }
 
-    /** Refuses connections from its return on: while a thread is still in accept(), the kernel goes on taking them. */
+    /**
+     * Closes the server. Waits for the accepting thread, as the kernel goes on accepting connections while a thread is
+     * in accept(); connections are refused once this returns.
+     */
     @Override
     public void close() throws IOException {
         server.close();
--- a/balancer/src/test/java/loadbalancer/process/HandoverDocumentTest.java
+++ b/balancer/src/test/java/loadbalancer/process/HandoverDocumentTest.java
@@ -39,27 +39,29 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What processes say to each other over the handover link, against what processes of commit b49d7fe were recorded to
- * say: releases replace each other in both directions, so neither the words nor the fields may change.
+ * Compares the messages on the handover link with those recorded from processes of commit b49d7fe. An older release may
+ * replace a newer one and the reverse, so neither the words nor the fields of the messages may change.
  */
 class HandoverDocumentTest extends BalancerFixture {
-    /** Keeps the state that it is given, and returns it unchanged. */
-    private static final class Keeping extends ScriptedPolicy {
+    /** A policy that stores the state that it is given, and returns it unchanged. */
+    private static final class StateKeepingPolicy extends ScriptedPolicy {
         private final Map<String, Endpoint> endpoints = new ConcurrentHashMap<>();
 
         @Override
-        public void endpoints(long now, EndpointListKind kind, List<Endpoint> servers, Actions out) {
-            servers.forEach(s -> endpoints.put(s.id(), s));
-            super.endpoints(now, kind, servers, out);
+        public void endpoints(long now, EndpointListKind kind, List<Endpoint> listed, Actions actions) {
+            listed.forEach(endpoint -> endpoints.put(endpoint.id(), endpoint));
+            super.endpoints(now, kind, listed, actions);
         }
 
         @Override
-        public void restore(long now, LearnedState from) {
-            learnedState = from;
+        public void restore(long now, LearnedState restored) {
+            learnedState = restored;
         }
     }
 
-    /** The other process of a handover: records each line that it gets, save the repeated counts of descriptors. */
+    /**
+     * The other process of a handover. Records each line that it receives, except the periodic counts of descriptors.
+     */
     private static final class Peer implements Closeable {
         private final BlockingQueue<String> lines = new LinkedBlockingQueue<>();
         private final SocketChannel channel;
@@ -102,19 +104,19 @@
     }
 
     @TempDir
-    Path folder;
+    Path directory;
 
-    private ServerSocketChannel clients;
-    private ServerSocketChannel predecessorSocket;
+    private ServerSocketChannel clientListener;
+    private ServerSocketChannel predecessorListener;
     private Peer predecessor;
-    private final List<Keeping> policies = new ArrayList<>();
+    private final List<StateKeepingPolicy> policies = new ArrayList<>();
 
     @BeforeEach
     void openSockets() throws IOException {
-        clients = ServerSocketChannel.open(StandardProtocolFamily.INET);
-        clients.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        predecessorSocket = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
-        predecessorSocket.bind(UnixDomainSocketAddress.of(folder.resolve("handover.sock")));
+        clientListener = ServerSocketChannel.open(StandardProtocolFamily.INET);
+        clientListener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        predecessorListener = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
+        predecessorListener.bind(UnixDomainSocketAddress.of(directory.resolve("handover.sock")));
     }
 
     @AfterEach
@@ -122,8 +124,8 @@
         if (predecessor != null) {
             predecessor.close();
         }
-        predecessorSocket.close();
-        clients.close();
+        predecessorListener.close();
+        clientListener.close();
     }
 
     private static String resource(String name) throws IOException {
@@ -137,35 +139,37 @@
         return (Map<String, Object>) value;
     }
 
-    /** Starts a process in place of a stand-in for the recorded one; both are joined when this returns. */
+    /** Starts a process whose predecessor is played by the test; returns once it is connected to it and ready. */
     private void startSuccessor() throws IOException, InterruptedException {
         balancer = new BalancerProcess(
                 config(1024, settings(), 0),
-                new BalancerProcess.Platform(clients, folder),
-                (s, seed) -> {
-                    Keeping policy = new Keeping();
+                new BalancerProcess.Platform(clientListener, directory),
+                (policySettings, seed) -> {
+                    StateKeepingPolicy policy = new StateKeepingPolicy();
                     policies.add(policy);
                     return policy;
                 },
                 false,
                 line -> {});
         Path file = Files.writeString(
-                folder.resolve("operator.toml"),
+                directory.resolve("operator.toml"),
                 "[[pool]]\nname = \"one\"\nupstreams = [\"127.0.0.1:18201\", \"127.0.0.1:18202\"]\n");
         assertTrue(balancer.applyOperatorFile(file, false));
         listenAddress = balancer.start();
-        predecessor = new Peer(predecessorSocket.accept());
+        predecessor = new Peer(predecessorListener.accept());
         assertTrue(balancer.awaitReady(20_000));
     }
 
     private void restoreRecordedState() throws Exception {
         startSuccessor();
-        assertEquals("{\"serving\":true}", predecessor.nextLine()); // ready before it asks, as there is no warm-up
+        // Without a warm-up the process is ready before it asks for the state.
+        assertEquals("{\"serving\":true}", predecessor.nextLine());
         assertEquals("{\"want\":\"state\"}", predecessor.nextLine());
         predecessor.send(resource("recorded-state.json"));
-        predecessor.send("{\"up\":\"s1\"}"); // not drained: changes nothing, and ends after the state has been read
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (policies.get(1).learnedState == LearnedState.NONE && System.nanoTime() < until) {
+        // s1 is not drained, so this changes nothing; it is handled after the state.
+        predecessor.send("{\"up\":\"s1\"}");
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        while (policies.get(1).learnedState == LearnedState.NONE && System.nanoTime() < deadline) {
             TimeUnit.MILLISECONDS.sleep(5);
         }
         balancer.loop().submit(() -> {}).get(20, TimeUnit.SECONDS);
@@ -174,16 +178,18 @@
     private static void assertLearned(Map<String, Object> recorded, LearnedState state) {
         Map<String, double[]> learned = LearnedStateCodec.encode(state);
         assertEquals(recorded.keySet(), learned.keySet());
-        recorded.forEach((name, figures) -> assertArrayEquals(
-                ((List<?>) figures)
-                        .stream().mapToDouble(f -> ((Number) f).doubleValue()).toArray(),
+        recorded.forEach((name, values) -> assertArrayEquals(
+                ((List<?>) values)
+                        .stream()
+                                .mapToDouble(value -> ((Number) value).doubleValue())
+                                .toArray(),
                 learned.get(name),
                 0,
                 name));
     }
 
     @Test
-    void aSuccessorRestoresEveryFigureOfTheRecordedDocument() throws Exception {
+    void aSuccessorRestoresEveryValueOfTheRecordedDocument() throws Exception {
         restoreRecordedState();
         Map<String, Object> state =
                 object(JSON.std.mapFrom(resource("recorded-state.json")).get("state"));
@@ -211,23 +217,23 @@
     @Test
     void aProcessSendsTheRecordedDocumentForTheRecordedState() throws Exception {
         restoreRecordedState();
-        Path socket = folder.resolve("handover.sock");
+        Path socket = directory.resolve("handover.sock");
         predecessor.close();
-        predecessorSocket.close();
+        predecessorListener.close();
         try (Peer successor = new Peer(connect(socket))) {
             successor.send("{\"want\":\"state\"}");
             assertEquals(JSON.std.mapFrom(resource("recorded-state.json")), JSON.std.mapFrom(successor.nextLine()));
         }
     }
 
-    // The name is moved to the process's own socket once that listens, which is just after it is ready.
+    // The process renames its own socket to this name once it listens, which is just after it is ready.
     private static SocketChannel connect(Path socket) throws IOException, InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (true) {
             try {
                 return SocketChannel.open(UnixDomainSocketAddress.of(socket));
             } catch (IOException e) {
-                if (System.nanoTime() > until) {
+                if (System.nanoTime() > deadline) {
                     throw e;
                 }
                 TimeUnit.MILLISECONDS.sleep(5);
@@ -248,7 +254,9 @@
         balancer.loop().submit(() -> balancer.operatorActions().restore("s1")).get(20, TimeUnit.SECONDS);
         sent.add(predecessor.nextLine());
         List<?> expected = ((List<?>) recorded.get("successor"))
-                .stream().filter(l -> !l.toString().startsWith("{\"open\":")).toList();
+                .stream()
+                        .filter(line -> !line.toString().startsWith("{\"open\":"))
+                        .toList();
         assertEquals(expected, sent);
     }
 
@@ -271,7 +279,7 @@
                                 .get("back"))
                         .get("s1"))
                 .longValue();
-        assertTrue(restored.startedAt() > recordedAt, "restored anew");
+        assertTrue(restored.startedAt() > recordedAt, "s1 was not restored again");
         assertEquals(
                 EndpointState.DRAINING,
                 policies.get(1).endpoints.get("one/127.0.0.1:18202").state());
--- a/balancer/src/test/java/loadbalancer/process/HandoverParticipantTest.java
+++ b/balancer/src/test/java/loadbalancer/process/HandoverParticipantTest.java
@@ -23,46 +23,46 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A process that replaces another, with one listening socket for clients between them. */
+/** A process replaces another, and both share one listening socket for clients. */
 class HandoverParticipantTest extends BalancerFixture {
-    // Not @TempDir's usual place alone: a Unix socket's path is short.
+    // The length of a Unix socket's path is limited, so the directory must have a short path.
     @TempDir
-    Path folder;
+    Path directory;
 
-    private ServerSocketChannel shared;
+    private ServerSocketChannel clientListener;
     private BalancerProcess successor;
-    private final ScriptedPolicy next = new ScriptedPolicy();
+    private final ScriptedPolicy successorPolicy = new ScriptedPolicy();
 
     @BeforeEach
-    void share() throws IOException {
-        shared = ServerSocketChannel.open(StandardProtocolFamily.INET);
-        shared.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+    void openListener() throws IOException {
+        clientListener = ServerSocketChannel.open(StandardProtocolFamily.INET);
+        clientListener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
 
     @AfterEach
-    void endBoth() throws IOException {
+    void stopSuccessor() throws IOException {
         if (successor != null) {
             successor.stop();
         }
-        shared.close();
+        clientListener.close();
     }
 
-    private BalancerProcess process(ScriptedPolicy with) throws IOException, InterruptedException {
+    private BalancerProcess startProcess(ScriptedPolicy scriptedPolicy) throws IOException, InterruptedException {
         BalancerProcess process = new BalancerProcess(
                 config(1024, settings(), 0),
-                new BalancerProcess.Platform(shared, folder),
-                (s, seed) -> with,
+                new BalancerProcess.Platform(clientListener, directory),
+                (policySettings, seed) -> scriptedPolicy,
                 false,
                 line -> {});
         listenAddress = process.start();
-        assertEquals("CACHED [s1=UP]", with.nextEvent());
+        assertEquals("CACHED [s1=UP]", scriptedPolicy.nextEvent());
         assertTrue(process.awaitReady(20_000));
         return process;
     }
 
-    private void awaitOffer() throws InterruptedException {
-        Path socket = folder.resolve("handover.sock");
-        while (!Files.exists(socket) || Files.isRegularFile(socket)) { // a process offers just after it is ready
+    private void awaitHandoverSocket() throws InterruptedException {
+        Path socket = directory.resolve("handover.sock");
+        while (!Files.exists(socket) || Files.isRegularFile(socket)) { // opened just after readiness
             TimeUnit.MILLISECONDS.sleep(5);
         }
     }
@@ -77,33 +77,33 @@
                 new LearnedState.Traffic(0.25, 0, 0, 0),
                 Map.of(),
                 Map.of());
-        balancer = process(policy);
-        awaitOffer();
+        balancer = startProcess(policy);
+        awaitHandoverSocket();
         balancer.loop().submit(() -> balancer.operatorActions().drain("s1")).get(20, TimeUnit.SECONDS);
         assertEquals("LOCAL_OVERRIDE [s1=DRAINING]", policy.nextEvent());
-        successor = process(next);
-        assertEquals("LOCAL_OVERRIDE [s1=DRAINING]", next.nextEvent());
-        assertEquals("restored arrivals 0.25", next.nextEvent());
-        assertEquals("slow-start fraction 0.5", next.nextEvent());
-        assertEquals("slow-start fraction 0.5", policy.nextEvent());
-        // A call to either of them holds for both.
+        successor = startProcess(successorPolicy);
+        assertEquals("LOCAL_OVERRIDE [s1=DRAINING]", successorPolicy.nextEvent());
+        assertEquals("restored arrivals 0.25", successorPolicy.nextEvent());
+        assertEquals("slow-start budget factor 0.5", successorPolicy.nextEvent());
+        assertEquals("slow-start budget factor 0.5", policy.nextEvent());
+        // An operator's call to either process applies to both.
         successor.loop().submit(() -> successor.operatorActions().restore("s1")).get(20, TimeUnit.SECONDS);
-        assertEquals("LOCAL_OVERRIDE [s1=UP]", next.nextEvent());
+        assertEquals("LOCAL_OVERRIDE [s1=UP]", successorPolicy.nextEvent());
         assertEquals("LOCAL_OVERRIDE [s1=UP]", policy.nextEvent());
         balancer.stop();
         balancer = null;
-        assertEquals("slow-start fraction 1.0", next.nextEvent());
+        assertEquals("slow-start budget factor 1.0", successorPolicy.nextEvent());
     }
 
-    private BalancerProcess withPools() throws IOException, InterruptedException {
+    private BalancerProcess startProcessWithOperatorFile() throws IOException, InterruptedException {
         BalancerProcess process = new BalancerProcess(
                 config(1024, settings(), 0),
-                new BalancerProcess.Platform(shared, folder),
+                new BalancerProcess.Platform(clientListener, directory),
                 JsqDasPolicy::new,
                 false,
                 line -> {});
         Path file = Files.writeString(
-                folder.resolve("operator.toml"),
+                directory.resolve("operator.toml"),
                 "[[pool]]\nname = \"one\"\nupstreams = [\"" + upstream.address() + "\", \"127.0.0.1:9\"]\n");
         assertTrue(process.applyOperatorFile(file, false));
         listenAddress = process.start();
@@ -112,33 +112,33 @@
     }
 
     @Test
-    void theSuccessorRestoresTheDrainsOfFurtherPools() throws Exception {
-        balancer = withPools();
-        awaitOffer();
+    void theSuccessorRestoresTheDrainsOfOperatorFilePools() throws Exception {
+        balancer = startProcessWithOperatorFile();
+        awaitHandoverSocket();
         String id = "one/" + upstream.address();
         assertTrue(balancer.loop()
                 .submit(() -> balancer.operatorActions().drain(id))
                 .get(20, TimeUnit.SECONDS));
-        successor = withPools();
-        while (upOf(successor) > 1) { // ready at once here, as there is no warm-up
+        successor = startProcessWithOperatorFile();
+        while (endpointsUp(successor) > 1) { // without a warm-up the process is ready before it has the state
             TimeUnit.MILLISECONDS.sleep(5);
         }
         assertTrue(balancer.loop()
                 .submit(() -> balancer.operatorActions().restore(id))
                 .get(20, TimeUnit.SECONDS));
-        while (upOf(successor) < 2) {
+        while (endpointsUp(successor) < 2) {
             TimeUnit.MILLISECONDS.sleep(5);
         }
         balancer.stop();
         balancer = null;
     }
 
-    private static int upOf(BalancerProcess process) throws Exception {
+    private static int endpointsUp(BalancerProcess process) throws Exception {
         return process.loop()
                 .submit(() -> {
                     process.gateway().updatePoolSizes();
                     return process.gateway().router().poolStatus().stream()
-                            .filter(p -> p.name().equals("one"))
+                            .filter(pool -> pool.name().equals("one"))
                             .findFirst()
                             .orElseThrow()
                             .endpointsUp();
@@ -148,11 +148,11 @@
 
     @Test
     void thePredecessorAnswersOpenRequestsAndAcceptsNoConnections() throws Exception {
-        balancer = process(policy);
-        awaitOffer();
-        Client held = new Client(listenAddress).send(IDEMPOTENT_REQUEST);
-        FakeUpstream.ReceivedRequest got = upstream.nextRequest();
-        successor = process(next);
+        balancer = startProcess(policy);
+        awaitHandoverSocket();
+        Client open = new Client(listenAddress).send(IDEMPOTENT_REQUEST);
+        FakeUpstream.ReceivedRequest received = upstream.nextRequest();
+        successor = startProcess(successorPolicy);
         Thread stop = new Thread(balancer::stop);
         stop.start();
         while (balancer.operatorActions().unreadiness() == null) {
@@ -165,27 +165,27 @@
                         client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus());
             }
         }
-        got.respond(200, "", "late but whole");
-        assertTrue(held.readResponse().startsWith("HTTP/1.1 200"));
-        assertNull(held.readResponse());
+        received.respond(200, "", "late but whole");
+        assertTrue(open.readResponse().startsWith("HTTP/1.1 200"));
+        assertNull(open.readResponse());
         stop.join();
         balancer = null;
     }
 
     @Test
     void aSocketLeftByADeadProcessIsReplaced() throws Exception {
-        Files.writeString(folder.resolve("handover.sock"), "left behind");
-        balancer = process(policy);
-        awaitOffer();
-        successor = process(next); // the name leads to the new process
-        assertEquals("LOCAL_OVERRIDE [s1=UP]", next.nextEvent());
+        Files.writeString(directory.resolve("handover.sock"), "left behind");
+        balancer = startProcess(policy);
+        awaitHandoverSocket();
+        successor = startProcess(successorPolicy); // connects to the new process by the same file name
+        assertEquals("LOCAL_OVERRIDE [s1=UP]", successorPolicy.nextEvent());
     }
 
     @Test
     void aHangingPredecessorTimesOut() throws Exception {
-        try (ServerSocketChannel hung = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
-            hung.bind(UnixDomainSocketAddress.of(folder.resolve("handover.sock")));
-            balancer = process(policy);
+        try (ServerSocketChannel hangingPredecessor = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
+            hangingPredecessor.bind(UnixDomainSocketAddress.of(directory.resolve("handover.sock")));
+            balancer = startProcess(policy);
             try (Client client = new Client(listenAddress)) {
                 assertEquals(
                         200,
@@ -195,7 +195,7 @@
     }
 
     @Test
-    void aDescriptorThatIsNoListenerIsAnError() {
+    void aDescriptorThatIsNotAListenerIsAnError() {
         assertThrows(IOException.class, () -> InheritedListener.find(Map.of("ROUTER_INHERITED_FD", "7")));
     }
 
--- a/balancer/src/test/java/loadbalancer/process/OperatorCallsTest.java
+++ b/balancer/src/test/java/loadbalancer/process/OperatorCallsTest.java
@@ -23,24 +23,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Operators' commands, and what becomes of an endpoint that they drain. */
+/** Operators' commands, and their effect on an endpoint that is drained or restored. */
 class OperatorCallsTest extends BalancerFixture {
-    private InetSocketAddress operators;
+    private InetSocketAddress operatorAddress;
 
     private void startWithOperators() throws IOException, InterruptedException {
         start();
-        operators = balancer.listenForOperators();
+        operatorAddress = balancer.listenForOperators();
     }
 
     private String call(String line) throws IOException {
-        try (Socket socket = new Socket(operators.getAddress(), operators.getPort())) {
+        try (Socket socket = new Socket(operatorAddress.getAddress(), operatorAddress.getPort())) {
             socket.setSoTimeout(20_000);
             socket.getOutputStream().write(line.getBytes(StandardCharsets.UTF_8));
             BufferedReader in =
                     new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
-            String answer = in.readLine();
-            assertNull(in.readLine()); // one line, and the end of the connection
-            return answer;
+            String reply = in.readLine();
+            assertNull(in.readLine()); // one line, and then the end of the connection
+            return reply;
         }
     }
 
@@ -59,9 +59,9 @@
         "reload,NAK",
         "'',NAK"
     })
-    void eachCommandGetsOneResponseLine(String line, String answer) throws IOException, InterruptedException {
+    void eachCommandGetsOneReplyLine(String line, String reply) throws IOException, InterruptedException {
         startWithOperators();
-        assertTrue(call(line + "\r\n").startsWith(answer + " "), line);
+        assertTrue(call(line + "\r\n").startsWith(reply + " "), line);
     }
 
     @Test
@@ -77,21 +77,22 @@
         startWithOperators();
         call("set-down s1\n");
         assertEquals("LOCAL_OVERRIDE [s1=DRAINING]", policy.nextEvent());
-        call("set-down s1\n"); // once more: nothing changes
-        EndpointList again = DiscoveryFormat.read(
-                JSON.std.anyFrom(list(42, true, "in_service")),
+        call("set-down s1\n"); // repeating it changes nothing
+        EndpointList sameList = DiscoveryFormat.read(
+                JSON.std.anyFrom(endpointList(42, true, "in_service")),
                 config(1024, settings(), 0).boot());
-        onLoop(() -> balancer.endpointsListed(EndpointListKind.SNAPSHOT, again));
+        onLoop(() -> balancer.endpointsListed(EndpointListKind.SNAPSHOT, sameList));
         assertEquals("SNAPSHOT [s1=DRAINING]", policy.nextEvent());
-        long before = System.currentTimeMillis() * 1000;
+        long beforeMicros = System.currentTimeMillis() * 1000;
         call("set-up s1\n");
         assertEquals("LOCAL_OVERRIDE [s1=UP]", policy.nextEvent());
-        // The balancer's clock is monotonic and set once, by a clock of whole milliseconds: a second to spare.
-        assertTrue(policy.startedAt.get("s1") >= before - 1_000_000);
-        long back = policy.startedAt.get("s1");
-        onLoop(() -> balancer.endpointsListed(EndpointListKind.SNAPSHOT, again));
+        // The balancer's monotonic clock is set once, from a clock with a resolution of 1 ms; the test allows for 1 s.
+        assertTrue(policy.startedAt.get("s1") >= beforeMicros - 1_000_000);
+        long restoredAtMicros = policy.startedAt.get("s1");
+        onLoop(() -> balancer.endpointsListed(EndpointListKind.SNAPSHOT, sameList));
         assertEquals("SNAPSHOT [s1=UP]", policy.nextEvent());
-        assertEquals(back, policy.startedAt.get("s1")); // the same start: it is not cold a second time
+        // It counts as started only once, so it is not cold again.
+        assertEquals(restoredAtMicros, policy.startedAt.get("s1"));
         call("set-up s1\n");
         assertTrue(policy.events.isEmpty());
     }
@@ -100,10 +101,10 @@
     void aDrainedEndpointStaysKnownWhileDiscoveryDoesNotListIt() throws IOException, InterruptedException {
         startWithOperators();
         call("set-down s1\n");
-        EndpointList gone = DiscoveryFormat.read(
+        EndpointList emptyList = DiscoveryFormat.read(
                 JSON.std.anyFrom("{\"rev\":42,\"all\":true,\"targets\":[]}"),
                 config(1024, settings(), 0).boot());
-        onLoop(() -> balancer.endpointsListed(EndpointListKind.SNAPSHOT, gone));
+        onLoop(() -> balancer.endpointsListed(EndpointListKind.SNAPSHOT, emptyList));
         assertTrue(call("set-down s1\n").startsWith("ACK "));
         assertTrue(call("set-up s1\n").startsWith("ACK "));
         assertTrue(call("set-up s1\n").startsWith("NAK ")); // it is neither listed nor drained any more
@@ -112,28 +113,28 @@
     @Test
     void silentCallersDoNotBlockOthers() throws IOException, InterruptedException {
         startWithOperators();
-        List<Socket> silent = new ArrayList<>();
+        List<Socket> silentCallers = new ArrayList<>();
         try {
             for (int i = 0; i < 200; i++) {
-                Socket socket = new Socket(operators.getAddress(), operators.getPort());
+                Socket socket = new Socket(operatorAddress.getAddress(), operatorAddress.getPort());
                 socket.getOutputStream().write("che".getBytes(StandardCharsets.UTF_8));
-                silent.add(socket);
+                silentCallers.add(socket);
             }
-            long asked = System.nanoTime();
+            long sentAtNanos = System.nanoTime();
             assertEquals("ACK ready", call("check\n"));
-            assertTrue(System.nanoTime() - asked < 1_000_000_000L);
+            assertTrue(System.nanoTime() - sentAtNanos < 1_000_000_000L);
         } finally {
-            for (Socket socket : silent) {
+            for (Socket socket : silentCallers) {
                 socket.close();
             }
         }
     }
 
     @Test
-    void checkIsRejectedUntilTheWarmUpIsOver() throws IOException, InterruptedException {
+    void checkIsRejectedUntilTheWarmUpHasEnded() throws IOException, InterruptedException {
         BalancerConfig config = config(1024, settings(), 0);
-        balancer = new BalancerProcess(config, (s, seed) -> policy, true, log::add);
-        operators = balancer.listenForOperators();
+        balancer = new BalancerProcess(config, (policySettings, seed) -> policy, true, log::add);
+        operatorAddress = balancer.listenForOperators();
         assertTrue(call("check\n").startsWith("NAK "));
         listenAddress = balancer.start();
         assertTrue(balancer.awaitReady(20_000));
@@ -162,8 +163,8 @@
                         .admin()
                         .getPort());
         json.put("admin_addr", "somewhere");
-        ProcessConfigException bad =
+        ProcessConfigException error =
                 assertThrows(ProcessConfigException.class, () -> BalancerConfigReader.read(Map.of(), json));
-        assertTrue(bad.getMessage().startsWith("admin_addr: "), bad.getMessage());
+        assertTrue(error.getMessage().startsWith("admin_addr: "), error.getMessage());
     }
 }
--- a/balancer/src/test/java/loadbalancer/process/OperatorFileLoaderTest.java
+++ b/balancer/src/test/java/loadbalancer/process/OperatorFileLoaderTest.java
@@ -12,11 +12,11 @@
 /** The configuration that an operator file is checked against. */
 class OperatorFileLoaderTest {
     @TempDir
-    Path folder;
+    Path directory;
 
     @Test
-    void anInvalidConfigurationIsAnErrorOfOneLine() throws IOException {
-        Path config = Files.writeString(folder.resolve("config.json"), "{\"settings\": 1}");
+    void settingsThatAreNotAnObjectAreAnErrorOfOneLine() throws IOException {
+        Path config = Files.writeString(directory.resolve("config.json"), "{\"settings\": 1}");
         IllegalArgumentException error =
                 assertThrows(IllegalArgumentException.class, () -> OperatorFileLoader.site(config));
         assertEquals("the configuration has no settings object", error.getMessage());
--- a/balancer/src/test/java/loadbalancer/process/PartialEndpointListTest.java
+++ b/balancer/src/test/java/loadbalancer/process/PartialEndpointListTest.java
@@ -21,24 +21,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Lists of more endpoints than a balancer may keep. */
+/** Lists with more endpoints than a balancer may keep. */
 class PartialEndpointListTest extends BalancerFixture {
-    private static final int MOST = 10;
-    private static final String OPEN = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final int MAX_ENDPOINTS = 10;
+    private static final String WATCH_RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     private String longList(int rev, boolean all, String state) {
         return "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":["
                 + IntStream.range(0, 100)
-                        .mapToObj(i -> target(state).replace("\"s1\"", "\"s" + i + "\""))
+                        .mapToObj(i -> endpointEntry(state).replace("\"s1\"", "\"s" + i + "\""))
                         .collect(Collectors.joining(","))
                 + "]}\n";
     }
 
-    private static int entries(String event) {
+    private static int entryCount(String event) {
         return event.length() - event.replace("=", "").length();
     }
 
-    private void startBounded(String known) throws IOException, InterruptedException {
+    private void startWithKnownList(String known) throws IOException, InterruptedException {
         Map<String, Object> settings = settings();
         settings.put("Balancers", 16);
         settings.put("Rank", 5);
@@ -54,7 +54,7 @@
                 "seed",
                 "8c1f30d27a5be964",
                 "limits",
-                Map.of("sockets", 1024, "upstreams", MOST),
+                Map.of("sockets", 1024, "upstreams", MAX_ENDPOINTS),
                 "settings",
                 settings));
         if (known != null) {
@@ -64,7 +64,7 @@
         Files.writeString(file, JSON.std.asString(json));
         balancer = new BalancerProcess(
                 BalancerConfigReader.read(Map.of("ROUTER_CONFIG", file.toString())),
-                (s, seed) -> policy,
+                (policySettings, seed) -> policy,
                 warmsUp,
                 line -> {
                     synchronized (log) {
@@ -75,16 +75,16 @@
         listenAddress = balancer.start();
     }
 
-    private String cached() throws InterruptedException {
+    private String nextCachedList() throws InterruptedException {
         String event = policy.nextEvent();
-        while (!event.startsWith("CACHED")) { // the fraction of the slow-start budget comes before it
+        while (!event.startsWith("CACHED")) { // the event with the slow-start budget factor comes first
             event = policy.nextEvent();
         }
         return event;
     }
 
-    private String call(InetSocketAddress operators, String line) throws IOException {
-        try (Socket socket = new Socket(operators.getAddress(), operators.getPort())) {
+    private String call(InetSocketAddress operatorAddress, String line) throws IOException {
+        try (Socket socket = new Socket(operatorAddress.getAddress(), operatorAddress.getPort())) {
             socket.setSoTimeout(20_000);
             socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
             return new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8))
@@ -94,13 +94,13 @@
 
     @Test
     void aStartWithALongListServesWithASubsetAndReportsIt() throws IOException, InterruptedException {
-        startBounded(longList(41, true, "in_service"));
-        String event = cached();
-        assertTrue(entries(event) > 0 && entries(event) <= MOST, event);
-        InetSocketAddress operators = balancer.listenForOperators();
+        startWithKnownList(longList(41, true, "in_service"));
+        String event = nextCachedList();
+        assertTrue(entryCount(event) > 0 && entryCount(event) <= MAX_ENDPOINTS, event);
+        InetSocketAddress operatorAddress = balancer.listenForOperators();
         assertTrue(balancer.awaitReady(20_000));
         String note = "; holds one part in 16 of a list of 100 upstreams, 10 at most";
-        assertEquals("ACK ready" + note, call(operators, "check"));
+        assertEquals("ACK ready" + note, call(operatorAddress, "check"));
         try (Client client = new Client(listenAddress)) {
             client.send("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n");
             assertTrue(client.readResponse().startsWith("HTTP/1.1 200"));
@@ -110,42 +110,42 @@
             assertEquals(
                     1,
                     log.stream()
-                            .filter(l -> l.startsWith("holds one part in 16"))
+                            .filter(line -> line.startsWith("holds one part in 16"))
                             .count(),
                     log.toString());
         }
-        // Whether there is such an endpoint cannot be known here; if it comes to be kept, it is drained.
-        String other = IntStream.range(0, 100)
+        // The balancer cannot know whether an endpoint that it does not keep exists, so it accepts the drain.
+        String unkeptId = IntStream.range(0, 100)
                 .mapToObj(i -> "s" + i)
-                .filter(s -> !event.contains(s + "="))
+                .filter(id -> !event.contains(id + "="))
                 .findFirst()
                 .orElseThrow();
-        assertTrue(call(operators, "set-down " + other).startsWith("ACK "));
+        assertTrue(call(operatorAddress, "set-down " + unkeptId).startsWith("ACK "));
     }
 
     @Test
-    void ofALongListOverAWatchASubsetIsKeptAndItsDrainsApply() throws IOException, InterruptedException {
-        startBounded(list(41, true, "in_service"));
-        assertEquals("CACHED [s1=UP]", cached());
+    void aSubsetOfALongWatchedListIsKeptAndItsDrainsApply() throws IOException, InterruptedException {
+        startWithKnownList(endpointList(41, true, "in_service"));
+        assertEquals("CACHED [s1=UP]", nextCachedList());
         onLoop(() -> policy.actions.watch(true));
         FakeUpstream.ReceivedRequest watch = discovery.nextRequest();
-        watch.write(OPEN);
+        watch.write(WATCH_RESPONSE_HEAD);
         watch.write(chunk(longList(42, true, "in_service")));
-        assertEquals("slow-start fraction 16.0", policy.nextEvent());
+        assertEquals("slow-start budget factor 16.0", policy.nextEvent());
         String event = policy.nextEvent();
-        assertTrue(event.startsWith("SNAPSHOT ") && entries(event) <= MOST, event);
+        assertTrue(event.startsWith("SNAPSHOT ") && entryCount(event) <= MAX_ENDPOINTS, event);
         watch.write(chunk(longList(43, false, "terminating")));
         assertEquals(event.replace("SNAPSHOT", "DELTA").replace("=UP", "=DRAINING"), policy.nextEvent());
     }
 
-    /** No endpoint that is kept may be sent to, and others may exist: another subset is polled at once. */
+    /** None of the kept endpoints is usable, but others may be, so the balancer polls for another subset at once. */
     @Test
     void aBalancerWithoutUsableEndpointsPollsForAnotherSubset() throws IOException, InterruptedException {
-        startBounded(longList(41, true, "in_service"));
-        String first = cached();
+        startWithKnownList(longList(41, true, "in_service"));
+        String first = nextCachedList();
         onLoop(() -> policy.actions.watch(true));
         FakeUpstream.ReceivedRequest watch = discovery.nextRequest();
-        watch.write(OPEN);
+        watch.write(WATCH_RESPONSE_HEAD);
         watch.write(chunk(longList(42, false, "terminating")));
         assertEquals(first.replace("CACHED", "DELTA").replace("=UP", "=DRAINING"), policy.nextEvent());
         FakeUpstream.ReceivedRequest fetch = discovery.nextRequest();
@@ -155,16 +155,17 @@
         while (!event.startsWith("SNAPSHOT")) {
             event = policy.nextEvent();
         }
-        assertTrue(entries(event) > 0, event);
+        assertTrue(entryCount(event) > 0, event);
         for (String entry :
                 first.substring(first.indexOf('[') + 1, first.length() - 1).split(", ")) {
-            assertTrue(!event.contains(entry + ",") && !event.contains(entry + "]"), entry + " again in " + event);
+            assertTrue(
+                    !event.contains(entry + ",") && !event.contains(entry + "]"), entry + " is kept again in " + event);
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"0", "-1", "2.5", "\"many\""})
-    void anInvalidBoundIsAnError(String bound) throws IOException {
+    void anInvalidMaxEndpointsIsAnError(String maxEndpoints) throws IOException {
         Path file = Files.createTempFile("long-list", ".json");
         Files.writeString(
                 file,
@@ -182,13 +183,13 @@
                                 settings(),
                                 "limits",
                                 Map.of("sockets", 100)))
-                        .replace("\"sockets\":100", "\"sockets\":100,\"upstreams\":" + bound));
-        ProcessConfigException bad = assertThrows(
+                        .replace("\"sockets\":100", "\"sockets\":100,\"upstreams\":" + maxEndpoints));
+        ProcessConfigException error = assertThrows(
                 ProcessConfigException.class,
                 () -> BalancerConfigReader.read(Map.of("ROUTER_CONFIG", file.toString())));
         Files.delete(file);
         assertEquals(
-                "limits: upstreams: expected a whole number of 1 or more, got " + bound.replace("\"", ""),
-                bad.getMessage());
+                "limits: upstreams: expected a whole number of 1 or more, got " + maxEndpoints.replace("\"", ""),
+                error.getMessage());
     }
 }
--- a/balancer/src/test/java/loadbalancer/process/ReadinessTest.java
+++ b/balancer/src/test/java/loadbalancer/process/ReadinessTest.java
@@ -6,12 +6,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The transitions on the way to serving clients. */
+/** The state transitions of a process until it serves clients. */
 class ReadinessTest {
-    private int readied;
+    private int readyCalls;
 
     private Readiness readiness(boolean warmsUp) {
-        return new Readiness(warmsUp, () -> readied++);
+        return new Readiness(warmsUp, () -> readyCalls++);
     }
 
     @Test
@@ -44,6 +44,6 @@
         readiness.endpointsAvailable();
         readiness.warmUpCompleted();
         assertEquals(Readiness.State.READY, readiness.state());
-        assertEquals(1, readied);
+        assertEquals(1, readyCalls);
     }
 }
--- a/balancer/src/test/java/loadbalancer/process/ReconfigurationTest.java
+++ b/balancer/src/test/java/loadbalancer/process/ReconfigurationTest.java
@@ -10,9 +10,9 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Settings that change while the balancer serves. */
+/** Reloads of the settings while the balancer serves. */
 class ReconfigurationTest extends BalancerFixture {
-    private static Map<String, Object> with(Map<String, Object> changes) {
+    private static Map<String, Object> settingsWith(Map<String, Object> changes) {
         Map<String, Object> settings = settings();
         settings.putAll(changes);
         return settings;
@@ -29,21 +29,22 @@
         balancer.loop().submit(() -> {}).awaitUninterruptibly(20_000);
     }
 
-    private static String get(String kind) {
-        return IDEMPOTENT_REQUEST.replace("Req-Kind: read", "Req-Kind: " + kind);
+    private static String get(String requestClass) {
+        return IDEMPOTENT_REQUEST.replace("Req-Kind: read", "Req-Kind: " + requestClass);
     }
 
     @Test
-    void addedClassesAreServedRemovedOnesAreNotAndOpenRequestsKeepTheirs() throws Exception {
+    void addedClassesAreServedRemovedOnesAreNotAndOpenRequestsKeepTheirClass() throws Exception {
         start();
         try (Client open = new Client(listenAddress);
                 Client other = new Client(listenAddress)) {
             open.send(IDEMPOTENT_REQUEST);
-            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
+            FakeUpstream.ReceivedRequest received = upstream.nextRequest();
             assertEquals("0 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
-            reload(with(Map.of("Classes", List.of(kind("book", "unsafe"), kind("look", "safe")))));
+            reload(settingsWith(
+                    Map.of("Classes", List.of(requestClass("book", "unsafe"), requestClass("look", "safe")))));
             assertEquals("reconfigured [2, -1] []", policy.nextEvent());
-            got.respond(200, "", "of a class that is gone");
+            received.respond(200, "", "of a class that is gone");
             assertEquals(200, open.readStatus());
             other.send(get("look").replace("r1", "r2"));
             assertEquals("1 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
@@ -60,7 +61,7 @@
         try (Client client = new Client(listenAddress)) {
             client.send(IDEMPOTENT_REQUEST);
             FakeUpstream.ReceivedRequest first = upstream.nextRequest();
-            reload(with(Map.of(
+            reload(settingsWith(Map.of(
                     "Limits",
                     Map.of(
                             "TryLimit",
@@ -84,29 +85,29 @@
     @Test
     void anInvalidConfigurationChangesNothing() throws Exception {
         start();
-        Map<String, Object> noTries =
+        Map<String, Object> zeroMaxAttempts =
                 new HashMap<>(Map.of("TryLimit", 0, "MayDuplicate", true, "Cancel", true, "Probes", true));
-        Map<String, Object> noDeadline = new HashMap<>(kind("read", "safe"));
-        noDeadline.put("GiveUp", -5);
-        Map<String, Object> noName = new HashMap<>(kind("look", "safe"));
-        noName.remove("Name");
-        Map<String, Object> noAim = new HashMap<>(kind("look", "safe"));
-        noAim.remove("GoalTime");
-        Map<String, Object> noZones = settings();
-        noZones.remove("Areas");
-        for (Map<String, Object> broken : List.of(
-                with(Map.of("Limits", noTries)),
-                with(Map.of("Classes", List.of(noDeadline))),
-                with(Map.of("Classes", List.of(noName))),
-                with(Map.of("Classes", List.of(noAim))),
-                with(Map.of("Classes", List.of())),
-                noZones)) {
+        Map<String, Object> negativeDeadline = new HashMap<>(requestClass("read", "safe"));
+        negativeDeadline.put("GiveUp", -5);
+        Map<String, Object> missingName = new HashMap<>(requestClass("look", "safe"));
+        missingName.remove("Name");
+        Map<String, Object> missingLatencyObjective = new HashMap<>(requestClass("look", "safe"));
+        missingLatencyObjective.remove("GoalTime");
+        Map<String, Object> missingZones = settings();
+        missingZones.remove("Areas");
+        for (Map<String, Object> invalid : List.of(
+                settingsWith(Map.of("Limits", zeroMaxAttempts)),
+                settingsWith(Map.of("Classes", List.of(negativeDeadline))),
+                settingsWith(Map.of("Classes", List.of(missingName))),
+                settingsWith(Map.of("Classes", List.of(missingLatencyObjective))),
+                settingsWith(Map.of("Classes", List.of())),
+                missingZones)) {
             int lines = log.size();
-            reload(broken);
+            reload(invalid);
             assertEquals(lines + 1, log.size());
             assertTrue(log.get(lines).startsWith("configuration rejected: "), log.get(lines));
         }
-        assertTrue(policy.events.stream().noneMatch(t -> t.startsWith("reconfigured")));
+        assertTrue(policy.events.stream().noneMatch(event -> event.startsWith("reconfigured")));
         try (Client client = new Client(listenAddress)) {
             client.send(IDEMPOTENT_REQUEST);
             upstream.nextRequest().respond(200, "", "as before");
--- a/balancer/src/test/java/loadbalancer/process/RequestDeadlineTest.java
+++ b/balancer/src/test/java/loadbalancer/process/RequestDeadlineTest.java
@@ -6,44 +6,44 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** The deadline that an attempt passes on is at most what the client has left, however busy the event loop was. */
+/** The deadline sent with an attempt is at most the time that the client has left, however busy the event loop was. */
 class RequestDeadlineTest extends BalancerFixture {
-    private static final long BUSY_NS = 400_000_000;
-    private static final int BUSY_MS = 400;
-    private static final int TIME_MS = 20_000; // as the request says
+    private static final long BUSY_NANOS = 400_000_000;
+    private static final int BUSY_MILLIS = 400;
+    private static final int DEADLINE_MILLIS = 20_000; // as the request header says
 
-    // What the loop does when it is busy: nothing is read and nothing noticed meanwhile.
-    private static void busy() {
-        long until = System.nanoTime() + BUSY_NS;
-        while (System.nanoTime() < until) {
+    // Keeps the event loop busy; it reads nothing and handles no event meanwhile.
+    private static void keepBusy() {
+        long deadline = System.nanoTime() + BUSY_NANOS;
+        while (System.nanoTime() < deadline) {
             Thread.onSpinWait();
         }
     }
 
-    private int told() throws InterruptedException {
+    private int forwardedDeadlineMillis() throws InterruptedException {
         return Integer.parseInt(upstream.nextRequest().header("Req-Deadline-Ms"));
     }
 
     @Test
-    void timeUnreadCountsAgainstTheDeadline() throws IOException, InterruptedException {
+    void timeBeforeTheRequestIsReadCountsAgainstTheDeadline() throws IOException, InterruptedException {
         start();
         try (Client client = new Client(listenAddress)) {
             client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").readStatus();
             CountDownLatch sent = new CountDownLatch(1);
-            CountDownLatch held = new CountDownLatch(1);
+            CountDownLatch loopBlocked = new CountDownLatch(1);
             onLoop(() -> {
-                held.countDown();
+                loopBlocked.countDown();
                 await(sent);
-                busy();
+                keepBusy();
             });
-            held.await();
+            loopBlocked.await();
             client.send(IDEMPOTENT_REQUEST);
             sent.countDown();
-            assertTrue(told() <= TIME_MS - BUSY_MS);
+            assertTrue(forwardedDeadlineMillis() <= DEADLINE_MILLIS - BUSY_MILLIS);
         }
     }
 
-    /** The time to connect is the client's: it is taken from the deadline that is passed on. */
+    /** The time to connect is subtracted from the deadline that is forwarded. */
     @Test
     void timeToConnectCountsAgainstTheDeadline() throws IOException, InterruptedException {
         start();
@@ -53,23 +53,23 @@
             policy.requests.take();
             onLoop(() -> {
                 policy.actions.send("1", "s1", 0);
-                busy(); // the connection is up meanwhile, and nobody looks
+                keepBusy(); // the connection is established meanwhile, but the loop does not notice
             });
-            int told = told();
-            assertTrue(told <= TIME_MS - BUSY_MS, "told " + told);
+            int forwardedMillis = forwardedDeadlineMillis();
+            assertTrue(forwardedMillis <= DEADLINE_MILLIS - BUSY_MILLIS, "forwarded " + forwardedMillis);
         }
     }
 
-    /** Pipelined: its time runs while the request before it is answered. */
+    /** The time of a pipelined request runs while the request before it is served. */
     @Test
     void timeBehindAPipelinedRequestCountsAgainstTheDeadline() throws IOException, InterruptedException {
         start();
         try (Client client = new Client(listenAddress)) {
             client.send(IDEMPOTENT_REQUEST + IDEMPOTENT_REQUEST.replace("Req-Id: r1", "Req-Id: r2"));
             FakeUpstream.ReceivedRequest first = upstream.nextRequest();
-            busy();
+            keepBusy();
             first.respond(200, "", "ok");
-            assertTrue(told() <= TIME_MS - BUSY_MS);
+            assertTrue(forwardedDeadlineMillis() <= DEADLINE_MILLIS - BUSY_MILLIS);
         }
     }
 
