--- a/balancer/src/main/java/loadbalancer/dispatch/AttemptRunner.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/AttemptRunner.java
@@ -52,7 +52,7 @@
         openRequest.attempts.add(attempt);
         openRequest.attemptsInFlight++;
         InboundRequest request = openRequest.request;
-        BodyStream remainder = request.bodyRemainder();
+        BodyStream remainder = request.streamedBody();
         boolean arriving = remainder != null && !remainder.isComplete();
         long timeLeftMicros = (arriving ? request.timeLeftMicros() : openRequest.deadlineMicros - nowMicros)
                 - RequestDispatcher.LAST_RESORT_MARGIN_MICROS
@@ -73,7 +73,7 @@
 
     private static boolean maySend(Attempt attempt, long limitMicros) {
         OpenRequest openRequest = attempt.openRequest;
-        BodyStream remainder = openRequest.request.bodyRemainder();
+        BodyStream remainder = openRequest.request.streamedBody();
         return !openRequest.closed
                 && limitMicros > 0
                 && attempt.number < openRequest.maxAttempts
--- a/balancer/src/main/java/loadbalancer/dispatch/RequestDispatcher.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/RequestDispatcher.java
@@ -75,10 +75,10 @@
                 nowMicros() + request.timeLeftMicros(),
                 siteSettings.settings().limits().maxAttempts());
         openRequests.add(openRequest);
-        if (request.bodyRemainder() == null) {
+        if (request.streamedBody() == null) {
             startDeadline(openRequest);
         } else {
-            request.bodyRemainder().whenComplete(() -> startDeadline(openRequest));
+            request.streamedBody().whenComplete(() -> startDeadline(openRequest));
         }
         events.submit(nowMicros -> policy.request(
                 nowMicros,
--- a/balancer/src/main/java/loadbalancer/http/ClientConnection.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientConnection.java
@@ -287,9 +287,9 @@
 
     private void serve(PipelinedRequests.Entry request) {
         reservedBytes = request.body().length;
-        servedBody = request.bodyRemainder();
+        servedBody = request.streamedBody();
         long waitedMicros = (System.nanoTime() - request.sentAtNanos()) / 1000;
-        requestHandler.handle(this, request.head(), request.body(), request.bodyRemainder(), waitedMicros);
+        requestHandler.handle(this, request.head(), request.body(), request.streamedBody(), waitedMicros);
     }
 
     // ---- responses
@@ -327,7 +327,7 @@
     /** Forwards a response that has begun, as it arrives; {@code chunked}: its client understands chunks. */
     void stream(UpstreamResponse response, boolean keepAlive, boolean chunked) {
         releaseRequest();
-        BodyStream body = response.bodyRemainder();
+        BodyStream body = response.streamedBody();
         boolean delimited = body.lengthBytes() >= 0 || chunked;
         boolean stays = keepAlive && delimited && !requestHandler.isStopping();
         writer.writeHead(response, chunked, stays);
--- a/balancer/src/main/java/loadbalancer/http/ClientRequestHandler.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientRequestHandler.java
@@ -67,20 +67,20 @@
     /**
      * Serves a request; its response is written to {@code client} now or later.
      *
-     * @param body the whole body, or none of it where {@code bodyRemainder} is not null
+     * @param body the whole body, or none of it where {@code streamedBody} is not null
      * @param waitedMicros for how long the request may have waited since its client sent its last byte
      */
-    void handle(ClientConnection client, HttpRequest head, byte[] body, BodyStream bodyRemainder, long waitedMicros) {
+    void handle(ClientConnection client, HttpRequest head, byte[] body, BodyStream streamedBody, long waitedMicros) {
         String path = head.uri();
         boolean warmUpRequest = warmUp != null && warmUp.matches(head.headers());
         if (warmUpRequest && path.equals(WarmUpTraffic.UPSTREAM_PATH)) {
             respondAsUpstream(client, head);
         } else if (warmUpRequest && path.equals(WarmUpTraffic.CLIENT_PATH)) {
-            dispatch(client, head, body, bodyRemainder, waitedMicros, true);
+            dispatch(client, head, body, streamedBody, waitedMicros, true);
         } else if (path.startsWith(OWN_PATHS)) {
             respondToCheck(client, head);
         } else {
-            dispatch(client, head, body, bodyRemainder, waitedMicros, false);
+            dispatch(client, head, body, streamedBody, waitedMicros, false);
         }
     }
 
@@ -111,7 +111,7 @@
             ClientConnection client,
             HttpRequest head,
             byte[] body,
-            BodyStream bodyRemainder,
+            BodyStream streamedBody,
             long waitedMicros,
             boolean warmUpRequest) {
         if (servingState.isStopping() && servingState.stoppingNanos() > MAX_STOPPING_NANOS) {
@@ -120,7 +120,7 @@
         }
         InboundRequest request;
         try {
-            request = parse(head, body, bodyRemainder, waitedMicros);
+            request = parse(head, body, streamedBody, waitedMicros);
         } catch (IllegalArgumentException e) {
             client.refuse(HttpResponseStatus.BAD_REQUEST, e.getMessage());
             return;
@@ -141,9 +141,9 @@
     }
 
     // A client's time runs from its last byte, not from when this process came to read it.
-    private InboundRequest parse(HttpRequest head, byte[] body, BodyStream bodyRemainder, long waitedMicros) {
-        InboundRequest request = InboundRequestParser.parse(head, body, bodyRemainder, siteSettings);
-        return bodyRemainder == null
+    private InboundRequest parse(HttpRequest head, byte[] body, BodyStream streamedBody, long waitedMicros) {
+        InboundRequest request = InboundRequestParser.parse(head, body, streamedBody, siteSettings);
+        return streamedBody == null
                 ? request.withTimeLeft(Math.max(0, request.timeLeftMicros() - waitedMicros))
                 : request;
     }
--- a/balancer/src/main/java/loadbalancer/http/HttpClientResponder.java
+++ b/balancer/src/main/java/loadbalancer/http/HttpClientResponder.java
@@ -29,7 +29,7 @@
     @Override
     public void respond(UpstreamResponse response) {
         responded = true;
-        if (response.bodyRemainder() != null) {
+        if (response.streamedBody() != null) {
             client.stream(response, keepAlive, chunked);
             return;
         }
--- a/balancer/src/main/java/loadbalancer/http/InboundRequestParser.java
+++ b/balancer/src/main/java/loadbalancer/http/InboundRequestParser.java
@@ -32,10 +32,10 @@
     /**
      * Returns the request whose head has been read.
      *
-     * @param body the whole body, or none of it where {@code bodyRemainder} is not null
+     * @param body the whole body, or none of it where {@code streamedBody} is not null
      * @throws IllegalArgumentException where it can't be taken; the message is the reason for the client
      */
-    static InboundRequest parse(HttpRequest head, byte[] body, BodyStream bodyRemainder, BootSettings siteSettings) {
+    static InboundRequest parse(HttpRequest head, byte[] body, BodyStream streamedBody, BootSettings siteSettings) {
         HttpHeaders headers = head.headers();
         requireSingleValues(headers);
         String id = headers.get(HeaderNames.REQUEST_ID, "");
@@ -63,7 +63,7 @@
                 uri,
                 EndToEndHeaders.copyOf(headers),
                 body,
-                bodyRemainder,
+                streamedBody,
                 requestClass,
                 tenant,
                 keyOf(uri),
--- a/balancer/src/main/java/loadbalancer/http/PipelinedRequests.java
+++ b/balancer/src/main/java/loadbalancer/http/PipelinedRequests.java
@@ -14,7 +14,7 @@
      *
      * @param sentAtNanos the latest that its client can have sent the last byte that was read, by System.nanoTime
      */
-    record Entry(HttpRequest head, byte[] body, BodyStream bodyRemainder, long sentAtNanos) {}
+    record Entry(HttpRequest head, byte[] body, BodyStream streamedBody, long sentAtNanos) {}
 
     private final ArrayDeque<Entry> waiting = new ArrayDeque<>();
     private final BodyMemoryBudget memory;
@@ -52,8 +52,8 @@
     void clear() {
         for (Entry entry = waiting.poll(); entry != null; entry = waiting.poll()) {
             memory.release(entry.body().length);
-            if (entry.bodyRemainder() != null) {
-                entry.bodyRemainder().discard();
+            if (entry.streamedBody() != null) {
+                entry.streamedBody().discard();
             }
         }
     }
--- a/balancer/src/main/java/loadbalancer/http/ResponseWriter.java
+++ b/balancer/src/main/java/loadbalancer/http/ResponseWriter.java
@@ -49,7 +49,7 @@
     void writeHead(UpstreamResponse upstreamResponse, boolean chunked, boolean keepAlive) {
         DefaultHttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         setContentType(response, upstreamResponse.contentType());
-        long lengthBytes = upstreamResponse.bodyRemainder().lengthBytes();
+        long lengthBytes = upstreamResponse.streamedBody().lengthBytes();
         if (lengthBytes >= 0) {
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, lengthBytes);
         } else if (chunked) {
--- a/balancer/src/main/java/loadbalancer/transport/InboundRequest.java
+++ b/balancer/src/main/java/loadbalancer/transport/InboundRequest.java
@@ -5,12 +5,12 @@
 
 /**
  * A client's request: what is forwarded to an upstream unchanged, and what the policy is given of it. Immutable but for
- * the state of {@code bodyRemainder}.
+ * the state of {@code streamedBody}.
  *
  * @param id the client's own id of the request, {@link HeaderNames#REQUEST_ID}
  * @param headers end-to-end headers alone
- * @param body the whole body, or none of it where {@code bodyRemainder} is set
- * @param bodyRemainder the body where it is forwarded as it arrives; null where {@code body} holds it whole
+ * @param body the whole body, or none of it where {@code streamedBody} is set
+ * @param streamedBody the body where it is forwarded as it arrives; null where {@code body} holds it whole
  * @param requestClass index into the classes of the settings; -1 for a probe
  * @param tenant index into the tenants of the settings; 0 where there are none
  * @param key what the request concerns, or null
@@ -24,7 +24,7 @@
         String uri,
         HttpHeaders headers,
         byte[] body,
-        BodyStream bodyRemainder,
+        BodyStream streamedBody,
         int requestClass,
         int tenant,
         String key,
@@ -39,7 +39,7 @@
                 uri,
                 headers,
                 body,
-                bodyRemainder,
+                streamedBody,
                 requestClass,
                 tenant,
                 key,
@@ -56,7 +56,7 @@
                 otherUri,
                 headers,
                 body,
-                bodyRemainder,
+                streamedBody,
                 requestClass,
                 tenant,
                 key,
--- a/balancer/src/main/java/loadbalancer/upstream/RequestMessages.java
+++ b/balancer/src/main/java/loadbalancer/upstream/RequestMessages.java
@@ -55,7 +55,7 @@
     }
 
     private static void setFraming(FullHttpRequest message, InboundRequest request) {
-        BodyStream remainder = request.bodyRemainder();
+        BodyStream remainder = request.streamedBody();
         if (remainder != null && remainder.lengthBytes() >= 0) {
             HttpUtil.setContentLength(message, remainder.lengthBytes());
         } else if (remainder != null) {
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamConnection.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamConnection.java
@@ -123,7 +123,7 @@
         progress = RequestProgress.SENDING;
         reader.expectResponse();
         FullHttpRequest message = RequestMessages.create(next, address);
-        if (next.request().bodyRemainder() == null) {
+        if (next.request().streamedBody() == null) {
             channel.writeAndFlush(message).addListener(done -> onRequestWritten(next, done.isSuccess()));
         } else {
             stream(next, message);
@@ -132,7 +132,7 @@
 
     private void stream(UpstreamCall sent, FullHttpRequest message) {
         channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, message.method(), message.uri(), message.headers()));
-        upload = sent.request().bodyRemainder();
+        upload = sent.request().streamedBody();
         upload.forwardTo(new RequestBodyWriter(this, sent, channel));
     }
 
@@ -212,7 +212,7 @@
     public void onResponseStarted(UpstreamResponse response) {
         UpstreamCall ending = call;
         call = null;
-        download = response.bodyRemainder();
+        download = response.streamedBody();
         boolean sent = progress == RequestProgress.SENT;
         if (!sent || ending == null) {
             download.discard();
