--- a/balancer/src/main/java/loadbalancer/transport/BodyBuffer.java
+++ b/balancer/src/main/java/loadbalancer/transport/BodyBuffer.java
@@ -6,8 +6,8 @@
 import java.util.Arrays;
 
 /**
- * Collects one body of at most {@link BodyLimits#MAX_BUFFERED_BYTES} on the heap, copied off the socket's buffers. One
- * connection reuses one buffer for message after message; not thread-safe.
+ * Collects one message body of at most {@link BodyLimits#MAX_BUFFERED_BYTES} on the heap, copied from the buffers of
+ * the socket. A connection reuses one buffer for all of its messages. Not thread-safe.
  */
 public final class BodyBuffer {
     private static final byte[] EMPTY = new byte[0];
@@ -20,12 +20,12 @@
         return lengthBytes;
     }
 
-    /** Returns whether that many more bytes stay within the limit. */
+    /** Returns whether {@code moreBytes} further bytes stay within the limit. */
     public boolean fits(int moreBytes) {
         return lengthBytes + moreBytes <= BodyLimits.MAX_BUFFERED_BYTES;
     }
 
-    /** Appends what is readable of {@code more}, which {@link #fits}; its reference stays the caller's. */
+    /** Appends the readable bytes of {@code more}, which must {@link #fits fit}; the caller still has to release it. */
     public void append(ByteBuf more) {
         int count = more.readableBytes();
         if (lengthBytes == 0) {
@@ -39,21 +39,21 @@
         lengthBytes += count;
     }
 
-    /** Returns the body and empties this buffer, which keeps no reference to what it returned. */
+    /** Returns the body and empties this buffer, which keeps no reference to the returned array. */
     public byte[] takeArray() {
         byte[] body = bytes.length == lengthBytes ? bytes : Arrays.copyOf(bytes, lengthBytes);
         clear();
         return body;
     }
 
-    /** Returns the body as a Netty buffer and empties this buffer, which keeps no reference to what it returned. */
+    /** Returns the body as a Netty buffer and empties this buffer, which keeps no reference to the returned bytes. */
     public ByteBuf takeByteBuf() {
         ByteBuf body = Unpooled.wrappedBuffer(bytes, 0, lengthBytes);
         clear();
         return body;
     }
 
-    /** Drops what has been collected. */
+    /** Discards the collected bytes. */
     public void clear() {
         bytes = EMPTY;
         lengthBytes = 0;
--- a/balancer/src/main/java/loadbalancer/transport/BodyMemoryBudget.java
+++ b/balancer/src/main/java/loadbalancer/transport/BodyMemoryBudget.java
@@ -1,20 +1,20 @@
 package loadbalancer.transport;
 
 /**
- * The memory that clients' bodies may take together, from their arrival until their requests have their responses. Each
- * connection keeps to its own limit; this one keeps many connections together from filling the heap. One object serves
- * all client connections, on the event loop's thread.
+ * Limits the memory that the request bodies of all clients take together, from their arrival until the responses are
+ * written. The limit of each connection alone would not keep many connections from filling the heap. One object serves
+ * all client connections; it is used on the event loop's thread only.
  */
 public final class BodyMemoryBudget {
     private final long capacityBytes;
     private long reservedBytes;
 
-    /** Creates a budget of that many bytes. */
+    /** Creates a budget of {@code capacityBytes}. */
     public BodyMemoryBudget(long capacityBytes) {
         this.capacityBytes = capacityBytes;
     }
 
-    /** Reserves that many bytes; returns false, and reserves none, where they exceed the capacity. */
+    /** Reserves {@code bytes}; returns false and reserves nothing if they would exceed the capacity. */
     public boolean tryReserve(int bytes) {
         if (reservedBytes + bytes > capacityBytes) {
             return false;
@@ -24,14 +24,14 @@
     }
 
     /**
-     * As {@link #tryReserve}, for bytes that could as well wait in the socket's buffer: half of the capacity stays for
-     * those that can't.
+     * Reserves bytes that could also wait in the socket's buffer, like {@link #tryReserve} but only up to half of the
+     * capacity. The other half remains for bytes that can't wait.
      */
     public boolean tryReserveDeferrable(int bytes) {
         return reservedBytes + bytes <= capacityBytes / 2 && tryReserve(bytes);
     }
 
-    /** Returns bytes that had been reserved. */
+    /** Gives back {@code bytes} of the reserved ones. */
     public void release(int bytes) {
         reservedBytes -= bytes;
     }
--- a/balancer/src/main/java/loadbalancer/transport/BodyStream.java
+++ b/balancer/src/main/java/loadbalancer/transport/BodyStream.java
@@ -8,25 +8,26 @@
 import java.util.List;
 
 /**
- * A body that is forwarded as it arrives, from the connection that brings it, its source, to one {@link Sink}. What
- * arrives before there is a sink is queued here, and the source is read only while the sink is writable. With a {@link
- * BodyMemoryBudget} the source is read for a while also before there is a sink: the end of a connection shows only
- * behind all that arrived before it, and nothing is to be forwarded for a client that has left. Source and sink run on
- * the same event loop.
+ * A body that is forwarded as it arrives, from a source (the connection that receives it) to one {@link Sink}. Data
+ * that arrives before the sink is set is queued, and the source is read only while the sink is writable.
+ *
+ * <p>A disconnect of the source can be detected only after all data before it has been read, and a request must not be
+ * forwarded for a client that has disconnected. With a {@link BodyMemoryBudget} the source is therefore also read
+ * before the sink is set, within limits. Source and sink run on the same event loop.
  */
 public final class BodyStream {
-    /** The side that a body is forwarded to. */
+    /** The destination of a body. */
     public interface Sink {
-        /** Takes over {@code bytes} with its reference. */
+        /** Consumes {@code bytes}, which the sink has to release. */
         void onData(ByteBuf bytes);
 
-        /** The last byte has been given to {@link #onData}. */
+        /** Called after the last byte has been given to {@link #onData}. */
         void onComplete();
 
-        /** The body breaks off: nothing more follows. */
+        /** Called if the body ends early; no further call follows. */
         void onAborted();
 
-        /** Returns whether more can be taken without queueing it. */
+        /** Returns whether the sink can take more data without queueing it. */
         boolean isWritable();
     }
 
@@ -35,41 +36,41 @@
     private final Channel source;
     private final long lengthBytes;
     private final BodyMemoryBudget memory;
-    private int reservedBytes; // of what is queued
+    private int reservedBytes; // of the memory budget, for queued data
     private final ArrayDeque<ByteBuf> queued = new ArrayDeque<>();
     private final List<Runnable> completionListeners = new ArrayList<>(1);
     private Sink sink;
     private boolean consumed;
     private boolean complete;
-    private boolean closed; // nobody wants more of it, or no more follows
+    private boolean closed; // all data has been forwarded, or the rest is discarded
     private boolean paused;
     private long pausedAtNanos;
     private long pausedNanos;
     private long progressAtNanos = System.nanoTime();
 
-    /** Creates a stream without a memory budget; {@code lengthBytes} is -1 where it isn't known beforehand. */
+    /** Creates a stream without a memory budget; {@code lengthBytes} is -1 if the length is not declared. */
     public BodyStream(Channel source, long lengthBytes) {
         this(source, lengthBytes, null);
     }
 
-    /** Creates a stream whose queue is counted against {@code memory}, which may be null. */
+    /** Creates a stream whose queue is counted against {@code memory}, if that is not null. */
     public BodyStream(Channel source, long lengthBytes, BodyMemoryBudget memory) {
         this.source = source;
         this.lengthBytes = lengthBytes;
         this.memory = memory;
     }
 
-    /** Returns the connection that brings the body. */
+    /** Returns the connection that receives the body. */
     public Channel source() {
         return source;
     }
 
-    /** Returns the declared length in bytes, or -1. */
+    /** Returns the declared length in bytes, or -1 if there is none. */
     public long lengthBytes() {
         return lengthBytes;
     }
 
-    /** Returns whether a sink has had some of the body, so that it can't be forwarded a second time. */
+    /** Returns whether a sink has been set or the body discarded, so that it can't be forwarded again. */
     public boolean isConsumed() {
         return consumed;
     }
@@ -79,17 +80,17 @@
         return complete;
     }
 
-    /** Returns for how long nothing has arrived although it could have; 0 while the source is not read. */
+    /** Returns for how long no data has arrived while the source was read; 0 while it is not read. */
     public long stalledNanos(long nowNanos) {
         return paused || closed || complete ? 0 : nowNanos - progressAtNanos;
     }
 
-    /** Returns for how long the source was not read because the sink was not writable. */
+    /** Returns the total time for which reading from the source was paused, without a pause that still lasts. */
     public long pausedNanos() {
         return pausedNanos;
     }
 
-    /** Runs {@code listener} when the last byte has arrived; at once where it has. */
+    /** Runs {@code listener} when the last byte has arrived, or immediately if it already has. */
     public void whenComplete(Runnable listener) {
         if (complete) {
             listener.run();
@@ -100,7 +101,7 @@
 
     // ---- called by the source
 
-    /** Forwards or queues more of the body, and takes over its reference. */
+    /** Forwards or queues a part of the body, and releases it in the end. */
     public void write(ByteBuf bytes) {
         progressAtNanos = System.nanoTime();
         if (closed) {
@@ -113,7 +114,7 @@
         }
     }
 
-    // Copied, as a few bytes would keep all of the buffer that they were read into.
+    // The bytes are copied because a small slice would keep the whole buffer that it was read into from being freed.
     private void enqueue(ByteBuf bytes) {
         int count = bytes.readableBytes();
         if (memory != null && reservedBytes + count <= MAX_QUEUED_BYTES && memory.tryReserveDeferrable(count)) {
@@ -133,48 +134,48 @@
         }
     }
 
-    /** Marks the body as complete. */
+    /** Marks the body as complete: its last byte has been written. */
     public void complete() {
         complete = true;
         completionListeners.forEach(Runnable::run);
         completionListeners.clear();
         if (sink != null && !closed) {
-            Sink receiver = sink;
+            Sink previousSink = sink;
             closed = true;
-            receiver.onComplete();
+            previousSink.onComplete();
         }
     }
 
-    /** The source has gone; without effect on a body that is complete. */
+    /** Ends the body early as its source has closed; has no effect on a complete body. */
     public void abort() {
         if (!complete && !closed) {
-            Sink receiver = sink;
+            Sink previousSink = sink;
             discard();
-            if (receiver != null) {
-                receiver.onAborted();
+            if (previousSink != null) {
+                previousSink.onAborted();
             }
         }
     }
 
     // ---- called by the sink
 
-    /** Forwards what is queued, and all that follows, to {@code receiver}. */
-    public void forwardTo(Sink receiver) {
-        sink = receiver;
+    /** Forwards the queued data and all further data to {@code newSink}. */
+    public void forwardTo(Sink newSink) {
+        sink = newSink;
         consumed = true;
         while (!queued.isEmpty()) {
-            receiver.onData(queued.poll());
+            newSink.onData(queued.poll());
         }
         releaseMemory();
         if (complete) {
             closed = true;
-            receiver.onComplete();
+            newSink.onComplete();
         } else {
             writabilityChanged();
         }
     }
 
-    /** Reads the source, or ceases to, as the sink is writable or not. */
+    /** Resumes or pauses reading from the source, depending on whether the sink is writable. */
     public void writabilityChanged() {
         if (sink != null && sink.isWritable()) {
             resume();
@@ -183,7 +184,7 @@
         }
     }
 
-    /** Nobody wants the rest: what still arrives is read and dropped. */
+    /** Discards the queued data; data that still arrives is read and discarded. */
     public void discard() {
         closed = true;
         sink = null;
@@ -199,7 +200,7 @@
         if (!closed) {
             pausedAtNanos = paused ? pausedAtNanos : System.nanoTime();
             paused = true;
-            source.config().setAutoRead(false); // each time: others may have turned it on
+            source.config().setAutoRead(false); // on each call, as other code may have turned it on
         }
     }
 
--- a/balancer/src/main/java/loadbalancer/transport/ChannelBufferSettings.java
+++ b/balancer/src/main/java/loadbalancer/transport/ChannelBufferSettings.java
@@ -4,9 +4,9 @@
 import io.netty.channel.RecvByteBufAllocator;
 import io.netty.channel.WriteBufferWaterMark;
 
-/** How much is read from a connection at a time, and how much may wait to be written to one. */
+/** Limits for how much is read from a connection at a time and how much may wait to be written to it. */
 public final class ChannelBufferSettings {
-    /** Between 16 and 32 KiB wait in a connection's outbound buffer before it counts as not writable. */
+    /** A connection is not writable from 32 KiB in its outbound buffer on, until less than 16 KiB are left. */
     public static final WriteBufferWaterMark WRITE_WATER_MARK = new WriteBufferWaterMark(16 << 10, 32 << 10);
 
     private static final int MIN_READ_BYTES = 512;
@@ -17,9 +17,9 @@
     private ChannelBufferSettings() {}
 
     /**
-     * Returns a new allocator for one bootstrap. Its limits keep one connection from holding the event loop, and
-     * memory, to itself. A round reads on until nothing is left, so that a request and the end of its connection right
-     * behind it are read together.
+     * Returns a new allocator for one bootstrap. Its limits keep one connection from occupying the event loop and the
+     * memory alone. Within these limits a read continues until no data is left, so that a request and a disconnect
+     * right after it are read together.
      */
     public static RecvByteBufAllocator receiveBufferAllocator() {
         return new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, INITIAL_READ_BYTES, MAX_READ_BYTES)
--- a/balancer/src/main/java/loadbalancer/transport/InboundRequest.java
+++ b/balancer/src/main/java/loadbalancer/transport/InboundRequest.java
@@ -4,19 +4,19 @@
 import io.netty.handler.codec.http.HttpMethod;
 
 /**
- * A client's request: what is forwarded to an upstream unchanged, and what the policy is given of it. Immutable but for
- * the state of {@code streamedBody}.
+ * A client's request: the parts that are forwarded to an upstream unchanged, and the properties that the policy
+ * receives. Immutable except for the state of {@code streamedBody}.
  *
- * @param id the client's own id of the request, {@link HeaderNames#REQUEST_ID}
- * @param headers end-to-end headers alone
- * @param body the whole body, or none of it where {@code streamedBody} is set
- * @param streamedBody the body where it is forwarded as it arrives; null where {@code body} holds it whole
- * @param requestClass index into the classes of the settings; -1 for a probe
- * @param tenant index into the tenants of the settings; 0 where there are none
- * @param key what the request concerns, or null
- * @param timeLeftMicros time until the client's deadline, counted from the request's last byte
- * @param workEstimateMicros the client's estimate of the work, or -1
- * @param clientRetry whether the client says that it has sent the request before
+ * @param id the request id that the client has chosen, see {@link HeaderNames#REQUEST_ID}
+ * @param headers the end-to-end headers, without the hop-by-hop ones
+ * @param body the complete body; empty if {@code streamedBody} is set
+ * @param streamedBody the body if it is forwarded as it arrives; null if {@code body} contains it
+ * @param requestClass index into the request classes of the settings; -1 for a probe
+ * @param tenant index into the tenants of the settings; 0 if the settings have no tenants or not this one
+ * @param key the request's key for key affinity, or null if it has none
+ * @param timeLeftMicros time until the client's deadline, counted from the arrival of the last byte
+ * @param workEstimateMicros the client's estimate of the work, or -1 if there is none
+ * @param clientRetry whether the client has declared the request to be a retry
  */
 public record InboundRequest(
         String id,
@@ -31,7 +31,7 @@
         long timeLeftMicros,
         long workEstimateMicros,
         boolean clientRetry) {
-    /** Returns the same request with another time left, in microseconds. */
+    /** Returns a copy of the request with another time left, in microseconds. */
     public InboundRequest withTimeLeft(long otherTimeLeftMicros) {
         return new InboundRequest(
                 id,
@@ -48,7 +48,7 @@
                 clientRetry);
     }
 
-    /** Returns the same request for another path and query. */
+    /** Returns a copy of the request with another path and query. */
     public InboundRequest withUri(String otherUri) {
         return new InboundRequest(
                 id,
--- a/balancer/src/main/java/loadbalancer/transport/package-info.java
+++ b/balancer/src/main/java/loadbalancer/transport/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What both sides of the sockets share: the typed request and response, bodies in transit and the memory they may
- * take, header names and channel settings. Nothing here knows clients, upstreams or the policy. All of it belongs to
- * the event loop's thread.
+ * Types that the client side and the upstream side share: request and response, streamed bodies and the memory budget
+ * for them, header names and channel settings. This package does not depend on the code for clients, upstreams or the
+ * policy. All objects are used on the event loop's thread only.
  */
 package loadbalancer.transport;
--- a/balancer/src/test/java/loadbalancer/transport/BodyBufferTest.java
+++ b/balancer/src/test/java/loadbalancer/transport/BodyBufferTest.java
@@ -17,16 +17,16 @@
     void partsAreJoinedInOrder() {
         byte[] body = new byte[BodyLimits.MAX_BUFFERED_BYTES];
         new Random(7).nextBytes(body);
-        int part = 5_000;
-        for (int from = 0; from < body.length; from += part) {
-            buffer.append(Unpooled.copiedBuffer(body, from, Math.min(part, body.length - from)));
+        int partBytes = 5_000;
+        for (int from = 0; from < body.length; from += partBytes) {
+            buffer.append(Unpooled.copiedBuffer(body, from, Math.min(partBytes, body.length - from)));
         }
         assertEquals(body.length, buffer.lengthBytes());
         assertArrayEquals(body, buffer.takeArray());
     }
 
     @Test
-    void noMoreThanTheLimitFits() {
+    void bytesBeyondTheLimitDontFit() {
         buffer.append(Unpooled.wrappedBuffer(new byte[BodyLimits.MAX_BUFFERED_BYTES - 1]));
         assertTrue(buffer.fits(1));
         assertFalse(buffer.fits(2));
--- a/balancer/src/test/java/loadbalancer/transport/BodyMemoryBudgetTest.java
+++ b/balancer/src/test/java/loadbalancer/transport/BodyMemoryBudgetTest.java
@@ -7,7 +7,7 @@
 
 class BodyMemoryBudgetTest {
     @Test
-    void bodiesThatExceedTheCapacityTogetherAreRefused() {
+    void reservationsBeyondTheCapacityAreRejected() {
         BodyMemoryBudget memory = new BodyMemoryBudget(10);
         assertTrue(memory.tryReserve(6));
         assertFalse(memory.tryReserve(5));
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void deferrableBytesLeaveHalfOfTheCapacity() {
+    void deferrableReservationsLeaveHalfOfTheCapacityFree() {
         BodyMemoryBudget memory = new BodyMemoryBudget(10);
         assertFalse(memory.tryReserveDeferrable(6));
         assertTrue(memory.tryReserveDeferrable(5));
