--- a/balancer/src/main/java/loadbalancer/dispatch/Attempt.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/Attempt.java
@@ -3,13 +3,13 @@
 import java.util.concurrent.Future;
 import loadbalancer.upstream.UpstreamCall;
 
-/** One attempt of an open request. Belongs to the event loop's thread. */
+/** One attempt of an open request. Used on the event loop's thread only. */
 final class Attempt {
     final OpenRequest openRequest;
     final int number;
     final long sentAtMicros;
-    UpstreamCall call; // null until the attempt has been handed to the upstream's connections
-    Future<?> timeout;
+    UpstreamCall call; // null until the attempt has been passed to the connection pool
+    Future<?> timeoutTimer;
     boolean ended;
 
     Attempt(OpenRequest openRequest, int number, long sentAtMicros) {
--- a/balancer/src/main/java/loadbalancer/dispatch/AttemptRunner.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/AttemptRunner.java
@@ -11,11 +11,11 @@
 import loadbalancer.upstream.UpstreamConnectionPool;
 
 /**
- * Sends the attempts that the policy asks for, limits their time and reports their outcomes; a first success is
- * forwarded to the client at once. Belongs to the event loop's thread.
+ * Sends the attempts that the policy requests, applies their timeouts and reports their outcomes to the policy. The
+ * first successful response is forwarded to the client immediately. Used on the event loop's thread only.
  */
 final class AttemptRunner {
-    /** The last attempt ends this long before the last-resort response, so that the policy can choose the response. */
+    /** The last attempt times out this long before the last-resort response, so that the policy can still respond. */
     private static final long POLICY_RESPONSE_MARGIN_MICROS = 6_000;
 
     private final EventLoop loop;
@@ -45,57 +45,64 @@
         connections = pool;
     }
 
-    /** Sends an attempt, or reports it as not sent where it may not be; {@code timeoutMicros} 0: until the deadline. */
+    /**
+     * Sends an attempt, or reports it as {@link AttemptOutcome#NOT_SENT} if it is not allowed.
+     *
+     * @param timeoutMicros the timeout of the attempt; 0 if only the deadline limits it
+     */
     void start(OpenRequest openRequest, String endpointId, long timeoutMicros) {
         long nowMicros = clock.nowMicros();
         Attempt attempt = new Attempt(openRequest, openRequest.attempts.size(), nowMicros);
         openRequest.attempts.add(attempt);
         openRequest.attemptsInFlight++;
         InboundRequest request = openRequest.request;
-        BodyStream remainder = request.streamedBody();
-        boolean arriving = remainder != null && !remainder.isComplete();
-        long timeLeftMicros = (arriving ? request.timeLeftMicros() : openRequest.deadlineMicros - nowMicros)
+        BodyStream streamedBody = request.streamedBody();
+        boolean bodyArriving = streamedBody != null && !streamedBody.isComplete();
+        long timeLeftMicros = (bodyArriving ? request.timeLeftMicros() : openRequest.deadlineMicros - nowMicros)
                 - RequestDispatcher.LAST_RESORT_MARGIN_MICROS
                 - POLICY_RESPONSE_MARGIN_MICROS;
-        long limitMicros = timeoutMicros == 0 ? timeLeftMicros : Math.min(timeoutMicros, timeLeftMicros);
-        if (!maySend(attempt, limitMicros)) {
+        long effectiveTimeoutMicros = timeoutMicros == 0 ? timeLeftMicros : Math.min(timeoutMicros, timeLeftMicros);
+        if (!maySend(attempt, effectiveTimeoutMicros)) {
             end(attempt, AttemptOutcome.NOT_SENT, null, null);
             return;
         }
-        if (arriving) {
-            remainder.whenComplete(() -> scheduleTimeout(attempt, limitMicros));
+        if (bodyArriving) {
+            streamedBody.whenComplete(() -> scheduleTimeout(attempt, effectiveTimeoutMicros));
         } else {
-            scheduleTimeout(attempt, limitMicros);
+            scheduleTimeout(attempt, effectiveTimeoutMicros);
         }
         attempt.call = connections.send(
-                endpointId, request, limitMicros, (outcome, response, load) -> end(attempt, outcome, response, load));
+                endpointId,
+                request,
+                effectiveTimeoutMicros,
+                (outcome, response, load) -> end(attempt, outcome, response, load));
     }
 
-    private static boolean maySend(Attempt attempt, long limitMicros) {
+    private static boolean maySend(Attempt attempt, long effectiveTimeoutMicros) {
         OpenRequest openRequest = attempt.openRequest;
-        BodyStream remainder = openRequest.request.streamedBody();
+        BodyStream streamedBody = openRequest.request.streamedBody();
         return !openRequest.closed
-                && limitMicros > 0
+                && effectiveTimeoutMicros > 0
                 && attempt.number < openRequest.maxAttempts
-                && (remainder == null || !remainder.isConsumed()) // what has been forwarded can't be sent again
+                && (streamedBody == null || !streamedBody.isConsumed()) // a forwarded body can't be sent again
                 && openRequest.responder.tryStartAttempt(attempt.number);
     }
 
-    private void scheduleTimeout(Attempt attempt, long limitMicros) {
+    private void scheduleTimeout(Attempt attempt, long effectiveTimeoutMicros) {
         if (!attempt.ended) {
-            attempt.timeout =
-                    loop.schedule(() -> abandon(attempt, AttemptOutcome.TIMEOUT), limitMicros, TimeUnit.MICROSECONDS);
+            attempt.timeoutTimer = loop.schedule(
+                    () -> abandon(attempt, AttemptOutcome.TIMEOUT), effectiveTimeoutMicros, TimeUnit.MICROSECONDS);
         }
     }
 
-    /** Stops waiting for that attempt of the request; without effect where there is none, or it has ended. */
+    /** Cancels an attempt of the request; has no effect if the attempt does not exist or has ended. */
     void cancel(OpenRequest openRequest, int attemptNumber) {
         if (attemptNumber < openRequest.attempts.size()) {
             abandon(openRequest.attempts.get(attemptNumber), AttemptOutcome.CANCELLED);
         }
     }
 
-    /** Cancels all attempts that still wait for a connection, as nobody waits for their responses. */
+    /** Cancels all attempts that still wait for a connection, for a request whose response is no longer needed. */
     void cancelUnsent(OpenRequest openRequest) {
         for (Attempt attempt : openRequest.attempts) {
             if (!attempt.ended && attempt.call != null && attempt.call.isWaitingForConnection()) {
@@ -104,7 +111,7 @@
         }
     }
 
-    // Before the request's last byte is written nothing can have run.
+    // An upstream can't have run a request before its last byte was written.
     private void abandon(Attempt attempt, AttemptOutcome outcomeIfWritten) {
         if (!attempt.ended) {
             boolean written = attempt.call != null && attempt.call.abandon();
@@ -117,8 +124,8 @@
             return;
         }
         attempt.ended = true;
-        if (attempt.timeout != null) {
-            attempt.timeout.cancel(false);
+        if (attempt.timeoutTimer != null) {
+            attempt.timeoutTimer.cancel(false);
         }
         OpenRequest openRequest = attempt.openRequest;
         openRequest.attemptsInFlight--;
--- a/balancer/src/main/java/loadbalancer/dispatch/DispatchStatistics.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/DispatchStatistics.java
@@ -2,23 +2,23 @@
 
 import loadbalancer.logs.Log;
 
-/** Counts what one dispatcher has done since its start, for the log. Belongs to the event loop's thread. */
+/** Counters of one dispatcher since its start, for the log. Used on the event loop's thread only. */
 final class DispatchStatistics {
     private final Log log;
     private long requestsReceived;
     private long lastResortResponses;
-    private long faults;
+    private long exceptions;
 
     DispatchStatistics(Log log) {
         this.log = log;
     }
 
-    /** Counts a request and returns its number, from 1. */
+    /** Counts a request and returns its number, starting at 1. */
     long countRequest() {
         return ++requestsReceived;
     }
 
-    /** Counts a failure response that no policy asked for; logs at each power of two. */
+    /** Counts a last-resort response, and logs the count at each power of two to keep the log short. */
     void countLastResort() {
         lastResortResponses++;
         if (Long.bitCount(lastResortResponses) == 1) {
@@ -29,18 +29,19 @@
         }
     }
 
-    /** Counts and logs an event at which the policy threw. */
-    void countFault(RuntimeException fault) {
-        faults++;
-        StackTraceElement[] trace = fault.getStackTrace();
+    /** Counts and logs an exception that was thrown while an event was delivered to the policy. */
+    void countException(RuntimeException exception) {
+        exceptions++;
+        StackTraceElement[] trace = exception.getStackTrace();
         log.warn(
-                "exception " + faults + " in a policy event: " + fault + (trace.length == 0 ? "" : " at " + trace[0]),
+                "exception " + exceptions + " in a policy event: " + exception
+                        + (trace.length == 0 ? "" : " at " + trace[0]),
                 "faults",
-                faults);
+                exceptions);
     }
 
     String summary(int unanswered) {
         return requestsReceived + " requests received, " + unanswered + " unanswered, " + lastResortResponses
-                + " last-resort responses, " + faults + " exceptions in policy events";
+                + " last-resort responses, " + exceptions + " exceptions in policy events";
     }
 }
--- a/balancer/src/main/java/loadbalancer/dispatch/MonotonicClock.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/MonotonicClock.java
@@ -1,6 +1,9 @@
 package loadbalancer.dispatch;
 
-/** Microseconds since 1970 that never go back, so that they compare with the start times of upstreams. */
+/**
+ * A clock that never goes back. It returns microseconds since 1970, so that they can be compared with the start times
+ * of upstreams.
+ */
 final class MonotonicClock {
     private final long unixAtStartMicros = System.currentTimeMillis() * 1000;
     private final long startNanos = System.nanoTime();
--- a/balancer/src/main/java/loadbalancer/dispatch/OpenRequest.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/OpenRequest.java
@@ -6,20 +6,20 @@
 import loadbalancer.transport.InboundRequest;
 
 /**
- * A request that is owed its final response, or that has it while attempts are still in flight. Belongs to the event
- * loop's thread.
+ * A request without a final response, or with one while attempts are still in flight. Used on the event loop's thread
+ * only.
  */
 final class OpenRequest {
-    final String id; // this process's own, as clients' ids may repeat
+    final String id; // assigned by this process, as the ids that clients choose may repeat
     final InboundRequest request;
     final ClientResponder responder;
     final int maxAttempts;
     final List<Attempt> attempts = new ArrayList<>(2);
     long deadlineMicros;
-    long completeAtMicros; // when its last byte arrived; 0 before
+    long completeAtMicros; // when its last byte arrived; 0 until then
     int attemptsInFlight;
-    boolean closed; // it has had its final response, or its client has left
-    Future<?> lastResort;
+    boolean closed; // it has its final response, or its client has disconnected
+    Future<?> lastResortTimer;
 
     OpenRequest(String id, InboundRequest request, ClientResponder responder, long deadlineMicros, int maxAttempts) {
         this.id = id;
--- a/balancer/src/main/java/loadbalancer/dispatch/OpenRequests.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/OpenRequests.java
@@ -9,12 +9,13 @@
 import java.util.Set;
 
 /**
- * The table of open requests, and who waits until none is owed a response. Belongs to the event loop's thread.
+ * The table of open requests, and the listeners that wait until no response is pending. Used on the event loop's
+ * thread only.
  */
 final class OpenRequests {
     private final EventLoop loop;
     private final Map<String, OpenRequest> byId = new HashMap<>();
-    private final Set<String> clientIds = new HashSet<>(); // the clients' own ids of what is in the table
+    private final Set<String> clientIds = new HashSet<>(); // the ids that the clients chose for these requests
     private final List<Runnable> idleListeners = new ArrayList<>(1);
     private int unanswered;
 
@@ -28,7 +29,7 @@
         unanswered++;
     }
 
-    /** Returns the request of that id of this process's own, or null. */
+    /** Returns the request with this {@link OpenRequest#id}, or null. */
     OpenRequest find(String id) {
         return byId.get(id);
     }
@@ -41,11 +42,11 @@
         return unanswered;
     }
 
-    /** Nothing more is owed for the request; it stays in the table while attempts of it are in flight. */
+    /** Marks a request as not awaiting a response; it remains in the table while attempts are in flight. */
     void close(OpenRequest openRequest) {
         openRequest.closed = true;
-        if (openRequest.lastResort != null) {
-            openRequest.lastResort.cancel(false);
+        if (openRequest.lastResortTimer != null) {
+            openRequest.lastResortTimer.cancel(false);
         }
         unanswered--;
         if (unanswered == 0 && !idleListeners.isEmpty()) {
@@ -54,14 +55,14 @@
         }
     }
 
-    /** Forgets a request that is closed and has no attempt in flight. */
+    /** Removes a request if it is closed and has no attempt in flight. */
     void removeIfDone(OpenRequest openRequest) {
         if (openRequest.closed && openRequest.attemptsInFlight == 0 && byId.remove(openRequest.id) != null) {
             clientIds.remove(openRequest.request.id());
         }
     }
 
-    /** Runs {@code listener} on the event loop once no response is owed. */
+    /** Runs {@code listener} on the event loop once no response is pending. */
     void whenIdle(Runnable listener) {
         if (unanswered == 0) {
             loop.execute(listener);
--- a/balancer/src/main/java/loadbalancer/dispatch/PolicyActions.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/PolicyActions.java
@@ -10,8 +10,8 @@
 import loadbalancer.upstream.UpstreamConnectionPool;
 
 /**
- * Carries out what the policy asks for. Called by the policy while it handles an event, on the event loop's thread;
- * actions for requests that are no longer open are legal and ignored.
+ * Executes the actions of the policy, which calls it while it handles an event, on the event loop's thread. Actions for
+ * requests that are no longer open are ignored.
  */
 final class PolicyActions implements LoadBalancingPolicy.Actions {
     private final EventLoop loop;
@@ -23,7 +23,7 @@
     private final AttemptRunner attempts;
     private BootSettings siteSettings;
     private UpstreamConnectionPool connections;
-    private DiscoveryClient discovery; // null where there is none
+    private DiscoveryClient discovery; // null if the endpoint list never changes
 
     PolicyActions(
             EventLoop loop,
@@ -53,21 +53,21 @@
         attempts.attach(pool);
     }
 
-    void reconfigure(BootSettings next) {
-        siteSettings = next;
+    void reconfigure(BootSettings newSettings) {
+        siteSettings = newSettings;
     }
 
     @Override
-    public void send(String request, String endpoint, long timeoutMicros) {
-        OpenRequest openRequest = openRequests.find(request);
+    public void send(String requestId, String endpointId, long timeoutMicros) {
+        OpenRequest openRequest = openRequests.find(requestId);
         if (openRequest != null) {
-            attempts.start(openRequest, endpoint, timeoutMicros);
+            attempts.start(openRequest, endpointId, timeoutMicros);
         }
     }
 
     @Override
-    public void reject(String request, long retryAfterMicros) {
-        OpenRequest openRequest = openRequests.find(request);
+    public void reject(String requestId, long retryAfterMicros) {
+        OpenRequest openRequest = openRequests.find(requestId);
         if (openRequest != null && !openRequest.closed) {
             openRequests.close(openRequest);
             openRequest.responder.reject(retryAfterMicros);
@@ -76,8 +76,8 @@
     }
 
     @Override
-    public void fail(String request) {
-        OpenRequest openRequest = openRequests.find(request);
+    public void fail(String requestId) {
+        OpenRequest openRequest = openRequests.find(requestId);
         if (openRequest != null && !openRequest.closed) {
             openRequests.close(openRequest);
             openRequest.responder.fail();
@@ -86,22 +86,22 @@
     }
 
     @Override
-    public void cancel(String request, int attempt) {
-        OpenRequest openRequest = openRequests.find(request);
+    public void cancel(String requestId, int attempt) {
+        OpenRequest openRequest = openRequests.find(requestId);
         if (openRequest != null) {
             attempts.cancel(openRequest, attempt);
         }
     }
 
     @Override
-    public void probe(String endpoint) {
+    public void probe(String endpointId) {
         long sentAtMicros = clock.nowMicros();
         boolean loadReport = siteSettings.settings().loadReporting() != LoadReporting.NONE;
         connections.probe(
-                endpoint,
+                endpointId,
                 loadReport,
                 (outcome, response, load) -> events.submit(nowMicros ->
-                        policy.probed(nowMicros, endpoint, outcome, nowMicros - sentAtMicros, load, this)));
+                        policy.probed(nowMicros, endpointId, outcome, nowMicros - sentAtMicros, load, this)));
     }
 
     @Override
@@ -119,14 +119,14 @@
     }
 
     @Override
-    public void closeIdle(String endpoint) {
-        connections.closeIdle(endpoint);
+    public void closeIdle(String endpointId) {
+        connections.closeIdle(endpointId);
     }
 
-    /** Real balancers exchange no messages. */
+    /** Not supported: only simulated balancers exchange messages. */
     @Override
     public void sendToPeer(int peer, byte[] data) {
-        throw new UnsupportedOperationException("messages between balancers");
+        throw new UnsupportedOperationException("balancers exchange messages only in the simulator");
     }
 
     @Override
--- a/balancer/src/main/java/loadbalancer/dispatch/PolicyEventQueue.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/PolicyEventQueue.java
@@ -4,8 +4,8 @@
 import java.util.function.LongConsumer;
 
 /**
- * Gives the policy its events one at a time. A policy is not re-entrant: events that arise while it handles one, or
- * while its actions are carried out, wait for their turn. Belongs to the event loop's thread.
+ * Delivers events to the policy one at a time. A policy is not re-entrant, so events that are submitted while it
+ * handles another event, or while its actions are executed, are queued. Used on the event loop's thread only.
  */
 final class PolicyEventQueue {
     private final MonotonicClock clock;
@@ -19,7 +19,11 @@
         this.statistics = statistics;
     }
 
-    /** Delivers {@code event}, now or after those before it; it is given the time of its delivery in microseconds. */
+    /**
+     * Delivers {@code event}, immediately or after the events before it.
+     *
+     * @param event receives the time of its delivery in microseconds
+     */
     void submit(LongConsumer event) {
         if (closed) {
             return;
@@ -42,12 +46,13 @@
         try {
             event.accept(clock.nowMicros());
         } catch (RuntimeException e) {
-            // One event must not end the process; requests that it leaves open get their last-resort response.
-            statistics.countFault(e);
+            // An exception in one event must not end the process. Requests that it leaves open get a last-resort
+            // response.
+            statistics.countException(e);
         }
     }
 
-    /** Delivers no event that is submitted from here on. */
+    /** Drops all events that are submitted after this call. */
     void close() {
         closed = true;
     }
--- a/balancer/src/main/java/loadbalancer/dispatch/RequestDispatcher.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/RequestDispatcher.java
@@ -16,12 +16,12 @@
 import loadbalancer.upstream.UpstreamConnectionPool;
 
 /**
- * Stands between the sockets and the policy: owns the policy, its clock and the open requests, and gives the policy its
- * events. What the policy asks for in return is carried out by {@link PolicyActions}. Decides nothing. All methods are
- * for the event loop's thread.
+ * Connects the sockets with the policy: owns the policy, its clock and the open requests, and passes events to the
+ * policy. {@link PolicyActions} executes the actions that the policy chooses; the dispatcher makes no routing
+ * decisions. All methods must be called on the event loop's thread.
  */
 public final class RequestDispatcher implements RequestHandler {
-    /** A client gets a failure this long before its deadline where the policy has chosen no response by then. */
+    /** If the policy has chosen no response this long before the deadline, the client gets a last-resort failure. */
     static final long LAST_RESORT_MARGIN_MICROS = 6_000;
 
     private final EventLoop loop;
@@ -35,7 +35,7 @@
     private BootSettings siteSettings;
     private UpstreamConnectionPool connections;
 
-    /** Creates a dispatcher that works once connections are attached. */
+    /** Creates a dispatcher; {@link #attach} has to be called before the first request. */
     public RequestDispatcher(EventLoop loop, BootSettings siteSettings, LoadBalancingPolicy policy, Log log) {
         this.loop = loop;
         this.siteSettings = siteSettings;
@@ -47,13 +47,13 @@
         slowStartQuota = new SlowStartQuota(events, policy, log);
     }
 
-    /** Sends through {@code pool} from here on; {@code discovery} may be null where the list never changes. */
+    /** Sets the pool that requests are sent through; {@code discovery} is null if the endpoint list never changes. */
     public void attach(UpstreamConnectionPool pool, DiscoveryClient discovery) {
         connections = pool;
         actions.attach(pool, discovery);
     }
 
-    /** Returns microseconds since 1970 that never go back and compare with the start times of upstreams. */
+    /** Returns the time in microseconds since 1970, from a clock that never goes back. */
     public long nowMicros() {
         return clock.nowMicros();
     }
@@ -93,13 +93,13 @@
         return () -> clientGone(openRequest);
     }
 
-    // A client's time runs from the last byte of its request.
+    // The deadline of a client is counted from the last byte of its request.
     private void startDeadline(OpenRequest openRequest) {
         if (!openRequest.closed) {
             long timeLeftMicros = openRequest.request.timeLeftMicros();
             openRequest.completeAtMicros = nowMicros();
             openRequest.deadlineMicros = openRequest.completeAtMicros + timeLeftMicros;
-            openRequest.lastResort = loop.schedule(
+            openRequest.lastResortTimer = loop.schedule(
                     () -> respondAsLastResort(openRequest),
                     Math.max(0, timeLeftMicros - LAST_RESORT_MARGIN_MICROS),
                     TimeUnit.MICROSECONDS);
@@ -110,13 +110,13 @@
         if (!openRequest.closed) {
             openRequests.close(openRequest);
             events.submit(nowMicros -> policy.clientGone(nowMicros, openRequest.id, actions));
-            // Also where the policy may not cancel: what has not begun to leave is sent for nobody.
+            // An unsent attempt is cancelled even if the policy may not cancel, as nobody waits for its response.
             actions.attempts().cancelUnsent(openRequest);
             openRequests.removeIfDone(openRequest);
         }
     }
 
-    // Where the policy stays silent or has thrown, the client gets a failure while it still listens.
+    // If the policy has not responded or has thrown an exception, the client gets a failure before its deadline.
     private void respondAsLastResort(OpenRequest openRequest) {
         if (!openRequest.closed) {
             statistics.countLastResort();
@@ -132,14 +132,14 @@
         }
     }
 
-    /** Runs {@code listener} on the event loop once no response is owed. */
+    /** Runs {@code listener} on the event loop once no response is pending. */
     public void whenIdle(Runnable listener) {
         openRequests.whenIdle(listener);
     }
 
     // ---- endpoints and settings
 
-    /** Takes a change of the list of endpoints; {@code endpoints} is null where the poll or the watch has failed. */
+    /** Applies an update of the endpoint list; {@code endpoints} is null if the poll or the watch has failed. */
     public void updateEndpoints(EndpointListKind kind, EndpointList endpoints) {
         if (endpoints != null) {
             connections.updateEndpoints(endpoints, nowMicros());
@@ -148,48 +148,48 @@
                 policy.endpoints(nowMicros, kind, endpoints == null ? List.of() : endpoints.endpoints(), actions));
     }
 
-    /** Takes new settings for requests that arrive from here on; classes and tenants are matched by name. */
-    public void reconfigure(BootSettings next) {
+    /** Applies new settings to requests that arrive after this call; classes and tenants are matched by name. */
+    public void reconfigure(BootSettings newSettings) {
         BootSettings previous = siteSettings;
-        siteSettings = next;
-        actions.reconfigure(next);
+        siteSettings = newSettings;
+        actions.reconfigure(newSettings);
         events.submit(nowMicros -> policy.reconfigure(
                 nowMicros,
-                next.settings(),
-                formerIndexes(next.classes(), previous.classes()),
-                formerIndexes(next.tenants(), previous.tenants())));
+                newSettings.settings(),
+                previousIndexes(newSettings.classes(), previous.classes()),
+                previousIndexes(newSettings.tenants(), previous.tenants())));
     }
 
-    private static int[] formerIndexes(List<String> names, List<String> formerNames) {
-        return names.stream().mapToInt(formerNames::indexOf).toArray();
+    private static int[] previousIndexes(List<String> names, List<String> previousNames) {
+        return names.stream().mapToInt(previousNames::indexOf).toArray();
     }
 
-    /** Returns what the policy has learned, for a process that replaces this one. */
+    /** Returns the learned state of the policy, for the successor of this process. */
     public Map<String, double[]> learnedState() {
         return LearnedStateCodec.encode(policy.learnedState(nowMicros()));
     }
 
-    /** Gives the policy what that of another process has learned. */
+    /** Passes the learned state of the predecessor's policy to the policy. */
     public void restore(Map<String, double[]> learnedState) {
         events.submit(nowMicros -> policy.restore(nowMicros, LearnedStateCodec.decode(learnedState)));
     }
 
-    /** This process may use that fraction of what the balancer may send to endpoints in slow start. */
+    /** Sets the fraction of the balancer's slow-start quota that this process may use. */
     public void setSlowStartFraction(double fraction) {
         slowStartQuota.setProcessFraction(fraction);
     }
 
-    /** The balancer holds that subset of the endpoints from here on. */
+    /** Sets the subset of the endpoints that the balancer uses. */
     public void updateSubset(EndpointSubset subset) {
         slowStartQuota.setSubset(subset, siteSettings);
     }
 
-    /** Gives the policy no further event, so that it asks for nothing more. */
+    /** Passes no more events to the policy, so that it chooses no more actions. */
     public void retire() {
         events.close();
     }
 
-    /** Returns the counts since the start as words for the log. */
+    /** Returns the counters since the start as text for the log. */
     public String summary() {
         return statistics.summary(openRequests.unanswered());
     }
--- a/balancer/src/main/java/loadbalancer/dispatch/RequestHandler.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/RequestHandler.java
@@ -2,16 +2,16 @@
 
 import loadbalancer.transport.InboundRequest;
 
-/** Takes clients' requests and gives each one final response. Called on the event loop's thread alone. */
+/** Handles clients' requests; each gets exactly one final response. Called on the event loop's thread only. */
 public interface RequestHandler {
-    /** Returns whether a request with that id of its client's, or an attempt of it, is open. */
+    /** Returns whether a request with this client-chosen id is open, or an attempt of one is in flight. */
     boolean isOpen(String requestId);
 
     /**
-     * Takes a request.
+     * Handles a request.
      *
-     * @param responder gets the one final response, possibly before this method returns
-     * @return to be run if the client leaves before its response
+     * @param responder receives the final response, possibly before this method returns
+     * @return a callback for the caller to run if the client disconnects before its response
      */
     Runnable handle(InboundRequest request, ClientResponder responder);
 }
--- a/balancer/src/main/java/loadbalancer/dispatch/SlowStartQuota.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/SlowStartQuota.java
@@ -6,9 +6,9 @@
 import loadbalancer.settings.BootSettings;
 
 /**
- * Gives the policy the multiple of the balancer's ordinary quota that it may send to endpoints in slow start: two
- * processes that serve side by side divide it, and where each endpoint is held by some of the balancers only these
- * have more of it, so that the sum over the fleet stays the same. Belongs to the event loop's thread.
+ * Tells the policy which multiple of the balancer's ordinary quota it may send to endpoints in slow start. During a
+ * handover two processes divide the quota. With subsets, only some balancers use an endpoint, and the quota of each of
+ * them is larger, so that the sum over all balancers stays the same. Used on the event loop's thread only.
  */
 final class SlowStartQuota {
     private final PolicyEventQueue events;
@@ -23,34 +23,34 @@
         this.log = log;
     }
 
-    /** This process may use that fraction of the balancer's quota. */
+    /** Sets the fraction of the balancer's quota that this process may use. */
     void setProcessFraction(double fraction) {
         processFraction = fraction;
         update();
     }
 
-    /** The balancer holds that subset of the endpoints from here on. */
+    /** Sets the subset of the endpoints that the balancer uses. */
     void setSubset(EndpointSubset subset, BootSettings siteSettings) {
-        int balancers = siteSettings.settings().balancers();
-        long parts = subset.subset().partCount();
-        subsetFactor = Math.min(parts, balancers);
+        int balancerCount = siteSettings.settings().balancers();
+        long partCount = subset.subset().partCount();
+        subsetFactor = Math.min(partCount, balancerCount);
         update();
         log.warn(
-                describe(subset.summary(), parts, balancers),
+                describe(subset.summary(), partCount, balancerCount),
                 "parts",
-                parts,
+                partCount,
                 "listed",
                 subset.listedCount(),
                 "most",
                 subset.maxEndpoints());
     }
 
-    private static String describe(String summary, long parts, int balancers) {
+    private static String describe(String summary, long partCount, int balancerCount) {
         if (summary == null) {
-            return "holds the complete list of upstreams again";
+            return "uses the complete list of upstreams again";
         }
-        return parts > balancers
-                ? summary + ": " + balancers + " balancers can't hold all parts, some upstreams get nothing"
+        return partCount > balancerCount
+                ? summary + ": " + balancerCount + " balancers can't cover all parts, so some upstreams get no requests"
                 : summary;
     }
 
--- a/balancer/src/test/java/loadbalancer/dispatch/PolicyEventQueueTest.java
+++ b/balancer/src/test/java/loadbalancer/dispatch/PolicyEventQueueTest.java
@@ -13,7 +13,7 @@
             new PolicyEventQueue(new MonotonicClock(), new DispatchStatistics(log::add));
 
     @Test
-    void eventsThatAriseDuringADeliveryWaitForItsEnd() {
+    void eventsSubmittedDuringADeliveryAreDeliveredAfterIt() {
         events.submit(nowMicros -> {
             events.submit(later -> delivered.add("second"));
             delivered.add("first");
