--- a/balancer/src/main/java/loadbalancer/upstream/ConnectionBudget.java
+++ b/balancer/src/main/java/loadbalancer/upstream/ConnectionBudget.java
@@ -1,13 +1,13 @@
 package loadbalancer.upstream;
 
-/** What connections to upstreams are counted against. Called on the event loop's thread alone. */
+/** A limit on the number of connections to upstreams. Called on the event loop's thread only. */
 public interface ConnectionBudget {
-    /** A connection is about to be opened. */
+    /** Counts a connection that is about to be opened. */
     void connectionOpened();
 
-    /** A connection that was counted has ended. */
+    /** Uncounts a connection that has closed. */
     void connectionClosed();
 
-    /** Returns whether no further connection may be opened. */
+    /** Returns whether the limit is reached, so that no further connection may be opened. */
     boolean isFull();
 }
--- a/balancer/src/main/java/loadbalancer/upstream/IdleConnectionEvictor.java
+++ b/balancer/src/main/java/loadbalancer/upstream/IdleConnectionEvictor.java
@@ -5,12 +5,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Closes idle connections well before their upstreams do: a request written to a connection that is being closed is
- * reset, and as it may have run most classes can't be sent again. Also forgets endpoints that have long been gone.
- * Belongs to the event loop's thread.
+ * Closes idle connections well before their upstreams do. A request that is written to a connection while the upstream
+ * closes it is reset, and requests of most classes can't be retried then, as they may have run. Also removes endpoints
+ * whose drain ended long ago. Used on the event loop's thread only.
  */
 final class IdleConnectionEvictor {
-    private static final long FORGET_AFTER_MICROS = 60_000_000; // since the drain deadline
+    private static final long REMOVE_AFTER_MICROS = 60_000_000; // after the drain deadline of an endpoint
     private static final long MIN_PERIOD_MICROS = 10_000;
     private static final long MAX_PERIOD_MICROS = 1_000_000;
     private static final int PERIODS_PER_IDLE_TIMEOUT = 10;
@@ -19,7 +19,7 @@
     private final UpstreamConnector connector;
     private final Future<?> schedule;
 
-    /** Creates an evictor for {@code endpoints}, a view of the pool's table, and starts it. */
+    /** Creates and starts an evictor for {@code endpoints}, a live view of the endpoints of the pool. */
     IdleConnectionEvictor(Collection<UpstreamEndpoint> endpoints, UpstreamConnector connector) {
         this.endpoints = endpoints;
         this.connector = connector;
@@ -31,26 +31,26 @@
     }
 
     private void evict() {
-        long forgetBeforeMicros = connector.nowMicros() - FORGET_AFTER_MICROS;
-        endpoints.removeIf(endpoint -> endpoint.drainedBefore(forgetBeforeMicros));
+        long removeBeforeMicros = connector.nowMicros() - REMOVE_AFTER_MICROS;
+        endpoints.removeIf(endpoint -> endpoint.drainedBefore(removeBeforeMicros));
         endpoints.forEach(UpstreamEndpoint::closeExpired);
     }
 
-    /** Closes the connection that has been idle for longest; returns false where none is idle. */
+    /** Closes the connection that has been idle the longest; returns false if none is idle. */
     boolean closeLongestIdle() {
-        UpstreamEndpoint holder = null;
+        UpstreamEndpoint oldestEndpoint = null;
         UpstreamConnection oldest = null;
         for (UpstreamEndpoint endpoint : endpoints) {
             UpstreamConnection connection = endpoint.longestIdle();
             if (connection != null && (oldest == null || connection.idleSinceMicros() < oldest.idleSinceMicros())) {
                 oldest = connection;
-                holder = endpoint;
+                oldestEndpoint = endpoint;
             }
         }
         if (oldest == null) {
             return false;
         }
-        holder.removeIdle(oldest);
+        oldestEndpoint.removeIdle(oldest);
         oldest.close();
         return true;
     }
--- a/balancer/src/main/java/loadbalancer/upstream/RequestBodyWriter.java
+++ b/balancer/src/main/java/loadbalancer/upstream/RequestBodyWriter.java
@@ -7,8 +7,8 @@
 import loadbalancer.transport.BodyStream;
 
 /**
- * Writes the body of one request to an upstream as its client sends it. What still arrives of it once its call has been
- * abandoned is dropped.
+ * Writes the body of one request to an upstream as it arrives from the client. Data that arrives after the call has
+ * been abandoned is discarded.
  */
 final class RequestBodyWriter implements BodyStream.Sink {
     private final UpstreamConnection connection;
@@ -23,7 +23,7 @@
 
     @Override
     public void onData(ByteBuf bytes) {
-        if (connection.carries(call)) {
+        if (connection.isProcessing(call)) {
             channel.writeAndFlush(new DefaultHttpContent(bytes));
         } else {
             bytes.release();
@@ -32,7 +32,7 @@
 
     @Override
     public void onComplete() {
-        if (connection.carries(call)) {
+        if (connection.isProcessing(call)) {
             channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
                     .addListener(done -> connection.onRequestWritten(call, done.isSuccess()));
         }
@@ -45,6 +45,6 @@
 
     @Override
     public boolean isWritable() {
-        return !connection.carries(call) || channel.isWritable();
+        return !connection.isProcessing(call) || channel.isWritable();
     }
 }
--- a/balancer/src/main/java/loadbalancer/upstream/RequestMessages.java
+++ b/balancer/src/main/java/loadbalancer/upstream/RequestMessages.java
@@ -13,14 +13,14 @@
 import loadbalancer.transport.HeaderNames;
 import loadbalancer.transport.InboundRequest;
 
-/** Words requests as HTTP messages to upstreams. */
+/** Creates the HTTP messages for requests to upstreams. */
 final class RequestMessages {
     private static final String LOAD_PATH = "/-/load";
     private static final String HEALTH_PATH = "/-/healthy";
 
     private RequestMessages() {}
 
-    /** Returns a probe, of the load report or of the health alone. */
+    /** Returns a probe request: for the load report, or for the health only. */
     static InboundRequest probe(boolean loadReport) {
         return new InboundRequest(
                 "",
@@ -37,7 +37,7 @@
                 false);
     }
 
-    /** Returns the message for {@code call}; where its body is streamed the message holds the head alone. */
+    /** Returns the message for {@code call}; if the body is streamed, the message contains only the head. */
     static FullHttpRequest create(UpstreamCall call, InetSocketAddress address) {
         InboundRequest request = call.request();
         FullHttpRequest message = new DefaultFullHttpRequest(
@@ -55,10 +55,10 @@
     }
 
     private static void setFraming(FullHttpRequest message, InboundRequest request) {
-        BodyStream remainder = request.streamedBody();
-        if (remainder != null && remainder.lengthBytes() >= 0) {
-            HttpUtil.setContentLength(message, remainder.lengthBytes());
-        } else if (remainder != null) {
+        BodyStream streamedBody = request.streamedBody();
+        if (streamedBody != null && streamedBody.lengthBytes() >= 0) {
+            HttpUtil.setContentLength(message, streamedBody.lengthBytes());
+        } else if (streamedBody != null) {
             HttpUtil.setTransferEncodingChunked(message, true);
         } else if (request.body().length > 0 || !request.method().equals(HttpMethod.GET)) {
             HttpUtil.setContentLength(message, request.body().length);
--- a/balancer/src/main/java/loadbalancer/upstream/ResponseClassifier.java
+++ b/balancer/src/main/java/loadbalancer/upstream/ResponseClassifier.java
@@ -7,7 +7,7 @@
 import loadbalancer.transport.UpstreamResponse;
 import loadbalancer.wire.LoadReportParser;
 
-/** Reads from a response how its attempt ended and which load its upstream reports. */
+/** Derives the outcome of an attempt and the load report of the upstream from a response. */
 final class ResponseClassifier {
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
@@ -15,7 +15,10 @@
 
     private ResponseClassifier() {}
 
-    /** An attempt has provably not run only where the upstream says so itself; any other failure may have. */
+    /**
+     * Returns the outcome of an attempt. Only if the upstream declares that it has declined the request is it certain
+     * that the request has not run; after any other failure it may have run.
+     */
     static AttemptOutcome outcome(UpstreamResponse response) {
         int status = response.status();
         if (status == OK) {
@@ -27,12 +30,12 @@
                 : AttemptOutcome.ERROR;
     }
 
-    /** Returns the load report in the headers, or null. */
+    /** Returns the load report from the headers, or null if there is no valid one. */
     static LoadReport load(UpstreamResponse response) {
         return LoadReportParser.parse(response.headers().get(HeaderNames.LOAD_REPORT));
     }
 
-    /** Returns the load report in the headers or, failing that, in the body of a probe's response; or null. */
+    /** Returns the load report from the headers or else from the body of a probe's response, or null. */
     static LoadReport probedLoad(UpstreamResponse response) {
         String report = response.headers().get(HeaderNames.LOAD_REPORT);
         return LoadReportParser.parse(report == null ? new String(response.body(), StandardCharsets.UTF_8) : report);
--- a/balancer/src/main/java/loadbalancer/upstream/ResponseReader.java
+++ b/balancer/src/main/java/loadbalancer/upstream/ResponseReader.java
@@ -22,27 +22,27 @@
 import loadbalancer.transport.UpstreamResponse;
 
 /**
- * Puts together the responses on one connection to an upstream, one for each request, and trusts nothing that arrives:
- * a response that can't be read for certain is none, and what was not asked for makes the connection invalid. Stands
- * behind {@link UpstreamResponseDecoder} in the pipeline; one object for each connection, not sharable.
+ * Assembles the responses on one connection to an upstream, one for each request. It does not trust the upstream: a
+ * response that is malformed or ambiguous, and data that belongs to no request, make the connection invalid. Placed
+ * after {@link UpstreamResponseDecoder} in the pipeline; one object for each connection, not sharable.
  */
 final class ResponseReader extends SimpleChannelInboundHandler<HttpObject> {
-    private static final long STREAMING_DELAY_MILLIS = 20; // for the rest of a response of unknown length
-    private static final int MAX_INFORMATIONAL = 8; // 1xx responses ahead of one
+    private static final long STREAMING_DELAY_MILLIS = 20; // how long a response of unknown length is buffered
+    private static final int MAX_INFORMATIONAL_RESPONSES = 8; // 1xx responses before a final response
     private static final byte[] NO_BODY = new byte[0];
 
-    /** Gets what is read, on the event loop's thread. */
+    /** Receives the responses, on the event loop's thread. */
     interface Listener {
-        /** A response has arrived whole; {@code reusable}: the connection may carry another request. */
+        /** A complete response has arrived; {@code reusable}: the connection may be used for another request. */
         void onResponse(UpstreamResponse response, boolean reusable);
 
-        /** Nothing more can be read here. */
+        /** The connection is invalid: no further response can be read from it. */
         void onInvalidResponse();
 
-        /** Returns whether a response may be forwarded before it is whole. */
+        /** Returns whether a response may be forwarded before it is complete. */
         boolean acceptsStreaming();
 
-        /** A response has begun that is too large or too slow to be buffered; the rest of its body is streamed. */
+        /** A response has started that is too large or too slow to be buffered; its body is streamed. */
         void onResponseStarted(UpstreamResponse response);
 
         /** The last byte of a streamed response has arrived. */
@@ -51,19 +51,19 @@
 
     private final Listener listener;
     private final UpstreamResponseDecoder decoder = new UpstreamResponseDecoder(this);
-    private boolean responseExpected; // for a request that has been sent
+    private boolean responseExpected; // a request has been sent and has no complete response yet
     private boolean invalid;
-    private boolean abnormalEnd; // the connection did not end in order
+    private boolean abnormalEnd; // the connection ended with an error
     private HttpResponse head;
     private final BodyBuffer body = new BodyBuffer();
     private int informationalCount;
-    private boolean informational; // within a 1xx response
-    private UpstreamResponse completeResponse; // passed on at the end of the read
-    private long declaredLengthBytes; // -1: not known beforehand
-    private boolean endsWithConnection;
-    private BodyStream stream; // of the response that is being forwarded
+    private boolean inInformationalResponse; // a 1xx response is being read
+    private UpstreamResponse completeResponse; // passed to the listener at the end of the read
+    private long declaredLengthBytes; // -1: not declared
+    private boolean closeDelimited; // the end of the connection is the end of the response
+    private BodyStream stream; // the body of a response that is being streamed
     private long streamedBytes;
-    private boolean streamComplete; // all of it has arrived
+    private boolean streamComplete; // the last byte of the stream has arrived
     private Future<?> streamingTimer;
 
     ResponseReader(Listener listener) {
@@ -74,18 +74,18 @@
         return decoder;
     }
 
-    /** A request is about to be sent. */
+    /** Called before a request is sent, so that the next data is its response. */
     void expectResponse() {
         responseExpected = true;
         informationalCount = 0;
     }
 
-    /** Returns whether what arrives now may belong to a response. */
+    /** Returns whether data that arrives now may belong to a response. */
     boolean expectsData() {
         return !invalid && responseExpected;
     }
 
-    /** Something arrived while {@link #expectsData} was false. */
+    /** Called for data that arrives while {@link #expectsData} is false. */
     void onUnexpectedData() {
         if (!invalid) {
             invalidate();
@@ -98,7 +98,7 @@
             return;
         }
         if (completeResponse != null || streamComplete || !part.decoderResult().isSuccess()) {
-            invalidate(); // a second response, or one that can't be read
+            invalidate(); // a second response, or a malformed one
             return;
         }
         if (part instanceof HttpResponse response) {
@@ -106,8 +106,8 @@
         }
         if (!invalid && part instanceof HttpContent content) {
             boolean last = part instanceof LastHttpContent;
-            if (informational) {
-                informational = !last; // the final response is still to come
+            if (inInformationalResponse) {
+                inInformationalResponse = !last; // the final response is still to come
             } else if (stream != null) {
                 readStreamed(content.content(), last);
             } else {
@@ -118,8 +118,8 @@
 
     private void readHead(HttpResponse response) {
         if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-            informational = true;
-            if (++informationalCount > MAX_INFORMATIONAL
+            inInformationalResponse = true;
+            if (++informationalCount > MAX_INFORMATIONAL_RESPONSES
                     || response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
                 invalidate();
             }
@@ -127,13 +127,15 @@
         }
         head = response;
         body.clear();
-        List<String> codings = response.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        boolean chunked = codings.size() == 1 && codings.get(0).strip().equalsIgnoreCase("chunked");
-        declaredLengthBytes = codings.isEmpty() ? HttpUtil.getContentLength(response, -1L) : -1;
-        endsWithConnection = codings.isEmpty() && declaredLengthBytes < 0;
-        // A response that ends with its connection is accepted where it says so, and where that end is in order;
-        // otherwise it can't be told from one that was cut short.
-        boolean delimited = codings.isEmpty() ? declaredLengthBytes >= 0 || !HttpUtil.isKeepAlive(response) : chunked;
+        List<String> transferCodings = response.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
+        boolean chunked =
+                transferCodings.size() == 1 && transferCodings.get(0).strip().equalsIgnoreCase("chunked");
+        declaredLengthBytes = transferCodings.isEmpty() ? HttpUtil.getContentLength(response, -1L) : -1;
+        closeDelimited = transferCodings.isEmpty() && declaredLengthBytes < 0;
+        // A close-delimited response is accepted only if it announces the close and the connection ends without an
+        // error; otherwise it can't be distinguished from a truncated one.
+        boolean delimited =
+                transferCodings.isEmpty() ? declaredLengthBytes >= 0 || !HttpUtil.isKeepAlive(response) : chunked;
         long maxBytes = mayStream() ? BodyLimits.MAX_STREAMED_BYTES : BodyLimits.MAX_BUFFERED_BYTES;
         if (!delimited || declaredLengthBytes > maxBytes) {
             invalidate();
@@ -146,7 +148,7 @@
 
     private void readStreamed(ByteBuf more, boolean last) {
         streamedBytes += more.readableBytes();
-        if (streamedBytes > BodyLimits.MAX_STREAMED_BYTES || endsWithConnection && last && abnormalEnd) {
+        if (streamedBytes > BodyLimits.MAX_STREAMED_BYTES || closeDelimited && last && abnormalEnd) {
             invalidate();
         } else {
             stream.write(more.retain());
@@ -176,7 +178,7 @@
     }
 
     private void completeBuffered() {
-        if (endsWithConnection && abnormalEnd) {
+        if (closeDelimited && abnormalEnd) {
             invalidate();
             return;
         }
@@ -210,8 +212,8 @@
         }
     }
 
-    // Only at the end of a read is it known whether anything came behind the response. With the connection in use again
-    // before that, a duplicate right behind it would be taken for the response to the next request.
+    // Only at the end of a read is it known whether data followed the response. If the connection were reused before,
+    // a duplicate of the response right behind it would be taken for the response to the next request.
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
         if (streamComplete && !invalid) {
@@ -232,10 +234,10 @@
     }
 
     private boolean isReusable() {
-        return !decoder.hasUndecodedBytes() && HttpUtil.isKeepAlive(head) && !endsWithConnection;
+        return !decoder.hasUndecodedBytes() && HttpUtil.isKeepAlive(head) && !closeDelimited;
     }
 
-    // The end of the connection may be the end of a response.
+    // The end of the connection may be the end of a close-delimited response.
     @Override
     public void channelInactive(ChannelHandlerContext context) throws Exception {
         channelReadComplete(context);
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamCall.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamCall.java
@@ -6,32 +6,32 @@
 import loadbalancer.transport.InboundRequest;
 import loadbalancer.transport.UpstreamResponse;
 
-/** One request on its way to an upstream. Belongs to the event loop's thread. */
+/** One request to an upstream and the wait for its response. Used on the event loop's thread only. */
 public final class UpstreamCall {
-    /** Gets the end of a call, once, unless the call is abandoned. */
+    /** Notified once when a call ends, unless the call is abandoned. */
     public interface Listener {
-        /** {@code response} is null where none came, {@code load} where no report came with it. */
+        /** {@code response} is null if there is none, {@code load} if there is no load report. */
         void onEnd(AttemptOutcome outcome, UpstreamResponse response, LoadReport load);
     }
 
     private enum State {
         /** No connection has been assigned yet. */
         NEW,
-        /** A connection carries the call, or is to carry it once it is ready. */
+        /** A connection processes the call, or will do so once it is ready. */
         ASSIGNED,
         /** The listener has been notified, or the call has been abandoned. */
         ENDED
     }
 
-    private static final long PROBE = 0;
+    private static final long PROBE_TIMEOUT_MILLIS = 0; // a probe is sent without a deadline
 
     private final InboundRequest request;
     private final long timeoutMillis;
     private final long createdAtNanos = System.nanoTime();
     private final Listener listener;
     private State state = State.NEW;
-    private UpstreamConnection connection; // set while ASSIGNED
-    private Future<?> timeout;
+    private UpstreamConnection connection; // null unless the state is ASSIGNED
+    private Future<?> timeoutTimer;
 
     private UpstreamCall(InboundRequest request, long timeoutMillis, Listener listener) {
         this.request = request;
@@ -39,14 +39,14 @@
         this.listener = listener;
     }
 
-    /** Creates a call that carries how long its response is waited for to the upstream. */
+    /** Creates a call that tells the upstream how long the balancer waits for the response. */
     static UpstreamCall of(InboundRequest request, long timeoutMicros, Listener listener) {
         return new UpstreamCall(request, Math.max(1, timeoutMicros / 1000), listener);
     }
 
-    /** Creates a probe: it carries no deadline, and the body of its response may be a load report. */
+    /** Creates a probe, which is sent without a deadline; the body of its response may be a load report. */
     static UpstreamCall ofProbe(InboundRequest request, Listener listener) {
-        return new UpstreamCall(request, PROBE, listener);
+        return new UpstreamCall(request, PROBE_TIMEOUT_MILLIS, listener);
     }
 
     InboundRequest request() {
@@ -54,52 +54,52 @@
     }
 
     boolean isProbe() {
-        return timeoutMillis == PROBE;
+        return timeoutMillis == PROBE_TIMEOUT_MILLIS;
     }
 
-    /** Returns how long the response is still waited for, at least 1 ms; 0 for a probe. */
+    /** Returns the time that is left to wait for the response, at least 1 ms; 0 for a probe. */
     long timeLeftMillis() {
         if (isProbe()) {
             return 0;
         }
-        long waitedMillis = (System.nanoTime() - createdAtNanos) / 1_000_000; // for a connection
+        long waitedMillis = (System.nanoTime() - createdAtNanos) / 1_000_000; // until a connection was ready
         return Math.max(1, timeoutMillis - waitedMillis);
     }
 
-    /** Cancels {@code timer} when the call ends. */
-    void setTimeout(Future<?> timer) {
-        timeout = timer;
+    /** Sets a timer that is cancelled when the call ends. */
+    void setTimeoutTimer(Future<?> timer) {
+        timeoutTimer = timer;
     }
 
-    void assignTo(UpstreamConnection carrier) {
-        connection = carrier;
+    void assignTo(UpstreamConnection assigned) {
+        connection = assigned;
         state = State.ASSIGNED;
     }
 
-    /** Returns whether nothing of the request has been written: it waits for its connection. */
+    /** Returns whether the call is assigned to a connection that has not started to write the request. */
     public boolean isWaitingForConnection() {
         return connection != null && !connection.hasStartedRequest();
     }
 
     /**
-     * Stops waiting without notifying the listener; a connection that has been sent any of the request is closed.
+     * Ends the call without notifying the listener. Its connection is closed if any of the request has been written.
      *
-     * @return whether the request may have run: its last byte has been written
+     * @return whether the request may have run, as its last byte has been written
      */
     public boolean abandon() {
         if (state != State.ASSIGNED) {
             return false;
         }
-        UpstreamConnection carrier = connection;
+        UpstreamConnection assigned = connection;
         state = State.ENDED;
         connection = null;
-        return carrier.abandonCall();
+        return assigned.abandonCall();
     }
 
-    /** Notifies the listener, unless the call has ended. */
+    /** Ends the call and notifies the listener, unless the call has ended before. */
     void end(AttemptOutcome outcome, UpstreamResponse response, LoadReport load) {
-        if (timeout != null) {
-            timeout.cancel(false);
+        if (timeoutTimer != null) {
+            timeoutTimer.cancel(false);
         }
         if (state != State.ENDED) {
             state = State.ENDED;
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamConnection.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamConnection.java
@@ -14,31 +14,31 @@
 import loadbalancer.transport.UpstreamResponse;
 
 /**
- * One connection to an upstream. It carries one call at a time, and is idle where it carries none. Belongs to the event
- * loop's thread.
+ * One connection to an upstream. It processes one call at a time, and is idle between two calls. Used on the event
+ * loop's thread only.
  */
 final class UpstreamConnection implements ResponseReader.Listener {
-    /** How much of the current request, or of the last one until the connection is idle again, has been written. */
+    /** How much of the current request has been written; applies to the last request until the connection is idle. */
     private enum RequestProgress {
-        /** Nothing has been written: the upstream can't have seen the request. */
+        /** Nothing has been written: the upstream has not received the request. */
         NOT_STARTED,
-        /** Some of it may have been written, but not its last byte: it can't have run. */
+        /** A part may have been written, but not the last byte: the request can't have run. */
         SENDING,
-        /** All of it has been written: it may have run. */
+        /** The last byte has been written: the request may have run. */
         SENT
     }
 
     private final UpstreamConnector connector;
     private final UpstreamEndpoint endpoint;
-    private final InetSocketAddress address; // the endpoint's may change
+    private final InetSocketAddress address; // the address of the endpoint when the connection was opened
     private final ResponseReader reader = new ResponseReader(this);
     private Channel channel;
     private UpstreamCall call;
     private RequestProgress progress = RequestProgress.NOT_STARTED;
     private boolean active; // the channel has become active
     private long idleSinceMicros;
-    private BodyStream upload; // of the last request, where it was streamed
-    private BodyStream download; // of the response that is being forwarded
+    private BodyStream upload; // the body of the last request, if it is streamed
+    private BodyStream download; // the body of a response that is being streamed
 
     UpstreamConnection(UpstreamConnector connector, UpstreamEndpoint endpoint, UpstreamCall call) {
         this.connector = connector;
@@ -81,11 +81,11 @@
         return progress != RequestProgress.NOT_STARTED;
     }
 
-    boolean carries(UpstreamCall other) {
+    boolean isProcessing(UpstreamCall other) {
         return call == other;
     }
 
-    /** Returns whether the connection is up and has not been idle for too long. */
+    /** Returns whether the connection is open and has not been idle for too long. */
     boolean isUsable() {
         return channel.isActive() && connector.nowMicros() - idleSinceMicros < connector.idleTimeoutMicros();
     }
@@ -94,21 +94,21 @@
         return idleSinceMicros;
     }
 
-    /** Returns for how long a duplicate of the last response may still arrive, in microseconds. */
-    long settlesInMicros() {
-        return SettlePeriod.remainingMicros(idleSinceMicros, connector.nowMicros());
+    /** Returns the rest of the {@link ReuseDelay} of this connection, in microseconds. */
+    long reuseDelayMicros() {
+        return ReuseDelay.remainingMicros(idleSinceMicros, connector.nowMicros());
     }
 
-    /** Sends the request of {@code next} once the connection has settled. */
-    void sendWhenSettled(UpstreamCall next) {
+    /** Sends the request of {@code next} once the {@link ReuseDelay} is over. */
+    void sendAfterReuseDelay(UpstreamCall next) {
         assign(next);
-        SettlePeriod.whenOver(connector.loop(), settlesInMicros(), this::sendAssigned);
+        ReuseDelay.runAfter(connector.loop(), reuseDelayMicros(), this::sendAssigned);
     }
 
-    // The request has waited for this connection, and may not be wanted any more.
+    // While the call waited for this connection, it may have been abandoned or the endpoint may have drained.
     private void sendAssigned() {
         if (call == null) {
-            becomeIdle(); // the handshake is paid for
+            becomeIdle(); // the connection is established, so a later call can use it
         } else if (!endpoint.accepts(connector.nowMicros())) {
             endCall(AttemptOutcome.NOT_SENT, null, null);
             close();
@@ -117,7 +117,7 @@
         }
     }
 
-    /** Sends the request of {@code next}; the connection is idle and settled, or waits for this call. */
+    /** Sends the request of {@code next}; the connection is idle and past its delay, or assigned to this call. */
     void send(UpstreamCall next) {
         assign(next);
         progress = RequestProgress.SENDING;
@@ -130,14 +130,14 @@
         }
     }
 
-    private void stream(UpstreamCall sent, FullHttpRequest message) {
+    private void stream(UpstreamCall sentCall, FullHttpRequest message) {
         channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, message.method(), message.uri(), message.headers()));
-        upload = sent.request().streamedBody();
-        upload.forwardTo(new RequestBodyWriter(this, sent, channel));
+        upload = sentCall.request().streamedBody();
+        upload.forwardTo(new RequestBodyWriter(this, sentCall, channel));
     }
 
-    void onRequestWritten(UpstreamCall sent, boolean success) {
-        if (call != sent) {
+    void onRequestWritten(UpstreamCall sentCall, boolean success) {
+        if (call != sentCall) {
             return;
         }
         if (success) {
@@ -149,7 +149,7 @@
         }
     }
 
-    /** The call is not wanted any more. Returns whether its request may have run. */
+    /** Abandons the call; returns whether its request may have run. */
     boolean abandonCall() {
         boolean mayHaveRun = progress == RequestProgress.SENT;
         call = null;
@@ -160,10 +160,10 @@
     }
 
     private void endCall(AttemptOutcome outcome, UpstreamResponse response, LoadReport load) {
-        UpstreamCall ending = call;
+        UpstreamCall endingCall = call;
         call = null;
-        if (ending != null) {
-            ending.end(outcome, response, load);
+        if (endingCall != null) {
+            endingCall.end(outcome, response, load);
         }
     }
 
@@ -171,7 +171,7 @@
         upload = null;
         progress = RequestProgress.NOT_STARTED;
         idleSinceMicros = connector.nowMicros();
-        // Who listens at a former address is another endpoint, if any.
+        // A server that listens at the former address of the endpoint would be a different endpoint.
         if (!channel.isActive() || endpoint.isDraining() || !address.equals(endpoint.address())) {
             close();
         } else {
@@ -187,19 +187,19 @@
 
     @Override
     public void onResponse(UpstreamResponse response, boolean reusable) {
-        UpstreamCall ending = call;
+        UpstreamCall endingCall = call;
         call = null;
-        // Idle before the policy is notified: its next attempt may want this connection.
-        if (progress == RequestProgress.SENT && reusable && ending != null) {
+        // The connection becomes idle before the policy is notified, as the next attempt may use it.
+        if (progress == RequestProgress.SENT && reusable && endingCall != null) {
             becomeIdle();
         } else {
             close();
         }
-        if (ending != null) {
-            ending.end(
+        if (endingCall != null) {
+            endingCall.end(
                     ResponseClassifier.outcome(response),
                     response,
-                    ending.isProbe() ? ResponseClassifier.probedLoad(response) : ResponseClassifier.load(response));
+                    endingCall.isProbe() ? ResponseClassifier.probedLoad(response) : ResponseClassifier.load(response));
         }
     }
 
@@ -210,18 +210,18 @@
 
     @Override
     public void onResponseStarted(UpstreamResponse response) {
-        UpstreamCall ending = call;
+        UpstreamCall endingCall = call;
         call = null;
         download = response.streamedBody();
-        boolean sent = progress == RequestProgress.SENT;
-        if (!sent || ending == null) {
+        boolean requestSent = progress == RequestProgress.SENT;
+        if (!requestSent || endingCall == null) {
             download.discard();
-            close(); // before the request was complete it can't be its response
+            close(); // a response to an incomplete request, or to no request
         }
-        if (ending != null) {
-            ending.end(
-                    sent ? AttemptOutcome.OK : AttemptOutcome.RESET,
-                    sent ? response : null,
+        if (endingCall != null) {
+            endingCall.end(
+                    requestSent ? AttemptOutcome.OK : AttemptOutcome.RESET,
+                    requestSent ? response : null,
                     ResponseClassifier.load(response));
         }
     }
@@ -238,7 +238,7 @@
 
     @Override
     public void onInvalidResponse() {
-        close(); // the call ends with the connection
+        close(); // onInactive ends the call
     }
 
     // ---- events of the channel
@@ -261,7 +261,7 @@
         }
     }
 
-    /** After the reader has been notified, as the end of the connection may be the end of a response. */
+    /** Called after the reader was notified, as the end of the connection may complete a close-delimited response. */
     void onInactive() {
         if (download != null) {
             download.abort();
@@ -270,7 +270,7 @@
             upload.discard();
         }
         if (call != null && active && !hasStartedRequest()) {
-            UpstreamCall waiting = call; // nothing of it has been sent here
+            UpstreamCall waiting = call; // nothing of it has been sent, so another connection can be used
             call = null;
             connector.connect(endpoint, waiting);
             return;
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamConnectionHandler.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamConnectionHandler.java
@@ -4,8 +4,9 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /**
- * Last in the pipeline of a connection to an upstream, behind {@link ResponseReader}: notifies the connection of its
- * beginning, its end and its writability. One object for each connection, not sharable.
+ * The last handler in the pipeline of a connection to an upstream, after {@link ResponseReader}. Notifies the
+ * connection when it becomes active or inactive and when its writability changes. One object for each connection, not
+ * sharable.
  */
 final class UpstreamConnectionHandler extends ChannelInboundHandlerAdapter {
     private final UpstreamConnection connection;
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamConnectionPool.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamConnectionPool.java
@@ -16,11 +16,13 @@
 import loadbalancer.transport.InboundRequest;
 
 /**
- * The connections to one pool's endpoints. Sends each request on an idle connection, or on a new one where none is
- * idle. All methods are for the event loop's thread; the constructors may be called from any.
+ * The connections to the endpoints of one pool. Sends each request on an idle connection, or on a new one if none is
+ * idle. All methods must be called on the event loop's thread; the constructors may be called on any thread.
  */
 public final class UpstreamConnectionPool {
-    /** Sending ends this long before the drain grace period does: the clock is not shared with the endpoints. */
+    /**
+     * Sending stops this long before the drain grace period ends, as the endpoints' clocks may differ from this one.
+     */
     private static final long DRAIN_MARGIN_MICROS = 50_000;
 
     private final EventLoop loop;
@@ -30,7 +32,7 @@
     private final Map<String, UpstreamEndpoint> endpoints = new HashMap<>();
     private BootSettings siteSettings;
 
-    /** Creates a pool that reaches each endpoint at its own address; {@code clock} gives microseconds. */
+    /** Creates a pool that connects to each endpoint at its own address; {@code clock} returns microseconds. */
     public UpstreamConnectionPool(
             EventLoop loop, BootSettings siteSettings, ConnectionBudget budget, LongSupplier clock) {
         this(loop, siteSettings, budget, clock, null);
@@ -39,8 +41,8 @@
     /**
      * Creates a pool.
      *
-     * @param clock gives microseconds
-     * @param fixedAddress where all endpoints are reached in place of their own addresses, or null
+     * @param clock returns microseconds
+     * @param fixedAddress the address to connect to for all endpoints, or null to use their own addresses
      */
     public UpstreamConnectionPool(
             EventLoop loop,
@@ -57,33 +59,34 @@
     }
 
     /**
-     * Calls {@code reclaimer} where the budget is spent and a connection is needed: it closes one that is in no use and
-     * returns true, or returns false. By default that is {@link #closeLongestIdle}.
+     * Sets the function that is called when a connection is needed and the budget is full. It closes an unused
+     * connection and returns true, or returns false if there is none. The default is {@link #closeLongestIdle}.
      */
     public void setReclaimer(BooleanSupplier reclaimer) {
         connector.setReclaimer(reclaimer);
     }
 
-    /** Takes new settings from here on. */
-    public void reconfigure(BootSettings next) {
-        siteSettings = next;
-        connector.reconfigure(next);
+    /** Applies new settings from this call on. */
+    public void reconfigure(BootSettings newSettings) {
+        siteSettings = newSettings;
+        connector.reconfigure(newSettings);
     }
 
     /**
-     * Takes a change of the list: its drains count from its notification, or from {@code atMicros} if that is earlier.
+     * Applies an update of the endpoint list. Its drain grace periods start when the balancer was notified of the
+     * update, or at {@code atMicros} if that is earlier.
      */
     public void updateEndpoints(EndpointList list, long atMicros) {
         long notifiedMicros = Math.min(atMicros, list.notifiedAtMicros());
-        Set<String> listed = new HashSet<>();
-        for (EndpointList.Entry target : list.entries()) {
-            String id = target.endpoint().id();
-            listed.add(id);
+        Set<String> listedIds = new HashSet<>();
+        for (EndpointList.Entry entry : list.entries()) {
+            String id = entry.endpoint().id();
+            listedIds.add(id);
             UpstreamEndpoint endpoint = endpoints.computeIfAbsent(id, UpstreamEndpoint::new);
-            if (target.address() != null && !target.address().equals(endpoint.address())) {
-                endpoint.moveTo(target.address());
+            if (entry.address() != null && !entry.address().equals(endpoint.address())) {
+                endpoint.changeAddress(entry.address());
             }
-            if (target.endpoint().state() == EndpointState.UP) {
+            if (entry.endpoint().state() == EndpointState.UP) {
                 endpoint.endDrain();
             } else {
                 endpoint.drainBy(drainDeadlineMicros(notifiedMicros));
@@ -91,7 +94,7 @@
         }
         if (list.complete()) {
             endpoints.values().stream()
-                    .filter(endpoint -> !listed.contains(endpoint.id()))
+                    .filter(endpoint -> !listedIds.contains(endpoint.id()))
                     .forEach(endpoint -> endpoint.drainBy(drainDeadlineMicros(notifiedMicros)));
         }
     }
@@ -106,8 +109,8 @@
     /**
      * Sends a request.
      *
-     * @param timeoutMicros how long the caller waits for the response: it is sent along, and the caller abandons the
-     *     call
+     * @param timeoutMicros how long the caller waits for the response, which is sent to the upstream as the deadline;
+     *     the caller has to abandon the call then
      * @return the call, which may have ended already
      */
     public UpstreamCall send(
@@ -115,10 +118,10 @@
         return start(endpointId, UpstreamCall.of(request, timeoutMicros, listener));
     }
 
-    /** Asks an endpoint for its load report, or its health alone; times out after the time that a connect may take. */
+    /** Probes an endpoint for its load report, or for its health only, with the connect timeout as the limit. */
     public void probe(String endpointId, boolean loadReport, UpstreamCall.Listener listener) {
         UpstreamCall call = UpstreamCall.ofProbe(RequestMessages.probe(loadReport), listener);
-        call.setTimeout(loop.schedule(
+        call.setTimeoutTimer(loop.schedule(
                 () -> {
                     boolean sent = call.abandon();
                     listener.onEnd(sent ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED, null, null);
@@ -137,10 +140,10 @@
         UpstreamConnection idle = endpoint.takeIdle();
         if (idle == null) {
             connector.connect(endpoint, call);
-        } else if (idle.settlesInMicros() == 0) {
+        } else if (idle.reuseDelayMicros() == 0) {
             idle.send(call);
         } else {
-            idle.sendWhenSettled(call);
+            idle.sendAfterReuseDelay(call);
         }
         return call;
     }
@@ -155,12 +158,12 @@
         }
     }
 
-    /** Closes the connection that has been idle for longest; returns false where none is idle. */
+    /** Closes the connection that has been idle the longest; returns false if none is idle. */
     public boolean closeLongestIdle() {
         return evictor.closeLongestIdle();
     }
 
-    /** Closes all idle connections, and each other one as its call ends. */
+    /** Closes all idle connections now, and each of the others when its call ends. */
     public void close() {
         evictor.stop();
         endpoints.values().forEach(UpstreamEndpoint::shutDown);
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamConnector.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamConnector.java
@@ -16,17 +16,17 @@
 import loadbalancer.transport.ChannelBufferSettings;
 
 /**
- * Opens connections within the budget, and knows the time-outs that hold for them. Belongs to the event loop's thread.
+ * Opens connections within the budget and provides their timeouts. Used on the event loop's thread only.
  */
 final class UpstreamConnector {
     private static final int DEFAULT_CONNECT_TIMEOUT_MILLIS = 1_000;
-    /** Connections are closed after this fraction of the time after which upstreams close an idle one. */
+    /** The idle timeout of a connection, as a fraction of the time after which upstreams close an idle connection. */
     private static final double IDLE_TIMEOUT_FRACTION = 0.5;
 
     private final EventLoop loop;
     private final ConnectionBudget budget;
     private final LongSupplier clock;
-    private final UnixDomainSocketAddress fixedAddress; // null: each endpoint's own
+    private final UnixDomainSocketAddress fixedAddress; // null: connect to the address of each endpoint
     private final Bootstrap bootstrap;
     private BooleanSupplier reclaimer;
     private BootSettings siteSettings;
@@ -51,15 +51,18 @@
                 .group(loop);
     }
 
-    void reconfigure(BootSettings next) {
-        siteSettings = next;
-        idleTimeoutMicros =
-                next.idleCloseMicros() > 0 ? (long) (next.idleCloseMicros() * IDLE_TIMEOUT_FRACTION) : Long.MAX_VALUE;
+    void reconfigure(BootSettings newSettings) {
+        siteSettings = newSettings;
+        idleTimeoutMicros = newSettings.idleCloseMicros() > 0
+                ? (long) (newSettings.idleCloseMicros() * IDLE_TIMEOUT_FRACTION)
+                : Long.MAX_VALUE;
     }
 
-    /** {@code next} closes a connection that is in no use where the budget is spent; false where it can't. */
-    void setReclaimer(BooleanSupplier next) {
-        reclaimer = next;
+    /**
+     * Sets the function that closes an unused connection when the budget is full; it returns false if there is none.
+     */
+    void setReclaimer(BooleanSupplier newReclaimer) {
+        reclaimer = newReclaimer;
     }
 
     EventLoop loop() {
@@ -70,12 +73,12 @@
         return clock.getAsLong();
     }
 
-    /** Returns how long a connection may be idle and still be used. */
+    /** Returns the time for which a connection may be idle and still be reused. */
     long idleTimeoutMicros() {
         return idleTimeoutMicros;
     }
 
-    /** Returns how long opening a connection may take; a probe gets as long for all of it. */
+    /** Returns the timeout for opening a connection, and for a probe as a whole. */
     int connectTimeoutMillis() {
         long limitMicros = siteSettings.settings().limits().connectTimeoutMicros();
         return limitMicros > 0
@@ -83,7 +86,7 @@
                 : DEFAULT_CONNECT_TIMEOUT_MILLIS;
     }
 
-    /** Opens a connection for {@code call}, which ends at once where none can be opened. */
+    /** Opens a connection for {@code call}, which ends immediately if no connection can be opened. */
     void connect(UpstreamEndpoint endpoint, UpstreamCall call) {
         if (budget.isFull() && !reclaimer.getAsBoolean()) {
             call.end(AttemptOutcome.CONNECT_FAILED, null, null);
@@ -102,8 +105,8 @@
                 })
                 .connect(fixedAddress != null ? fixedAddress : endpoint.address());
         if (!connected.channel().isRegistered()) {
-            // The system has no descriptor left, whatever the budget says. Such a channel has no event loop, so its
-            // close future never completes.
+            // The operating system has no file descriptor left, although the budget is not full. Such a channel has no
+            // event loop, so its close future never completes.
             connection.setChannel(connected.channel());
             budget.connectionClosed();
             call.end(AttemptOutcome.CONNECT_FAILED, null, null);
@@ -112,7 +115,7 @@
         connection.opened(connected);
     }
 
-    /** A connection that was opened has ended. */
+    /** Called when a connection that was opened has closed. */
     void connectionClosed() {
         budget.connectionClosed();
     }
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamEndpoint.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamEndpoint.java
@@ -4,13 +4,13 @@
 import java.util.ArrayDeque;
 import java.util.Iterator;
 
-/** An endpoint of the list, its drain and its idle connections. Belongs to the event loop's thread. */
+/** An endpoint with its drain deadline and its idle connections. Used on the event loop's thread only. */
 final class UpstreamEndpoint {
     private static final long NOT_DRAINING = Long.MAX_VALUE;
 
     private final String id;
-    private final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>(); // the most recently used last
-    private InetSocketAddress address; // null while the list names none
+    private final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>(); // the most recently used one is last
+    private InetSocketAddress address; // null if the endpoint list contains none
     private long drainDeadlineMicros = NOT_DRAINING;
 
     UpstreamEndpoint(String id) {
@@ -25,13 +25,13 @@
         return address;
     }
 
-    /** Takes another address: connections to the former one belong to another endpoint, if to any. */
-    void moveTo(InetSocketAddress other) {
+    /** Changes the address and closes the idle connections, whose peer is no longer this endpoint. */
+    void changeAddress(InetSocketAddress newAddress) {
         closeIdle();
-        address = other;
+        address = newAddress;
     }
 
-    /** Returns whether requests may be sent at that time. */
+    /** Returns whether requests may be sent at {@code nowMicros}. */
     boolean accepts(long nowMicros) {
         return nowMicros < drainDeadlineMicros;
     }
@@ -44,7 +44,10 @@
         return drainDeadlineMicros < micros;
     }
 
-    /** Sends nothing from {@code deadlineMicros} on, or from an earlier deadline that holds already. */
+    /**
+     * Allows no requests from {@code deadlineMicros} on, unless an earlier deadline is in force, and closes the idle
+     * connections.
+     */
     void drainBy(long deadlineMicros) {
         drainDeadlineMicros = Math.min(drainDeadlineMicros, deadlineMicros);
         closeIdle();
@@ -54,7 +57,7 @@
         drainDeadlineMicros = NOT_DRAINING;
     }
 
-    /** Sends nothing from here on. */
+    /** Allows no more requests and closes the idle connections. */
     void shutDown() {
         drainDeadlineMicros = Long.MIN_VALUE;
         closeIdle();
@@ -70,33 +73,33 @@
         idle.remove(connection);
     }
 
-    /** Returns the connection that has been idle for longest, or null. */
+    /** Returns the connection that has been idle the longest, or null if none is idle. */
     UpstreamConnection longestIdle() {
         return idle.peekFirst();
     }
 
     /**
-     * Removes and returns the most recently used of the settled connections, so that the others grow old and are
-     * closed; where none has settled, the one that will settle soonest; null where there is none.
+     * Removes and returns an idle connection: the most recently used one whose {@link ReuseDelay} is over, so that
+     * surplus connections expire, or else the one whose delay ends soonest. Returns null if none is idle.
      */
     UpstreamConnection takeIdle() {
-        UpstreamConnection soonest = null;
+        UpstreamConnection soonestReusable = null;
         for (Iterator<UpstreamConnection> iterator = idle.descendingIterator(); iterator.hasNext(); ) {
             UpstreamConnection connection = iterator.next();
             if (!connection.isUsable()) {
                 iterator.remove();
                 connection.close();
-            } else if (connection.settlesInMicros() == 0) {
+            } else if (connection.reuseDelayMicros() == 0) {
                 iterator.remove();
                 return connection;
             } else {
-                soonest = connection;
+                soonestReusable = connection;
             }
         }
-        if (soonest != null) {
-            idle.remove(soonest);
+        if (soonestReusable != null) {
+            idle.remove(soonestReusable);
         }
-        return soonest;
+        return soonestReusable;
     }
 
     void closeIdle() {
@@ -105,7 +108,7 @@
         }
     }
 
-    /** Closes the connections that are too old to be used. */
+    /** Closes the connections that have been idle for too long to be reused. */
     void closeExpired() {
         while (!idle.isEmpty() && !idle.peekFirst().isUsable()) {
             idle.pollFirst().close();
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamResponseDecoder.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamResponseDecoder.java
@@ -8,8 +8,9 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * Decodes responses strictly: what two readers could understand differently is an error. Stands directly before
- * {@link ResponseReader} in the pipeline of a connection to an upstream. One object for each connection, not sharable.
+ * Decodes responses strictly: a response that two parsers could understand differently is an error. Placed directly
+ * before {@link ResponseReader} in the pipeline of a connection to an upstream. One object for each connection, not
+ * sharable.
  */
 final class UpstreamResponseDecoder extends HttpResponseDecoder {
     private static final int MAX_HEADER_BYTES = 8 * 1024;
@@ -21,7 +22,7 @@
         this.reader = reader;
     }
 
-    /** Returns whether bytes have been read that belong to no response yet. */
+    /** Returns whether bytes have been read that are not decoded as part of a response yet. */
     boolean hasUndecodedBytes() {
         return actualReadableBytes() > 0;
     }
@@ -36,17 +37,17 @@
         }
     }
 
-    // By itself the decoder drops the length and goes on.
+    // By default, the decoder ignores the Content-Length header and continues.
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
         throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
     }
 
-    // By itself the decoder takes the first word of a line without a colon for a name.
+    // By default, the decoder takes the first word of a line without a colon as the header name.
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int size) {
         if (start + size >= line.length || line[start + size] != ':') {
-            throw new IllegalArgumentException("a header without a colon");
+            throw new IllegalArgumentException("header line without a colon");
         }
         return super.splitHeaderName(line, start, size);
     }
--- a/balancer/src/main/java/loadbalancer/upstream/package-info.java
+++ b/balancer/src/main/java/loadbalancer/upstream/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The connections to the upstreams, HTTP/1.1 with one request at a time on each, and what becomes of each request. All
- * of it belongs to the event loop's thread.
+ * Connections to the upstreams, which use HTTP/1.1 with one request at a time, and the outcome of each request. All
+ * objects are used on the event loop's thread only.
  */
 package loadbalancer.upstream;
--- a/balancer/src/test/java/loadbalancer/upstream/ResponseReaderTest.java
+++ b/balancer/src/test/java/loadbalancer/upstream/ResponseReaderTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Responses that can't be read, don't end, or have more behind them than belongs to them. */
+/** Responses that are malformed or endless, or are followed by unexpected data. */
 class ResponseReaderTest extends BalancerFixture {
-    /** The request may have run: the client gets a failure, and the connection is not used again. */
+    /** The request may have run, so the client gets a failure, and the connection is not reused. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -31,12 +31,12 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nand so on",
                 "HTTP/1.1 101 Switching Protocols\r\n\r\n",
             })
-    void unreadableResponseIsReset(String response) throws IOException, InterruptedException {
+    void malformedResponseIsReportedAsReset(String response) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(listenAddress)) {
             client.send(IDEMPOTENT_REQUEST);
-            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
-            got.write(response);
+            FakeUpstream.ReceivedRequest received = upstream.nextRequest();
+            received.write(response);
             assertEquals("RESET", policy.nextEvent());
             assertEquals(502, client.readStatus());
             client.send(IDEMPOTENT_REQUEST);
@@ -49,25 +49,25 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n", "X-Pad: pppppppppppppppp\r\n"})
-    void endlessHeadIsReset(String endless) throws IOException, InterruptedException {
+    void endlessResponseHeadIsReportedAsReset(String repeatedPart) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(listenAddress)) {
             client.send(IDEMPOTENT_REQUEST);
-            String begin = endless.startsWith("X") ? "HTTP/1.1 200 OK\r\n" : "";
-            upstream.nextRequest().write(begin + endless.repeat(1_000));
+            String statusLine = repeatedPart.startsWith("X") ? "HTTP/1.1 200 OK\r\n" : "";
+            upstream.nextRequest().write(statusLine + repeatedPart.repeat(1_000));
             assertEquals("RESET", policy.nextEvent());
             assertEquals(502, client.readStatus());
         }
     }
 
-    /** The duplicate arrives in one read with the response: the next request must not be served with it. */
+    /** The data arrives in one read with the response, and must not be taken for the response to the next request. */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst", "HTTP/1.1 20", "\u0007noise"})
-    void dataBehindAResponseBelongsToNoRequest(String behind) throws IOException, InterruptedException {
+    void dataRightAfterAResponseIsNotForwarded(String extraData) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(listenAddress)) {
             client.send(IDEMPOTENT_REQUEST + IDEMPOTENT_REQUEST.replace("r1", "r2"));
-            upstream.nextRequest().write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst" + behind);
+            upstream.nextRequest().write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst" + extraData);
             assertEquals(200, client.readStatus());
             assertEquals("first", new String(client.body, StandardCharsets.UTF_8));
             upstream.nextRequest().respond(200, "", "second");
@@ -78,19 +78,19 @@
     }
 
     @Test
-    void dataOnAnIdleConnectionClosesIt() throws IOException, InterruptedException {
+    void unexpectedDataClosesAnIdleConnection() throws IOException, InterruptedException {
         start();
         try (Client client = new Client(listenAddress)) {
             client.send(IDEMPOTENT_REQUEST);
-            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
-            got.respond(200, "", "ok");
+            FakeUpstream.ReceivedRequest received = upstream.nextRequest();
+            received.respond(200, "", "ok");
             assertEquals(200, client.readStatus());
-            assertTrue(isClosedSoon(got));
+            assertTrue(isClosedSoon(received));
         }
     }
 
     @Test
-    void informationalResponsesAndUnreadableLoadReportsAreSkipped() throws IOException, InterruptedException {
+    void informationalResponsesAndInvalidLoadReportsAreIgnored() throws IOException, InterruptedException {
         start();
         try (Client client = new Client(listenAddress)) {
             client.send(IDEMPOTENT_REQUEST);
--- a/balancer/src/test/java/loadbalancer/upstream/UpstreamConnectionPoolTest.java
+++ b/balancer/src/test/java/loadbalancer/upstream/UpstreamConnectionPoolTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Connections to upstreams: idle time-outs, drains and probes. */
+/** Connections to upstreams: idle timeouts, drains, cancelled attempts, late duplicates and probes. */
 class UpstreamConnectionPoolTest extends BalancerFixture {
     private final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
 
@@ -32,10 +32,10 @@
         start(Map.of("IdleClose", 400_000), 1024);
         try (Client client = new Client(listenAddress)) {
             client.send(IDEMPOTENT_REQUEST);
-            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
-            got.respond(200, "", "ok");
+            FakeUpstream.ReceivedRequest received = upstream.nextRequest();
+            received.respond(200, "", "ok");
             assertEquals(200, client.readStatus());
-            assertTrue(isClosedSoon(got));
+            assertTrue(isClosedSoon(received));
         }
     }
 
@@ -46,7 +46,7 @@
         onLoop(() -> policy.actions.fetchList());
         discovery.nextRequest().respond(200, "", "{\"rev\":50,\"all\":true,\"targets\":[]}");
         assertEquals("SNAPSHOT []", policy.nextEvent());
-        // The grace period ends at last; the policy of this test goes on sending all the same.
+        // The policy of this test continues to send requests until the grace period has ended.
         try (Client client = new Client(listenAddress)) {
             String outcome = "OK closed";
             while (outcome.startsWith("OK")) {
@@ -64,17 +64,17 @@
         }
     }
 
-    /** Connections are established only once the test accepts: the listener's backlog is full. */
+    /** The listener's backlog is full, so the connections are established only when the test accepts some. */
     @Test
     @Timeout(60)
     void attemptThatWaitsForItsConnectionIsNotSentAfterTheDrainGracePeriod() throws IOException, InterruptedException {
         List<Socket> fillers = new ArrayList<>();
         List<Client> clients = new ArrayList<>();
-        try (ServerSocket slow = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            while (fill(fillers, slow.getLocalPort())) {
-                assertTrue(fillers.size() < 50, "the queue never fills");
+        try (ServerSocket fullListener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            while (fillBacklog(fillers, fullListener.getLocalPort())) {
+                assertTrue(fillers.size() < 50, "the backlog never fills");
             }
-            endpointAddress = "127.0.0.1:" + slow.getLocalPort();
+            endpointAddress = "127.0.0.1:" + fullListener.getLocalPort();
             start(Map.of("DialTimeout", 30_000_000), 1024);
             clients.add(new Client(listenAddress).send(IDEMPOTENT_REQUEST.replace("r1", "r0")));
             assertEquals("0 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
@@ -82,19 +82,19 @@
             discovery.nextRequest().respond(200, "", "{\"rev\":50,\"all\":true,\"targets\":[]}");
             assertEquals("SNAPSHOT []", policy.nextEvent());
             String outcome = null;
-            while (outcome == null) { // until new attempts show that the grace period is over
+            while (outcome == null) { // a new attempt fails as soon as the grace period has ended
                 clients.add(new Client(listenAddress).send(IDEMPOTENT_REQUEST.replace("r1", "r" + clients.size())));
                 outcome = policy.events.poll(100, TimeUnit.MILLISECONDS);
             }
             assertEquals("NOT_SENT", outcome);
-            acceptAll(slow);
+            acceptAll(fullListener);
             for (int i = 1; i < clients.size(); i++) {
                 assertEquals("NOT_SENT", policy.nextEvent());
             }
             assertFillersAreAccepted(fillers.size());
-            Socket taken = accepted.poll(20, TimeUnit.SECONDS);
-            taken.setSoTimeout(20_000);
-            assertEquals(-1, taken.getInputStream().read(), "nothing was written");
+            Socket attemptSocket = accepted.poll(20, TimeUnit.SECONDS);
+            attemptSocket.setSoTimeout(20_000);
+            assertEquals(-1, attemptSocket.getInputStream().read(), "a byte was written to the connection");
         } finally {
             for (Socket filler : fillers) {
                 filler.close();
@@ -118,28 +118,28 @@
         accepting.start();
     }
 
-    private void assertFillersAreAccepted(int fillers) throws InterruptedException {
-        int ports = 0;
-        for (int i = 0; i < fillers; i++) {
-            ports += accepted.poll(20, TimeUnit.SECONDS) == null ? 0 : 1;
+    private void assertFillersAreAccepted(int fillerCount) throws InterruptedException {
+        int acceptedCount = 0;
+        for (int i = 0; i < fillerCount; i++) {
+            acceptedCount += accepted.poll(20, TimeUnit.SECONDS) == null ? 0 : 1;
         }
-        assertEquals(fillers, ports);
+        assertEquals(fillerCount, acceptedCount);
     }
 
-    /** Also where the policy cancels nothing, as it may not everywhere. */
+    /** The attempt ends although the policy does not cancel it, as the settings may forbid it to. */
     @Test
     @Timeout(60)
     void attemptThatWaitsForItsConnectionIsCancelledOnceItsClientHasLeft() throws IOException, InterruptedException {
         List<Socket> fillers = new ArrayList<>();
         policy.cancelsForGoneClients = false;
-        try (ServerSocket slow = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            while (fill(fillers, slow.getLocalPort())) {
-                assertTrue(fillers.size() < 50, "the queue never fills");
+        try (ServerSocket fullListener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            while (fillBacklog(fillers, fullListener.getLocalPort())) {
+                assertTrue(fillers.size() < 50, "the backlog never fills");
             }
-            endpointAddress = "127.0.0.1:" + slow.getLocalPort();
+            endpointAddress = "127.0.0.1:" + fullListener.getLocalPort();
             start(Map.of("DialTimeout", 30_000_000), 1024);
             try (Client client = new Client(listenAddress)) {
-                client.send(IDEMPOTENT_REQUEST.replace("20000", "500000")); // its deadline is not what ends it
+                client.send(IDEMPOTENT_REQUEST.replace("20000", "500000")); // a long deadline, which does not end the attempt
                 assertEquals("0 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
             }
             assertEquals("client gone", policy.nextEvent());
@@ -151,45 +151,45 @@
         }
     }
 
-    /** It arrives when the next request has the connection: it must not be taken for the response to that one. */
+    /** A duplicate that arrives when the next request is assigned to the connection is not taken for its response. */
     @Test
-    void lateDuplicateResponseBelongsToNoRequest() throws IOException, InterruptedException {
+    void lateDuplicateResponseIsNotForwarded() throws IOException, InterruptedException {
         start();
-        CountDownLatch answered = new CountDownLatch(1);
-        CountDownLatch held = new CountDownLatch(1);
+        CountDownLatch firstOutcome = new CountDownLatch(1);
+        CountDownLatch duplicateSent = new CountDownLatch(1);
         try (Client client = new Client(listenAddress);
-                Client next = new Client(listenAddress)) {
+                Client secondClient = new Client(listenAddress)) {
             client.send(IDEMPOTENT_REQUEST);
-            FakeUpstream.ReceivedRequest got = upstream.nextRequest();
-            policy.endpointId = null; // the next one is queued, and sent once the first is served
-            next.send(IDEMPOTENT_REQUEST.replace("r1", "r2"));
+            FakeUpstream.ReceivedRequest received = upstream.nextRequest();
+            policy.endpointId = null; // the next request has no attempt until the first one has its outcome
+            secondClient.send(IDEMPOTENT_REQUEST.replace("r1", "r2"));
             assertEquals("0 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
             assertEquals("0 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
             policy.onOutcome = () -> {
                 policy.onOutcome = () -> {};
                 policy.actions.send("2", "s1", 0);
-                answered.countDown();
+                firstOutcome.countDown();
                 try {
-                    held.await();
+                    duplicateSent.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
             };
-            got.respond(200, "", "first");
-            answered.await();
-            got.respond(200, "", "second");
-            held.countDown();
+            received.respond(200, "", "first");
+            firstOutcome.await();
+            received.respond(200, "", "second");
+            duplicateSent.countDown();
             assertEquals(200, client.readStatus());
-            FakeUpstream.ReceivedRequest other = upstream.nextRequest();
-            assertEquals("r2", other.header("Req-Id"));
-            assertEquals(2, other.connectionNumber());
-            other.respond(200, "", "its own");
-            assertEquals(200, next.readStatus());
-            assertEquals("its own", new String(next.body, StandardCharsets.UTF_8));
+            FakeUpstream.ReceivedRequest second = upstream.nextRequest();
+            assertEquals("r2", second.header("Req-Id"));
+            assertEquals(2, second.connectionNumber());
+            second.respond(200, "", "its own");
+            assertEquals(200, secondClient.readStatus());
+            assertEquals("its own", new String(secondClient.body, StandardCharsets.UTF_8));
         }
     }
 
-    private static boolean fill(List<Socket> fillers, int port) throws IOException {
+    private static boolean fillBacklog(List<Socket> fillers, int port) throws IOException {
         Socket socket = new Socket();
         try {
             socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 300);
@@ -205,10 +205,10 @@
     void probeReturnsTheLoadReport() throws IOException, InterruptedException {
         start();
         onLoop(() -> policy.actions.probe("s1"));
-        FakeUpstream.ReceivedRequest got = upstream.nextRequest();
-        assertEquals("GET /-/load HTTP/1.1", got.requestLine());
-        assertNull(got.header("Req-Id"));
-        got.respond(200, "", "TEXT inflight=3");
+        FakeUpstream.ReceivedRequest received = upstream.nextRequest();
+        assertEquals("GET /-/load HTTP/1.1", received.requestLine());
+        assertNull(received.header("Req-Id"));
+        received.respond(200, "", "TEXT inflight=3");
         assertEquals("probed OK 3.0", policy.nextEvent());
     }
 }
