--- a/balancer/src/main/java/loadbalancer/http/ClientConnection.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientConnection.java
@@ -21,24 +21,24 @@
 import loadbalancer.transport.UpstreamResponse;
 
 /**
- * One connection of a client: serves its requests one after the other, each one's response in turn, and limits how long
- * the client may take over anything. Last in its pipeline, behind {@link RequestReader}; not sharable. Belongs to the
- * event loop's thread.
+ * One connection of a client. Serves the requests one at a time, so that the responses are in the order of the
+ * requests, and applies the timeouts. The last handler in the pipeline, after {@link RequestReader}; not sharable. Used
+ * on the event loop's thread only.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter implements RequestReader.Listener {
-    /** What is being done about responses. */
+    /** The progress of serving requests. */
     private enum ResponseState {
         /** No request is being served. */
         IDLE,
-        /** The next request, or the refusal of one, is to be served by a task on the event loop. */
+        /** A task on the event loop will serve the next request, or write the rejection. */
         SCHEDULED,
         /** A request is being served. */
         SERVING,
-        /** The last response has been written; nothing more is served. */
+        /** The last response has been written; no further request is served. */
         ENDING
     }
 
-    static final String STOPPING = "stopping: trying again is harmless";
+    static final String STOPPING_REASON = "stopping: trying again is harmless";
     private static final byte[] NO_BODY = new byte[0];
 
     private final ClientRequestHandler requestHandler;
@@ -48,16 +48,16 @@
     private final ClientRequestDecoder decoder = new ClientRequestDecoder();
     private final ResponseWriter writer;
     private final ClientTimeouts timeouts = new ClientTimeouts();
-    private final PipelinedRequests waiting;
+    private final PipelinedRequests pipelinedRequests;
     private ResponseState state = ResponseState.IDLE;
-    private RequestValidator.Problem refusal; // the last response, when its turn comes
-    private boolean receiving; // part of a request has arrived
-    private boolean hasRequested; // a whole request has arrived, or one was refused
-    private BodyStream servedBody; // of the request that is being served, where it is streamed
+    private RequestValidator.Problem rejection; // written after the responses to earlier requests, as the last one
+    private boolean receiving; // a request has arrived in part
+    private boolean hasRequested; // a complete or streamed request has arrived, or one was rejected
+    private BodyStream servedBody; // the body of the request that is being served, if it is streamed
     private int reservedBytes; // for the body of the request that is being served
-    private Runnable departureListener; // set while a response is owed
-    private BodyStream upload; // of the request that is arriving, where it is streamed
-    private BodyStream download; // of a response that is being forwarded
+    private Runnable disconnectListener; // set while a response is pending
+    private BodyStream upload; // the body of the request that is arriving, if it is streamed
+    private BodyStream download; // the body of a response that is being streamed
 
     /** Creates a connection and adds its handlers to the pipeline of {@code channel}. */
     ClientConnection(ClientRequestHandler requestHandler, BodyMemoryBudget memory, Channel channel) {
@@ -66,7 +66,7 @@
         this.channel = channel;
         this.reader = new RequestReader(this, memory);
         this.writer = new ResponseWriter(channel);
-        this.waiting = new PipelinedRequests(memory);
+        this.pipelinedRequests = new PipelinedRequests(memory);
         channel.pipeline().addLast(new ReadActivityHandler(this), decoder, new HttpResponseEncoder(), reader, this);
     }
 
@@ -84,13 +84,15 @@
         return state == ResponseState.ENDING;
     }
 
-    /** Returns for how long no request has been arriving, waiting or being served; -1 where one is. */
+    /** Returns for how long no request has been arriving, waiting or being served; -1 if there is one. */
     long idleNanos(long nowNanos) {
-        return state != ResponseState.IDLE || receiving || !waiting.isEmpty() ? -1 : timeouts.phaseNanos(nowNanos);
+        return state != ResponseState.IDLE || receiving || !pipelinedRequests.isEmpty()
+                ? -1
+                : timeouts.phaseNanos(nowNanos);
     }
 
-    /** Returns for how long nothing more has arrived of a request that is not whole; 0 where none is arriving. */
-    long stuckNanos(long nowNanos) {
+    /** Returns for how long no data has arrived for an incomplete request; 0 if no request is arriving. */
+    long receiveStalledNanos(long nowNanos) {
         boolean arriving = receiving
                 && state == ResponseState.IDLE
                 && upload == null
@@ -98,40 +100,40 @@
         return arriving ? timeouts.sinceLastReadNanos(nowNanos) : 0;
     }
 
-    /** Returns whether a response is being waited for here, or has yet to leave. */
+    /** Returns whether a response is pending, or has not been written to the socket completely. */
     boolean hasPendingResponse() {
         ChannelOutboundBuffer outbound = channel.unsafe().outboundBuffer();
         boolean serving = state == ResponseState.SCHEDULED || state == ResponseState.SERVING;
         return serving || outbound != null && outbound.totalPendingWriteBytes() > 0;
     }
 
-    // ---- ends
+    // ---- timeouts and close
 
     void close() {
         channel.close();
     }
 
-    /** Refuses a request that is not whole: it may become so just as the process ends, and would be lost. */
-    void refuseIncomplete() {
+    /** Rejects an incomplete request, which would be lost if its rest arrived just as the process exits. */
+    void rejectIncomplete() {
         if (receiving && state == ResponseState.IDLE && upload == null) {
-            onInvalidRequest(HttpResponseStatus.SERVICE_UNAVAILABLE, STOPPING);
+            onInvalidRequest(HttpResponseStatus.SERVICE_UNAVAILABLE, STOPPING_REASON);
         }
     }
 
-    /** Ends what takes too long. */
+    /** Closes the connection, or rejects the request that is arriving, if a timeout has expired. */
     void checkTimeouts(long nowNanos) {
         if (state == ResponseState.ENDING) {
             if (timeouts.isLingerOver(nowNanos)) {
                 close();
             }
-        } else if (upload != null && timeouts.isReceiptOverdue(nowNanos, upload.pausedNanos())) {
+        } else if (upload != null && timeouts.isReceiveOverdue(nowNanos, upload.pausedNanos())) {
             if (channel.config().isAutoRead()) {
                 close();
             }
         } else if (upload == null
                 && receiving
                 && channel.config().isAutoRead()
-                && timeouts.isReceiptOverdue(nowNanos, 0)) {
+                && timeouts.isReceiveOverdue(nowNanos, 0)) {
             onInvalidRequest(HttpResponseStatus.REQUEST_TIMEOUT, "too slow");
         } else if (download != null && timeouts.isStalledTooLong(download.stalledNanos(nowNanos))) {
             close();
@@ -143,11 +145,11 @@
         }
     }
 
-    /** The channel has closed: releases all that was kept for it. */
+    /** Called when the channel has closed: releases the resources of the connection. */
     void onClosed() {
         reader.close();
         releaseServedMemory();
-        waiting.clear();
+        pipelinedRequests.clear();
         if (servedBody != null && !servedBody.isConsumed()) {
             servedBody.discard();
         }
@@ -155,8 +157,8 @@
             download.discard();
             download.source().close();
         }
-        Runnable listener = departureListener;
-        departureListener = null;
+        Runnable listener = disconnectListener;
+        disconnectListener = null;
         if (listener != null) {
             listener.run();
         }
@@ -169,11 +171,11 @@
 
     // ---- requests
 
-    /** Some bytes have arrived; called before they are decoded. */
+    /** Called when bytes have arrived, before they are decoded. */
     void onRead(int bytes) {
         if (!receiving && state != ResponseState.ENDING) {
             receiving = true;
-            timeouts.startReceipt();
+            timeouts.startReceiving();
         }
         timeouts.onRead(bytes);
     }
@@ -190,7 +192,7 @@
     public void onStreamedRequest(HttpRequest head, BodyStream body) {
         hasRequested = true;
         upload = body;
-        waiting.addStreamed(new PipelinedRequests.Entry(head, NO_BODY, body, latestSentAtNanos()));
+        pipelinedRequests.addStreamed(new PipelinedRequests.Entry(head, NO_BODY, body, earliestArrivalNanos()));
         serveNextIfWritable();
     }
 
@@ -205,45 +207,45 @@
     public void onRequest(HttpRequest head, byte[] body) {
         receiving = false;
         hasRequested = true;
-        // A client that pipelines too much is refused and still read: with reading turned off nobody would notice that
-        // it leaves, and what waits here would be forwarded for nobody.
-        if (waiting.isFull(state == ResponseState.SCHEDULED ? 1 : 0)) {
+        // If a client pipelines too many requests, the further ones are rejected, but its connection is still read:
+        // otherwise a disconnect would not be noticed, and the waiting requests would be forwarded for no client.
+        if (pipelinedRequests.isFull(state == ResponseState.SCHEDULED ? 1 : 0)) {
             onInvalidRequest(HttpResponseStatus.BAD_REQUEST, "too many requests sent ahead");
         } else {
-            waiting.add(new PipelinedRequests.Entry(head, body, null, latestSentAtNanos()));
+            pipelinedRequests.add(new PipelinedRequests.Entry(head, body, null, earliestArrivalNanos()));
             serveNextIfWritable();
         }
     }
 
-    private long latestSentAtNanos() {
+    private long earliestArrivalNanos() {
         return System.nanoTime() - 1000 * requestHandler.unreadMicros();
     }
 
     @Override
     public void onInvalidRequest(HttpResponseStatus status, String reason) {
         receiving = false;
-        if (refusal == null) {
-            refuseFurther(status, reason);
-            if (state == ResponseState.IDLE && waiting.isEmpty()) {
+        if (rejection == null) {
+            startRejecting(status, reason);
+            if (state == ResponseState.IDLE && pipelinedRequests.isEmpty()) {
                 writeText(status, reason, false);
             }
         }
     }
 
-    /** Refuses the request that is being served, and with it all that its client sent behind it. */
-    void refuse(HttpResponseStatus status, String reason) {
-        waiting.clear();
-        if (refusal == null) {
-            refuseFurther(status, reason);
+    /** Rejects the request that is being served, and discards the requests behind it. */
+    void reject(HttpResponseStatus status, String reason) {
+        pipelinedRequests.clear();
+        if (rejection == null) {
+            startRejecting(status, reason);
         }
         writeText(status, reason, false);
     }
 
-    // What follows is not even decoded: there may be hundreds of requests behind an invalid one.
-    private void refuseFurther(HttpResponseStatus status, String reason) {
+    // Further data is discarded without decoding, as there may be hundreds of requests behind an invalid one.
+    private void startRejecting(HttpResponseStatus status, String reason) {
         hasRequested = true;
         reader.close();
-        refusal = new RequestValidator.Problem(status, reason);
+        rejection = new RequestValidator.Problem(status, reason);
         channel.pipeline().replace(decoder, null, new DiscardingHandler(this));
     }
 
@@ -261,12 +263,11 @@
         }
     }
 
-    // In a task of its own: many requests that get their responses at once would fill the stack, and keep all other
-    // clients waiting. Also, by then the end of the connection has been read where it came right behind the request, so
-    // that
-    // nothing is forwarded for a client that left while its request waited to be read.
+    // The next request is served in a separate task: with a direct call, many pipelined requests that get immediate
+    // responses could overflow the stack and delay all other clients. Also, a disconnect right after the request has
+    // been read by then, so that nothing is forwarded for a client that has left.
     private void scheduleNext() {
-        if (state == ResponseState.IDLE && (refusal != null || !waiting.isEmpty())) {
+        if (state == ResponseState.IDLE && (rejection != null || !pipelinedRequests.isEmpty())) {
             state = ResponseState.SCHEDULED;
             channel.eventLoop().execute(this::serveNext);
         }
@@ -274,32 +275,32 @@
 
     private void serveNext() {
         state = ResponseState.SERVING;
-        PipelinedRequests.Entry next = waiting.poll();
+        PipelinedRequests.Entry next = pipelinedRequests.poll();
         if (!channel.isActive()) {
             return;
         }
         if (next != null) {
             serve(next);
-        } else if (refusal != null) {
-            writeText(refusal.status(), refusal.reason(), false);
+        } else if (rejection != null) {
+            writeText(rejection.status(), rejection.reason(), false);
         }
     }
 
     private void serve(PipelinedRequests.Entry request) {
         reservedBytes = request.body().length;
         servedBody = request.streamedBody();
-        long waitedMicros = (System.nanoTime() - request.sentAtNanos()) / 1000;
+        long waitedMicros = (System.nanoTime() - request.earliestArrivalNanos()) / 1000;
         requestHandler.handle(this, request.head(), request.body(), request.streamedBody(), waitedMicros);
     }
 
     // ---- responses
 
-    /** A response is owed from here on; {@code listener} runs if the client leaves before it. */
-    void whenDeparted(Runnable listener) {
-        departureListener = listener;
+    /** Sets a listener that runs if the client disconnects before its pending response. */
+    void setDisconnectListener(Runnable listener) {
+        disconnectListener = listener;
     }
 
-    /** Writes a response of one line of text to the request that is being served. */
+    /** Writes a response with one line of text to the request that is being served. */
     void writeText(HttpResponseStatus status, String text, boolean keepAlive) {
         ByteBuf body = Unpooled.copiedBuffer(text + "\n", StandardCharsets.UTF_8);
         write(status, body, "text/plain", null, null, keepAlive);
@@ -308,9 +309,9 @@
     /**
      * Writes the response to the request that is being served.
      *
-     * @param contentType may be null
-     * @param extraName a further header, which is left out where {@code extraValue} is null
-     * @param keepAlive whether the client lets its connection be kept open
+     * @param contentType the content type, or null to send none
+     * @param extraName the name of an additional header, which is omitted if {@code extraValue} is null
+     * @param keepAlive whether the client allows the connection to stay open
      */
     void write(
             HttpResponseStatus status,
@@ -320,28 +321,28 @@
             String extraValue,
             boolean keepAlive) {
         releaseRequest();
-        boolean stays = keepAlive && !requestHandler.isStopping();
-        onResponseWritten(writer.write(status, body, contentType, extraName, extraValue, stays), stays);
+        boolean keepOpen = keepAlive && !requestHandler.isStopping();
+        onResponseWritten(writer.write(status, body, contentType, extraName, extraValue, keepOpen), keepOpen);
     }
 
-    /** Forwards a response that has begun, as it arrives; {@code chunked}: its client understands chunks. */
+    /** Forwards a streamed response as it arrives; {@code chunked}: the client supports chunked encoding. */
     void stream(UpstreamResponse response, boolean keepAlive, boolean chunked) {
         releaseRequest();
         BodyStream body = response.streamedBody();
         boolean delimited = body.lengthBytes() >= 0 || chunked;
-        boolean stays = keepAlive && delimited && !requestHandler.isStopping();
-        writer.writeHead(response, chunked, stays);
+        boolean keepOpen = keepAlive && delimited && !requestHandler.isStopping();
+        writer.writeHead(response, chunked, keepOpen);
         download = body;
-        body.forwardTo(new ResponseBodyWriter(this, channel, delimited, stays));
+        body.forwardTo(new ResponseBodyWriter(this, channel, delimited, keepOpen));
     }
 
     void onStreamEnded() {
         download = null;
     }
 
-    // The request has its response: its memory is free, and what still arrives of it is not wanted.
+    // The request has its response: its memory is released, and the rest of its body is discarded.
     private void releaseRequest() {
-        departureListener = null;
+        disconnectListener = null;
         releaseServedMemory();
         if (servedBody != null) {
             servedBody.discard();
@@ -354,19 +355,19 @@
         reservedBytes = 0;
     }
 
-    /** The last byte of a response has been given to the channel. */
-    void onResponseWritten(ChannelFuture written, boolean stays) {
+    /** Called when the last byte of a response has been passed to the channel. */
+    void onResponseWritten(ChannelFuture written, boolean keepOpen) {
         if (upload == null) {
             timeouts.startPhase();
         }
-        if (stays) {
+        if (keepOpen) {
             state = ResponseState.IDLE;
             scheduleNext();
-        } else if (refusal == null && upload == null) {
+        } else if (rejection == null && upload == null) {
             state = ResponseState.ENDING;
             written.addListener(ChannelFutureListener.CLOSE);
         } else {
-            // Closed at once, with bytes unread, the connection would be reset before the response is read.
+            // Closing the socket with unread bytes would reset the connection before the client has read the response.
             state = ResponseState.ENDING;
             written.addListener(done -> ((DuplexChannel) channel).shutdownOutput());
         }
--- a/balancer/src/main/java/loadbalancer/http/ClientConnectionBudget.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientConnectionBudget.java
@@ -1,16 +1,16 @@
 package loadbalancer.http;
 
-/** What clients' connections are counted against. Called on the event loop's thread alone. */
+/** A limit on the number of client connections. Called on the event loop's thread only. */
 public interface ClientConnectionBudget {
-    /** A client's connection has been accepted. */
+    /** Counts a client connection that has been accepted. */
     void clientConnectionOpened();
 
-    /** A client's connection has ended. */
+    /** Uncounts a client connection that has closed. */
     void clientConnectionClosed();
 
     /** Returns whether no further connection of any kind may be opened. */
     boolean isFull();
 
-    /** Returns whether no further client's connection should be accepted. */
+    /** Returns whether no further client connection should be accepted. */
     boolean isFullForClients();
 }
--- a/balancer/src/main/java/loadbalancer/http/ClientConnections.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientConnections.java
@@ -9,12 +9,12 @@
 import loadbalancer.transport.BodyMemoryBudget;
 
 /**
- * The open connections of clients: checks their time-outs and closes those that are needed least where the budget is
- * spent. Belongs to the event loop's thread.
+ * The open client connections. Checks their timeouts, and closes the least needed ones when the budget is full. Used on
+ * the event loop's thread only.
  */
 final class ClientConnections {
-    private static final long RECENT_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
-    private static final long STUCK_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
+    private static final long MIN_IDLE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+    private static final long MIN_RECEIVE_STALL_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
     private static final long LONG_IDLE_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final ClientRequestHandler requestHandler;
@@ -22,14 +22,14 @@
     private final ClientConnectionBudget budget;
     private final BooleanSupplier closeIdleUpstream;
     private final Runnable capacityListener;
-    private final Set<ClientConnection> connections = new LinkedHashSet<>(); // the oldest first
+    private final Set<ClientConnection> connections = new LinkedHashSet<>(); // the oldest one is first
     private boolean ensuringCapacity;
 
     /**
      * Creates an empty set.
      *
-     * @param closeIdleUpstream closes an idle connection to an upstream; false where there is none
-     * @param capacityListener runs whenever the capacity may have changed
+     * @param closeIdleUpstream closes an idle connection to an upstream; returns false if there is none
+     * @param capacityListener runs each time the capacity may have changed
      */
     ClientConnections(
             ClientRequestHandler requestHandler,
@@ -44,7 +44,7 @@
         this.capacityListener = capacityListener;
     }
 
-    /** Adds a connection that has been accepted, until it closes. */
+    /** Adds a connection that has been accepted; it is removed when it closes. */
     void add(Channel channel) {
         ClientConnection connection = new ClientConnection(requestHandler, memory, channel);
         budget.clientConnectionOpened();
@@ -81,8 +81,8 @@
                 .forEach(ClientConnection::close);
     }
 
-    void refuseIncomplete() {
-        List.copyOf(connections).forEach(ClientConnection::refuseIncomplete);
+    void rejectIncomplete() {
+        List.copyOf(connections).forEach(ClientConnection::rejectIncomplete);
     }
 
     void checkTimeouts() {
@@ -92,12 +92,13 @@
     }
 
     /**
-     * Closes connections until another client fits, so that no accept fails for want of descriptors and clients leave
-     * some to the upstreams; where none can be closed, new connections wait in the listener's backlog.
+     * Closes connections until there is capacity for another client, so that accepting does not fail for lack of file
+     * descriptors and some remain for upstreams. If no connection can be closed, new connections wait in the listener's
+     * backlog.
      */
     void ensureCapacity() {
         if (ensuringCapacity) {
-            return; // the end of what it closes is notified here
+            return; // called again by the close listener of a connection that the loop below closes
         }
         ensuringCapacity = true;
         boolean closed = true;
@@ -109,20 +110,24 @@
     }
 
     /**
-     * Closes the connection that is needed least; returns false where all are in use. Clients that have never requested
-     * anything go first, then those that have long been idle, and at last those that have stopped in the middle of a
-     * request. A recent connection stays, as its request is probably on its way. Where clients alone are too many,
-     * {@code upstreamsToo} is false: a connection to an upstream would be closed in vain.
+     * Closes the least needed connection; returns false if all are in use. Idle clients that have never sent a request
+     * are closed first, then the client that has been idle the longest, and last a client that has stopped in the
+     * middle of a request. Connections that have become idle only recently are kept, as a request is probably on its
+     * way.
+     *
+     * @param upstreamsToo whether an idle connection to an upstream may be closed instead of a client that has been
+     *     idle for less than a second or has stopped in the middle of a request; false if only the limit for clients is
+     *     reached, as closing a connection to an upstream would not help
      */
     boolean closeLeastNeeded(boolean upstreamsToo) {
         long nowNanos = System.nanoTime();
         ClientConnection longestIdle = null;
-        ClientConnection longestStuck = null;
-        long maxIdleNanos = RECENT_NANOS;
-        long maxStuckNanos = STUCK_NANOS;
+        ClientConnection longestStalled = null;
+        long maxIdleNanos = MIN_IDLE_NANOS;
+        long maxReceiveStalledNanos = MIN_RECEIVE_STALL_NANOS;
         for (ClientConnection connection : connections) {
             long idleNanos = connection.idleNanos(nowNanos);
-            if (idleNanos > RECENT_NANOS && !connection.hasRequested()) {
+            if (idleNanos > MIN_IDLE_NANOS && !connection.hasRequested()) {
                 connection.close();
                 return true;
             }
@@ -130,16 +135,16 @@
                 maxIdleNanos = idleNanos;
                 longestIdle = connection;
             }
-            long stuckNanos = connection.stuckNanos(nowNanos);
-            if (stuckNanos > maxStuckNanos) {
-                maxStuckNanos = stuckNanos;
-                longestStuck = connection;
+            long receiveStalledNanos = connection.receiveStalledNanos(nowNanos);
+            if (receiveStalledNanos > maxReceiveStalledNanos) {
+                maxReceiveStalledNanos = receiveStalledNanos;
+                longestStalled = connection;
             }
         }
         if (upstreamsToo && maxIdleNanos < LONG_IDLE_NANOS && closeIdleUpstream.getAsBoolean()) {
             return true;
         }
-        ClientConnection leastNeeded = longestIdle != null ? longestIdle : longestStuck;
+        ClientConnection leastNeeded = longestIdle != null ? longestIdle : longestStalled;
         if (leastNeeded != null) {
             leastNeeded.close();
         }
--- a/balancer/src/main/java/loadbalancer/http/ClientListener.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientListener.java
@@ -22,11 +22,11 @@
 import loadbalancer.transport.ChannelBufferSettings;
 
 /**
- * Listens for clients and accepts their connections while there is capacity, from its start to its orderly stop. All
- * methods are for the event loop's thread, but for {@link #listen} and {@link #listenForWarmUp}.
+ * Listens for clients and accepts their connections while there is capacity, until a graceful stop. All methods must be
+ * called on the event loop's thread, except for {@link #listen} and {@link #listenForWarmUp}.
  */
 public final class ClientListener {
-    /** The memory that the bodies of all clients' requests may take together. */
+    /** The limit on the memory for the request bodies of all clients together. */
     public static final long MAX_BODY_MEMORY_BYTES = 6 << 20;
 
     private static final int BACKLOG = 1024;
@@ -37,15 +37,15 @@
     private final ClientRequestHandler requestHandler;
     private final ClientConnections connections;
     private Channel listener;
-    private boolean inherited; // the platform holds the listener: it is never closed here
+    private boolean inherited; // the listening socket was passed to this process, which must not close it
     private boolean accepting;
 
     /**
-     * Creates a listener that does not listen yet.
+     * Creates a listener; {@link #listen} opens its socket.
      *
-     * @param requestHandler gets the clients' requests
-     * @param closeIdleUpstream closes an idle connection to an upstream; false where there is none
-     * @param unreadMicros for how long what is being read now may have lain unread
+     * @param requestHandler handles the requests of the clients
+     * @param closeIdleUpstream closes an idle connection to an upstream; returns false if there is none
+     * @param unreadMicros how long the data that is being read may have waited in the socket's buffer, at most
      */
     public ClientListener(
             EventLoop loop,
@@ -67,11 +67,11 @@
     // ---- start
 
     /**
-     * Listens, and returns the address in use. Not for the event loop's thread.
+     * Listens, and returns the bound address. Must not be called on the event loop's thread.
      *
      * @param inheritedListener the socket to accept connections from, or null to bind one
-     * @param accept whether to accept connections at once, not only from {@link #startAccepting} on
-     * @throws IOException if interrupted; what binding fails with is thrown as it is
+     * @param accept whether to accept connections immediately, instead of after {@link #startAccepting}
+     * @throws IOException if interrupted; an exception of the bind is thrown unchanged
      */
     public InetSocketAddress listen(InetSocketAddress address, ServerSocketChannel inheritedListener, boolean accept)
             throws IOException {
@@ -100,7 +100,7 @@
                         ? new NioServerSocketChannel()
                         : new NioServerSocketChannel(inheritedListener))
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                // Set before it listens: a connection may be accepted before bind has returned to the starting thread.
+                // The field is set before the socket listens, as a connection may be accepted before bind returns.
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -113,7 +113,8 @@
     }
 
     /**
-     * Listens for the connections of the warm-up; the caller closes the channel. Not for the event loop's thread.
+     * Listens for the connections of the warm-up; the caller has to close the channel. Must not be called on the event
+     * loop's thread.
      *
      * @throws IOException if interrupted
      */
@@ -139,7 +140,7 @@
         });
     }
 
-    /** Accepts connections from here on. */
+    /** Starts to accept connections; has no effect on an inherited socket once the process is stopping. */
     public void startAccepting() {
         accepting = !servingState.isStopping() || !inherited;
         connections.ensureCapacity();
@@ -153,33 +154,33 @@
 
     // ---- requests
 
-    /** Reads requests by new settings from here on. */
-    public void reconfigure(BootSettings next) {
-        requestHandler.reconfigure(next);
+    /** Applies new settings to requests that arrive after this call. */
+    public void reconfigure(BootSettings newSettings) {
+        requestHandler.reconfigure(newSettings);
     }
 
-    /** Hands requests over to {@code next} from here on. */
-    public void setRequestHandler(RequestHandler next) {
-        requestHandler.setRequestHandler(next);
+    /** Replaces the handler of requests. */
+    public void setRequestHandler(RequestHandler newHandler) {
+        requestHandler.setRequestHandler(newHandler);
     }
 
-    /** Serves the requests of a warm-up as well, or of none where {@code traffic} is null. */
+    /** Starts to serve the requests of a warm-up too, or stops it if {@code traffic} is null. */
     public void setWarmUp(WarmUpTraffic traffic) {
         requestHandler.setWarmUp(traffic);
     }
 
-    /** Says from here on that the process is ready, unless it is stopping. */
+    /** Makes readiness checks report that the process is ready, unless it is stopping. */
     public void markReady() {
         servingState.markReady();
     }
 
-    /** Says what {@code note} returns, where that is not null, beside that the process is ready. */
+    /** Makes readiness checks of a ready process include the text of {@code note}, if it is not null. */
     public void setReadinessNote(Supplier<String> note) {
         servingState.setReadinessNote(note);
     }
 
     /**
-     * Closes the connection that is needed least, to an upstream or of a client; returns false where all are in use.
+     * Closes the least needed connection, to an upstream or of a client; returns false if all are in use.
      */
     public boolean closeLeastNeeded() {
         return connections.closeLeastNeeded(true);
@@ -188,12 +189,13 @@
     // ---- stop
 
     /**
-     * Ends each connection with its next response from here on; new connections are accepted where nobody else does.
+     * Closes each connection after its next response from now on. New connections are still accepted, unless the
+     * listening socket is inherited and another process accepts them.
      */
     public void startStopping() {
         servingState.startStopping();
         if (inherited) {
-            accepting = false; // new connections are those of the process that listens on the same socket
+            accepting = false; // another process listens on the same socket
             listener.config().setAutoRead(false);
         }
     }
@@ -203,14 +205,14 @@
         return servingState.isStopping();
     }
 
-    /** Accepts no more connections, closes the idle ones, and refuses requests that are not whole. */
+    /** Stops accepting connections, closes the idle ones, and rejects incomplete requests. */
     public void close() {
         if (listener != null && !inherited) {
             listener.close();
         }
         connections.closeIdle();
         if (!inherited) {
-            connections.refuseIncomplete();
+            connections.rejectIncomplete();
         }
     }
 
@@ -219,12 +221,12 @@
         return connections.hasStreaming();
     }
 
-    /** Returns whether all connections have ended. */
+    /** Returns whether all connections have closed. */
     public boolean isEmpty() {
         return connections.isEmpty();
     }
 
-    /** Returns whether a client has yet to get a response, or all of one. */
+    /** Returns whether a response is pending or has not been written completely. */
     public boolean hasPendingResponses() {
         return connections.hasPendingResponses();
     }
--- a/balancer/src/main/java/loadbalancer/http/ClientRequestHandler.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientRequestHandler.java
@@ -15,22 +15,22 @@
 import loadbalancer.transport.InboundRequest;
 
 /**
- * Serves the requests of all client connections: readiness checks and warm-up requests itself, all others through a
- * {@link RequestHandler}. Belongs to the event loop's thread.
+ * Serves the requests of all client connections: answers readiness checks and warm-up requests itself, and passes all
+ * others to a {@link RequestHandler}. Used on the event loop's thread only.
  */
 final class ClientRequestHandler {
-    private static final String OWN_PATHS = "/-/";
+    private static final String OWN_PATH_PREFIX = "/-/";
     private static final String READINESS_PATH = "/-/ready";
     private static final int WARM_UP_BODY_BYTES = 256;
     private static final String WARM_UP_LOAD_REPORT = "TEXT eps=0.1, latency_ms=14.5, inflight=2";
-    /** What arrives later after the stop might still be unanswered when the process is killed. */
-    private static final long MAX_STOPPING_NANOS = TimeUnit.MILLISECONDS.toNanos(650);
+    /** A request that arrives later than this after the stop might have no response before the process is killed. */
+    private static final long MAX_DISPATCH_WHILE_STOPPING_NANOS = TimeUnit.MILLISECONDS.toNanos(650);
 
     private final ServingState servingState;
     private final LongSupplier unreadMicros;
     private BootSettings siteSettings;
     private RequestHandler requestHandler;
-    private WarmUpTraffic warmUp; // null where none is running
+    private WarmUpTraffic warmUp; // null unless a warm-up is running
 
     ClientRequestHandler(
             ServingState servingState,
@@ -43,12 +43,12 @@
         this.unreadMicros = unreadMicros;
     }
 
-    void reconfigure(BootSettings next) {
-        siteSettings = next;
+    void reconfigure(BootSettings newSettings) {
+        siteSettings = newSettings;
     }
 
-    void setRequestHandler(RequestHandler next) {
-        requestHandler = next;
+    void setRequestHandler(RequestHandler newHandler) {
+        requestHandler = newHandler;
     }
 
     void setWarmUp(WarmUpTraffic traffic) {
@@ -59,16 +59,16 @@
         return servingState.isStopping();
     }
 
-    /** Returns for how long what is being read now may have lain unread. */
+    /** Returns how long the data that is being read may have waited in the socket's buffer, at most. */
     long unreadMicros() {
         return unreadMicros.getAsLong();
     }
 
     /**
-     * Serves a request; its response is written to {@code client} now or later.
+     * Serves a request; the response is written to {@code client} immediately or later.
      *
-     * @param body the whole body, or none of it where {@code streamedBody} is not null
-     * @param waitedMicros for how long the request may have waited since its client sent its last byte
+     * @param body the complete body; empty if {@code streamedBody} is not null
+     * @param waitedMicros the longest time that may have passed since the last byte arrived
      */
     void handle(ClientConnection client, HttpRequest head, byte[] body, BodyStream streamedBody, long waitedMicros) {
         String path = head.uri();
@@ -77,7 +77,7 @@
             respondAsUpstream(client, head);
         } else if (warmUpRequest && path.equals(WarmUpTraffic.CLIENT_PATH)) {
             dispatch(client, head, body, streamedBody, waitedMicros, true);
-        } else if (path.startsWith(OWN_PATHS)) {
+        } else if (path.startsWith(OWN_PATH_PREFIX)) {
             respondToCheck(client, head);
         } else {
             dispatch(client, head, body, streamedBody, waitedMicros, false);
@@ -114,33 +114,33 @@
             BodyStream streamedBody,
             long waitedMicros,
             boolean warmUpRequest) {
-        if (servingState.isStopping() && servingState.stoppingNanos() > MAX_STOPPING_NANOS) {
-            client.refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, ClientConnection.STOPPING);
+        if (servingState.isStopping() && servingState.stoppingNanos() > MAX_DISPATCH_WHILE_STOPPING_NANOS) {
+            client.reject(HttpResponseStatus.SERVICE_UNAVAILABLE, ClientConnection.STOPPING_REASON);
             return;
         }
         InboundRequest request;
         try {
             request = parse(head, body, streamedBody, waitedMicros);
         } catch (IllegalArgumentException e) {
-            client.refuse(HttpResponseStatus.BAD_REQUEST, e.getMessage());
+            client.reject(HttpResponseStatus.BAD_REQUEST, e.getMessage());
             return;
         }
         RequestHandler handler = warmUpRequest ? warmUp.requestHandler() : requestHandler;
         if (handler.isOpen(request.id())) {
-            // An upstream could not distinguish the two, and might send the response to one for the other.
-            client.refuse(HttpResponseStatus.CONFLICT, "a request with this Req-Id is open");
+            // An upstream could not distinguish the two requests, and might send the response to one for the other.
+            client.reject(HttpResponseStatus.CONFLICT, "a request with this Req-Id is open");
             return;
         }
         HttpClientResponder responder = new HttpClientResponder(
                 client, HttpUtil.isKeepAlive(head), head.protocolVersion().equals(HttpVersion.HTTP_1_1));
-        Runnable departureListener =
+        Runnable disconnectListener =
                 handler.handle(warmUpRequest ? request.withUri(WarmUpTraffic.UPSTREAM_PATH) : request, responder);
         if (!responder.hasResponded()) {
-            client.whenDeparted(departureListener);
+            client.setDisconnectListener(disconnectListener);
         }
     }
 
-    // A client's time runs from its last byte, not from when this process came to read it.
+    // The deadline is counted from the arrival of the last byte, not from when this process read it.
     private InboundRequest parse(HttpRequest head, byte[] body, BodyStream streamedBody, long waitedMicros) {
         InboundRequest request = InboundRequestParser.parse(head, body, streamedBody, siteSettings);
         return streamedBody == null
--- a/balancer/src/main/java/loadbalancer/http/ClientTimeouts.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientTimeouts.java
@@ -3,30 +3,30 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The clocks of one client connection and the time-outs that run on them. Against peers that send nothing, or a byte
- * now and then, and against those that don't read. A client is owed an error or a close within 3 s, and the
- * connections are checked every 200 ms. Belongs to the event loop's thread.
+ * The timeouts of one client connection. They protect against clients that send nothing or only a byte at times, and
+ * against those that don't read their responses. A slow client has to get an error or a close within 3 s, and the
+ * timeouts are checked every 200 ms. Used on the event loop's thread only.
  */
 final class ClientTimeouts {
-    private static final long RECEIVE_NANOS = TimeUnit.MILLISECONDS.toNanos(2_400); // of a whole request
+    private static final long RECEIVE_NANOS = TimeUnit.MILLISECONDS.toNanos(2_400); // for a complete request
     private static final long RECEIVE_NANOS_PER_BYTE = TimeUnit.SECONDS.toNanos(1) / 32_000; // in addition
     private static final long FIRST_REQUEST_NANOS = TimeUnit.MILLISECONDS.toNanos(2_200);
     private static final long IDLE_NANOS = TimeUnit.MILLISECONDS.toNanos(5_000); // between two requests
     private static final long LINGER_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000); // after the last response
     private static final long WRITE_STALL_NANOS = TimeUnit.MILLISECONDS.toNanos(20_000);
 
-    private long phaseStartNanos = System.nanoTime(); // of the receipt, the idle time or the linger
+    private long phaseStartNanos = System.nanoTime(); // a phase is receiving a request, idling or lingering
     private long lastReadNanos;
     private long receivedBytes; // of the request that is arriving
-    private long stalledBytes; // that wait for the client to read
+    private long stalledBytes; // bytes that waited to be written at the last check
     private long stalledSinceNanos = phaseStartNanos;
 
     void startPhase() {
         phaseStartNanos = System.nanoTime();
     }
 
-    /** A request begins to arrive. */
-    void startReceipt() {
+    /** Called when the first byte of a request has arrived. */
+    void startReceiving() {
         receivedBytes = 0;
         startPhase();
     }
@@ -44,8 +44,8 @@
         return nowNanos - lastReadNanos;
     }
 
-    /** Returns whether the receipt has taken too long, not counting the time that it was paused for. */
-    boolean isReceiptOverdue(long nowNanos, long pausedNanos) {
+    /** Returns whether receiving a request has taken too long, excluding the time for which it was paused. */
+    boolean isReceiveOverdue(long nowNanos, long pausedNanos) {
         return phaseNanos(nowNanos) - pausedNanos > RECEIVE_NANOS + receivedBytes * RECEIVE_NANOS_PER_BYTE;
     }
 
@@ -53,17 +53,17 @@
         return phaseNanos(nowNanos) > LINGER_NANOS;
     }
 
-    /** Returns whether a connection has been idle for too long; {@code idleNanos} is -1 where it isn't. */
+    /** Returns whether a connection has been idle for too long; {@code idleNanos} is -1 if it is not idle. */
     boolean isIdleTooLong(long idleNanos, boolean hasRequested) {
         return idleNanos > (hasRequested ? IDLE_NANOS : FIRST_REQUEST_NANOS);
     }
 
-    /** Returns whether a streamed response has stood still for too long. */
+    /** Returns whether a streamed response has made no progress for too long. */
     boolean isStalledTooLong(long stalledNanos) {
         return stalledNanos > WRITE_STALL_NANOS;
     }
 
-    /** Takes how many bytes wait to leave, and returns whether their number has not changed for too long. */
+    /** Records how many bytes wait to be written, and returns whether the number has not changed for too long. */
     boolean isWriteStalled(long nowNanos, long waitingBytes) {
         if (waitingBytes == 0 || waitingBytes != stalledBytes) {
             stalledBytes = waitingBytes;
--- a/balancer/src/main/java/loadbalancer/http/DiscardingHandler.java
+++ b/balancer/src/main/java/loadbalancer/http/DiscardingHandler.java
@@ -6,8 +6,8 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * Takes the place of {@link ClientRequestDecoder} once a client's request has been refused: reads a limited amount of
- * what the client still sends and keeps none of it. One object for each connection, not sharable.
+ * Replaces {@link ClientRequestDecoder} after a client's request has been rejected: reads and discards a limited amount
+ * of the data that the client still sends. One object for each connection, not sharable.
  */
 final class DiscardingHandler extends ChannelInboundHandlerAdapter {
     private static final int MAX_BYTES_AFTER_RESPONSE = 64 * 1024;
--- a/balancer/src/main/java/loadbalancer/http/EndToEndHeaders.java
+++ b/balancer/src/main/java/loadbalancer/http/EndToEndHeaders.java
@@ -10,10 +10,10 @@
 import java.util.stream.Stream;
 import loadbalancer.transport.HeaderNames;
 
-/** Selects the headers of a request that are forwarded. */
+/** Selects the headers of a request that are forwarded to the upstream. */
 final class EndToEndHeaders {
-    /** In lower case; the deadline is set anew for each attempt. */
-    private static final Set<String> HOP_BY_HOP = Set.of(
+    /** Hop-by-hop headers and the deadline header, which is set for each attempt; in lower case. */
+    private static final Set<String> NOT_FORWARDED = Set.of(
             "connection",
             "keep-alive",
             "proxy-connection",
@@ -29,13 +29,13 @@
 
     private EndToEndHeaders() {}
 
-    /** Returns a copy without hop-by-hop headers and without those that {@code Connection} names. */
+    /** Returns a copy without the hop-by-hop headers and those that the {@code Connection} header lists. */
     static HttpHeaders copyOf(HttpHeaders headers) {
         HttpHeaders endToEnd = new DefaultHttpHeaders();
         Set<String> connectionOptions = connectionOptions(headers);
         for (Map.Entry<String, String> header : headers) {
             String name = header.getKey().toLowerCase(Locale.ROOT);
-            if (!HOP_BY_HOP.contains(name) && !connectionOptions.contains(name)) {
+            if (!NOT_FORWARDED.contains(name) && !connectionOptions.contains(name)) {
                 endToEnd.add(header.getKey(), header.getValue());
             }
         }
--- a/balancer/src/main/java/loadbalancer/http/HttpClientResponder.java
+++ b/balancer/src/main/java/loadbalancer/http/HttpClientResponder.java
@@ -7,13 +7,13 @@
 import loadbalancer.dispatch.ClientResponder;
 import loadbalancer.transport.UpstreamResponse;
 
-/** Words the final response to one request and writes it to its client. Belongs to the event loop's thread. */
+/** Writes the final response to one request as an HTTP response. Used on the event loop's thread only. */
 final class HttpClientResponder implements ClientResponder {
     private static final double MICROS_PER_SECOND = 1e6;
 
     private final ClientConnection client;
     private final boolean keepAlive;
-    private final boolean chunked; // the client understands chunks
+    private final boolean chunked; // the client supports chunked encoding
     private boolean responded;
 
     HttpClientResponder(ClientConnection client, boolean keepAlive, boolean chunked) {
--- a/balancer/src/main/java/loadbalancer/http/InboundRequestParser.java
+++ b/balancer/src/main/java/loadbalancer/http/InboundRequestParser.java
@@ -10,12 +10,12 @@
 import loadbalancer.transport.HeaderNames;
 import loadbalancer.transport.InboundRequest;
 
-/** Reads what a client's request asks for from its head. */
+/** Creates an {@link InboundRequest} from the head and the body of a client's request. */
 final class InboundRequestParser {
-    private static final int MAX_NAME_CHARS = 256; // of an id or a key
+    private static final int MAX_NAME_CHARS = 256; // of a request id or an idempotency key
     private static final int MAX_NUMBER_DIGITS = 12;
-    private static final long MAX_DEADLINE_MILLIS = 600_000; // a request is kept for so long at most
-    private static final long MAX_WORK_ESTIMATE_MICROS = 600_000_000; // an estimate beyond it says nothing
+    private static final long MAX_DEADLINE_MILLIS = 600_000; // limits how long a request is kept
+    private static final long MAX_WORK_ESTIMATE_MICROS = 600_000_000; // a larger estimate is ignored
     private static final long MICROS_PER_MILLI = 1000;
     private static final String HTTP_SCHEME = "http://";
     private static final List<String> SINGLE_VALUED = List.of(
@@ -30,16 +30,16 @@
     private InboundRequestParser() {}
 
     /**
-     * Returns the request whose head has been read.
+     * Returns the request with this head and body.
      *
-     * @param body the whole body, or none of it where {@code streamedBody} is not null
-     * @throws IllegalArgumentException where it can't be taken; the message is the reason for the client
+     * @param body the complete body; empty if {@code streamedBody} is not null
+     * @throws IllegalArgumentException if the request is invalid; the message is sent to the client
      */
     static InboundRequest parse(HttpRequest head, byte[] body, BodyStream streamedBody, BootSettings siteSettings) {
         HttpHeaders headers = head.headers();
         requireSingleValues(headers);
         String id = headers.get(HeaderNames.REQUEST_ID, "");
-        if (!isName(id)) {
+        if (!isValidName(id)) {
             throw new InvalidRequestException("no or bad " + HeaderNames.REQUEST_ID);
         }
         int requestClass = siteSettings.classes().indexOf(headers.get(HeaderNames.REQUEST_CLASS, ""));
@@ -47,7 +47,7 @@
             throw new InvalidRequestException("unknown " + HeaderNames.REQUEST_CLASS);
         }
         requireMethod(head, siteSettings.settings().classes().get(requestClass).idempotency());
-        long timeLeftMillis = number(headers.get(HeaderNames.DEADLINE_MILLIS), -1);
+        long timeLeftMillis = parseNumber(headers.get(HeaderNames.DEADLINE_MILLIS), -1);
         if (timeLeftMillis <= 0 || timeLeftMillis > MAX_DEADLINE_MILLIS) {
             throw new InvalidRequestException("no or bad " + HeaderNames.DEADLINE_MILLIS);
         }
@@ -56,7 +56,7 @@
             throw new InvalidRequestException("not a path");
         }
         int tenant = Math.max(0, siteSettings.tenants().indexOf(headers.get(HeaderNames.TENANT, "")));
-        long workEstimateMicros = number(headers.get(HeaderNames.WORK_ESTIMATE_MICROS), -1);
+        long workEstimateMicros = parseNumber(headers.get(HeaderNames.WORK_ESTIMATE_MICROS), -1);
         return new InboundRequest(
                 id,
                 head.method(),
@@ -85,13 +85,13 @@
         String idempotencyKey = head.headers().get(HeaderNames.IDEMPOTENCY_KEY);
         if (!head.method().equals(method)
                 || (idempotencyKey != null) != (idempotency == Idempotency.IDEMPOTENT_WITH_KEY)
-                || idempotencyKey != null && !isName(idempotencyKey)) {
+                || idempotencyKey != null && !isValidName(idempotencyKey)) {
             throw new InvalidRequestException(
                     "method or " + HeaderNames.IDEMPOTENCY_KEY + " contradicts the " + HeaderNames.REQUEST_CLASS);
         }
     }
 
-    // A server has to accept a target that names the host as well; an upstream gets the path and the query.
+    // HTTP servers have to accept the absolute form of a request target; an upstream gets only the path and the query.
     private static String originForm(String target) {
         if (!target.regionMatches(true, 0, HTTP_SCHEME, 0, HTTP_SCHEME.length())) {
             return target;
@@ -100,24 +100,24 @@
         return path < 0 ? "/" : target.substring(path);
     }
 
-    // What a request concerns is the last segment of its path.
+    // The key of a request is the last segment of its path.
     private static String keyOf(String uri) {
         String path = uri.split("[?#]", 2)[0];
         String key = path.substring(path.lastIndexOf('/') + 1);
         return key.isEmpty() ? null : key;
     }
 
-    private static boolean isName(String text) {
+    private static boolean isValidName(String text) {
         return !text.isEmpty()
                 && text.length() <= MAX_NAME_CHARS
                 && text.chars().allMatch(character -> character > ' ' && character < 127);
     }
 
-    private static long number(String text, long otherwise) {
+    private static long parseNumber(String text, long defaultValue) {
         String digits = text == null ? "" : text.strip();
         boolean decimal = !digits.isEmpty()
                 && digits.length() <= MAX_NUMBER_DIGITS
                 && digits.chars().allMatch(character -> character >= '0' && character <= '9');
-        return decimal ? Long.parseLong(digits) : otherwise;
+        return decimal ? Long.parseLong(digits) : defaultValue;
     }
 }
--- a/balancer/src/main/java/loadbalancer/http/InvalidRequestException.java
+++ b/balancer/src/main/java/loadbalancer/http/InvalidRequestException.java
@@ -1,6 +1,6 @@
 package loadbalancer.http;
 
-/** A client's request that can't be taken; its message is the reason that the client gets. */
+/** Thrown for an invalid request of a client; the message is sent to the client. */
 final class InvalidRequestException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/balancer/src/main/java/loadbalancer/http/PipelinedRequests.java
+++ b/balancer/src/main/java/loadbalancer/http/PipelinedRequests.java
@@ -5,16 +5,16 @@
 import loadbalancer.transport.BodyMemoryBudget;
 import loadbalancer.transport.BodyStream;
 
-/** The requests of one client that have arrived and wait for their turn, in order, with the memory of their bodies. */
+/** The requests of one client that have arrived and wait to be served, in order, and the memory for their bodies. */
 final class PipelinedRequests {
     private static final int MAX_WAITING = 16;
 
     /**
      * A request that has arrived.
      *
-     * @param sentAtNanos the latest that its client can have sent the last byte that was read, by System.nanoTime
+     * @param earliestArrivalNanos the earliest time at which the last byte may have arrived, from System.nanoTime()
      */
-    record Entry(HttpRequest head, byte[] body, BodyStream streamedBody, long sentAtNanos) {}
+    record Entry(HttpRequest head, byte[] body, BodyStream streamedBody, long earliestArrivalNanos) {}
 
     private final ArrayDeque<Entry> waiting = new ArrayDeque<>();
     private final BodyMemoryBudget memory;
@@ -27,7 +27,7 @@
         return waiting.isEmpty();
     }
 
-    /** Returns whether no more may wait; {@code scheduled} of those that wait are about to be served. */
+    /** Returns whether no more requests may wait; {@code scheduled} waiting ones are about to be served. */
     boolean isFull(int scheduled) {
         return waiting.size() - scheduled >= MAX_WAITING;
     }
@@ -37,18 +37,18 @@
         waiting.add(entry);
     }
 
-    /** Adds a request, and reserves the memory of its body. */
+    /** Adds a request and reserves the memory for its body. */
     void add(Entry entry) {
         memory.tryReserve(entry.body().length);
         waiting.add(entry);
     }
 
-    /** Removes and returns the next request, whose memory stays reserved; null where none waits. */
+    /** Removes and returns the next request, whose memory remains reserved; null if none waits. */
     Entry poll() {
         return waiting.poll();
     }
 
-    /** Drops all requests. */
+    /** Discards all requests and releases their memory. */
     void clear() {
         for (Entry entry = waiting.poll(); entry != null; entry = waiting.poll()) {
             memory.release(entry.body().length);
--- a/balancer/src/main/java/loadbalancer/http/ReadActivityHandler.java
+++ b/balancer/src/main/java/loadbalancer/http/ReadActivityHandler.java
@@ -5,8 +5,8 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /**
- * First in a client's pipeline: notes that a request has begun to arrive, so that its connection is not idle and its
- * receive time-out runs. One object for each connection, not sharable.
+ * The first handler in the pipeline of a client connection. Reports each read to the connection, so that it is not idle
+ * while a request arrives and the receive timeout starts. One object for each connection, not sharable.
  */
 final class ReadActivityHandler extends ChannelInboundHandlerAdapter {
     private final ClientConnection connection;
--- a/balancer/src/main/java/loadbalancer/http/RequestReader.java
+++ b/balancer/src/main/java/loadbalancer/http/RequestReader.java
@@ -15,35 +15,35 @@
 import loadbalancer.transport.BodyStream;
 
 /**
- * Puts a client's requests together, each whole and copied off the socket's buffers; a body that is too large for that
- * is streamed. What is too long, or framed in a way that others may read differently, is refused as soon as that shows,
- * and none of it is kept. Stands behind {@link ClientRequestDecoder} in a client's pipeline; one object for each
- * connection, not sharable.
+ * Assembles a client's requests. A body is buffered completely, copied from the buffers of the socket; a body that is
+ * too large for that is streamed. A request that is too large, or framed so that another parser may read it
+ * differently, is rejected as soon as this is known, and its data is discarded. Placed after
+ * {@link ClientRequestDecoder} in the pipeline; one object for each connection, not sharable.
  */
 final class RequestReader extends SimpleChannelInboundHandler<HttpObject> {
-    /** Gets what is read, on the event loop's thread. Nothing follows {@link #onInvalidRequest}. */
+    /** Receives the requests, on the event loop's thread. No call follows {@link #onInvalidRequest}. */
     interface Listener {
-        /** A valid head has arrived; its body is to follow. */
+        /** A valid head has arrived; the body follows. */
         void onHead(HttpRequest head);
 
-        /** A request has arrived whole. */
+        /** A complete request has arrived. */
         void onRequest(HttpRequest head, byte[] body);
 
-        /** A request has begun whose body is too large to be buffered; the rest of it is streamed. */
+        /** A request has started whose body is too large to be buffered; the body is streamed. */
         void onStreamedRequest(HttpRequest head, BodyStream body);
 
         /** The last byte of a streamed request has arrived. */
         void onStreamedRequestComplete();
 
-        /** A request can't be taken, for that reason. */
+        /** A request is invalid or too large, or there is no memory for it; {@code reason} is sent to the client. */
         void onInvalidRequest(HttpResponseStatus status, String reason);
     }
 
     private final Listener listener;
     private final BodyMemoryBudget memory;
     private final BodyBuffer body = new BodyBuffer();
-    private HttpRequest head; // of a request whose body is being buffered
-    private BodyStream stream; // of a request whose body is being streamed
+    private HttpRequest head; // the head of a request whose body is being buffered
+    private BodyStream stream; // the body of a request that is being streamed
     private long streamedBytes;
     private boolean closed;
 
@@ -58,7 +58,7 @@
             return;
         }
         if (!part.decoderResult().isSuccess()) {
-            refuse(HttpResponseStatus.BAD_REQUEST, "malformed request");
+            reject(HttpResponseStatus.BAD_REQUEST, "malformed request");
         } else if (part instanceof HttpRequest request) {
             readHead(request);
         }
@@ -75,7 +75,7 @@
     private void readHead(HttpRequest request) {
         RequestValidator.Problem problem = RequestValidator.findFramingProblem(request);
         if (problem != null) {
-            refuse(problem.status(), problem.reason());
+            reject(problem.status(), problem.reason());
             return;
         }
         head = request;
@@ -103,7 +103,7 @@
             return;
         }
         if (!memory.tryReserve(count)) {
-            refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for bodies: trying again is harmless");
+            reject(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for bodies: trying again is harmless");
             return;
         }
         body.append(more);
@@ -133,18 +133,18 @@
     private void writeToStream(ByteBuf more) {
         streamedBytes += more.readableBytes();
         if (streamedBytes > BodyLimits.MAX_STREAMED_BYTES) {
-            refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too large");
+            reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too large");
         } else if (more.isReadable()) {
             stream.write(more.retain());
         }
     }
 
-    private void refuse(HttpResponseStatus status, String reason) {
+    private void reject(HttpResponseStatus status, String reason) {
         close();
         listener.onInvalidRequest(status, reason);
     }
 
-    /** Keeps nothing, now and from here on. */
+    /** Discards the request that is being read and all further data. */
     void close() {
         closed = true;
         if (stream != null) {
--- a/balancer/src/main/java/loadbalancer/http/RequestValidator.java
+++ b/balancer/src/main/java/loadbalancer/http/RequestValidator.java
@@ -9,18 +9,19 @@
 import java.util.List;
 import loadbalancer.transport.BodyLimits;
 
-/** Checks how a request says where it ends, before any of its body is read. */
+/** Checks the framing of a request, that is, how its head declares the end of its body. */
 final class RequestValidator {
-    /** Why a request is refused: the status and the text of its response. */
+    /** The reason why a request is rejected: the status and the text of the response. */
     record Problem(HttpResponseStatus status, String reason) {}
 
     private RequestValidator() {}
 
-    /** Returns what is wrong with a request's framing, or null. */
+    /** Returns the problem with the framing or the expectation of a request, or null if there is none. */
     static Problem findFramingProblem(HttpRequest request) {
-        List<String> codings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        boolean chunked = codings.size() == 1 && codings.get(0).strip().equalsIgnoreCase("chunked");
-        if (!codings.isEmpty() && !isChunkedAlone(request, chunked)) {
+        List<String> transferCodings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
+        boolean chunked =
+                transferCodings.size() == 1 && transferCodings.get(0).strip().equalsIgnoreCase("chunked");
+        if (!transferCodings.isEmpty() && !isChunkedOnly(request, chunked)) {
             return badRequest("a Transfer-Encoding that isn't chunked alone");
         }
         long lengthBytes;
@@ -44,7 +45,7 @@
                 : null;
     }
 
-    private static boolean isChunkedAlone(HttpRequest request, boolean chunked) {
+    private static boolean isChunkedOnly(HttpRequest request, boolean chunked) {
         return chunked
                 && request.protocolVersion().equals(HttpVersion.HTTP_1_1)
                 && !request.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
--- a/balancer/src/main/java/loadbalancer/http/ResponseBodyWriter.java
+++ b/balancer/src/main/java/loadbalancer/http/ResponseBodyWriter.java
@@ -7,14 +7,14 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import loadbalancer.transport.BodyStream;
 
-/** Writes the body of one streamed response to a client as its upstream sends it. */
+/** Writes the body of one streamed response to a client as it arrives from the upstream. */
 final class ResponseBodyWriter implements BodyStream.Sink {
     private static final int RESET_ON_CLOSE = 0;
     private static final int ORDINARY_CLOSE = -1;
 
     private final ClientConnection connection;
     private final Channel channel;
-    private final boolean delimited; // the client sees from the framing whether the body is whole
+    private final boolean delimited; // the framing shows the client whether the body is complete
     private final boolean keepAlive;
 
     ResponseBodyWriter(ClientConnection connection, Channel channel, boolean delimited, boolean keepAlive) {
@@ -38,7 +38,7 @@
     @Override
     public void onAborted() {
         connection.onStreamEnded();
-        // A reset where nothing else shows that the body isn't whole.
+        // If the framing does not show that the body is incomplete, a connection reset has to show it.
         channel.config().setOption(ChannelOption.SO_LINGER, delimited ? ORDINARY_CLOSE : RESET_ON_CLOSE);
         channel.flush();
         connection.close();
--- a/balancer/src/main/java/loadbalancer/http/ResponseWriter.java
+++ b/balancer/src/main/java/loadbalancer/http/ResponseWriter.java
@@ -14,7 +14,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import loadbalancer.transport.UpstreamResponse;
 
-/** Words responses as HTTP messages and writes them to one client. Belongs to the event loop's thread. */
+/** Creates the HTTP messages for responses and writes them to one client. Used on the event loop's thread only. */
 final class ResponseWriter {
     private final Channel channel;
 
@@ -25,8 +25,8 @@
     /**
      * Writes and flushes a response.
      *
-     * @param contentType may be null
-     * @param extraName a further header, which is left out where {@code extraValue} is null
+     * @param contentType the content type, or null to send none
+     * @param extraName the name of an additional header, which is omitted if {@code extraValue} is null
      */
     ChannelFuture write(
             HttpResponseStatus status,
@@ -45,7 +45,7 @@
         return channel.writeAndFlush(response);
     }
 
-    /** Writes, and does not flush, the head of a streamed response. */
+    /** Writes the head of a streamed response without flushing it. */
     void writeHead(UpstreamResponse upstreamResponse, boolean chunked, boolean keepAlive) {
         DefaultHttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         setContentType(response, upstreamResponse.contentType());
--- a/balancer/src/main/java/loadbalancer/http/ServingState.java
+++ b/balancer/src/main/java/loadbalancer/http/ServingState.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Supplier;
 
-/** Whether this process takes requests, as its clients see it. Belongs to the event loop's thread. */
+/** Whether this process is ready to serve requests or is stopping. Used on the event loop's thread only. */
 final class ServingState {
     private boolean ready;
     private boolean stopping;
@@ -17,12 +17,12 @@
         return stopping;
     }
 
-    /** Returns for how long the process has been stopping. */
+    /** Returns the time since the process started to stop. */
     long stoppingNanos() {
         return System.nanoTime() - stoppingSinceNanos;
     }
 
-    /** Returns what readiness checks say beside that it is ready, or null. */
+    /** Returns the text that readiness checks of a ready process include, or null. */
     String readinessNote() {
         return readinessNote.get();
     }
--- a/balancer/src/main/java/loadbalancer/http/UnreadTimeEstimator.java
+++ b/balancer/src/main/java/loadbalancer/http/UnreadTimeEstimator.java
@@ -6,22 +6,25 @@
 import java.util.function.LongSupplier;
 
 /**
- * Estimates for how long what is read now may have lain unread: the loop asks the system for what has arrived once a
- * round, and what it reads in a round had not arrived by the round before. A client's time runs from when it sent, so
- * where rounds are long its deadline is nearer than its request says. Belongs to one event loop and its thread.
+ * Estimates how long the data that is being read may have waited in the socket's buffer, at most. A client counts its
+ * deadline from when it sent the request, so after a long iteration of the event loop less time is left than the
+ * request declares.
+ *
+ * <p>The event loop polls for readable sockets once in each iteration, so data that is read in one iteration had not
+ * arrived at the poll of the iteration before. Belongs to one event loop and is used on its thread only.
  */
 public final class UnreadTimeEstimator implements SelectStrategyFactory, SelectStrategy {
     private final LongSupplier nanoClock;
-    private long previousPollNanos; // nothing of what this round reads had arrived by then
-    private long pollNanos;
-    private boolean selected; // this round began with nothing to read, and waited
-    private boolean readInRound;
+    private long previousPollNanos; // the data that this iteration reads arrived after this time
+    private long currentPollNanos;
+    private boolean waitedInSelect; // this iteration started with no data to read
+    private boolean readInIteration;
 
-    /** Creates an estimator; {@code nanoClock} gives nanoseconds. */
+    /** Creates an estimator; {@code nanoClock} returns nanoseconds. */
     public UnreadTimeEstimator(LongSupplier nanoClock) {
         this.nanoClock = nanoClock;
         previousPollNanos = nanoClock.getAsLong();
-        pollNanos = previousPollNanos;
+        currentPollNanos = previousPollNanos;
     }
 
     @Override
@@ -32,20 +35,20 @@
     @Override
     public int calculateStrategy(IntSupplier selectNow, boolean hasTasks) throws Exception {
         int ready = selectNow.get();
-        previousPollNanos = pollNanos;
-        pollNanos = nanoClock.getAsLong();
-        selected = ready == 0;
-        readInRound = false;
+        previousPollNanos = currentPollNanos;
+        currentPollNanos = nanoClock.getAsLong();
+        waitedInSelect = ready == 0;
+        readInIteration = false;
         return ready > 0 || hasTasks ? ready : SelectStrategy.SELECT;
     }
 
-    /** Returns the longest that what is being read now may have lain unread, in microseconds. */
+    /** Returns how long the data that is being read may have waited in the socket's buffer, at most. */
     public long unreadMicros() {
         long nowNanos = nanoClock.getAsLong();
-        if (selected && !readInRound) {
-            readInRound = true; // it has arrived just now, and has ended the wait
-            pollNanos = nowNanos;
+        if (waitedInSelect && !readInIteration) {
+            readInIteration = true; // the first data has just arrived and ended the wait in select
+            currentPollNanos = nowNanos;
         }
-        return (nowNanos - (selected ? pollNanos : previousPollNanos)) / 1000;
+        return (nowNanos - (waitedInSelect ? currentPollNanos : previousPollNanos)) / 1000;
     }
 }
--- a/balancer/src/main/java/loadbalancer/http/WarmUpTraffic.java
+++ b/balancer/src/main/java/loadbalancer/http/WarmUpTraffic.java
@@ -4,21 +4,21 @@
 import loadbalancer.dispatch.RequestHandler;
 
 /**
- * Requests that the process sends to itself before it is ready: they arrive as a client's, and come back as those to an
- * upstream. Called on the event loop's thread alone.
+ * Requests that the process sends to itself before it is ready. Each arrives as a request of a client, is forwarded,
+ * and arrives again as a request to an upstream. Called on the event loop's thread only.
  */
 public interface WarmUpTraffic {
-    /** The path of its requests as a client's. */
+    /** The path of a warm-up request that arrives as a request of a client. */
     String CLIENT_PATH = "/-/rehearsal";
-    /** The path on which they come back to this process as to an upstream. */
+    /** The path of a warm-up request that arrives as a request to an upstream. */
     String UPSTREAM_PATH = "/-/rehearsed";
 
-    /** Returns whether a request with these headers is one of its own. */
+    /** Returns whether a request with these headers is a warm-up request. */
     boolean matches(HttpHeaders headers);
 
-    /** Returns whether the request that has come back is declined, as an overloaded upstream would. */
+    /** Returns whether to decline the next request to an upstream, as an overloaded upstream does. */
     boolean declines();
 
-    /** Returns where its requests go in place of the clients' handler. */
+    /** Returns the handler for warm-up requests, which replaces that for other requests. */
     RequestHandler requestHandler();
 }
--- a/balancer/src/main/java/loadbalancer/http/package-info.java
+++ b/balancer/src/main/java/loadbalancer/http/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The clients' side: takes connections and HTTP/1.1 requests, hands the requests over and writes their responses. All
- * of it belongs to the event loop's thread, but for the start of listening.
+ * The client side: accepts connections, reads HTTP/1.1 requests, passes them to a handler and writes the responses. All
+ * objects are used on the event loop's thread only, except when listening starts.
  */
 package loadbalancer.http;
--- a/balancer/src/test/java/loadbalancer/http/UnreadTimeEstimatorTest.java
+++ b/balancer/src/test/java/loadbalancer/http/UnreadTimeEstimatorTest.java
@@ -9,43 +9,43 @@
     private long nowNanos;
     private final UnreadTimeEstimator estimator = new UnreadTimeEstimator(() -> nowNanos);
 
-    private int round(int ready, boolean tasks) throws Exception {
-        return estimator.calculateStrategy(() -> ready, tasks);
+    private int poll(int readyChannels, boolean hasTasks) throws Exception {
+        return estimator.calculateStrategy(() -> readyChannels, hasTasks);
     }
 
-    private void setMillis(long millis) {
+    private void setTimeMillis(long millis) {
         nowNanos = millis * 1_000_000;
     }
 
     @Test
-    void dataThatEndsASelectHasJustArrived() throws Exception {
-        setMillis(10);
-        assertEquals(SelectStrategy.SELECT, round(0, false));
-        setMillis(500);
+    void dataThatEndsASelectHasNotWaited() throws Exception {
+        setTimeMillis(10);
+        assertEquals(SelectStrategy.SELECT, poll(0, false));
+        setTimeMillis(500);
         assertEquals(0, estimator.unreadMicros());
-        setMillis(503); // the next of the same round waited for the first to be seen to
+        setTimeMillis(503); // the next data of this iteration may have waited while the first was processed
         assertEquals(3_000, estimator.unreadMicros());
     }
 
-    /** A round takes 300 ms: what is read after it may have arrived right after it began. */
+    /** An iteration takes 300 ms: data that is read after it may have arrived right after its poll. */
     @Test
-    void dataMayBeAsOldAsTheRoundBefore() throws Exception {
-        setMillis(10);
-        round(0, true); // tasks alone, which take long
-        setMillis(310);
-        assertEquals(1, round(1, true));
+    void dataMayHaveWaitedSinceThePreviousPoll() throws Exception {
+        setTimeMillis(10);
+        poll(0, true); // an iteration of tasks only, which take 300 ms
+        setTimeMillis(310);
+        assertEquals(1, poll(1, true));
         assertEquals(300_000, estimator.unreadMicros());
-        setMillis(320);
+        setTimeMillis(320);
         assertEquals(310_000, estimator.unreadMicros());
-        round(1, false);
-        setMillis(325);
+        poll(1, false);
+        setTimeMillis(325);
         assertEquals(15_000, estimator.unreadMicros());
     }
 
     @Test
-    void tasksDontWaitForASelect() throws Exception {
-        assertEquals(0, round(0, true));
-        assertEquals(SelectStrategy.SELECT, round(0, false));
-        assertEquals(2, round(2, false));
+    void selectIsSkippedWhileThereAreTasks() throws Exception {
+        assertEquals(0, poll(0, true));
+        assertEquals(SelectStrategy.SELECT, poll(0, false));
+        assertEquals(2, poll(2, false));
     }
 }
