--- a/balancer/src/main/java/loadbalancer/dispatch/RequestDispatcher.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/RequestDispatcher.java
@@ -31,7 +31,7 @@
     private final DispatchStatistics statistics;
     private final PolicyEventQueue events;
     private final PolicyActions actions;
-    private final SlowStartQuota slowStartQuota;
+    private final SlowStartBudget slowStartBudget;
     private BootSettings siteSettings;
     private UpstreamConnectionPool connections;
 
@@ -44,7 +44,7 @@
         statistics = new DispatchStatistics(log);
         events = new PolicyEventQueue(clock, statistics);
         actions = new PolicyActions(loop, clock, openRequests, events, policy, siteSettings, log);
-        slowStartQuota = new SlowStartQuota(events, policy, log);
+        slowStartBudget = new SlowStartBudget(events, policy, log);
     }
 
     /** Sets the pool that requests are sent through; {@code discovery} is null if the endpoint list never changes. */
@@ -174,14 +174,14 @@
         events.submit(nowMicros -> policy.restore(nowMicros, LearnedStateCodec.decode(learnedState)));
     }
 
-    /** Sets the fraction of the balancer's slow-start quota that this process may use. */
+    /** Sets the fraction of the balancer's slow-start budget that this process may use. */
     public void setSlowStartFraction(double fraction) {
-        slowStartQuota.setProcessFraction(fraction);
+        slowStartBudget.setProcessFraction(fraction);
     }
 
     /** Sets the subset of the endpoints that the balancer uses. */
     public void updateSubset(EndpointSubset subset) {
-        slowStartQuota.setSubset(subset, siteSettings);
+        slowStartBudget.setSubset(subset, siteSettings);
     }
 
     /** Passes no more events to the policy, so that it chooses no more actions. */
--- a/balancer/src/main/java/loadbalancer/dispatch/SlowStartQuota.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/SlowStartBudget.java
@@ -6,24 +6,24 @@
 import loadbalancer.settings.BootSettings;
 
 /**
- * Tells the policy which multiple of the balancer's ordinary quota it may send to endpoints in slow start. During a
- * handover two processes divide the quota. With subsets, only some balancers use an endpoint, and the quota of each of
- * them is larger, so that the sum over all balancers stays the same. Used on the event loop's thread only.
+ * Tells the policy which multiple of the balancer's ordinary budget it may send to endpoints in slow start. During a
+ * handover two processes divide the budget. With subsets, only some balancers use an endpoint, and the budget of each
+ * of them is larger, so that the sum over all balancers stays the same. Used on the event loop's thread only.
  */
-final class SlowStartQuota {
+final class SlowStartBudget {
     private final PolicyEventQueue events;
     private final LoadBalancingPolicy policy;
     private final Log log;
     private double processFraction = 1;
     private double subsetFactor = 1;
 
-    SlowStartQuota(PolicyEventQueue events, LoadBalancingPolicy policy, Log log) {
+    SlowStartBudget(PolicyEventQueue events, LoadBalancingPolicy policy, Log log) {
         this.events = events;
         this.policy = policy;
         this.log = log;
     }
 
-    /** Sets the fraction of the balancer's quota that this process may use. */
+    /** Sets the fraction of the balancer's budget that this process may use. */
     void setProcessFraction(double fraction) {
         processFraction = fraction;
         update();
--- a/balancer/src/test/java/loadbalancer/upstream/UpstreamConnectionPoolTest.java
+++ b/balancer/src/test/java/loadbalancer/upstream/UpstreamConnectionPoolTest.java
@@ -139,7 +139,7 @@
             endpointAddress = "127.0.0.1:" + fullListener.getLocalPort();
             start(Map.of("DialTimeout", 30_000_000), 1024);
             try (Client client = new Client(listenAddress)) {
-                client.send(IDEMPOTENT_REQUEST.replace("20000", "500000")); // a long deadline, which does not end the attempt
+                client.send(IDEMPOTENT_REQUEST.replace("20000", "500000")); // a long deadline
                 assertEquals("0 k1 700 true", policy.requests.poll(20, TimeUnit.SECONDS));
             }
             assertEquals("client gone", policy.nextEvent());
