--- a/balancer/src/main/java/loadbalancer/routing/PoolConnectionBudget.java
+++ b/balancer/src/main/java/loadbalancer/routing/PoolConnectionBudget.java
@@ -3,10 +3,11 @@
 import loadbalancer.upstream.ConnectionBudget;
 
 /**
- * The upstream connections that one pool may have open, counted against the process's budget as well. A pool whose
- * endpoints hang piles up connections; its own limit keeps it from taking those of all other pools.
+ * Limits how many upstream connections one pool may have open, and counts them against the process's budget as well. A
+ * pool whose endpoints hang accumulates connections; its own limit leaves the other pools their share of the process's
+ * budget.
  *
- * <p>Owned by one pool; event loop only.
+ * <p>Belongs to one pool and to the event loop's thread.
  */
 public final class PoolConnectionBudget implements ConnectionBudget {
     private final ConnectionBudget processBudget;
@@ -14,19 +15,19 @@
     private int open;
 
     /**
-     * Creates a budget with nothing open.
+     * Creates a budget without open connections.
      *
-     * @param processBudget what all pools of the process share
-     * @param maxOpen connections that this pool may have open at the most
+     * @param processBudget the budget that all pools of the process share
+     * @param maxOpen the maximum number of open connections of this pool
      */
     public PoolConnectionBudget(ConnectionBudget processBudget, int maxOpen) {
         this.processBudget = processBudget;
         this.maxOpen = maxOpen;
     }
 
-    /** Changes the limit; connections that are over it already stay open, but none is added. */
-    public void setMaxOpen(int connections) {
-        maxOpen = connections;
+    /** Changes the limit. Open connections in excess of the new limit stay open, but none is added. */
+    public void setMaxOpen(int newMaxOpen) {
+        maxOpen = newMaxOpen;
     }
 
     @Override
--- a/balancer/src/main/java/loadbalancer/routing/PoolEnvironment.java
+++ b/balancer/src/main/java/loadbalancer/routing/PoolEnvironment.java
@@ -9,19 +9,20 @@
 import loadbalancer.upstream.ConnectionBudget;
 
 /**
- * What all pools of a process share.
+ * The resources and settings that all pools of a process share.
  *
- * @param policyFactory makes a pool's policy from its settings and the seed of its random source
- * @param seed of the process's random source; each pool derives its own
- * @param maxEndpoints endpoints of a list that one pool connects to at the most
- * @param connections the process's budget of upstream connections
- * @param shedClientConnection closes an idle client connection to free its descriptor; false where none is idle
+ * @param policyFactory creates a pool's policy from its settings and the seed of its random source
+ * @param seed the seed of the process's random source, from which each pool derives its own
+ * @param maxEndpoints the maximum number of endpoints of a list that one pool uses
+ * @param connectionBudget the process's budget of upstream connections
+ * @param closeIdleClientConnection closes an idle client connection to free its descriptor; returns false if none is
+ *     idle
  */
 public record PoolEnvironment(
         EventLoop loop,
         BiFunction<PolicySettings, Long, LoadBalancingPolicy> policyFactory,
         long seed,
         int maxEndpoints,
-        ConnectionBudget connections,
-        BooleanSupplier shedClientConnection,
+        ConnectionBudget connectionBudget,
+        BooleanSupplier closeIdleClientConnection,
         Log log) {}
--- a/balancer/src/main/java/loadbalancer/routing/PoolLimits.java
+++ b/balancer/src/main/java/loadbalancer/routing/PoolLimits.java
@@ -4,16 +4,18 @@
 import loadbalancer.transport.BodyLimits;
 
 /**
- * How much of the process's resources one pool may use.
+ * The process's resources that one pool may use.
  *
- * @param maxConnections upstream connections open at the same time
- * @param maxBodyBytes bytes of request bodies held at the same time
+ * @param maxConnections the maximum number of upstream connections open at the same time
+ * @param maxBodyBytes the maximum number of request body bytes held at the same time
  */
 record PoolLimits(int maxConnections, long maxBodyBytes) {
     /**
-     * What the operator file sets for a pool; what it leaves open is an equal part of what all pools have together.
+     * Returns the limits that the operator file sets for a pool. A limit that it does not set is an equal share of the
+     * limit of all pools together.
      *
-     * @param poolCount pools that the file names
+     * @param poolCount the number of pools in the file
+     * @param allPools the limits of all pools together
      */
     static PoolLimits of(PoolSpec spec, int poolCount, PoolLimits allPools) {
         int connections =
--- a/balancer/src/main/java/loadbalancer/routing/PoolMemoryBudget.java
+++ b/balancer/src/main/java/loadbalancer/routing/PoolMemoryBudget.java
@@ -1,10 +1,10 @@
 package loadbalancer.routing;
 
 /**
- * The bytes of request bodies that one pool may hold until they are answered. A pool whose endpoints hang piles up
- * bodies; its own limit leaves the other pools their memory.
+ * Limits the bytes of request bodies that one pool may hold until their requests have ended. A pool whose endpoints
+ * hang accumulates bodies; its own limit leaves the other pools their share of the memory.
  *
- * <p>Owned by one pool; event loop only.
+ * <p>Belongs to one pool and to the event loop's thread.
  */
 final class PoolMemoryBudget {
     private long maxBytes;
@@ -14,12 +14,12 @@
         this.maxBytes = maxBytes;
     }
 
-    /** Changes the limit; what is over it already stays reserved, but nothing is added. */
-    void setMaxBytes(long bytes) {
-        maxBytes = bytes;
+    /** Changes the limit. Reserved bytes in excess of the new limit stay reserved, but none are added. */
+    void setMaxBytes(long newMaxBytes) {
+        maxBytes = newMaxBytes;
     }
 
-    /** Reserves that many bytes; false, and nothing is reserved, where they exceed the limit. */
+    /** Reserves {@code bytes}. Reserves nothing and returns false if that would exceed the limit. */
     boolean tryReserve(long bytes) {
         if (reservedBytes + bytes > maxBytes) {
             return false;
@@ -28,7 +28,7 @@
         return true;
     }
 
-    /** Releases bytes that {@link #tryReserve} has reserved. */
+    /** Releases {@code bytes} that {@link #tryReserve} has reserved. */
     void release(long bytes) {
         reservedBytes -= bytes;
     }
--- a/balancer/src/main/java/loadbalancer/routing/PoolRegistry.java
+++ b/balancer/src/main/java/loadbalancer/routing/PoolRegistry.java
@@ -14,8 +14,8 @@
 import loadbalancer.settings.BootSettings;
 
 /**
- * The pools beside the site's own, by name, and those that an operator file has removed and that still owe answers.
- * Event loop only.
+ * Holds the pools of the operator file, without the site's own, by name. Also holds the pools that a newer operator
+ * file has removed and that still have open requests. Belongs to the event loop's thread.
  */
 final class PoolRegistry {
     private final PoolEnvironment environment;
@@ -27,24 +27,27 @@
         this.environment = environment;
     }
 
-    /** Adds the pool, or changes the one of that name; one that can't change in place is drained and replaced. */
-    void put(PoolSpec spec, BootSettings site, PoolLimits limits) {
+    /**
+     * Adds a pool, or reconfigures the one of the same name. A pool that cannot be reconfigured in place is drained and
+     * replaced.
+     */
+    void put(PoolSpec spec, BootSettings siteSettings, PoolLimits limits) {
         UpstreamPool pool = pools.get(spec.name());
-        if (pool != null && pool.canBecome(spec)) {
+        if (pool != null && pool.canReconfigure(spec)) {
             pool.setLimits(limits);
-            pool.reconfigure(spec, site);
+            pool.reconfigure(spec, siteSettings);
             return;
         }
         if (pool != null) {
             drain(pool);
         }
-        UpstreamPool created = new UpstreamPool(environment, spec, site, limits);
-        pools.put(spec.name(), created);
-        created.start();
-        created.dispatcher().setSlowStartFraction(slowStartFraction);
+        UpstreamPool newPool = new UpstreamPool(environment, spec, siteSettings, limits);
+        pools.put(spec.name(), newPool);
+        newPool.start();
+        newPool.dispatcher().setSlowStartFraction(slowStartFraction);
     }
 
-    /** Drains every pool whose name is not among these. */
+    /** Drains every pool whose name is not in {@code names}. */
     void retain(Set<String> names) {
         for (UpstreamPool pool : List.copyOf(pools.values())) {
             if (!names.contains(pool.name())) {
@@ -70,66 +73,66 @@
         });
     }
 
-    /** The site's settings have changed: all pools follow. */
-    void reconfigure(BootSettings site) {
-        pools.values().forEach(pool -> pool.reconfigure(pool.spec(), site));
+    /** Applies new site settings to all pools. */
+    void reconfigure(BootSettings siteSettings) {
+        pools.values().forEach(pool -> pool.reconfigure(pool.spec(), siteSettings));
     }
 
-    /** Sets the fraction of the balancer's slow-start traffic that this process may send, in each pool. */
+    /** Sets the fraction of the balancer's slow-start traffic that this process may send, for each pool. */
     void setSlowStartFraction(double fraction) {
         slowStartFraction = fraction;
         pools.values().forEach(pool -> pool.dispatcher().setSlowStartFraction(fraction));
     }
 
-    /** The pool of that name; null where there is none, or where it drains. */
+    /** Returns the pool of that name; null if there is none or if it is draining. */
     UpstreamPool get(String name) {
         return pools.get(name);
     }
 
-    /** All pools that take requests, in the order in which they were added. */
+    /** Returns all pools that accept requests, in the order in which they were added. */
     Collection<UpstreamPool> pools() {
         return Collections.unmodifiableCollection(pools.values());
     }
 
-    /** How many pools take no new requests and still owe answers. */
+    /** Returns the number of removed pools that still have open requests. */
     int drainingCount() {
         return draining.size();
     }
 
-    /** Whether a pool, draining or not, has an open request of that client's id. */
-    boolean holds(String id) {
-        return anyHolds(pools.values(), id) || anyHolds(draining, id);
+    /** Returns whether a pool, draining or not, has an open request with that id of its client's. */
+    boolean isOpen(String requestId) {
+        return isOpenInAny(pools.values(), requestId) || isOpenInAny(draining, requestId);
     }
 
-    private static boolean anyHolds(Collection<UpstreamPool> pools, String id) {
+    private static boolean isOpenInAny(Collection<UpstreamPool> pools, String requestId) {
         for (UpstreamPool pool : pools) {
-            if (pool.dispatcher().isOpen(id)) {
+            if (pool.dispatcher().isOpen(requestId)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Applies a change to all pools that take requests; whether any of them knew what it concerns. */
-    boolean anyKnows(Predicate<UpstreamPool> change) {
-        boolean known = false;
+    /** Applies {@code change} to all pools that accept requests; returns whether it returned true for any of them. */
+    boolean applyToAll(Predicate<UpstreamPool> change) {
+        boolean anyApplied = false;
         for (UpstreamPool pool : pools.values()) {
-            known |= change.test(pool);
+            anyApplied |= change.test(pool);
         }
-        return known;
+        return anyApplied;
     }
 
-    /** Runs {@code then} on the event loop once no pool, draining or not, owes an answer. */
-    void whenIdle(Runnable then) {
+    /** Runs {@code listener} on the event loop once no pool, draining or not, has an open request. */
+    void whenIdle(Runnable listener) {
         List<RequestDispatcher> dispatchers = dispatchers();
         if (dispatchers.isEmpty()) {
-            then.run();
+            listener.run();
         }
-        int[] busy = {dispatchers.size()};
+        int[] busyDispatchers = {dispatchers.size()};
         for (RequestDispatcher dispatcher : dispatchers) {
             dispatcher.whenIdle(() -> {
-                if (--busy[0] == 0) {
-                    then.run();
+                if (--busyDispatchers[0] == 0) {
+                    listener.run();
                 }
             });
         }
--- a/balancer/src/main/java/loadbalancer/routing/PoolSettings.java
+++ b/balancer/src/main/java/loadbalancer/routing/PoolSettings.java
@@ -7,53 +7,53 @@
 import loadbalancer.policy.SiteLimits;
 import loadbalancer.settings.BootSettings;
 
-/** Derives a pool's settings from the platform's and from the pool's overrides in the operator file. */
+/** Derives a pool's settings from the site's settings and the pool's overrides in the operator file. */
 final class PoolSettings {
     private PoolSettings() {}
 
-    /** The platform's settings with the pool's overrides applied. */
-    static BootSettings derive(BootSettings site, PoolSpec spec) {
+    /** Returns the site's settings with the pool's overrides applied. */
+    static BootSettings derive(BootSettings siteSettings, PoolSpec spec) {
         Long idleCloseMicros = spec.overrides().idleCloseMicros();
         return new BootSettings(
-                policySettings(site.settings(), spec),
-                site.loadFields(),
-                site.classes(),
-                site.tenants(),
-                site.zones(),
-                site.kinds(),
-                idleCloseMicros == null ? site.idleCloseMicros() : idleCloseMicros);
+                policySettings(siteSettings.settings(), spec),
+                siteSettings.loadFields(),
+                siteSettings.classes(),
+                siteSettings.tenants(),
+                siteSettings.zones(),
+                siteSettings.kinds(),
+                idleCloseMicros == null ? siteSettings.idleCloseMicros() : idleCloseMicros);
     }
 
-    private static PolicySettings policySettings(PolicySettings site, PoolSpec spec) {
-        // A list that stands in the operator file never changes by itself, so it is never polled.
-        DiscoveryMode discovery = spec.discovery() == null ? DiscoveryMode.PUSH : site.discovery();
+    private static PolicySettings policySettings(PolicySettings siteSettings, PoolSpec spec) {
+        // A static endpoint list of the operator file changes only with the file, so there is nothing to poll.
+        DiscoveryMode discovery = spec.discovery() == null ? DiscoveryMode.PUSH : siteSettings.discovery();
         return new PolicySettings(
-                site.balancers(),
-                site.rank(),
-                site.zone(),
-                site.classes(),
-                site.tenants(),
-                site.overQuotaWeight(),
-                site.objective(),
-                site.costs(),
-                site.weightByWork(),
+                siteSettings.balancers(),
+                siteSettings.rank(),
+                siteSettings.zone(),
+                siteSettings.classes(),
+                siteSettings.tenants(),
+                siteSettings.overQuotaWeight(),
+                siteSettings.objective(),
+                siteSettings.costs(),
+                siteSettings.weightByWork(),
                 discovery,
-                site.loadReporting(),
-                site.keyAffinity(),
-                limits(site.limits(), spec.overrides()),
-                site.bounds(),
-                site.tickMicros());
+                siteSettings.loadReporting(),
+                siteSettings.keyAffinity(),
+                limits(siteSettings.limits(), spec.overrides()),
+                siteSettings.bounds(),
+                siteSettings.tickMicros());
     }
 
-    private static SiteLimits limits(SiteLimits site, PoolOverrides overrides) {
+    private static SiteLimits limits(SiteLimits siteLimits, PoolOverrides overrides) {
         return new SiteLimits(
-                overrides.maxAttempts() == null ? site.maxAttempts() : overrides.maxAttempts(),
-                site.hedgingAllowed(),
-                site.cancellationAllowed(),
-                overrides.probes() == null ? site.probingAllowed() : overrides.probes(),
+                overrides.maxAttempts() == null ? siteLimits.maxAttempts() : overrides.maxAttempts(),
+                siteLimits.hedgingAllowed(),
+                siteLimits.cancellationAllowed(),
+                overrides.probes() == null ? siteLimits.probingAllowed() : overrides.probes(),
                 overrides.connectTimeoutMicros() == null
-                        ? site.connectTimeoutMicros()
+                        ? siteLimits.connectTimeoutMicros()
                         : overrides.connectTimeoutMicros(),
-                site.maxRetryAfterMicros());
+                siteLimits.maxRetryAfterMicros());
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/PriorityRanks.java
+++ b/balancer/src/main/java/loadbalancer/routing/PriorityRanks.java
@@ -3,13 +3,16 @@
 import java.util.List;
 import loadbalancer.policy.RequestClass;
 
-/** Places the request classes on the scale of priorities by which the router keeps reserves. */
+/**
+ * Computes the priority rank of each request class. The router reserves a part of its limits for requests of a higher
+ * rank.
+ */
 final class PriorityRanks {
     private PriorityRanks() {}
 
     /**
-     * The rank of each class, in the order of {@code classes}: 0 for the lowest priority weight, 1 for the highest,
-     * linear in between; 1 for all where all weights are equal.
+     * Returns the rank of each class, in the order of {@code classes}: 0 for the lowest priority weight, 1 for the
+     * highest, linear in between. All ranks are 1 if all weights are equal.
      */
     static double[] of(List<RequestClass> classes) {
         double lowest =
--- a/balancer/src/main/java/loadbalancer/routing/RejectionCounter.java
+++ b/balancer/src/main/java/loadbalancer/routing/RejectionCounter.java
@@ -7,8 +7,8 @@
 import loadbalancer.router.RejectionReason;
 
 /**
- * Counts the requests that the router rejects, by reason, and logs the count at each power of two, so that a flood of
- * rejected requests does not fill the log. Event loop only.
+ * Counts the requests that the router rejects, by reason. Logs the count only at each power of two, so that a flood of
+ * rejected requests does not fill the log. Belongs to the event loop's thread.
  */
 final class RejectionCounter {
     private final Map<RejectionReason, Long> counts = new EnumMap<>(RejectionReason.class);
@@ -23,11 +23,12 @@
         long count = counts.merge(reason, 1L, Long::sum);
         if (Long.bitCount(count) == 1) {
             String name = reason.name().toLowerCase(Locale.ROOT);
-            log.info("rejected by the router, " + name + ": " + count, "rejected", name, "count", count);
+            log.info(
+                    "requests rejected by the router, reason " + name + ": " + count, "rejected", name, "count", count);
         }
     }
 
-    /** All requests rejected since the start, whatever the reason. */
+    /** Returns the number of requests rejected since the start, for all reasons together. */
     long total() {
         return counts.values().stream().mapToLong(count -> count).sum();
     }
--- a/balancer/src/main/java/loadbalancer/routing/RoutedReply.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutedResponder.java
@@ -6,42 +6,46 @@
 import loadbalancer.transport.UpstreamResponse;
 
 /**
- * The reply of a routed request: passes the final answer on to the client, and releases the request's route lease and
- * its reserved memory exactly once, when the request ends. Event loop only.
+ * Responds to a routed request: passes the final response on to the client, and releases the request's route lease and
+ * its reserved memory exactly once, when the request ends. Belongs to the event loop's thread.
  */
-final class RoutedReply implements ClientResponder {
-    /** Who is notified of what happens to a routed request. */
+final class RoutedResponder implements ClientResponder {
+    /** Receives the events of routed requests. */
     interface Listener {
-        /** Whether the router's retry budget allows a further attempt; counts it where so. */
+        /** Returns whether the router's retry budget allows another attempt, and counts the attempt if so. */
         boolean allowsRetry(RouteLease lease);
 
-        /** The request has ended; called once. */
+        /** Called once, when the request has ended. */
         void ended(RouteLease lease, LeaseEnd end);
     }
 
     private final ClientResponder client;
     private final RouteLease lease;
-    private final PoolMemoryBudget memory;
+    private final PoolMemoryBudget memoryBudget;
     private final long reservedBytes;
     private final Listener listener;
-    private boolean sent;
+    private boolean attemptStarted;
     private boolean ended;
 
     /**
-     * Wraps a client's reply.
+     * Wraps a client's responder.
      *
-     * @param reservedBytes what the request has reserved of {@code memory}
+     * @param reservedBytes the bytes that the request has reserved in {@code memoryBudget}
      */
-    RoutedReply(
-            ClientResponder client, RouteLease lease, PoolMemoryBudget memory, long reservedBytes, Listener listener) {
+    RoutedResponder(
+            ClientResponder client,
+            RouteLease lease,
+            PoolMemoryBudget memoryBudget,
+            long reservedBytes,
+            Listener listener) {
         this.client = client;
         this.lease = lease;
-        this.memory = memory;
+        this.memoryBudget = memoryBudget;
         this.reservedBytes = reservedBytes;
         this.listener = listener;
     }
 
-    /** The client has left before its answer. */
+    /** Ends the request because the client has disconnected before its response. */
     void clientGone() {
         end(LeaseEnd.CLIENT_GONE);
     }
@@ -49,14 +53,14 @@
     private void end(LeaseEnd end) {
         if (!ended) {
             ended = true;
-            memory.release(reservedBytes);
+            memoryBudget.release(reservedBytes);
             listener.ended(lease, end);
         }
     }
 
     @Override
     public boolean tryStartAttempt(int attemptNumber) {
-        sent = true;
+        attemptStarted = true;
         return attemptNumber == 0 || listener.allowsRetry(lease);
     }
 
@@ -68,7 +72,7 @@
 
     @Override
     public void reject(long retryAfterMicros) {
-        end(sent ? LeaseEnd.FAILED : LeaseEnd.NOT_SENT);
+        end(attemptStarted ? LeaseEnd.FAILED : LeaseEnd.NOT_SENT);
         client.reject(retryAfterMicros);
     }
 
--- a/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
@@ -33,57 +33,61 @@
 import loadbalancer.transport.InboundRequest;
 
 /**
- * Stands between the clients' side and the pools: hands each request to the dispatcher of the pool that
- * {@link RequestRouter} names, and rejects what the router rejects. It carries decisions out and takes none. It exists
- * only with an operator file.
+ * Connects the client connections to the pools: passes each request to the dispatcher of the pool that {@link
+ * RequestRouter} chooses, and rejects the requests that the router rejects. It makes no routing decisions itself. A
+ * process has one gateway if it has an operator file, and otherwise none.
  *
- * <p>One a process; event loop only.
+ * <p>Belongs to the event loop's thread.
  */
 public final class RoutingGateway implements RequestHandler {
     private static final long POOL_SIZE_INTERVAL_MILLIS = 100;
     private static final Runnable NOTHING_TO_CANCEL = () -> {};
 
     private final EventLoop loop;
-    private final SitePool site;
-    private final PoolLimits allPools;
+    private final SitePool sitePool;
+    private final PoolLimits totalLimits;
     private final Log log;
     private final SplittableRandom random;
     private final PoolRegistry pools;
-    private final PoolMemoryBudget siteMemory = new PoolMemoryBudget(Long.MAX_VALUE);
+    private final PoolMemoryBudget siteMemoryBudget = new PoolMemoryBudget(Long.MAX_VALUE);
     private final RejectionCounter rejections;
-    private final RoutedReply.Listener replies = new RouterFeedback();
-    private OperatorConfig operator;
+    private final RoutedResponder.Listener routerFeedback = new RouterFeedback();
+    private OperatorConfig operatorConfig;
     private RequestRouter router;
-    private BootSettings boot;
+    private BootSettings siteSettings;
     private List<String> routedHeaders = List.of();
-    private double[] ranks = new double[0];
+    private double[] classRanks = new double[0];
     private long replacements;
 
     /**
-     * Creates a gateway that may not be given requests before {@link #configure}.
+     * Creates a gateway. {@link #configure} has to be called before the first request.
      *
-     * @param maxConnections to upstreams that all pools may open together
-     * @param maxBodyBytes bytes of request bodies that all pools may hold together
+     * @param maxConnections the maximum number of upstream connections that all pools may open together
+     * @param maxBodyBytes the maximum number of request body bytes that all pools may hold together
      */
     public RoutingGateway(
-            SitePool site, PoolEnvironment environment, BootSettings boot, int maxConnections, long maxBodyBytes) {
+            SitePool sitePool,
+            PoolEnvironment environment,
+            BootSettings siteSettings,
+            int maxConnections,
+            long maxBodyBytes) {
         this.loop = environment.loop();
-        this.site = site;
-        this.boot = boot;
-        this.allPools = new PoolLimits(maxConnections, maxBodyBytes);
+        this.sitePool = sitePool;
+        this.siteSettings = siteSettings;
+        this.totalLimits = new PoolLimits(maxConnections, maxBodyBytes);
         this.log = environment.log();
         this.random = new SplittableRandom(environment.seed());
         this.pools = new PoolRegistry(environment);
         this.rejections = new RejectionCounter(log);
     }
 
-    /** Goes by that operator file from here on: pools and routes keep their state by name, removed pools drain. */
+    /** Applies an operator file. Pools and routes keep their state by name; removed pools are drained. */
     public void configure(OperatorConfig next) {
-        boolean first = operator == null;
-        operator = next;
+        boolean first = operatorConfig == null;
+        operatorConfig = next;
         configurePools(next.pools());
         replaceRouter(new RequestRouter(next.routing()));
-        ranks = PriorityRanks.of(boot.settings().classes());
+        classRanks = PriorityRanks.of(siteSettings.settings().classes());
         updatePoolSizes();
         if (first) {
             loop.scheduleWithFixedDelay(
@@ -95,11 +99,11 @@
         Set<String> names = new LinkedHashSet<>();
         for (PoolSpec spec : specs) {
             names.add(spec.name());
-            PoolLimits limits = PoolLimits.of(spec, specs.size(), allPools);
+            PoolLimits limits = PoolLimits.of(spec, specs.size(), totalLimits);
             if (spec.name().equals(PoolSpec.SITE)) {
-                siteMemory.setMaxBytes(limits.maxBodyBytes());
+                siteMemoryBudget.setMaxBytes(limits.maxBodyBytes());
             } else {
-                pools.put(spec, boot, limits);
+                pools.put(spec, siteSettings, limits);
             }
         }
         pools.retain(names);
@@ -116,17 +120,17 @@
         routedHeaders = List.copyOf(headers);
     }
 
-    /** The platform's settings have changed. */
+    /** Applies new site settings. */
     public void reconfigure(BootSettings next) {
-        boot = next;
+        siteSettings = next;
         pools.reconfigure(next);
-        ranks = PriorityRanks.of(next.settings().classes());
+        classRanks = PriorityRanks.of(next.settings().classes());
     }
 
-    /** Passes on to the router how many endpoints of each pool may be sent to. */
+    /** Updates the router's count of usable endpoints for each pool. */
     public void updatePoolSizes() {
-        long now = site.dispatcher().nowMicros();
-        router.setEndpointsUp(now, PoolSpec.SITE, site.membership().usableCount());
+        long now = sitePool.dispatcher().nowMicros();
+        router.setEndpointsUp(now, PoolSpec.SITE, sitePool.membership().usableCount());
         pools.pools()
                 .forEach(pool -> router.setEndpointsUp(
                         now, pool.name(), pool.membership().usableCount()));
@@ -134,43 +138,44 @@
 
     @Override
     public boolean isOpen(String requestId) {
-        return site.dispatcher().isOpen(requestId) || pools.holds(requestId);
+        return sitePool.dispatcher().isOpen(requestId) || pools.isOpen(requestId);
     }
 
     @Override
-    public Runnable handle(InboundRequest request, ClientResponder reply) {
-        RoutingDecision decision = router.route(site.dispatcher().nowMicros(), routingRequest(request));
+    public Runnable handle(InboundRequest request, ClientResponder responder) {
+        RoutingDecision decision = router.route(sitePool.dispatcher().nowMicros(), routingRequest(request));
         if (decision.lease() == null) {
-            reject(decision, reply);
+            reject(decision, responder);
             return NOTHING_TO_CANCEL;
         }
-        return dispatch(request, decision.lease(), reply);
+        return dispatch(request, decision.lease(), responder);
     }
 
-    private void reject(RoutingDecision decision, ClientResponder reply) {
+    private void reject(RoutingDecision decision, ClientResponder responder) {
         rejections.increment(decision.reason());
         switch (decision.outcome()) {
-            case NOT_FOUND -> reply.rejectWith(HttpResponseStatus.NOT_FOUND, "no route");
-            case BAD_PATH -> reply.rejectWith(HttpResponseStatus.BAD_REQUEST, "a path that can't be routed");
-            default -> reply.reject(decision.retryAfterMicros());
+            case NOT_FOUND -> responder.rejectWith(HttpResponseStatus.NOT_FOUND, "no route");
+            case BAD_PATH -> responder.rejectWith(HttpResponseStatus.BAD_REQUEST, "a path that can't be routed");
+            default -> responder.reject(decision.retryAfterMicros());
         }
     }
 
-    private Runnable dispatch(InboundRequest request, RouteLease lease, ClientResponder reply) {
+    private Runnable dispatch(InboundRequest request, RouteLease lease, ClientResponder responder) {
         UpstreamPool pool = pools.get(lease.pool());
-        PoolMemoryBudget memory = pool == null ? siteMemory : pool.memory();
+        PoolMemoryBudget memoryBudget = pool == null ? siteMemoryBudget : pool.memoryBudget();
         long bodyBytes = request.body().length;
-        if (!memory.tryReserve(bodyBytes)) {
+        if (!memoryBudget.tryReserve(bodyBytes)) {
             rejections.increment(RejectionReason.POOL_LIMIT);
-            router.ended(site.dispatcher().nowMicros(), lease, LeaseEnd.NOT_SENT);
-            reply.reject(operator.routing().retryAfter().minMicros());
+            router.ended(sitePool.dispatcher().nowMicros(), lease, LeaseEnd.NOT_SENT);
+            responder.reject(operatorConfig.routing().retryAfter().minMicros());
             return NOTHING_TO_CANCEL;
         }
-        RoutedReply routedReply = new RoutedReply(reply, lease, memory, bodyBytes, replies);
-        RequestDispatcher dispatcher = pool == null ? site.dispatcher() : pool.dispatcher();
-        Runnable cancel = dispatcher.handle(withinDeadline(request, lease.deadlineMicros()), routedReply);
+        RoutedResponder routedResponder =
+                new RoutedResponder(responder, lease, memoryBudget, bodyBytes, routerFeedback);
+        RequestDispatcher dispatcher = pool == null ? sitePool.dispatcher() : pool.dispatcher();
+        Runnable cancel = dispatcher.handle(withinDeadline(request, lease.deadlineMicros()), routedResponder);
         return () -> {
-            routedReply.clientGone();
+            routedResponder.clientGone();
             cancel.run();
         };
     }
@@ -187,9 +192,13 @@
                 PathTemplate.split(request.uri()),
                 routedHeaders(request),
                 request.headers().get(HeaderNames.TENANT),
-                boot.classes().get(request.requestClass()));
+                siteSettings.classes().get(request.requestClass()));
         return new RoutingRequest(
-                attributes, request.key(), ranks[request.requestClass()], request.clientRetry(), random.nextDouble());
+                attributes,
+                request.key(),
+                classRanks[request.requestClass()],
+                request.clientRetry(),
+                random.nextDouble());
     }
 
     private Map<String, String> routedHeaders(InboundRequest request) {
@@ -206,30 +215,33 @@
         return values;
     }
 
-    /** Tells the router in use, which may have been replaced since, what becomes of its requests. */
-    private final class RouterFeedback implements RoutedReply.Listener {
+    /**
+     * Notifies the router of the events of admitted requests. This is always the router in use, which may have replaced
+     * the one that admitted the request.
+     */
+    private final class RouterFeedback implements RoutedResponder.Listener {
         @Override
         public boolean allowsRetry(RouteLease lease) {
-            return router.allowsRetry(site.dispatcher().nowMicros(), lease);
+            return router.allowsRetry(sitePool.dispatcher().nowMicros(), lease);
         }
 
         @Override
         public void ended(RouteLease lease, LeaseEnd end) {
-            router.ended(site.dispatcher().nowMicros(), lease, end);
+            router.ended(sitePool.dispatcher().nowMicros(), lease, end);
         }
     }
 
-    /** Drains an endpoint in every pool but the site's; false where none has it. */
-    public boolean drainEndpoint(String id) {
-        return pools.anyKnows(pool -> pool.membership().drain(id));
+    /** Drains an endpoint in every pool but the site's; returns false if no pool has it. */
+    public boolean drainEndpoint(String endpointId) {
+        return pools.applyToAll(pool -> pool.membership().drain(endpointId));
     }
 
-    /** Restores an endpoint that {@link #drainEndpoint} has drained; false where no pool has it. */
-    public boolean restoreEndpoint(String id) {
-        return pools.anyKnows(pool -> pool.membership().restore(id));
+    /** Restores an endpoint that {@link #drainEndpoint} has drained; returns false if no pool has it. */
+    public boolean restoreEndpoint(String endpointId) {
+        return pools.applyToAll(pool -> pool.membership().restore(endpointId));
     }
 
-    /** The states of the pools beside the site's, by name, as a successor starts from them. */
+    /** Returns the state that a successor starts from, by pool name, for all pools but the site's. */
     public Map<String, HandoverState> handoverState() {
         Map<String, HandoverState> states = new LinkedHashMap<>();
         pools.pools().forEach(pool -> states.put(pool.name(), pool.handoverState()));
@@ -237,51 +249,51 @@
     }
 
     /**
-     * Goes on from a predecessor's {@link #handoverState}; pools that this process doesn't have are skipped.
+     * Restores the pools from a predecessor's {@link #handoverState}. Pools that this process doesn't have are skipped.
      *
-     * @throws HandoverFormatException where the state of a pool cannot be read; the pools before it are restored
+     * @throws HandoverFormatException if the state of a pool cannot be read; the pools before it are restored
      */
     public void restore(HandoverDocument document) throws HandoverFormatException {
         for (String name : document.poolNames()) {
             UpstreamPool pool = pools.get(name);
             if (pool != null) {
-                document.pool(name, pool.boot()).ifPresent(pool::restore);
+                document.pool(name, pool.settings()).ifPresent(pool::restore);
             }
         }
         updatePoolSizes();
     }
 
-    /** Sets the fraction of the balancer's slow-start traffic that this process may send, in each pool. */
+    /** Sets the fraction of the balancer's slow-start traffic that this process may send, for each pool. */
     public void setSlowStartFraction(double fraction) {
         pools.setSlowStartFraction(fraction);
     }
 
-    /** How many removed pools still owe answers. */
+    /** Returns the number of removed pools that still have open requests. */
     public int drainingPools() {
         return pools.drainingCount();
     }
 
-    /** How often an operator file has replaced another. */
+    /** Returns how many times an operator file has replaced another. */
     public long replacements() {
         return replacements;
     }
 
-    /** The router in use. */
+    /** Returns the router in use. */
     public RequestRouter router() {
         return router;
     }
 
-    /** Runs {@code then} on the event loop once no pool beside the site's owes an answer. */
-    public void whenIdle(Runnable then) {
-        pools.whenIdle(then);
+    /** Runs {@code listener} on the event loop once no pool but the site's has an open request. */
+    public void whenIdle(Runnable listener) {
+        pools.whenIdle(listener);
     }
 
-    /** What the pools and the router have done since the start, for the log. */
+    /** Returns what the pools and the router have done since the start, as text for the log. */
     public String summary() {
         String poolSummaries = pools.pools().stream()
                 .map(pool -> "; pool " + pool.name() + ": " + pool.dispatcher().summary())
                 .collect(Collectors.joining());
-        return poolSummaries + "; rejected by the router: " + rejections.total() + ", operator files applied: "
+        return poolSummaries + "; requests rejected by the router: " + rejections.total() + ", operator files applied: "
                 + (replacements + 1);
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
+++ b/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
@@ -21,40 +21,40 @@
 import loadbalancer.upstream.UpstreamConnectionPool;
 
 /**
- * One pool beside the platform's own: a policy with its endpoint list, its upstream connections and its budgets. Made
- * from an entry of the operator file, which may change while the pool runs. Event loop only.
+ * A pool of the operator file: a policy with its endpoint list, its upstream connections and its budgets. The file's
+ * entry for the pool may change while the pool runs. Belongs to the event loop's thread.
  */
 final class UpstreamPool {
     private final PoolEnvironment environment;
     private final RequestDispatcher dispatcher;
     private final UpstreamConnectionPool upstreams;
     private final Membership membership;
-    private final DiscoveryClient discovery; // null where the list stands in the operator file
-    private final PoolConnectionBudget connections;
-    private final PoolMemoryBudget memory;
+    private final DiscoveryClient discovery; // null if the operator file lists the endpoints
+    private final PoolConnectionBudget connectionBudget;
+    private final PoolMemoryBudget memoryBudget;
     private PoolSpec spec;
-    private BootSettings boot;
+    private BootSettings settings;
 
     /**
      * Creates a pool that has no endpoints until {@link #start}.
      *
-     * @param site the platform's settings, which the pool's own overrides are applied to
+     * @param siteSettings the site's settings, to which the pool's own overrides are applied
      */
-    UpstreamPool(PoolEnvironment environment, PoolSpec spec, BootSettings site, PoolLimits limits) {
+    UpstreamPool(PoolEnvironment environment, PoolSpec spec, BootSettings siteSettings, PoolLimits limits) {
         this.environment = environment;
         this.spec = spec;
-        connections = new PoolConnectionBudget(environment.connections(), limits.maxConnections());
-        memory = new PoolMemoryBudget(limits.maxBodyBytes());
-        boot = PoolSettings.derive(site, spec);
+        connectionBudget = new PoolConnectionBudget(environment.connectionBudget(), limits.maxConnections());
+        memoryBudget = new PoolMemoryBudget(limits.maxBodyBytes());
+        settings = PoolSettings.derive(siteSettings, spec);
         Log log = line -> environment.log().info("pool " + spec.name() + ": " + line);
         long seed = environment.seed() ^ TrafficSplit.hash(spec.name());
         dispatcher = new RequestDispatcher(
-                environment.loop(), boot, environment.policyFactory().apply(boot.settings(), seed), log);
-        upstreams = new UpstreamConnectionPool(environment.loop(), boot, connections, dispatcher::nowMicros);
+                environment.loop(), settings, environment.policyFactory().apply(settings.settings(), seed), log);
+        upstreams = new UpstreamConnectionPool(environment.loop(), settings, connectionBudget, dispatcher::nowMicros);
         upstreams.setReclaimer(() -> upstreams.closeLongestIdle()
-                || environment.shedClientConnection().getAsBoolean());
-        EndpointSubset subset =
-                new EndpointSubset(environment.maxEndpoints(), boot.settings().rank());
+                || environment.closeIdleClientConnection().getAsBoolean());
+        EndpointSubset subset = new EndpointSubset(
+                environment.maxEndpoints(), settings.settings().rank());
         membership = new Membership(subset, new OperatorDrains(), dispatcher::nowMicros, dispatcher::updateEndpoints);
         subset.onChange(dispatcher::updateSubset);
         discovery = spec.discovery() == null ? null : discoveryClient(spec.discovery(), subset, log);
@@ -66,10 +66,10 @@
 
     private DiscoveryClient discoveryClient(InetSocketAddress address, EndpointSubset subset, Log log) {
         return new DiscoveryClient(
-                environment.loop(), address, boot, subset, 0, dispatcher::nowMicros, membership::update, log::info);
+                environment.loop(), address, settings, subset, 0, dispatcher::nowMicros, membership::update, log::info);
     }
 
-    /** Begins to learn its endpoint list. */
+    /** Loads the static endpoint list, or starts discovery. */
     void start() {
         if (discovery == null) {
             membership.update(EndpointListKind.CACHED, staticList());
@@ -85,46 +85,49 @@
         for (InetSocketAddress address : spec.endpoints()) {
             String id = spec.name() + "/" + address.getAddress().getHostAddress() + ":" + address.getPort();
             Endpoint endpoint = new Endpoint(
-                    id, EndpointState.UP, 0, 1, -1, -1, boot.settings().zone());
+                    id, EndpointState.UP, 0, 1, -1, -1, settings.settings().zone());
             endpoints.add(new EndpointList.Entry(endpoint, address));
         }
         return new EndpointList(0, true, endpoints);
     }
 
-    /** Whether it can go on by that entry: a pool can't change between a static list and discovery. */
-    boolean canBecome(PoolSpec next) {
+    /**
+     * Returns whether {@link #reconfigure} supports {@code next}. A pool can't switch between a static list and
+     * discovery.
+     */
+    boolean canReconfigure(PoolSpec next) {
         return (next.discovery() == null) == (discovery == null);
     }
 
-    /** Changes the limits of its budgets. */
+    /** Changes the limits of the pool's budgets. */
     void setLimits(PoolLimits limits) {
-        connections.setMaxOpen(limits.maxConnections());
-        memory.setMaxBytes(limits.maxBodyBytes());
+        connectionBudget.setMaxOpen(limits.maxConnections());
+        memoryBudget.setMaxBytes(limits.maxBodyBytes());
     }
 
     /**
-     * Goes on by another entry of the operator file, and by other settings of the platform.
+     * Applies a changed entry of the operator file and changed site settings.
      *
-     * @param next an entry for which {@link #canBecome} is true
+     * @param next an entry for which {@link #canReconfigure} returns true
      */
-    void reconfigure(PoolSpec next, BootSettings site) {
-        PoolSpec former = spec;
+    void reconfigure(PoolSpec next, BootSettings siteSettings) {
+        PoolSpec previous = spec;
         spec = next;
-        applySettings(PoolSettings.derive(site, next));
+        applySettings(PoolSettings.derive(siteSettings, next));
         if (discovery != null) {
             discovery.moveTo(next.discovery());
-        } else if (!former.sameSource(next)) {
+        } else if (!previous.sameSource(next)) {
             membership.update(EndpointListKind.SNAPSHOT, staticList());
         }
     }
 
     private void applySettings(BootSettings next) {
-        if (next.equals(boot)) {
+        if (next.equals(settings)) {
             return;
         }
-        BootSettings former = boot;
-        boot = next;
-        membership.renumber(former, next);
+        BootSettings previous = settings;
+        settings = next;
+        membership.renumber(previous, next);
         dispatcher.reconfigure(next);
         upstreams.reconfigure(next);
         if (discovery != null) {
@@ -133,9 +136,9 @@
     }
 
     /**
-     * Closes the pool once all that it has taken has been answered; it must not be given more.
+     * Closes the pool once it has no open request. The pool must get no new requests from here on.
      *
-     * @param whenClosed runs on the event loop after that
+     * @param whenClosed runs on the event loop after the pool is closed
      */
     void drain(Runnable whenClosed) {
         dispatcher.whenIdle(() -> {
@@ -148,23 +151,23 @@
         });
     }
 
-    /** The pool's state as a successor starts from it. */
+    /** Returns the pool's state that a successor starts from. */
     HandoverState handoverState() {
         OperatorDrains drains = membership.drains();
         return new HandoverState(
-                drains.drained(), drains.restoredAtMicros(), membership.listed(), dispatcher.learnedState(), boot);
+                drains.drained(), drains.restoredAtMicros(), membership.listed(), dispatcher.learnedState(), settings);
     }
 
-    /** Goes on from what another process of this balancer knows of the pool of that name. */
+    /** Restores the state that a predecessor had of the pool of the same name. */
     void restore(HandoverState state) {
-        // A list in the operator file is this process's own: the other may have had another file.
+        // A static list is always this process's own, because the predecessor may have used another operator file.
         EndpointList list = discovery == null ? new EndpointList(-1, true, List.of()) : state.endpoints();
         membership.restoreState(state.drained(), state.restoredAtMicros(), list);
         dispatcher.restore(state.learnedState());
     }
 
-    BootSettings boot() {
-        return boot;
+    BootSettings settings() {
+        return settings;
     }
 
     String name() {
@@ -183,7 +186,7 @@
         return membership;
     }
 
-    PoolMemoryBudget memory() {
-        return memory;
+    PoolMemoryBudget memoryBudget() {
+        return memoryBudget;
     }
 }
--- a/balancer/src/main/java/loadbalancer/routing/package-info.java
+++ b/balancer/src/main/java/loadbalancer/routing/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Carries out the routing rules of an operator file on sockets: the gateway in front of all pools, the pools beside
- * the platform's own, and each pool's budgets. The rules themselves are {@link loadbalancer.router}.
+ * Applies the routing rules of an operator file to client connections: the gateway in front of all pools, the pools
+ * that the file defines beside the site's own, and each pool's budgets. The rules themselves are in
+ * {@link loadbalancer.router}.
  */
 package loadbalancer.routing;
