--- a/balancer/src/main/java/loadbalancer/admin/AdminListener.java
+++ b/balancer/src/main/java/loadbalancer/admin/AdminListener.java
@@ -22,38 +22,38 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The operators' listener: a connection carries one line, gets one line and is closed. Callers that send nothing, or
- * half a line, cannot fill it: they are few at a time, none stays for long, and a new caller takes the place of the one
- * that has been open for longest. Belongs to the event loop's thread, save {@link #listen}.
+ * The operators' listener. A connection sends one line, receives one line and is closed. Connections that send nothing
+ * or an incomplete line cannot block the listener: their number is limited, each is closed after a timeout, and at the
+ * limit a new connection replaces the oldest one. Belongs to the event loop's thread, except for {@link #listen}.
  */
 public final class AdminListener {
-    /** Callers at a time; with the listener they fit into the descriptors kept free of clients. */
-    public static final int MAX_CALLERS = 16;
+    /** With the listener, that many connections fit into the descriptors that are reserved from clients. */
+    public static final int MAX_CONNECTIONS = 16;
 
     private static final int MAX_LINE_BYTES = 512;
-    /** For the line to come. */
+    /** How long a connection may take to send its line. */
     private static final long LINE_TIMEOUT_MILLIS = 3_000;
-    /** For the caller to read the response. */
+    /** How long the operator may take to read the response before the connection is closed. */
     private static final long CLOSE_DELAY_MILLIS = 1_000;
 
     private static final int BACKLOG = 256;
 
     private final EventLoop loop;
     private final OperatorActions actions;
-    private final Set<Caller> callers = new LinkedHashSet<>(); // the oldest first
+    private final Set<AdminConnection> connections = new LinkedHashSet<>(); // the oldest first
     private Channel listener;
 
-    /** Creates a listener that is not open, for what carries out the commands. */
+    /** Creates a listener that is not open yet; {@code actions} carries out the commands. */
     public AdminListener(EventLoop loop, OperatorActions actions) {
         this.loop = loop;
         this.actions = actions;
     }
 
     /**
-     * Opens the listener. Blocks: not for the event loop's thread.
+     * Opens the listener. Blocks, so it must not be called on the event loop's thread.
      *
-     * @return the address in use
-     * @throws IOException where the address cannot be bound
+     * @return the address that the listener is bound to
+     * @throws IOException if the address cannot be bound
      */
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
         try {
@@ -66,7 +66,7 @@
                     .childHandler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel channel) {
-                            accepted(channel);
+                            accept(channel);
                         }
                     })
                     .bind(address)
@@ -79,34 +79,34 @@
         }
     }
 
-    /** Accepts no more callers; those that have their response still get it in full. */
+    /** Accepts no more connections. Responses already being sent are still delivered in full. */
     public void close() {
         if (listener != null) {
             listener.close();
         }
     }
 
-    private void accepted(Channel channel) {
-        if (callers.size() >= MAX_CALLERS) {
-            callers.iterator().next().channel.close();
+    private void accept(Channel channel) {
+        if (connections.size() >= MAX_CONNECTIONS) {
+            connections.iterator().next().channel.close();
         }
-        Caller caller = new Caller(channel);
-        callers.add(caller);
-        channel.closeFuture().addListener(closed -> callers.remove(caller));
+        AdminConnection connection = new AdminConnection(channel);
+        connections.add(connection);
+        channel.closeFuture().addListener(closed -> connections.remove(connection));
         channel.pipeline()
                 .addLast(
                         new LineBasedFrameDecoder(MAX_LINE_BYTES, true, true),
                         new StringDecoder(StandardCharsets.UTF_8),
-                        caller);
-        loop.schedule(() -> caller.respond("NAK no whole line came"), LINE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+                        connection);
+        loop.schedule(() -> connection.respond("NAK no whole line came"), LINE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** One connection of an operator. */
-    private final class Caller extends SimpleChannelInboundHandler<String> {
+    /** A connection of an operator. */
+    private final class AdminConnection extends SimpleChannelInboundHandler<String> {
         private final Channel channel;
         private boolean responded;
 
-        Caller(Channel channel) {
+        AdminConnection(Channel channel) {
             this.channel = channel;
         }
 
@@ -126,7 +126,8 @@
             }
         }
 
-        // Closed at once, with bytes unread, the connection would be reset before the response is read.
+        // The channel is closed after a delay: closing it at once while it has unread bytes would reset the connection
+        // before the operator has read the response.
         private void respond(String line) {
             if (responded || !channel.isActive()) {
                 return;
--- a/balancer/src/main/java/loadbalancer/admin/OperatorCommand.java
+++ b/balancer/src/main/java/loadbalancer/admin/OperatorCommand.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Carries out one line of an operator and words the response: {@code ACK} or {@code NAK} and what there is to say. The
- * only place that knows the commands' words. Stateless.
+ * Parses and executes one command line of an operator, and formats the response: {@code ACK} or {@code NAK}, followed
+ * by a message. No other class depends on the commands' syntax. Stateless.
  */
 final class OperatorCommand {
     private static final String CHECK = "check";
@@ -17,7 +17,7 @@
 
     private OperatorCommand() {}
 
-    /** Carries out the command of that line, and returns the response without the line's end. */
+    /** Executes the command in {@code line}, and returns the response without a line end. */
     static String execute(String line, OperatorActions actions) {
         List<String> words = Arrays.stream(line.strip().split("\\s+"))
                 .filter(word -> !word.isEmpty())
--- a/balancer/src/main/java/loadbalancer/handover/HandoverCodec.java
+++ b/balancer/src/main/java/loadbalancer/handover/HandoverCodec.java
@@ -12,8 +12,9 @@
 import loadbalancer.handover.HandoverMessage.Unrecognized;
 
 /**
- * Writes and reads {@link HandoverMessage}s: each is a JSON object on a line of its own, with one field that names it.
- * Processes of different releases replace each other in both directions, so the fields may not change.
+ * Encodes and decodes {@link HandoverMessage}s. Each is a JSON object on a line of its own, and the name of its one
+ * field is the message type. The field names must not change, because a process may be replaced by one of an older or a
+ * newer release.
  */
 final class HandoverCodec {
     private static final String STATE_REQUEST = "want";
@@ -27,9 +28,9 @@
     private HandoverCodec() {}
 
     /**
-     * Returns the message as a line without its end.
+     * Returns the message as a line without a line end.
      *
-     * @throws IllegalArgumentException for {@link Unrecognized}, which has no wire form
+     * @throws IllegalArgumentException for {@link Unrecognized}, which cannot be encoded
      */
     static String encode(HandoverMessage message) throws IOException {
         return JSON.std.asString(fields(message));
@@ -49,14 +50,14 @@
         } else if (message instanceof ServingNotice) {
             return Map.of(SERVING_NOTICE, true);
         }
-        throw new IllegalArgumentException("no wire form: " + message);
+        throw new IllegalArgumentException("message cannot be encoded: " + message);
     }
 
     /**
-     * Reads a line. A state document in it is taken as it is: {@link HandoverDocument} reads it.
+     * Decodes a line. A state document in it is not decoded further: {@link HandoverDocument} does that.
      *
-     * @return the message; {@link Unrecognized} for an object of other fields
-     * @throws HandoverFormatException where the line is not a JSON object
+     * @return the message; {@link Unrecognized} for an object with other fields
+     * @throws HandoverFormatException if the line is not a JSON object
      */
     static HandoverMessage decode(String line) throws HandoverFormatException {
         Map<String, Object> fields;
--- a/balancer/src/main/java/loadbalancer/handover/HandoverDocument.java
+++ b/balancer/src/main/java/loadbalancer/handover/HandoverDocument.java
@@ -13,9 +13,9 @@
 import loadbalancer.settings.BootSettings;
 
 /**
- * The wire form of all that a process hands to its successor: the state of the site's pool, and by name that of each
- * further pool. Each pool is decoded when it is asked for, with the receiver's settings, so that one that cannot be
- * read does not keep the others from being restored. Immutable.
+ * The wire form of the state that a process hands over to its successor: the state of the site's pool, and the state of
+ * each further pool by its name. Each pool is decoded on request, with the receiver's settings, so that a pool that
+ * cannot be decoded does not prevent the others from being restored. Immutable.
  */
 public final class HandoverDocument {
     private static final String DRAINED = "out";
@@ -24,22 +24,22 @@
     private static final String CLASSES = "classes";
     private static final String LEARNED_STATE = "learnt";
     private static final String POOLS = "pools";
-    /** What the names of learned figures that do not depend on the request classes begin with. */
-    private static final String ENDPOINT_FIGURES = "server ";
+    /** Prefix of the names of learned values that do not depend on the request classes. */
+    private static final String ENDPOINT_VALUES_PREFIX = "server ";
 
     private final Map<?, ?> fields;
 
-    /** Wraps a document as it was received. */
+    /** Wraps the fields of a document that are not decoded yet. */
     HandoverDocument(Map<?, ?> fields) {
         this.fields = fields;
     }
 
-    /** Returns the document of a process without further pools. */
+    /** Returns the document of a process without an operator file. */
     public static HandoverDocument of(HandoverState site) {
         return new HandoverDocument(encode(site));
     }
 
-    /** Returns the document of a process with an operator file, which may define no further pool. */
+    /** Returns the document of a process with an operator file; {@code pools} is empty if the file defines no pool. */
     public static HandoverDocument of(HandoverState site, Map<String, HandoverState> pools) {
         Map<String, Object> encodedPools = new LinkedHashMap<>();
         pools.forEach((name, pool) -> encodedPools.put(name, encode(pool)));
@@ -58,7 +58,7 @@
         return fields;
     }
 
-    /** Returns the fields as the codec writes them. */
+    /** Returns the fields in the form that the codec writes. */
     Map<?, ?> fields() {
         return fields;
     }
@@ -66,14 +66,14 @@
     /**
      * Returns the state of the site's pool.
      *
-     * @param settings the receiver's, which number zones, endpoint kinds and request classes
-     * @throws HandoverFormatException where it is not in the form of a pool's state
+     * @param settings the receiver's settings, which define the numbers of zones, endpoint kinds and request classes
+     * @throws HandoverFormatException if the state is malformed
      */
     public HandoverState site(BootSettings settings) throws HandoverFormatException {
         return decode(fields, settings);
     }
 
-    /** Whether the sender says which further pools it has, if any. */
+    /** Returns whether the document lists the sender's further pools; the list may be empty. */
     public boolean hasPools() {
         return fields.get(POOLS) instanceof Map<?, ?>;
     }
@@ -86,10 +86,10 @@
     }
 
     /**
-     * Returns the state of a further pool; empty where the sender has none of that name.
+     * Returns the state of a further pool; empty if the sender has no pool of that name.
      *
-     * @param settings the pool's own at the receiver
-     * @throws HandoverFormatException where it is not in the form of a pool's state
+     * @param settings the receiver's settings of the pool
+     * @throws HandoverFormatException if the state is malformed
      */
     public Optional<HandoverState> pool(String name, BootSettings settings) throws HandoverFormatException {
         return pools().get(name) instanceof Map<?, ?> pool ? Optional.of(decode(pool, settings)) : Optional.empty();
@@ -130,7 +130,7 @@
         }
     }
 
-    // Figures of request classes stand in the order of the sender's classes: under other classes they say nothing.
+    // Values per request class are in the order of the sender's classes, so they are meaningless under other classes.
     private static Map<String, double[]> learned(Map<?, ?> fields, BootSettings settings)
             throws HandoverFormatException {
         boolean sameClasses = settings.classes().equals(fields.get(CLASSES));
@@ -138,20 +138,20 @@
         Map<?, ?> encoded = required(fields, LEARNED_STATE, Map.class);
         for (Map.Entry<?, ?> entry : encoded.entrySet()) {
             String name = (String) entry.getKey();
-            double[] figures = figures(typed(entry.getValue(), LEARNED_STATE, List.class));
-            if (sameClasses || name.startsWith(ENDPOINT_FIGURES)) {
-                learned.put(name, figures);
+            double[] values = doubles(typed(entry.getValue(), LEARNED_STATE, List.class));
+            if (sameClasses || name.startsWith(ENDPOINT_VALUES_PREFIX)) {
+                learned.put(name, values);
             }
         }
         return learned;
     }
 
-    private static double[] figures(List<?> values) throws HandoverFormatException {
-        double[] figures = new double[values.size()];
-        for (int i = 0; i < figures.length; i++) {
-            figures[i] = typed(values.get(i), LEARNED_STATE, Number.class).doubleValue();
+    private static double[] doubles(List<?> encoded) throws HandoverFormatException {
+        double[] values = new double[encoded.size()];
+        for (int i = 0; i < values.length; i++) {
+            values[i] = typed(encoded.get(i), LEARNED_STATE, Number.class).doubleValue();
         }
-        return figures;
+        return values;
     }
 
     private static <T> T required(Map<?, ?> fields, String name, Class<T> type) throws HandoverFormatException {
@@ -160,7 +160,7 @@
 
     private static <T> T typed(Object value, String name, Class<T> type) throws HandoverFormatException {
         if (!type.isInstance(value)) {
-            throw new HandoverFormatException(name + ": no " + type.getSimpleName() + ": " + value);
+            throw new HandoverFormatException(name + ": expected type " + type.getSimpleName() + ", got " + value);
         }
         return type.cast(value);
     }
--- a/balancer/src/main/java/loadbalancer/handover/HandoverFormatException.java
+++ b/balancer/src/main/java/loadbalancer/handover/HandoverFormatException.java
@@ -2,16 +2,16 @@
 
 import java.io.IOException;
 
-/** A message, or a part of a state document, that is not in the form in which processes exchange it. */
+/** Thrown when a handover message, or a part of a state document, is malformed. */
 public final class HandoverFormatException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    /** Creates the exception with what is wrong. */
+    /** Creates an exception with a message that says what is malformed. */
     public HandoverFormatException(String message) {
         super(message);
     }
 
-    /** Creates the exception with what is wrong and the exception that says so. */
+    /** Creates an exception with a message that says what is malformed, and its cause. */
     public HandoverFormatException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/balancer/src/main/java/loadbalancer/handover/HandoverLink.java
+++ b/balancer/src/main/java/loadbalancer/handover/HandoverLink.java
@@ -26,26 +26,26 @@
 import java.util.function.Consumer;
 
 /**
- * Joins a process to its predecessor, and later to its successor, by a Unix socket in a directory that both see. The
- * end of a connection says that the other process is gone. Sockets that processes of the past have left in the
- * directory do no harm: nobody answers there.
+ * Connects a process to its predecessor, and later to its successor, through a Unix domain socket in a directory that
+ * both can access. A closed connection means that the other process has ended. Socket files that ended processes left
+ * in the directory are harmless, because connecting to them fails.
  *
- * <p>Belongs to the event loop's thread, save {@link #connectToPredecessor()}.
+ * <p>Belongs to the event loop's thread, except for {@link #connectToPredecessor()}.
  */
 public final class HandoverLink {
     private static final String SOCKET_NAME = "handover.sock";
     private static final int MAX_LINE_BYTES = 8 << 20;
     private static final long STATE_TIMEOUT_MILLIS = 1_000;
 
-    /** What the link serves; called on the event loop's thread. */
+    /** Supplies the state and receives the link's events; called on the event loop's thread. */
     public interface Listener {
         /** Returns the state that a successor starts from. */
         HandoverDocument state();
 
-        /** Takes a message of the other process; the request for the state and its answer do not come here. */
+        /** Receives a message of the other process, except for a state request and its reply. */
         void received(HandoverMessage message);
 
-        /** The first other process has joined, or the last one has left. */
+        /** Called with true when another process has connected, and with false when the last one has disconnected. */
         void peerPresent(boolean present);
     }
 
@@ -54,13 +54,13 @@
     private final Listener listener;
     private final Consumer<String> log;
     private final Set<Channel> peers = new LinkedHashSet<>();
-    private Consumer<Optional<HandoverDocument>> awaitingState; // null while no answer is awaited
+    private Consumer<Optional<HandoverDocument>> stateCallback; // null while no state reply is awaited
     private Channel serverChannel;
 
     /**
-     * Creates a link that is not joined yet.
+     * Creates a link that is not connected yet.
      *
-     * @param directory where processes find each other; null where there is no other process
+     * @param directory the directory of the sockets; null if there is never another process
      */
     public HandoverLink(EventLoop loop, Path directory, Listener listener, Consumer<String> log) {
         this.loop = loop;
@@ -69,7 +69,10 @@
         this.log = log;
     }
 
-    /** Connects to a predecessor, and returns whether there is one. Blocks: not for the event loop's thread. */
+    /**
+     * Connects to a predecessor, and returns whether there is one. Blocks, so it must not be called on the event loop's
+     * thread.
+     */
     public boolean connectToPredecessor() {
         if (directory == null || !Files.exists(directory.resolve(SOCKET_NAME))) {
             return false;
@@ -81,40 +84,40 @@
                     .handler(peerInitializer())
                     .connect(UnixDomainSocketAddress.of(directory.resolve(SOCKET_NAME)))
                     .await()
-                    .isSuccess(); // nobody listens where the socket was left by a process that is gone
+                    .isSuccess(); // connecting fails if the process that created the socket has ended
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return false;
         }
     }
 
-    /** Asks the predecessor for its state; {@code then} gets none where there is none or no answer comes in time. */
-    public void requestState(Consumer<Optional<HandoverDocument>> then) {
+    /** Requests the predecessor's state. {@code callback} gets none if there is no predecessor or no reply in time. */
+    public void requestState(Consumer<Optional<HandoverDocument>> callback) {
         if (peers.isEmpty()) {
-            then.accept(Optional.empty());
+            callback.accept(Optional.empty());
             return;
         }
-        awaitingState = then;
+        stateCallback = callback;
         sendToPeer(new HandoverMessage.StateRequest());
         loop.schedule(this::stateTimedOut, STATE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private void stateTimedOut() {
-        if (awaitingState != null) {
+        if (stateCallback != null) {
             log.accept("predecessor did not send its state in time: continuing without it");
             stateReceived(Optional.empty());
         }
     }
 
     private void stateReceived(Optional<HandoverDocument> state) {
-        Consumer<Optional<HandoverDocument>> then = awaitingState;
-        awaitingState = null;
-        if (then != null) {
-            then.accept(state);
+        Consumer<Optional<HandoverDocument>> callback = stateCallback;
+        stateCallback = null;
+        if (callback != null) {
+            callback.accept(state);
         }
     }
 
-    /** Lets a successor find this process, in place of its predecessor. */
+    /** Lets a successor connect to this process, no longer to its predecessor. */
     public void acceptSuccessor() {
         if (directory == null || serverChannel != null) {
             return;
@@ -131,29 +134,30 @@
                         if (bound.isSuccess()) {
                             publish(ownSocket);
                         } else {
-                            noSuccessor(bound.cause());
+                            acceptSuccessorFailed(bound.cause());
                         }
                     })
                     .channel();
         } catch (IOException | IllegalArgumentException e) {
-            noSuccessor(e);
+            acceptSuccessorFailed(e);
         }
     }
 
-    // Bound under a name of its own and then renamed: there is no moment without a socket that answers.
+    // The socket is bound under a temporary name and then renamed, so that at any time one process accepts connections
+    // under the well-known name.
     private void publish(Path ownSocket) {
         try {
             Files.move(ownSocket, directory.resolve(SOCKET_NAME), StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
-            noSuccessor(e);
+            acceptSuccessorFailed(e);
         }
     }
 
-    private void noSuccessor(Throwable cause) {
+    private void acceptSuccessorFailed(Throwable cause) {
         log.accept("cannot accept a successor: " + cause.getMessage());
     }
 
-    /** Sends a message to the other process; without one it is dropped. */
+    /** Sends a message to the other process; drops it if there is none. */
     public void sendToPeer(HandoverMessage message) {
         try {
             String line = HandoverCodec.encode(message) + "\n";
@@ -161,11 +165,11 @@
                 peer.writeAndFlush(Unpooled.copiedBuffer(line, StandardCharsets.UTF_8));
             }
         } catch (IOException e) {
-            log.accept("cannot send to the other process: " + e.getMessage());
+            log.accept("cannot send a handover message to the other process: " + e.getMessage());
         }
     }
 
-    /** Accepts no successor any more and closes the connections to other processes. */
+    /** Stops accepting successors and closes the connections to other processes. */
     public void close() {
         if (serverChannel != null) {
             serverChannel.close();
@@ -186,7 +190,7 @@
         };
     }
 
-    /** One connection to another process. */
+    /** A connection to another process. */
     private final class PeerHandler extends SimpleChannelInboundHandler<String> {
         @Override
         public void channelActive(ChannelHandlerContext context) {
@@ -217,7 +221,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            log.accept("cannot read a message of the other process: " + cause);
+            log.accept("cannot read a handover message from the other process: " + cause);
             context.close();
         }
     }
--- a/balancer/src/main/java/loadbalancer/handover/HandoverMessage.java
+++ b/balancer/src/main/java/loadbalancer/handover/HandoverMessage.java
@@ -1,14 +1,14 @@
 package loadbalancer.handover;
 
-/** A message between a process and its predecessor or successor. {@link HandoverCodec} holds its wire form. */
+/** A message between a process and its predecessor or successor. {@link HandoverCodec} defines its wire form. */
 public sealed interface HandoverMessage {
-    /** A successor asks for the state that it starts from. */
+    /** Requests the state that a successor starts from. */
     record StateRequest() implements HandoverMessage {}
 
     /**
-     * The answer to a {@link StateRequest}.
+     * The reply to a {@link StateRequest}.
      *
-     * @param document the state of the sender, decoded with the receiver's settings
+     * @param document the state of the sender, which the receiver decodes with its own settings
      */
     record StateReply(HandoverDocument document) implements HandoverMessage {}
 
@@ -27,15 +27,15 @@
     record EndpointRestored(String endpointId) implements HandoverMessage {}
 
     /**
-     * How many descriptors the sender's connections hold, sent in regular intervals.
+     * The number of descriptors that the sender's connections use, sent at regular intervals.
      *
-     * @param count the sender's connections to clients and upstreams
+     * @param count the number of the sender's connections to clients and upstreams
      */
     record DescriptorsInUse(int count) implements HandoverMessage {}
 
-    /** The sender serves clients from now on. */
+    /** The sender has started to serve clients. */
     record ServingNotice() implements HandoverMessage {}
 
-    /** A message of another release that this one does not know; to be ignored. */
+    /** A message of another release that this release does not know; the receiver ignores it. */
     record Unrecognized() implements HandoverMessage {}
 }
--- a/balancer/src/main/java/loadbalancer/handover/HandoverState.java
+++ b/balancer/src/main/java/loadbalancer/handover/HandoverState.java
@@ -6,13 +6,13 @@
 import loadbalancer.settings.BootSettings;
 
 /**
- * What a process hands to its successor of one pool.
+ * The state of one pool that a process hands over to its successor.
  *
  * @param drained ids of the endpoints that operators have drained
  * @param restoredAtMicros when drained endpoints were restored, by id, in µs on the balancer's clock
- * @param endpoints the list as discovery last gave it
- * @param learnedState the policy's learned figures by name
- * @param settings by which the numbers of zones, endpoint kinds and request classes stand for their names
+ * @param endpoints the endpoint list that discovery sent last
+ * @param learnedState the policy's learned values by name
+ * @param settings the settings that map the numbers of zones, endpoint kinds and request classes to their names
  */
 public record HandoverState(
         Set<String> drained,
--- a/balancer/src/main/java/loadbalancer/handover/InheritedListener.java
+++ b/balancer/src/main/java/loadbalancer/handover/InheritedListener.java
@@ -5,19 +5,19 @@
 import java.nio.channels.ServerSocketChannel;
 import java.util.Map;
 
-/** The clients' listening socket where the platform holds it and hands it to each process. Stateless. */
+/** Finds the clients' listening socket if the platform holds it open and passes it to each process. Stateless. */
 public final class InheritedListener {
     private static final String DESCRIPTOR_VARIABLE = "ROUTER_INHERITED_FD";
-    /** The one that the JDK can make a channel of. */
+    /** The only descriptor that the JDK can return as an inherited channel. */
     private static final String STANDARD_INPUT = "0";
 
     private InheritedListener() {}
 
     /**
-     * Returns the socket that this process was started with; null where the environment names none. It is not to be
-     * closed before the process ends: the JDK's channel redirects standard error then.
+     * Returns the listening socket that this process was started with; null if the environment names none. It must not
+     * be closed before the process ends, because closing the JDK's inherited channel redirects standard error.
      *
-     * @throws IOException where the environment names one that is not there
+     * @throws IOException if the environment names a descriptor that is not a listening socket
      */
     public static ServerSocketChannel find(Map<String, String> environment) throws IOException {
         String variable = environment.get(DESCRIPTOR_VARIABLE);
@@ -26,12 +26,13 @@
         }
         String descriptor = variable.strip();
         if (!descriptor.equals(STANDARD_INPUT)) {
-            throw new IOException(DESCRIPTOR_VARIABLE + " names descriptor " + descriptor + ", only 0 can be taken");
+            throw new IOException(DESCRIPTOR_VARIABLE + " is " + descriptor
+                    + ": expected 0, the only descriptor that can be inherited");
         }
         Channel inherited = System.inheritedChannel();
         if (inherited instanceof ServerSocketChannel listener) {
             return listener;
         }
-        throw new IOException(DESCRIPTOR_VARIABLE + " is set, but descriptor 0 is no listening socket");
+        throw new IOException(DESCRIPTOR_VARIABLE + " is set, but descriptor 0 is not a listening socket");
     }
 }
