--- a/balancer/src/main/java/loadbalancer/cli/CheckCommand.java
+++ b/balancer/src/main/java/loadbalancer/cli/CheckCommand.java
@@ -6,10 +6,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Lists what is wrong with an operator file. */
+/** Checks an operator file and lists its errors. */
 @Command(
         name = "check",
-        description = "Lists all that is wrong with an operator file: FILE:LINE: what.",
+        description = "Checks an operator file and lists all its errors as FILE:LINE: MESSAGE.",
         mixinStandardHelpOptions = true)
 final class CheckCommand extends OperatorFileCommand {
     @Parameters(paramLabel = "FILE")
--- a/balancer/src/main/java/loadbalancer/cli/Commands.java
+++ b/balancer/src/main/java/loadbalancer/cli/Commands.java
@@ -5,24 +5,24 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** All commands beside {@code serve} and {@code wirehost}, which start without any of this. */
+/** All commands except {@code serve} and {@code wirehost}, which start without this class and picocli. */
 @Command(
         name = "load-balancer",
         mixinStandardHelpOptions = true,
         version = "load-balancer 0.1.0",
-        description = "A balancer, and the tools for its operator file.",
+        description = "A load balancer and the tools for its operator file.",
         footer = {
             "",
-            "serve and wirehost take no options: they go by $ROUTER_CONFIG and its companions.",
-            "Exit codes: 0 as asked, 1 a request that is refused or files that differ, 2 unusable input."
+            "serve and wirehost take no options: $ROUTER_CONFIG and the other ROUTER_ variables configure them.",
+            "Exit codes: 0 success, 1 the request is rejected or the files differ, 2 invalid input."
         },
         subcommands = {CheckCommand.class, ExplainCommand.class, DiffCommand.class, RoutesCommand.class})
 public final class Commands {
-    private static final int EXIT_UNUSABLE_INPUT = 2;
+    private static final int EXIT_INVALID_INPUT = 2;
 
     private Commands() {}
 
-    /** Runs a command line on the standard streams; returns the code to exit with. */
+    /** Runs a command line on the standard streams and returns the exit code. */
     public static int run(String... arguments) {
         return run(new PrintWriter(System.out, true), new PrintWriter(System.err, true), arguments);
     }
@@ -30,7 +30,7 @@
     static int run(PrintWriter out, PrintWriter err, String... arguments) {
         if (arguments.length == 0) {
             new CommandLine(new Commands()).usage(err);
-            return EXIT_UNUSABLE_INPUT;
+            return EXIT_INVALID_INPUT;
         }
         return new CommandLine(new Commands())
                 .setOut(out)
@@ -41,11 +41,11 @@
     }
 
     private static int report(Exception exception, PrintWriter err) {
-        if (exception instanceof ConfigException faults) {
-            faults.lines().forEach(err::println);
+        if (exception instanceof ConfigException configException) {
+            configException.lines().forEach(err::println);
         } else {
             err.println(exception.getMessage());
         }
-        return EXIT_UNUSABLE_INPUT;
+        return EXIT_INVALID_INPUT;
     }
 }
--- a/balancer/src/main/java/loadbalancer/cli/DiffCommand.java
+++ b/balancer/src/main/java/loadbalancer/cli/DiffCommand.java
@@ -7,21 +7,21 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Says what would change in service where one operator file takes the place of another. */
+/** Describes what changes for a running balancer if one operator file replaces another. */
 @Command(
         name = "diff",
-        description = "Says in words what will change in service; exit 1 where anything does.",
+        description = "Describes what changes if NEW replaces OLD; exits with 1 if anything does.",
         mixinStandardHelpOptions = true)
 final class DiffCommand extends OperatorFileCommand {
     @Parameters(index = "0", paramLabel = "OLD")
-    private Path former;
+    private Path oldFile;
 
     @Parameters(index = "1", paramLabel = "NEW")
-    private Path next;
+    private Path newFile;
 
     @Override
     public Integer call() throws IOException {
-        List<String> changes = ConfigDiff.between(read(former), read(next));
+        List<String> changes = ConfigDiff.between(read(oldFile), read(newFile));
         changes.forEach(out()::println);
         if (changes.isEmpty()) {
             out().println("nothing changes in service");
--- a/balancer/src/main/java/loadbalancer/cli/ExplainCommand.java
+++ b/balancer/src/main/java/loadbalancer/cli/ExplainCommand.java
@@ -19,10 +19,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Says what becomes of one request. */
+/** Explains how one request is routed and limited. */
 @Command(
         name = "explain",
-        description = "Says which route, pool and limits a request meets, and why not others.",
+        description = "Shows the route, pool and limits of a request, and why the other routes do not take it.",
         mixinStandardHelpOptions = true,
         footer = {
             "",
@@ -46,7 +46,7 @@
     @Option(names = "--class", paramLabel = "CLASS")
     private String requestClass;
 
-    @Option(names = "--key", description = "what the request concerns; usual: the last part of its path")
+    @Option(names = "--key", description = "the key of the request; default: the last segment of its path")
     private String key;
 
     @Override
@@ -68,11 +68,11 @@
         RouteExplanation explanation =
                 router.table().explain(new RouteRequest(methodAndUri[0], path, parsedHeaders, tenant, requestClass));
         Route match = explanation.match();
-        int code = match == null ? explainUnmatched(router.config()) : explainMatch(router, match, keyOf(uri));
+        int exitCode = match == null ? explainUnmatched(router.config()) : explainMatch(router, match, keyOf(uri));
         String quota = router.describeQuota(tenant, match);
         out().println("quota    " + (quota == null ? "none" : quota));
         explanation.others().forEach(other -> out().println("not      " + other));
-        return code;
+        return exitCode;
     }
 
     private Map<String, String> parsedHeaders() {
--- a/balancer/src/main/java/loadbalancer/cli/OperatorFileCommand.java
+++ b/balancer/src/main/java/loadbalancer/cli/OperatorFileCommand.java
@@ -12,25 +12,25 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** What the commands that read operator files share. Its result is the exit code. */
+/** Base of the commands that read operator files. The result of {@link #call()} is the exit code. */
 abstract class OperatorFileCommand implements Callable<Integer> {
     static final int EXIT_OK = 0;
-    /** A request that is refused, or files that differ. */
+    /** The request is rejected, or the files differ. */
     static final int EXIT_NEGATIVE = 1;
 
     @Option(
             names = "--config",
             paramLabel = "FILE",
-            description = "the balancer's own configuration: names of classes and tenants are held against it")
+            description = "the balancer's own configuration, to check the names of classes and tenants against")
     private Path config;
 
     @Spec
     private CommandSpec spec;
 
     /**
-     * Reads an operator file, against the balancer's configuration where that is given.
+     * Reads an operator file, and checks it against the balancer's configuration if that is given.
      *
-     * @throws IllegalArgumentException where either can't be used
+     * @throws IllegalArgumentException if either file is invalid
      */
     OperatorConfig read(Path file) throws IOException {
         return OperatorReader.read(file, config == null ? SiteConfig.unknown() : OperatorFileLoader.site(config));
--- a/balancer/src/main/java/loadbalancer/cli/package-info.java
+++ b/balancer/src/main/java/loadbalancer/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' command line: checks, explains and compares operator files. Not loaded by a balancer that serves. */
+/** The operators' command line, which checks, explains and compares operator files. {@code serve} does not load it. */
 package loadbalancer.cli;
--- a/balancer/src/main/java/loadbalancer/logs/AsyncLogWriter.java
+++ b/balancer/src/main/java/loadbalancer/logs/AsyncLogWriter.java
@@ -12,9 +12,9 @@
 import org.slf4j.event.Level;
 
 /**
- * Writes lines from a thread of its own. A reader of the log that stops reading blocks that thread alone: callers
- * never wait, lines that don't fit the queue are dropped, and how many were is logged as soon as lines are written
- * again. Any thread may call it.
+ * Writes log lines from a thread of its own. If the reader of the log stops reading, only that thread blocks: callers
+ * never wait. Lines that don't fit into the queue are dropped, and their number is logged as soon as lines are written
+ * again. Thread-safe.
  */
 public final class AsyncLogWriter {
     private static final int DEFAULT_MAX_QUEUED_LINES = 1024;
@@ -22,33 +22,33 @@
     private final OutputStream out;
     private final String prefix;
     private final LinkedBlockingQueue<LogLine> queue = new LinkedBlockingQueue<>();
-    private final AtomicInteger waiting = new AtomicInteger();
+    private final AtomicInteger queuedLines = new AtomicInteger();
     private final AtomicLong dropped = new AtomicLong();
     private volatile int maxQueuedLines = DEFAULT_MAX_QUEUED_LINES;
     private volatile boolean json;
-    private long droppedReported; // by the writer thread, which alone uses it
+    private long reportedDropped; // used only by the writer thread
     private Thread writer; // guarded by this
 
-    /** Writes to {@code out}; each line of text begins with {@code prefix}. */
+    /** Creates a writer to {@code out}; in the text format each line begins with {@code prefix}. */
     public AsyncLogWriter(OutputStream out, String prefix) {
         this.out = out;
         this.prefix = prefix;
     }
 
-    /** From here on lines are JSON or text, and so many may wait. */
-    public void configure(boolean asJson, int queuedLines) {
-        json = asJson;
-        maxQueuedLines = queuedLines;
+    /** Sets the format of the lines, JSON or text, and the maximum number of queued lines. */
+    public void configure(boolean newJson, int newMaxQueuedLines) {
+        json = newJson;
+        maxQueuedLines = newMaxQueuedLines;
     }
 
-    /** Lines that were dropped so far. */
+    /** Returns the number of lines dropped so far. */
     public long dropped() {
         return dropped.get();
     }
 
     void add(Level level, String message, List<KeyValuePair> fields, Throwable thrown) {
-        if (waiting.incrementAndGet() > maxQueuedLines) {
-            waiting.decrementAndGet();
+        if (queuedLines.incrementAndGet() > maxQueuedLines) {
+            queuedLines.decrementAndGet();
             dropped.incrementAndGet();
             return;
         }
@@ -68,7 +68,7 @@
         try {
             while (true) {
                 write(queue.take());
-                waiting.decrementAndGet();
+                queuedLines.decrementAndGet();
                 if (queue.isEmpty()) {
                     reportDropped();
                 }
@@ -79,9 +79,9 @@
     }
 
     private void reportDropped() {
-        long unreported = dropped.get() - droppedReported;
+        long unreported = dropped.get() - reportedDropped;
         if (unreported > 0) {
-            droppedReported += unreported;
+            reportedDropped += unreported;
             write(new LogLine(
                     System.currentTimeMillis(),
                     Level.WARN,
@@ -97,15 +97,15 @@
             out.write(text.concat("\n").getBytes(StandardCharsets.UTF_8));
             out.flush();
         } catch (IOException e) {
-            dropped.incrementAndGet(); // the reader of the log has gone
+            dropped.incrementAndGet(); // the reader of the log has closed its end
         }
     }
 
-    /** Waits until the lines logged so far are written, at most that long. */
+    /** Waits until all queued lines are written, for at most {@code timeoutMillis}. */
     public void drain(long timeoutMillis) {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
         try {
-            while (waiting.get() > 0 && System.nanoTime() < deadlineNanos) {
+            while (queuedLines.get() > 0 && System.nanoTime() < deadlineNanos) {
                 TimeUnit.MILLISECONDS.sleep(1);
             }
         } catch (InterruptedException e) {
--- a/balancer/src/main/java/loadbalancer/logs/Log.java
+++ b/balancer/src/main/java/loadbalancer/logs/Log.java
@@ -5,33 +5,33 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * Where a part of the balancer logs what operators should know: a line that reads by itself, and its figures as fields
- * for machines. Any thread may call it; it never blocks.
+ * Logs what operators should know: a line that is understandable on its own, and optionally its values as fields for
+ * tools. Thread-safe, and never blocks.
  */
 @FunctionalInterface
 public interface Log {
-    /** Logs a line. */
+    /** Logs a line at level INFO. */
     void info(String line);
 
     /**
-     * Logs a line with fields.
+     * Logs a line with fields at level INFO.
      *
-     * @param fields names and values in turn
+     * @param fields alternating names and values
      */
     default void info(String line, Object... fields) {
         info(line);
     }
 
     /**
-     * Logs a line that an operator should look at.
+     * Logs a line with fields at level WARN, for what an operator should look at.
      *
-     * @param fields names and values in turn
+     * @param fields alternating names and values
      */
     default void warn(String line, Object... fields) {
         info(line);
     }
 
-    /** Logs to an SLF4J logger, with the fields as its key-value pairs. */
+    /** Returns a log that writes to an SLF4J logger, with the fields as key-value pairs. */
     static Log to(Logger logger) {
         return new Log() {
             @Override
--- a/balancer/src/main/java/loadbalancer/logs/LogLine.java
+++ b/balancer/src/main/java/loadbalancer/logs/LogLine.java
@@ -13,25 +13,25 @@
 /**
  * A line of the log.
  *
- * @param atMillis since the epoch
- * @param fields figures for machines, which lines of text leave out
- * @param thrown null where there is none
+ * @param atMillis when it was logged, in milliseconds since the epoch
+ * @param fields values for tools, which the text format omits
+ * @param thrown the exception to log; null for none
  */
 record LogLine(long atMillis, Level level, String message, List<KeyValuePair> fields, Throwable thrown) {
-    /** The line as text, without its end. */
+    /** Returns the line as text, without a line end. */
     String toText(String prefix) {
         return prefix + message + (thrown == null ? "" : ": " + thrown);
     }
 
-    /** The line as a JSON object, without its end. */
+    /** Returns the line as a JSON object, without a line end. */
     String toJson() throws IOException {
         Map<String, Object> object = new LinkedHashMap<>();
         object.put("at", Instant.ofEpochMilli(atMillis).toString());
         object.put("level", level.name().toLowerCase(Locale.ROOT));
         object.put("message", message);
         for (KeyValuePair field : fields) {
-            boolean plain = field.value instanceof Number || field.value instanceof Boolean;
-            object.put(field.key, plain ? field.value : String.valueOf(field.value));
+            boolean numberOrBoolean = field.value instanceof Number || field.value instanceof Boolean;
+            object.put(field.key, numberOrBoolean ? field.value : String.valueOf(field.value));
         }
         if (thrown != null) {
             object.put("thrown", String.valueOf(thrown));
--- a/balancer/src/main/java/loadbalancer/logs/Slf4jProvider.java
+++ b/balancer/src/main/java/loadbalancer/logs/Slf4jProvider.java
@@ -16,30 +16,32 @@
 import org.slf4j.spi.SLF4JServiceProvider;
 
 /**
- * The SLF4J provider of the balancer: every logger writes information and what is more severe to one
- * {@link AsyncLogWriter} on the process's standard error. Why no logging framework stands here: see
- * docs/design/routes-and-limits.md.
+ * The SLF4J provider of the balancer. All loggers write the levels INFO and above to one {@link AsyncLogWriter} on the
+ * process's standard error. docs/design/routes-and-limits.md explains why no logging framework is used.
  */
 public final class Slf4jProvider implements SLF4JServiceProvider {
     private static final String SLF4J_API_VERSION = "2.0.99";
     private static final AsyncLogWriter WRITER = new AsyncLogWriter(System.err, "load-balancer: ");
 
     private final IMarkerFactory markers = new BasicMarkerFactory();
-    private final MDCAdapter context = new NOPMDCAdapter();
+    private final MDCAdapter mdcAdapter = new NOPMDCAdapter();
 
-    /** The writer of all loggers. */
+    /** Returns the writer that all loggers of the process share. */
     public static AsyncLogWriter writer() {
         return WRITER;
     }
 
-    /** Makes SLF4J use this provider without a search through the class path; to be called before the first logger. */
+    /**
+     * Makes SLF4J use this provider without searching the class path. Has to be called before the first logger is
+     * created.
+     */
     public static void install() {
         System.setProperty("slf4j.provider", Slf4jProvider.class.getName());
-        // At its default SLF4J writes a line about the provider on standard error.
+        // At its default verbosity SLF4J writes a line about the provider to standard error.
         System.setProperty("slf4j.internal.verbosity", "WARN");
     }
 
-    /** A logger that writes there. */
+    /** Returns a logger that writes to {@code writer}. */
     public static Logger logger(String name, AsyncLogWriter writer) {
         return new WriterLogger(name, writer);
     }
@@ -56,7 +58,7 @@
 
     @Override
     public MDCAdapter getMDCAdapter() {
-        return context;
+        return mdcAdapter;
     }
 
     @Override
@@ -66,7 +68,7 @@
 
     @Override
     public void initialize() {
-        // all fields are set by the constructor
+        // the field initializers have set all fields
     }
 
     private static final class WriterLogger extends LegacyAbstractLogger implements LoggingEventAware {
--- a/balancer/src/main/java/loadbalancer/logs/package-info.java
+++ b/balancer/src/main/java/loadbalancer/logs/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The process's log: one SLF4J provider whose loggers write text or JSON lines from a thread of their own, behind a
- * bounded queue that drops and counts lines rather than make the event loop wait.
+ * The process's log: an SLF4J provider whose loggers write text or JSON lines from a separate thread. The queue of that
+ * thread is bounded, and drops and counts lines when it is full, so that the event loop never waits.
  */
 package loadbalancer.logs;
