--- a/balancer/src/test/java/loadbalancer/cli/CommandsTest.java
+++ b/balancer/src/test/java/loadbalancer/cli/CommandsTest.java
@@ -12,8 +12,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Tests the output and the exit codes of the commands for operator files. */
 class CommandsTest {
-    private static final String FILE =
+    private static final String OPERATOR_FILE =
             """
         [front]
         unmatched = "refuse"
@@ -42,55 +43,55 @@
         """;
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private String out;
     private String err;
 
     private int run(String... arguments) {
-        StringWriter o = new StringWriter();
-        StringWriter e = new StringWriter();
-        int code = Commands.run(new PrintWriter(o, true), new PrintWriter(e, true), arguments);
-        out = o.toString();
-        err = e.toString();
-        return code;
+        StringWriter outWriter = new StringWriter();
+        StringWriter errWriter = new StringWriter();
+        int exitCode = Commands.run(new PrintWriter(outWriter, true), new PrintWriter(errWriter, true), arguments);
+        out = outWriter.toString();
+        err = errWriter.toString();
+        return exitCode;
     }
 
-    private String file(String name, String text) throws IOException {
-        return Files.writeString(folder.resolve(name), text).toString();
+    private String writeFile(String name, String text) throws IOException {
+        return Files.writeString(directory.resolve(name), text).toString();
     }
 
     @Test
-    void checkNamesEachFaultAndExitsWithTwo() throws IOException {
-        assertEquals(0, run("check", file("a.toml", FILE)));
+    void checkListsEachErrorAndExitsWithTwo() throws IOException {
+        assertEquals(0, run("check", writeFile("a.toml", OPERATOR_FILE)));
         assertEquals("a.toml: sound; 3 pools, 2 routes", out.strip());
         assertEquals(
                 2,
                 run(
                         "check",
-                        file(
+                        writeFile(
                                 "b.toml",
-                                FILE.replace("to = \"old\"", "to = \"odl\"").replace("8 }", "-8 }"))));
+                                OPERATOR_FILE.replace("to = \"old\"", "to = \"odl\"").replace("8 }", "-8 }"))));
         assertEquals(
                 List.of(
                         "b.toml:6: 'most' is -8: expected a number of 0 or more",
                         "b.toml:14: no pool 'odl'; did you mean 'old'?"),
                 err.lines().toList());
-        assertEquals(2, run("check", folder.resolve("none.toml").toString()));
+        assertEquals(2, run("check", directory.resolve("none.toml").toString()));
         assertEquals(2, run("chekc"));
         assertEquals(2, run());
         assertEquals(
                 2,
                 run(
                         "check",
-                        file("c.toml", FILE),
+                        writeFile("c.toml", OPERATOR_FILE),
                         "--config",
-                        folder.resolve("none.json").toString()));
+                        directory.resolve("none.json").toString()));
     }
 
     @Test
-    void explainNamesTheRouteThePoolTheLimitsAndWhyNotTheOthers() throws IOException {
-        String file = file("a.toml", FILE);
+    void explainShowsRoutePoolLimitsAndWhyOtherRoutesDoNotMatch() throws IOException {
+        String file = writeFile("a.toml", OPERATOR_FILE);
         assertEquals(0, run("explain", file, "--request", "POST /api/k1", "--tenant", "t1"));
         assertEquals(
                 List.of(
@@ -113,10 +114,10 @@
     }
 
     @Test
-    void diffListsChangesAndRoutesListsRoutes() throws IOException {
-        String file = file("a.toml", FILE);
+    void diffListsTheChangesAndRoutesListsTheRoutes() throws IOException {
+        String file = writeFile("a.toml", OPERATOR_FILE);
         assertEquals(0, run("diff", file, file));
-        assertEquals(1, run("diff", file, file("b.toml", FILE.replace("most = 8", "most = 9"))));
+        assertEquals(1, run("diff", file, writeFile("b.toml", OPERATOR_FILE.replace("most = 8", "most = 9"))));
         assertEquals("pool old: limit: 8 at once -> 9 at once", out.strip());
         assertEquals(0, run("routes", file));
         assertEquals(4, out.lines().count());
--- a/balancer/src/test/java/loadbalancer/handover/HandoverCodecTest.java
+++ b/balancer/src/test/java/loadbalancer/handover/HandoverCodecTest.java
@@ -16,11 +16,11 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The wire form of what processes say to each other, and what is made of that of other releases. */
+/** Tests the wire form of handover messages, and how messages of other releases are read. */
 class HandoverCodecTest {
     private static final BootSettings SETTINGS =
             new BootSettings(null, List.of(), List.of("read"), List.of(), List.of(), List.of(), 0);
-    private static final String STATE = "{\"out\":[\"s1\"],\"back\":{\"s2\":7},\"list\":{\"rev\":1,\"targets\":[]},"
+    private static final String STATE_JSON = "{\"out\":[\"s1\"],\"back\":{\"s2\":7},\"list\":{\"rev\":1,\"targets\":[]},"
             + "\"classes\":[\"read\"],\"learnt\":{\"own\":[0.5],\"server s1\":[1]}}";
 
     static Stream<Arguments> messages() {
@@ -34,46 +34,46 @@
 
     @ParameterizedTest
     @MethodSource("messages")
-    void eachMessageHasOneWireForm(String line, HandoverMessage message) throws IOException {
+    void eachMessageIsEncodedToAndDecodedFromItsLine(String line, HandoverMessage message) throws IOException {
         assertEquals(message, HandoverCodec.decode(line));
         assertEquals(line, HandoverCodec.encode(message));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"{}", "{\"later\":1}", "{\"down\":1}", "{\"state\":\"none\"}"})
-    void anUnknownMessageIsNoError(String line) throws IOException {
+    void anUnknownMessageIsDecodedAsUnrecognized(String line) throws IOException {
         assertEquals(new HandoverMessage.Unrecognized(), HandoverCodec.decode(line));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "[]", "{", "state"})
-    void whatIsNoJsonObjectIsAFormatError(String line) {
+    void aLineThatIsNotAJsonObjectIsRejected(String line) {
         assertThrows(HandoverFormatException.class, () -> HandoverCodec.decode(line));
     }
 
-    private static HandoverDocument document(String state) throws IOException {
-        return ((HandoverMessage.StateReply) HandoverCodec.decode("{\"state\":" + state + "}")).document();
+    private static HandoverDocument document(String stateJson) throws IOException {
+        return ((HandoverMessage.StateReply) HandoverCodec.decode("{\"state\":" + stateJson + "}")).document();
     }
 
     @Test
-    void aStateIsReadWithTheReceiversSettings() throws IOException {
-        HandoverState state = document(STATE).site(SETTINGS);
+    void aStateIsDecodedWithTheReceiversSettings() throws IOException {
+        HandoverState state = document(STATE_JSON).site(SETTINGS);
         assertEquals(Map.of("s2", 7L), state.restoredAtMicros());
         assertEquals(2, state.learnedState().size());
         assertEquals(0.5, state.learnedState().get("own")[0]);
     }
 
     @Test
-    void figuresOfOtherClassesAreDropped() throws IOException {
+    void learnedValuesPerClassAreDroppedIfTheClassesDiffer() throws IOException {
         HandoverState state =
-                document(STATE.replace("[\"read\"]", "[\"write\"]")).site(SETTINGS);
+                document(STATE_JSON.replace("[\"read\"]", "[\"write\"]")).site(SETTINGS);
         assertEquals(List.of("server s1"), List.copyOf(state.learnedState().keySet()));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"out", "back", "list", "learnt"})
-    void aStateWithoutAFieldIsAFormatErrorThatNamesIt(String field) throws IOException {
-        Map<String, Object> state = JSON.std.mapFrom(STATE);
+    void aStateWithAMissingFieldIsRejectedByTheNameOfTheField(String field) throws IOException {
+        Map<String, Object> state = JSON.std.mapFrom(STATE_JSON);
         state.remove(field);
         HandoverDocument document = document(JSON.std.asString(state));
         HandoverFormatException error = assertThrows(HandoverFormatException.class, () -> document.site(SETTINGS));
@@ -81,9 +81,9 @@
     }
 
     @Test
-    void aPoolThatCannotBeReadLeavesTheOthersReadable() throws IOException {
+    void aMalformedPoolDoesNotPreventDecodingTheOthers() throws IOException {
         HandoverDocument document =
-                document(STATE.replaceFirst("\\}$", ",\"pools\":{\"good\":" + STATE + ",\"bad\":{}}}"));
+                document(STATE_JSON.replaceFirst("\\}$", ",\"pools\":{\"good\":" + STATE_JSON + ",\"bad\":{}}}"));
         assertEquals(List.of("good", "bad"), List.copyOf(document.poolNames()));
         assertEquals(
                 List.of("s1"),
