--- a/balancer/src/main/java/loadbalancer/admin/AdminListener.java
+++ b/balancer/src/main/java/loadbalancer/admin/AdminListener.java
@@ -27,7 +27,7 @@
  * limit a new connection replaces the oldest one. Belongs to the event loop's thread, except for {@link #listen}.
  */
 public final class AdminListener {
-    /** With the listener, that many connections fit into the descriptors that are reserved from clients. */
+    /** With the listener itself, that many connections fit into the descriptors that client connections leave free. */
     public static final int MAX_CONNECTIONS = 16;
 
     private static final int MAX_LINE_BYTES = 512;
--- a/balancer/src/main/java/loadbalancer/cli/RoutesCommand.java
+++ b/balancer/src/main/java/loadbalancer/cli/RoutesCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Prints the routes of an operator file in the order in which they are matched. */
+/** Prints the routes of an operator file, the most specific first. */
 @Command(name = "routes", description = "Prints the routes, the most specific first.", mixinStandardHelpOptions = true)
 final class RoutesCommand extends OperatorFileCommand {
     private static final String ROW = "%-16s %-48s %s%n";
--- a/balancer/src/main/java/loadbalancer/logs/AsyncLogWriter.java
+++ b/balancer/src/main/java/loadbalancer/logs/AsyncLogWriter.java
@@ -22,7 +22,7 @@
     private final OutputStream out;
     private final String prefix;
     private final LinkedBlockingQueue<LogLine> queue = new LinkedBlockingQueue<>();
-    private final AtomicInteger queuedLines = new AtomicInteger();
+    private final AtomicInteger queuedLines = new AtomicInteger(); // including the line that is being written
     private final AtomicLong dropped = new AtomicLong();
     private volatile int maxQueuedLines = DEFAULT_MAX_QUEUED_LINES;
     private volatile boolean json;
