--- a/balancer/src/main/java/loadbalancer/cli/ExplainCommand.java
+++ b/balancer/src/main/java/loadbalancer/cli/ExplainCommand.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import loadbalancer.operator.ConfigVocabulary;
+import loadbalancer.operator.ConfigFormatter;
 import loadbalancer.operator.OperatorConfig;
 import loadbalancer.router.RequestRouter;
 import loadbalancer.router.RouteConfig;
@@ -112,7 +112,7 @@
                 .findFirst()
                 .orElseThrow();
         int destination = router.destinationOf(match, requestKey);
-        out().println("route    " + match.name() + ": " + ConfigVocabulary.describe(match));
+        out().println("route    " + match.name() + ": " + ConfigFormatter.describe(match));
         if (destination < 0) {
             out().println("pool     none: all weights are 0");
         } else {
@@ -122,21 +122,21 @@
                     route.destinations().get(destination).pool(),
                     requestKey);
         }
-        out().println("rate     of the route: " + ConfigVocabulary.describe(route.rate()));
-        out().println("retries  " + ConfigVocabulary.describe(route.retryBudget()));
+        out().println("rate     of the route: " + ConfigFormatter.describe(route.rate()));
+        out().println("retries  " + ConfigFormatter.describe(route.retryBudget()));
         return destination < 0 ? EXIT_NEGATIVE : EXIT_OK;
     }
 
     private void explainPool(RoutingConfig routing, RouteConfig route, String poolName, String requestKey) {
         String split = route.destinations().size() > 1
-                ? ", by the split " + ConfigVocabulary.destinations(route) + " for key '" + requestKey + "'"
+                ? ", by the split " + ConfigFormatter.destinations(route) + " for key '" + requestKey + "'"
                 : "";
         out().println("pool     " + poolName + split);
-        String spillTargets = ConfigVocabulary.spillTargets(route);
+        String spillTargets = ConfigFormatter.spillTargets(route);
         if (!spillTargets.isEmpty()) {
             out().println("spills   to " + spillTargets + ", as the health of " + poolName + " falls");
         }
         routing.pools().stream().filter(pool -> pool.name().equals(poolName)).forEach(pool -> out().println(
-                        "limit    of pool " + poolName + ": " + ConfigVocabulary.describe(pool.limit())));
+                        "limit    of pool " + poolName + ": " + ConfigFormatter.describe(pool.limit())));
     }
 }
--- a/balancer/src/main/java/loadbalancer/cli/RoutesCommand.java
+++ b/balancer/src/main/java/loadbalancer/cli/RoutesCommand.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import java.util.IdentityHashMap;
 import java.util.Map;
-import loadbalancer.operator.ConfigVocabulary;
+import loadbalancer.operator.ConfigFormatter;
 import loadbalancer.operator.OperatorConfig;
 import loadbalancer.router.RequestRouter;
 import loadbalancer.router.RouteConfig;
@@ -27,7 +27,7 @@
         operator.routing().routes().forEach(config -> configs.put(config.route(), config));
         out().printf(ROW, "route", "takes", "to");
         for (Route route : new RequestRouter(operator.routing()).table().routes()) {
-            out().printf(ROW, route.name(), ConfigVocabulary.describe(route), destinations(configs.get(route)));
+            out().printf(ROW, route.name(), ConfigFormatter.describe(route), destinations(configs.get(route)));
         }
         String unmatched = operator.routing().unmatchedPool();
         out().printf(ROW, "(others)", "", unmatched == null ? "refused" : unmatched);
@@ -35,7 +35,7 @@
     }
 
     private static String destinations(RouteConfig route) {
-        String spillTargets = ConfigVocabulary.spillTargets(route);
-        return ConfigVocabulary.destinations(route) + (spillTargets.isEmpty() ? "" : "; spills to " + spillTargets);
+        String spillTargets = ConfigFormatter.spillTargets(route);
+        return ConfigFormatter.destinations(route) + (spillTargets.isEmpty() ? "" : "; spills to " + spillTargets);
     }
 }
--- a/balancer/src/main/java/loadbalancer/dispatch/PolicyActions.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/PolicyActions.java
@@ -96,7 +96,7 @@
     @Override
     public void probe(String endpoint) {
         long sentAtMicros = clock.nowMicros();
-        boolean loadReport = siteSettings.settings().loadReporting() != LoadReporting.NONE;
+        boolean loadReport = siteSettings.policySettings().loadReporting() != LoadReporting.NONE;
         connections.probe(
                 endpoint,
                 loadReport,
--- a/balancer/src/main/java/loadbalancer/dispatch/RequestDispatcher.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/RequestDispatcher.java
@@ -73,7 +73,7 @@
                 request,
                 responder,
                 nowMicros() + request.timeLeftMicros(),
-                siteSettings.settings().limits().maxAttempts());
+                siteSettings.policySettings().limits().maxAttempts());
         openRequests.add(openRequest);
         if (request.bodyRemainder() == null) {
             startDeadline(openRequest);
@@ -155,7 +155,7 @@
         actions.reconfigure(next);
         events.submit(nowMicros -> policy.reconfigure(
                 nowMicros,
-                next.settings(),
+                next.policySettings(),
                 formerIndexes(next.classes(), previous.classes()),
                 formerIndexes(next.tenants(), previous.tenants())));
     }
--- a/balancer/src/main/java/loadbalancer/dispatch/SlowStartQuota.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/SlowStartQuota.java
@@ -31,7 +31,7 @@
 
     /** The balancer holds that subset of the endpoints from here on. */
     void setSubset(EndpointSubset subset, BootSettings siteSettings) {
-        int balancers = siteSettings.settings().balancers();
+        int balancers = siteSettings.policySettings().balancers();
         long parts = subset.subset().partCount();
         subsetFactor = Math.min(parts, balancers);
         update();
--- a/balancer/src/main/java/loadbalancer/operator/ConfigDiff.java
+++ b/balancer/src/main/java/loadbalancer/operator/ConfigDiff.java
@@ -29,7 +29,7 @@
         diff.compare("requests that no route takes", unmatched(former.routing()), unmatched(next.routing()));
         diff.quotas(former.routing().quotas(), next.routing().quotas());
         diff.limits(former.routing(), next.routing());
-        diff.compare("log", ConfigVocabulary.describe(former.log()), ConfigVocabulary.describe(next.log()));
+        diff.compare("log", ConfigFormatter.describe(former.log()), ConfigFormatter.describe(next.log()));
         return diff.changes;
     }
 
@@ -47,8 +47,8 @@
         compare("number of instances", String.valueOf(former.instances()), String.valueOf(next.instances()));
         compare(
                 "part of limits kept for what is worth most",
-                ConfigVocabulary.percent(former.reservedFraction()),
-                ConfigVocabulary.percent(next.reservedFraction()));
+                ConfigFormatter.percent(former.reservedFraction()),
+                ConfigFormatter.percent(next.reservedFraction()));
         compare("advice to refused clients", retryAfter(former), retryAfter(next));
     }
 
@@ -64,8 +64,8 @@
             PoolConfig formerPool = formerPools.remove(pool.name());
             PoolSpec spec = next.pool(pool.name());
             if (formerPool == null) {
-                changes.add("pool " + pool.name() + ": new, " + ConfigVocabulary.source(spec) + ", limit "
-                        + ConfigVocabulary.describe(pool.limit()));
+                changes.add("pool " + pool.name() + ": new, " + ConfigFormatter.source(spec) + ", limit "
+                        + ConfigFormatter.describe(pool.limit()));
             } else {
                 pool(formerPool, pool, former.pool(pool.name()), spec);
             }
@@ -78,19 +78,16 @@
         boolean replaced = (nextSpec.discovery() == null) != (formerSpec.discovery() == null);
         compare(
                 subject + (replaced ? ", which drains and begins anew" : ""),
-                ConfigVocabulary.source(formerSpec),
-                ConfigVocabulary.source(nextSpec));
-        compare(
-                subject + ": limit",
-                ConfigVocabulary.describe(former.limit()),
-                ConfigVocabulary.describe(next.limit()));
+                ConfigFormatter.source(formerSpec),
+                ConfigFormatter.source(nextSpec));
+        compare(subject + ": limit", ConfigFormatter.describe(former.limit()), ConfigFormatter.describe(next.limit()));
         compare(subject + ": full strength", fullStrength(former), fullStrength(next));
         compare(subject + ": connections", given(formerSpec.maxConnections()), given(nextSpec.maxConnections()));
         compare(subject + ": memory", given(formerSpec.maxBodyBytes()), given(nextSpec.maxBodyBytes()));
         compare(
                 subject + ": settings",
-                ConfigVocabulary.describe(formerSpec.overrides()),
-                ConfigVocabulary.describe(nextSpec.overrides()));
+                ConfigFormatter.describe(formerSpec.overrides()),
+                ConfigFormatter.describe(nextSpec.overrides()));
     }
 
     private static String fullStrength(PoolConfig pool) {
@@ -108,8 +105,8 @@
             String name = route.route().name();
             RouteConfig formerRoute = formerRoutes.remove(name);
             if (formerRoute == null) {
-                changes.add("route " + name + ": new, " + ConfigVocabulary.describe(route.route()) + " to "
-                        + ConfigVocabulary.destinations(route));
+                changes.add("route " + name + ": new, " + ConfigFormatter.describe(route.route()) + " to "
+                        + ConfigFormatter.destinations(route));
             } else {
                 route("route " + name, formerRoute, route);
             }
@@ -117,36 +114,36 @@
         formerRoutes
                 .values()
                 .forEach(route -> changes.add("route " + route.route().name() + ": dropped, "
-                        + ConfigVocabulary.describe(route.route()) + " goes to the next that fits"));
+                        + ConfigFormatter.describe(route.route()) + " goes to the next that fits"));
     }
 
     private void route(String subject, RouteConfig former, RouteConfig next) {
-        compare(subject + " takes", ConfigVocabulary.describe(former.route()), ConfigVocabulary.describe(next.route()));
+        compare(subject + " takes", ConfigFormatter.describe(former.route()), ConfigFormatter.describe(next.route()));
         destinations(subject, former, next);
         compare(subject + " spills to", spillTargets(former), spillTargets(next));
         compare(
                 subject + ": retries",
-                ConfigVocabulary.describe(former.retryBudget()),
-                ConfigVocabulary.describe(next.retryBudget()));
-        compare(subject + ": rate", ConfigVocabulary.describe(former.rate()), ConfigVocabulary.describe(next.rate()));
+                ConfigFormatter.describe(former.retryBudget()),
+                ConfigFormatter.describe(next.retryBudget()));
+        compare(subject + ": rate", ConfigFormatter.describe(former.rate()), ConfigFormatter.describe(next.rate()));
         compare(subject + ": deadline", deadline(former), deadline(next));
         compare(
                 subject + ": spare",
-                ConfigVocabulary.percent(former.overprovisioningFactor()),
-                ConfigVocabulary.percent(next.overprovisioningFactor()));
+                ConfigFormatter.percent(former.overprovisioningFactor()),
+                ConfigFormatter.percent(next.overprovisioningFactor()));
         compare(
                 subject + ": return",
-                ConfigVocabulary.percent(former.returnPerSecond()) + "/s",
-                ConfigVocabulary.percent(next.returnPerSecond()) + "/s");
+                ConfigFormatter.percent(former.returnPerSecond()) + "/s",
+                ConfigFormatter.percent(next.returnPerSecond()) + "/s");
     }
 
     private void destinations(String subject, RouteConfig former, RouteConfig next) {
-        Map<String, Double> formerFractions = ConfigVocabulary.fractions(former);
-        Map<String, Double> nextFractions = ConfigVocabulary.fractions(next);
+        Map<String, Double> formerFractions = ConfigFormatter.fractions(former);
+        Map<String, Double> nextFractions = ConfigFormatter.fractions(next);
         if (!formerFractions.equals(nextFractions)) {
-            changes.add(subject + ": " + ConfigVocabulary.destinations(former) + " -> "
-                    + ConfigVocabulary.destinations(next) + "; "
-                    + ConfigVocabulary.percent(movedFraction(formerFractions, nextFractions)) + " of its keys move");
+            changes.add(subject + ": " + ConfigFormatter.destinations(former) + " -> "
+                    + ConfigFormatter.destinations(next) + "; "
+                    + ConfigFormatter.percent(movedFraction(formerFractions, nextFractions)) + " of its keys move");
         }
     }
 
@@ -160,7 +157,7 @@
     }
 
     private static String spillTargets(RouteConfig route) {
-        String targets = ConfigVocabulary.spillTargets(route);
+        String targets = ConfigFormatter.spillTargets(route);
         return targets.isEmpty() ? "nowhere" : targets;
     }
 
@@ -169,11 +166,11 @@
     }
 
     private void quotas(QuotaConfig former, QuotaConfig next) {
-        compare("quota of the site", ConfigVocabulary.describe(former.site()), ConfigVocabulary.describe(next.site()));
+        compare("quota of the site", ConfigFormatter.describe(former.site()), ConfigFormatter.describe(next.site()));
         compare(
                 "quota of all others",
-                ConfigVocabulary.describe(former.others()),
-                ConfigVocabulary.describe(next.others()));
+                ConfigFormatter.describe(former.others()),
+                ConfigFormatter.describe(next.others()));
         Set<String> tenants = new TreeSet<>(former.tenants().keySet());
         tenants.addAll(next.tenants().keySet());
         for (String tenant : tenants) {
@@ -189,13 +186,13 @@
         for (String route : routes) {
             compare(
                     subject + " on route " + route,
-                    ConfigVocabulary.describe(routeRates(former).get(route)),
-                    ConfigVocabulary.describe(routeRates(next).get(route)));
+                    ConfigFormatter.describe(routeRates(former).get(route)),
+                    ConfigFormatter.describe(routeRates(next).get(route)));
         }
     }
 
     private static String rate(TenantQuotaConfig quota) {
-        return quota == null ? "as all others" : ConfigVocabulary.describe(quota.rate());
+        return quota == null ? "as all others" : ConfigFormatter.describe(quota.rate());
     }
 
     private static Map<String, RateLimit> routeRates(TenantQuotaConfig quota) {
--- a/balancer/src/main/java/loadbalancer/operator/ConfigVocabulary.java
+++ b/balancer/src/main/java/loadbalancer/operator/ConfigFormatter.java
@@ -19,10 +19,10 @@
  * Describes the parts of an operator file in the words that operators read. Scripts may depend on these words, so they
  * are part of the program's interface. Stateless.
  */
-public final class ConfigVocabulary {
+public final class ConfigFormatter {
     private static final String NONE = "none";
 
-    private ConfigVocabulary() {}
+    private ConfigFormatter() {}
 
     /** What a request must be like to take a route. */
     public static String describe(Route route) {
@@ -123,7 +123,7 @@
             return "discovery at " + address(pool.discovery());
         }
         return pool.endpoints().stream()
-                .map(ConfigVocabulary::address)
+                .map(ConfigFormatter::address)
                 .collect(Collectors.joining(", ", "upstreams ", ""));
     }
 
--- a/balancer/src/main/java/loadbalancer/operator/PoolReader.java
+++ b/balancer/src/main/java/loadbalancer/operator/PoolReader.java
@@ -83,7 +83,7 @@
 
     private static InetSocketAddress address(Section section, String key, String text) {
         try {
-            return SocketAddresses.address(text);
+            return SocketAddresses.parse(text);
         } catch (IllegalArgumentException e) {
             section.fault(key, "'" + key + "': " + e.getMessage());
             return null;
--- a/balancer/src/main/java/loadbalancer/process/BalancerConfigReader.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerConfigReader.java
@@ -199,7 +199,7 @@
                 return;
             }
             try {
-                int rank = limits.boot.settings().rank();
+                int rank = limits.boot.policySettings().rank();
                 known[0] = ListReader.readOne(parser, limits.boot, new EndpointSubset(limits.maxEndpoints, rank));
             } catch (DiscoveryFormatException e) {
                 throw new ProcessConfigException(KNOWN_LIST + ": " + e.getMessage(), e);
@@ -278,7 +278,7 @@
 
     private static InetSocketAddress address(String field, String text) {
         try {
-            return SocketAddresses.address(text);
+            return SocketAddresses.parse(text);
         } catch (IllegalArgumentException e) {
             throw new ProcessConfigException(field + ": " + e.getMessage(), e);
         }
--- a/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
@@ -21,7 +21,7 @@
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.discovery.EndpointSubset;
 import loadbalancer.discovery.Membership;
-import loadbalancer.discovery.PartialListRetry;
+import loadbalancer.discovery.SubsetFailover;
 import loadbalancer.dispatch.RequestDispatcher;
 import loadbalancer.drain.OperatorDrains;
 import loadbalancer.http.ClientListener;
@@ -97,12 +97,12 @@
         this.warmsUp = warmsUp;
         this.log = log;
         DescriptorBudget descriptors = new DescriptorBudget(config.maxDescriptors());
-        LoadBalancingPolicy policy = policies.apply(config.boot().settings(), config.seed());
+        LoadBalancingPolicy policy = policies.apply(config.boot().policySettings(), config.seed());
         RequestDispatcher dispatcher = new RequestDispatcher(loop, config.boot(), policy, log);
         UpstreamConnectionPool upstreams =
                 new UpstreamConnectionPool(loop, config.boot(), descriptors, dispatcher::nowMicros);
         EndpointSubset subset = new EndpointSubset(
-                config.maxEndpoints(), config.boot().settings().rank());
+                config.maxEndpoints(), config.boot().policySettings().rank());
         discovery = new DiscoveryClient(
                 loop,
                 config.discovery(),
@@ -118,7 +118,7 @@
         dispatcher.attach(upstreams, discovery);
         membership = new Membership(subset, new OperatorDrains(), dispatcher::nowMicros, dispatcher::updateEndpoints);
         subset.onChange(held -> dispatcher.updateSubset(held));
-        new PartialListRetry(loop, membership, discovery, config.seed());
+        new SubsetFailover(loop, membership, discovery, config.seed());
         clients.setReadinessNote(subset::summary);
         pools = new BalancerPools(membership, dispatcher);
         reconfiguration = new Reconfiguration(
@@ -184,7 +184,7 @@
     // free.
     private void applyKnownList() {
         EndpointList known = config().knownList();
-        if (config().boot().settings().discovery() == DiscoveryMode.POLL) {
+        if (config().boot().policySettings().discovery() == DiscoveryMode.POLL) {
             endpointsListed(EndpointListKind.CACHED, known);
             return;
         }
--- a/balancer/src/main/java/loadbalancer/process/OperatorFileLoader.java
+++ b/balancer/src/main/java/loadbalancer/process/OperatorFileLoader.java
@@ -34,8 +34,8 @@
         return new SiteConfig(
                 settings.classes(),
                 settings.tenants().isEmpty() ? null : settings.tenants(),
-                settings.settings().balancers(),
-                settings.settings().limits().maxRetryAfterMicros());
+                settings.policySettings().balancers(),
+                settings.policySettings().limits().maxRetryAfterMicros());
     }
 
     /**
--- a/balancer/src/main/java/loadbalancer/process/WarmUp.java
+++ b/balancer/src/main/java/loadbalancer/process/WarmUp.java
@@ -74,10 +74,10 @@
         this.loop = loop;
         this.settings = config.boot();
         this.then = then;
-        int share = REQUESTS_OF_ALL_BALANCERS / settings.settings().balancers();
+        int share = REQUESTS_OF_ALL_BALANCERS / settings.policySettings().balancers();
         this.requests = Math.max(MIN_REQUESTS, Math.min(MAX_REQUESTS, share));
         this.token = Long.toHexString(new SplittableRandom(config.seed() ^ System.nanoTime()).nextLong());
-        LoadBalancingPolicy policy = new JsqDasPolicy(settings.settings(), config.seed());
+        LoadBalancingPolicy policy = new JsqDasPolicy(settings.policySettings(), config.seed());
         dispatcher = new RequestDispatcher(loop, settings, policy, line -> {});
         DescriptorBudget descriptors = new DescriptorBudget(config.maxDescriptors());
         upstreams = new UpstreamConnectionPool(loop, settings, descriptors, dispatcher::nowMicros, address);
@@ -108,7 +108,7 @@
 
     private List<EndpointList.Entry> endpoints(InetSocketAddress self) {
         List<EndpointList.Entry> entries = new ArrayList<>();
-        int zone = settings.settings().zone();
+        int zone = settings.policySettings().zone();
         for (int i = 0; i < ENDPOINTS; i++) {
             Endpoint endpoint = new Endpoint(ID_PREFIX + i, EndpointState.UP, 0, 1, 0, i % KINDS, zone);
             entries.add(new EndpointList.Entry(endpoint, self));
@@ -133,7 +133,7 @@
 
     private InboundRequest request(int requestClass) {
         Idempotency idempotency =
-                settings.settings().classes().get(requestClass).idempotency();
+                settings.policySettings().classes().get(requestClass).idempotency();
         boolean safe = idempotency == Idempotency.IDEMPOTENT;
         String id = ID_PREFIX + sent;
         HttpHeaders headers = new DefaultHttpHeaders()
--- a/balancer/src/main/java/loadbalancer/routing/PoolSettings.java
+++ b/balancer/src/main/java/loadbalancer/routing/PoolSettings.java
@@ -15,7 +15,7 @@
     static BootSettings derive(BootSettings site, PoolSpec spec) {
         Long idleCloseMicros = spec.overrides().idleCloseMicros();
         return new BootSettings(
-                policySettings(site.settings(), spec),
+                policySettings(site.policySettings(), spec),
                 site.loadFields(),
                 site.classes(),
                 site.tenants(),
--- a/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
@@ -83,7 +83,7 @@
         operator = next;
         configurePools(next.pools());
         replaceRouter(new RequestRouter(next.routing()));
-        ranks = PriorityRanks.of(boot.settings().classes());
+        ranks = PriorityRanks.of(boot.policySettings().classes());
         updatePoolSizes();
         if (first) {
             loop.scheduleWithFixedDelay(
@@ -120,7 +120,7 @@
     public void reconfigure(BootSettings next) {
         boot = next;
         pools.reconfigure(next);
-        ranks = PriorityRanks.of(next.settings().classes());
+        ranks = PriorityRanks.of(next.policySettings().classes());
     }
 
     /** Passes on to the router how many endpoints of each pool may be sent to. */
--- a/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
+++ b/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
@@ -7,7 +7,7 @@
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.discovery.EndpointSubset;
 import loadbalancer.discovery.Membership;
-import loadbalancer.discovery.PartialListRetry;
+import loadbalancer.discovery.SubsetFailover;
 import loadbalancer.dispatch.RequestDispatcher;
 import loadbalancer.drain.OperatorDrains;
 import loadbalancer.handover.HandoverState;
@@ -49,17 +49,17 @@
         Log log = line -> environment.log().info("pool " + spec.name() + ": " + line);
         long seed = environment.seed() ^ TrafficSplit.hash(spec.name());
         dispatcher = new RequestDispatcher(
-                environment.loop(), boot, environment.policyFactory().apply(boot.settings(), seed), log);
+                environment.loop(), boot, environment.policyFactory().apply(boot.policySettings(), seed), log);
         upstreams = new UpstreamConnectionPool(environment.loop(), boot, connections, dispatcher::nowMicros);
         upstreams.setReclaimer(() -> upstreams.closeLongestIdle()
                 || environment.shedClientConnection().getAsBoolean());
-        EndpointSubset subset =
-                new EndpointSubset(environment.maxEndpoints(), boot.settings().rank());
+        EndpointSubset subset = new EndpointSubset(
+                environment.maxEndpoints(), boot.policySettings().rank());
         membership = new Membership(subset, new OperatorDrains(), dispatcher::nowMicros, dispatcher::updateEndpoints);
         subset.onChange(dispatcher::updateSubset);
         discovery = spec.discovery() == null ? null : discoveryClient(spec.discovery(), subset, log);
         if (discovery != null) {
-            new PartialListRetry(environment.loop(), membership, discovery, seed);
+            new SubsetFailover(environment.loop(), membership, discovery, seed);
         }
         dispatcher.attach(upstreams, discovery);
     }
@@ -85,7 +85,7 @@
         for (InetSocketAddress address : spec.endpoints()) {
             String id = spec.name() + "/" + address.getAddress().getHostAddress() + ":" + address.getPort();
             Endpoint endpoint = new Endpoint(
-                    id, EndpointState.UP, 0, 1, -1, -1, boot.settings().zone());
+                    id, EndpointState.UP, 0, 1, -1, -1, boot.policySettings().zone());
             endpoints.add(new EndpointList.Entry(endpoint, address));
         }
         return new EndpointList(0, true, endpoints);
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamConnectionPool.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamConnectionPool.java
@@ -97,7 +97,7 @@
     }
 
     private long drainDeadlineMicros(long notifiedMicros) {
-        long graceMicros = siteSettings.settings().bounds().drainGracePeriodMicros();
+        long graceMicros = siteSettings.policySettings().bounds().drainGracePeriodMicros();
         return notifiedMicros + Math.max(0, graceMicros - Math.min(DRAIN_MARGIN_MICROS, graceMicros / 2));
     }
 
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamConnector.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamConnector.java
@@ -77,7 +77,7 @@
 
     /** Returns how long opening a connection may take; a probe gets as long for all of it. */
     int connectTimeoutMillis() {
-        long limitMicros = siteSettings.settings().limits().connectTimeoutMicros();
+        long limitMicros = siteSettings.policySettings().limits().connectTimeoutMicros();
         return limitMicros > 0
                 ? (int) Math.max(1, Math.min(Integer.MAX_VALUE, limitMicros / 1000))
                 : DEFAULT_CONNECT_TIMEOUT_MILLIS;
--- a/balancer/src/main/java/loadbalancer/wire/EventDecoder.java
+++ b/balancer/src/main/java/loadbalancer/wire/EventDecoder.java
@@ -66,7 +66,7 @@
 
     private static void request(Frame frame, HostedBalancer balancer, long now, LoadBalancingPolicy.Actions actions) {
         frame.expect("Req", "Priority", "Account", "NameKey", "Ttl", "Hint", "Options");
-        PolicySettings settings = balancer.boot().settings();
+        PolicySettings settings = balancer.boot().policySettings();
         int tenantCount = Math.max(1, settings.tenants().size());
         long options = frame.number(7, "Options", 0);
         balancer.policy()
--- a/balancer/src/main/java/loadbalancer/wire/SimulatorWireAdapter.java
+++ b/balancer/src/main/java/loadbalancer/wire/SimulatorWireAdapter.java
@@ -101,7 +101,7 @@
         BootSettings boot = WireSettings.read(frame, 2);
         String name = required(target, frame);
         reply.setBalancer(name);
-        balancers.put(name, new HostedBalancer(name, policyFactory.create(boot.settings(), seed), boot));
+        balancers.put(name, new HostedBalancer(name, policyFactory.create(boot.policySettings(), seed), boot));
     }
 
     private void event(Frame frame, String target, long now, ActionEncoder reply) {
--- a/balancer/src/test/java/loadbalancer/process/AttemptOutcomeTest.java
+++ b/balancer/src/test/java/loadbalancer/process/AttemptOutcomeTest.java
@@ -125,8 +125,7 @@
         }
         synchronized (log) {
             assertTrue(
-                    log.contains("last-resort failure responses, as the policy chose none in time: 1"),
-                    log.toString());
+                    log.contains("last-resort failure responses, as the policy chose none in time: 1"), log.toString());
         }
     }
 
@@ -139,8 +138,7 @@
                     502, client.send(IDEMPOTENT_REQUEST.replace("20000", "150")).readStatus());
             assertEquals("client gone", policy.nextEvent());
             synchronized (log) {
-                assertTrue(
-                        log.get(log.size() - 2).startsWith("exception 1 in a policy event: "), log.toString());
+                assertTrue(log.get(log.size() - 2).startsWith("exception 1 in a policy event: "), log.toString());
             }
             policy.throwsOnRequest = false;
             client.send(IDEMPOTENT_REQUEST);
--- a/discovery/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/discovery/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -87,8 +87,8 @@
         this.listener = listener;
         this.log = log;
         this.clockMicros = clockMicros;
-        this.pushed = settings.settings().discovery() == DiscoveryMode.PUSH;
-        SafetyBounds bounds = settings.settings().bounds();
+        this.pushed = settings.policySettings().discovery() == DiscoveryMode.PUSH;
+        SafetyBounds bounds = settings.policySettings().bounds();
         this.staleness = new ListStaleness(pushed, bounds.drainGracePeriodMicros(), bounds.pollIntervalMicros());
     }
 
@@ -121,7 +121,7 @@
     /** Reads lists by new settings from here on. */
     public void reconfigure(BootSettings next) {
         settings = next;
-        SafetyBounds bounds = next.settings().bounds();
+        SafetyBounds bounds = next.policySettings().bounds();
         staleness.reconfigure(bounds.drainGracePeriodMicros(), bounds.pollIntervalMicros());
     }
 
--- a/discovery/src/main/java/loadbalancer/discovery/DiscoveryFormat.java
+++ b/discovery/src/main/java/loadbalancer/discovery/DiscoveryFormat.java
@@ -127,7 +127,7 @@
 
     private static InetSocketAddress address(Map<?, ?> entry) {
         try {
-            return SocketAddresses.address(String.valueOf(entry.get(ADDRESS)));
+            return SocketAddresses.parse(String.valueOf(entry.get(ADDRESS)));
         } catch (IllegalArgumentException e) {
             throw new DiscoveryFormatException(e.getMessage(), e);
         }
--- a/discovery/src/main/java/loadbalancer/discovery/PartialListRetry.java
+++ b/discovery/src/main/java/loadbalancer/discovery/SubsetFailover.java
@@ -9,7 +9,7 @@
  * endpoint may be sent to. Paced, and less often the longer it lasts: complete lists are expensive, and all balancers
  * of a part need one at the same time. Belongs to the event loop's thread.
  */
-public final class PartialListRetry {
+public final class SubsetFailover {
     private static final long INITIAL_BACKOFF_MILLIS = 250;
     private static final int MAX_DOUBLINGS = 5; // up to 8 s
     private static final int JITTER_STEPS = 1024; // a power of 2
@@ -26,7 +26,7 @@
      *
      * @param seed the balancer's own, for the jitter
      */
-    public PartialListRetry(EventLoop loop, Membership membership, DiscoveryClient client, long seed) {
+    public SubsetFailover(EventLoop loop, Membership membership, DiscoveryClient client, long seed) {
         this.loop = loop;
         this.membership = membership;
         this.client = client;
--- a/discovery/src/main/java/loadbalancer/settings/BootSettings.java
+++ b/discovery/src/main/java/loadbalancer/settings/BootSettings.java
@@ -6,7 +6,7 @@
 /**
  * What a balancer is started with.
  *
- * @param settings of the policy, which knows classes, tenants, zones and kinds by their numbers
+ * @param policySettings the settings of the policy, which knows classes, tenants, zones and kinds by their numbers
  * @param loadFields names of the values in a load report, in their order on the simulator's wire
  * @param classes names of the request classes, by number
  * @param tenants names of the tenants, by number
@@ -15,7 +15,7 @@
  * @param idleCloseMicros after which an endpoint closes an idle connection; 0: never
  */
 public record BootSettings(
-        PolicySettings settings,
+        PolicySettings policySettings,
         List<String> loadFields,
         List<String> classes,
         List<String> tenants,
--- a/discovery/src/main/java/loadbalancer/settings/SocketAddresses.java
+++ b/discovery/src/main/java/loadbalancer/settings/SocketAddresses.java
@@ -17,7 +17,7 @@
      *
      * @throws IllegalArgumentException that says what is wrong with the text
      */
-    public static InetSocketAddress address(String text) {
+    public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         String port = text.substring(colon + 1);
         if (colon <= 0 || !port.matches(PORT_FORM) || Integer.parseInt(port) > MAX_PORT) {
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/HollowBalancer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/HollowBalancer.java
@@ -12,7 +12,7 @@
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.discovery.EndpointSubset;
 import loadbalancer.discovery.Membership;
-import loadbalancer.discovery.PartialListRetry;
+import loadbalancer.discovery.SubsetFailover;
 import loadbalancer.drain.OperatorDrains;
 import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.policy.EndpointListKind;
@@ -62,14 +62,14 @@
         this.rank = rank;
         this.tally = tally;
         this.known = known;
-        this.policy = new JsqDasPolicy(boot.settings(), seed);
+        this.policy = new JsqDasPolicy(boot.policySettings(), seed);
         EndpointSubset holding = new EndpointSubset(plan.upstreamsMost(), rank);
         this.client = new DiscoveryClient(
                 loop, discovery, boot, holding, known.version(), this::now, this::heard, this::complain);
         this.membership = new Membership(holding, new OperatorDrains(), this::now, this::news);
         holding.onChange(h -> hand(
                 now -> policy.setSlowStartBudgetFactor(Math.min(many, h.subset().partCount()))));
-        new PartialListRetry(loop, membership, client, seed);
+        new SubsetFailover(loop, membership, client, seed);
     }
 
     /** Begins, on the loop's thread. */
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/TenantsAxis.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/TenantsAxis.java
@@ -57,7 +57,7 @@
         all.putAll(realms);
         figures.put("settings_heap_per_tenant_bytes", Repeated.retained(() -> boot(all)) / size);
         figures.put("settings_read_ms", Repeated.millis(() -> boot(all)));
-        PolicySettings settings = boot(all).settings();
+        PolicySettings settings = boot(all).policySettings();
         figures.put("module_heap_per_tenant_bytes", Repeated.retained(() -> new JsqDasPolicy(settings, 1)) / size);
         JsqDasPolicy module = new JsqDasPolicy(settings, 1);
         NoOpActions out = new NoOpActions();
