--- a/balancer/src/main/java/loadbalancer/dispatch/RequestDispatcher.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/RequestDispatcher.java
@@ -73,7 +73,7 @@
                 request,
                 responder,
                 nowMicros() + request.timeLeftMicros(),
-                siteSettings.settings().limits().maxAttempts());
+                siteSettings.policySettings().limits().maxAttempts());
         openRequests.add(openRequest);
         if (request.streamedBody() == null) {
             startDeadline(openRequest);
@@ -155,7 +155,7 @@
         actions.reconfigure(newSettings);
         events.submit(nowMicros -> policy.reconfigure(
                 nowMicros,
-                newSettings.settings(),
+                newSettings.policySettings(),
                 previousIndexes(newSettings.classes(), previous.classes()),
                 previousIndexes(newSettings.tenants(), previous.tenants())));
     }
--- a/balancer/src/main/java/loadbalancer/dispatch/SlowStartBudget.java
+++ b/balancer/src/main/java/loadbalancer/dispatch/SlowStartBudget.java
@@ -31,7 +31,7 @@
 
     /** Sets the subset of the endpoints that the balancer uses. */
     void setSubset(EndpointSubset subset, BootSettings siteSettings) {
-        int balancerCount = siteSettings.settings().balancers();
+        int balancerCount = siteSettings.policySettings().balancers();
         long partCount = subset.subset().partCount();
         subsetFactor = Math.min(partCount, balancerCount);
         update();
--- a/balancer/src/main/java/loadbalancer/process/WarmUp.java
+++ b/balancer/src/main/java/loadbalancer/process/WarmUp.java
@@ -77,10 +77,10 @@
         this.loop = loop;
         this.settings = config.boot();
         this.onEnd = onEnd;
-        int share = REQUESTS_OF_ALL_BALANCERS / settings.settings().balancers();
+        int share = REQUESTS_OF_ALL_BALANCERS / settings.policySettings().balancers();
         this.totalRequests = Math.max(MIN_REQUESTS, Math.min(MAX_REQUESTS, share));
         this.token = Long.toHexString(new SplittableRandom(config.seed() ^ System.nanoTime()).nextLong());
-        LoadBalancingPolicy policy = new JsqDasPolicy(settings.settings(), config.seed());
+        LoadBalancingPolicy policy = new JsqDasPolicy(settings.policySettings(), config.seed());
         dispatcher = new RequestDispatcher(loop, settings, policy, line -> {});
         DescriptorBudget descriptors = new DescriptorBudget(config.maxDescriptors());
         upstreams = new UpstreamConnectionPool(loop, settings, descriptors, dispatcher::nowMicros, address);
@@ -111,7 +111,7 @@
 
     private List<EndpointList.Entry> endpoints(InetSocketAddress self) {
         List<EndpointList.Entry> entries = new ArrayList<>();
-        int zone = settings.settings().zone();
+        int zone = settings.policySettings().zone();
         for (int i = 0; i < ENDPOINTS; i++) {
             Endpoint endpoint = new Endpoint(ID_PREFIX + i, EndpointState.UP, 0, 1, 0, i % MACHINE_KINDS, zone);
             entries.add(new EndpointList.Entry(endpoint, self));
@@ -136,7 +136,7 @@
 
     private InboundRequest request(int requestClass) {
         Idempotency idempotency =
-                settings.settings().classes().get(requestClass).idempotency();
+                settings.policySettings().classes().get(requestClass).idempotency();
         boolean idempotent = idempotency == Idempotency.IDEMPOTENT;
         String id = ID_PREFIX + sent;
         HttpHeaders headers = new DefaultHttpHeaders()
--- a/balancer/src/main/java/loadbalancer/routing/PoolSettings.java
+++ b/balancer/src/main/java/loadbalancer/routing/PoolSettings.java
@@ -15,7 +15,7 @@
     static BootSettings derive(BootSettings siteSettings, PoolSpec spec) {
         Long idleCloseMicros = spec.overrides().idleCloseMicros();
         return new BootSettings(
-                policySettings(siteSettings.settings(), spec),
+                policySettings(siteSettings.policySettings(), spec),
                 siteSettings.loadFields(),
                 siteSettings.classes(),
                 siteSettings.tenants(),
--- a/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
+++ b/balancer/src/main/java/loadbalancer/routing/RoutingGateway.java
@@ -87,7 +87,7 @@
         operatorConfig = next;
         configurePools(next.pools());
         replaceRouter(new RequestRouter(next.routing()));
-        classRanks = PriorityRanks.of(siteSettings.settings().classes());
+        classRanks = PriorityRanks.of(siteSettings.policySettings().classes());
         updatePoolSizes();
         if (first) {
             loop.scheduleWithFixedDelay(
@@ -124,7 +124,7 @@
     public void reconfigure(BootSettings next) {
         siteSettings = next;
         pools.reconfigure(next);
-        classRanks = PriorityRanks.of(next.settings().classes());
+        classRanks = PriorityRanks.of(next.policySettings().classes());
     }
 
     /** Updates the router's count of usable endpoints for each pool. */
--- a/balancer/src/main/java/loadbalancer/upstream/UpstreamConnector.java
+++ b/balancer/src/main/java/loadbalancer/upstream/UpstreamConnector.java
@@ -80,7 +80,7 @@
 
     /** Returns the timeout for opening a connection, and for a probe as a whole. */
     int connectTimeoutMillis() {
-        long limitMicros = siteSettings.settings().limits().connectTimeoutMicros();
+        long limitMicros = siteSettings.policySettings().limits().connectTimeoutMicros();
         return limitMicros > 0
                 ? (int) Math.max(1, Math.min(Integer.MAX_VALUE, limitMicros / 1000))
                 : DEFAULT_CONNECT_TIMEOUT_MILLIS;
