--- a/balancer/src/main/java/loadbalancer/http/InboundRequestParser.java
+++ b/balancer/src/main/java/loadbalancer/http/InboundRequestParser.java
@@ -46,7 +46,8 @@
         if (requestClass < 0) {
             throw new InvalidRequestException("unknown " + HeaderNames.REQUEST_CLASS);
         }
-        requireMethod(head, siteSettings.policySettings().classes().get(requestClass).idempotency());
+        requireMethod(
+                head, siteSettings.policySettings().classes().get(requestClass).idempotency());
         long timeLeftMillis = parseNumber(headers.get(HeaderNames.DEADLINE_MILLIS), -1);
         if (timeLeftMillis <= 0 || timeLeftMillis > MAX_DEADLINE_MILLIS) {
             throw new InvalidRequestException("no or bad " + HeaderNames.DEADLINE_MILLIS);
--- a/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
+++ b/balancer/src/main/java/loadbalancer/routing/UpstreamPool.java
@@ -85,7 +85,13 @@
         for (InetSocketAddress address : spec.endpoints()) {
             String id = spec.name() + "/" + address.getAddress().getHostAddress() + ":" + address.getPort();
             Endpoint endpoint = new Endpoint(
-                    id, EndpointState.UP, 0, 1, -1, -1, settings.policySettings().zone());
+                    id,
+                    EndpointState.UP,
+                    0,
+                    1,
+                    -1,
+                    -1,
+                    settings.policySettings().zone());
             endpoints.add(new EndpointList.Entry(endpoint, address));
         }
         return new EndpointList(0, true, endpoints);
--- a/balancer/src/test/java/loadbalancer/cli/CommandsTest.java
+++ b/balancer/src/test/java/loadbalancer/cli/CommandsTest.java
@@ -71,7 +71,9 @@
                         "check",
                         writeFile(
                                 "b.toml",
-                                OPERATOR_FILE.replace("to = \"old\"", "to = \"odl\"").replace("8 }", "-8 }"))));
+                                OPERATOR_FILE
+                                        .replace("to = \"old\"", "to = \"odl\"")
+                                        .replace("8 }", "-8 }"))));
         assertEquals(
                 List.of(
                         "b.toml:6: 'most' is -8: expected a number of 0 or more",
--- a/balancer/src/test/java/loadbalancer/handover/HandoverCodecTest.java
+++ b/balancer/src/test/java/loadbalancer/handover/HandoverCodecTest.java
@@ -20,8 +20,9 @@
 class HandoverCodecTest {
     private static final BootSettings SETTINGS =
             new BootSettings(null, List.of(), List.of("read"), List.of(), List.of(), List.of(), 0);
-    private static final String STATE_JSON = "{\"out\":[\"s1\"],\"back\":{\"s2\":7},\"list\":{\"rev\":1,\"targets\":[]},"
-            + "\"classes\":[\"read\"],\"learnt\":{\"own\":[0.5],\"server s1\":[1]}}";
+    private static final String STATE_JSON =
+            "{\"out\":[\"s1\"],\"back\":{\"s2\":7},\"list\":{\"rev\":1,\"targets\":[]},"
+                    + "\"classes\":[\"read\"],\"learnt\":{\"own\":[0.5],\"server s1\":[1]}}";
 
     static Stream<Arguments> messages() {
         return Stream.of(
