--- a/simulator/src/main/java/loadbalancer/simulator/cli/ScaleCommand.java
+++ b/simulator/src/main/java/loadbalancer/simulator/cli/ScaleCommand.java
@@ -106,7 +106,7 @@
                 base.network(),
                 base.clients(),
                 new WorldPlan.Discovery(
-                        discovery.ask(),
+                        discovery.polling(),
                         discovery.noticeDelay(),
                         discovery.silentFailureNotice(),
                         discovery.registrationDelay(),
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/RoutingReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/RoutingReader.java
@@ -22,7 +22,7 @@
         List<String> pools =
                 plan.kinds().stream().map(WorldPlan.Kind::pool).distinct().toList();
         List<String> classes =
-                plan.classes().stream().map(WorldPlan.RequestKind::name).toList();
+                plan.classes().stream().map(WorldPlan.RequestClassPlan::name).toList();
         List<RoutingSpec.Pool> own = new ArrayList<>();
         for (Section p : section.tables("pool")) {
             String name = p.text("name", null);
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/Runner.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/Runner.java
@@ -42,7 +42,7 @@
                 for (Variant variant : experiment.variants()) {
                     playing.get(variant.name()).add(pool.submit(() -> {
                         Day day = Day.play(
-                                variant.calm() ? experiment.plan().with(List.of()) : experiment.plan(),
+                                variant.calm() ? experiment.plan().withFaults(List.of()) : experiment.plan(),
                                 seed,
                                 Variants.policyFactory(variant, experiment.plan()));
                         progress.played(done.incrementAndGet(), all);
--- a/simulator/src/main/java/loadbalancer/simulator/experiment/WorldPlanReader.java
+++ b/simulator/src/main/java/loadbalancer/simulator/experiment/WorldPlanReader.java
@@ -207,7 +207,7 @@
                     section.choice("warm_by", WorldPlan.WarmBy.class, WorldPlan.WarmBy.TIME),
                     range(section, "errors", Measure.SHARE, NONE),
                     section.number("cancel_drops", Measure.SHARE, 0),
-                    section.text("pool", WorldPlan.Kind.SITE)));
+                    section.text("pool", WorldPlan.Kind.DEFAULT_POOL)));
             section.rejectUnknownKeys();
         }
         if (all.isEmpty()) {
@@ -216,15 +216,15 @@
         return all;
     }
 
-    private static List<WorldPlan.RequestKind> classes(Section root) {
-        List<WorldPlan.RequestKind> all = new ArrayList<>();
+    private static List<WorldPlan.RequestClassPlan> classes(Section root) {
+        List<WorldPlan.RequestClassPlan> all = new ArrayList<>();
         for (Section section : root.tables("class")) {
             long latencyObjectiveMicros = section.time("aim");
             long deadline = section.time("deadline");
             if (latencyObjectiveMicros <= 0 || deadline < latencyObjectiveMicros) {
                 section.fault("deadline", "'deadline' is before the aim");
             }
-            all.add(new WorldPlan.RequestKind(
+            all.add(new WorldPlan.RequestClassPlan(
                     section.text("name", null),
                     range(section, "share", Measure.NUMBER, ONE),
                     range(section, "work", Measure.TIME),
--- a/simulator/src/main/java/loadbalancer/simulator/fleet/Site.java
+++ b/simulator/src/main/java/loadbalancer/simulator/fleet/Site.java
@@ -14,7 +14,7 @@
 /** The settings that hollow and real balancers of a scale run are given: the same for both but for the rank. */
 final class Site {
     /** The one class of requests that the load brings. */
-    static final WorldPlan.RequestKind LOOKUP = new WorldPlan.RequestKind(
+    static final WorldPlan.RequestClassPlan LOOKUP = new WorldPlan.RequestClassPlan(
             "lookup",
             Range.of(1),
             Range.of(1_000),
--- a/simulator/src/main/java/loadbalancer/simulator/rules/RuleChecker.java
+++ b/simulator/src/main/java/loadbalancer/simulator/rules/RuleChecker.java
@@ -86,7 +86,7 @@
                 attempt.endpointId(),
                 request.attempts().size(),
                 request.clientRequest().key(),
-                plan.kinds().get(attempt.kind()).pool(),
+                plan.kinds().get(attempt.upstreamKind()).pool(),
                 now);
         if (request.answered()) {
             addViolation(Rule.MALFORMED, now, request.id(), "sent after its final answer", request);
@@ -100,7 +100,8 @@
                     request);
         }
         boolean mayHaveRun = request.attempts().stream().anyMatch(Attempt::mayHaveRun);
-        if (mayHaveRun && plan.classes().get(request.clientRequest().kind()).effect() == Idempotency.NON_IDEMPOTENT) {
+        if (mayHaveRun
+                && plan.classes().get(request.clientRequest().requestClass()).effect() == Idempotency.NON_IDEMPOTENT) {
             addViolation(
                     Rule.DUPLICATE,
                     now,
@@ -132,11 +133,14 @@
     }
 
     @Override
-    public void requestAnswered(BalancerRequest request, Clients.End end, long retryAfter, long now) {
+    public void requestAnswered(BalancerRequest request, Clients.AttemptResult end, long retryAfter, long now) {
         score.requestAnswered(end, now);
         score.answerMargin(request.deadline() + plan.rules().responseSlackMicros() - now);
-        boolean unsafe = plan.classes().get(request.clientRequest().kind()).effect() == Idempotency.NON_IDEMPOTENT;
-        if (end == Clients.End.REFUSED && unsafe && request.attempts().stream().anyMatch(Attempt::mayHaveRun)) {
+        boolean unsafe =
+                plan.classes().get(request.clientRequest().requestClass()).effect() == Idempotency.NON_IDEMPOTENT;
+        if (end == Clients.AttemptResult.REFUSED
+                && unsafe
+                && request.attempts().stream().anyMatch(Attempt::mayHaveRun)) {
             addViolation(
                     Rule.DUPLICATE,
                     now,
@@ -144,7 +148,7 @@
                     "refused, which invites another try, though it may have run",
                     request);
         }
-        if (end == Clients.End.REFUSED && retryAfter > plan.rules().maxRetryAfterMicros()) {
+        if (end == Clients.AttemptResult.REFUSED && retryAfter > plan.rules().maxRetryAfterMicros()) {
             addViolation(
                     Rule.MALFORMED,
                     now,
@@ -155,7 +159,7 @@
     }
 
     @Override
-    public void answeredTwice(BalancerRequest request, Clients.End end, long now) {
+    public void answeredTwice(BalancerRequest request, Clients.AttemptResult end, long now) {
         addViolation(Rule.ANSWERED_TWICE, now, request.id(), end + " after its final answer", request);
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/rules/Score.java
+++ b/simulator/src/main/java/loadbalancer/simulator/rules/Score.java
@@ -35,7 +35,7 @@
     private final long[] attempts;
     private final Histogram[] latencies;
     private final Map<AttemptOutcome, Long> outcomes = new java.util.EnumMap<>(AttemptOutcome.class);
-    private final Map<Clients.End, Long> ends = new java.util.EnumMap<>(Clients.End.class);
+    private final Map<Clients.AttemptResult, Long> ends = new java.util.EnumMap<>(Clients.AttemptResult.class);
     private double coldPressure;
     private long latestToDraining;
     private long leastAnswerMargin = LONGEST;
@@ -98,7 +98,7 @@
     }
 
     private double priorityWeight(ClientRequest request) {
-        return plan.classes().get(request.kind()).priorityWeight() * (request.overQuota() ? OVER_SHARE : 1);
+        return plan.classes().get(request.requestClass()).priorityWeight() * (request.overQuota() ? OVER_SHARE : 1);
     }
 
     void requestIssued(ClientRequest request, long now) {
@@ -106,15 +106,15 @@
         firstTries++;
         asked[second(now)] += priorityWeight;
         arrivals[second(now)]++;
-        classes[request.kind()][0] += priorityWeight;
+        classes[request.requestClass()][0] += priorityWeight;
         if (tenants.length > 0 && !request.overQuota()) {
             tenants[request.tenant()][0] += priorityWeight;
         }
     }
 
     void requestFinished(ClientRequest request, boolean wasServed, long now) {
-        WorldPlan.RequestKind kind = plan.classes().get(request.kind());
-        long latency = now - request.firstAt();
+        WorldPlan.RequestClassPlan kind = plan.classes().get(request.requestClass());
+        long latency = now - request.firstAttemptAt();
         double priorityWeight = priorityWeight(request);
         if (!wasServed) {
             lateLost += latency > kind.latencyObjectiveMicros() ? priorityWeight : 0;
@@ -124,12 +124,12 @@
         if (now <= request.deadline() && now - World.dayStart() < seconds * SECOND) {
             done[second(now)] += request.work();
         }
-        latencies[request.kind()].recordValue(Math.max(1, Math.min(LONGEST, latency)));
+        latencies[request.requestClass()].recordValue(Math.max(1, Math.min(LONGEST, latency)));
         double gained = latency <= kind.latencyObjectiveMicros()
                 ? priorityWeight
                 : latency <= kind.deadline() ? priorityWeight * kind.lateFraction() : 0;
-        got[second(request.firstAt())] += gained;
-        classes[request.kind()][1] += gained;
+        got[second(request.firstAttemptAt())] += gained;
+        classes[request.requestClass()][1] += gained;
         if (tenants.length > 0 && !request.overQuota()) {
             tenants[request.tenant()][1] += gained;
         }
@@ -160,9 +160,9 @@
         outcomes.merge(outcome, 1L, Long::sum);
     }
 
-    void requestAnswered(Clients.End end, long now) {
+    void requestAnswered(Clients.AttemptResult end, long now) {
         ends.merge(end, 1L, Long::sum);
-        refusals[second(now)] += end == Clients.End.REFUSED ? 1 : 0;
+        refusals[second(now)] += end == Clients.AttemptResult.REFUSED ? 1 : 0;
     }
 
     void coldLoad(double part) {
@@ -251,8 +251,8 @@
 
     private void putAttempts(Map<String, Double> figures) {
         figures.put("served", served / Math.max(1.0, firstTries));
-        figures.put("refused", ends.getOrDefault(Clients.End.REFUSED, 0L) / Math.max(1.0, taken));
-        figures.put("failed", ends.getOrDefault(Clients.End.FAILED, 0L) / Math.max(1.0, taken));
+        figures.put("refused", ends.getOrDefault(Clients.AttemptResult.REFUSED, 0L) / Math.max(1.0, taken));
+        figures.put("failed", ends.getOrDefault(Clients.AttemptResult.FAILED, 0L) / Math.max(1.0, taken));
         figures.put("attempts", sends / Math.max(1.0, taken));
         figures.put("further_attempts", further / Math.max(1.0, taken));
         for (AttemptOutcome outcome : AttemptOutcome.values()) {
--- a/simulator/src/main/java/loadbalancer/simulator/search/ExperimentWriter.java
+++ b/simulator/src/main/java/loadbalancer/simulator/search/ExperimentWriter.java
@@ -41,8 +41,8 @@
         number("key_zipf", plan.load().keyZipf());
         number("quota", plan.load().quota());
         head("network");
-        time("same", plan.network().same());
-        time("cross", plan.network().cross());
+        time("same", plan.network().sameZone());
+        time("cross", plan.network().crossZone());
         time("client", plan.network().client());
         number("jitter", plan.network().jitter());
         number("loss", Range.of(plan.network().loss()));
@@ -55,7 +55,7 @@
         time("notice", plan.clients().noticeDelay());
         flag("marks_retry", plan.clients().marksRetries());
         head("discovery");
-        text("mode", plan.discovery().ask() ? "ask" : "push");
+        text("mode", plan.discovery().polling() ? "ask" : "push");
         time("notice", plan.discovery().noticeDelay());
         time("silent_notice", plan.discovery().silentFailureNotice());
         time("add", plan.discovery().registrationDelay());
@@ -133,12 +133,12 @@
         number("cold_from", kind.slowStartInitialWeight());
         time("cold", kind.slowStartDurationMicros());
         text("warm_by", kind.warmBy().name().toLowerCase(Locale.ROOT));
-        number("errors", kind.errors());
+        number("errors", kind.errorFraction());
         number("cancel_drops", Range.of(kind.cancelDropProbability()));
         text("pool", kind.pool());
     }
 
-    private void requests(WorldPlan.RequestKind kind) {
+    private void requests(WorldPlan.RequestClassPlan kind) {
         head("[class]");
         text("name", kind.name());
         number("share", kind.share());
--- a/simulator/src/main/java/loadbalancer/simulator/search/RandomSearch.java
+++ b/simulator/src/main/java/loadbalancer/simulator/search/RandomSearch.java
@@ -104,7 +104,7 @@
                     Range.of(round(size(kind, random.uniform()))),
                     Range.of(round(extra(kind, random.uniform())))));
         }
-        return experiment.plan().withLength(length).with(faults);
+        return experiment.plan().withLength(length).withFaults(faults);
     }
 
     private static double round(double value) {
@@ -151,7 +151,7 @@
             return null;
         }
         // The load may be what ends it: the same world without faults tells.
-        double calm = atTheEnd(Day.play(plan.with(List.of()), seed, policyFactory));
+        double calm = atTheEnd(Day.play(plan.withFaults(List.of()), seed, policyFactory));
         return after < COLLAPSED * calm ? "a collapse that outlives its cause" : null;
     }
 
@@ -200,7 +200,7 @@
         for (int i = 0; i < plan.faults().size() && plan.faults().size() > 1; i++) {
             List<Fault> fewer = new ArrayList<>(plan.faults());
             fewer.remove(i);
-            all.add(plan.with(fewer));
+            all.add(plan.withFaults(fewer));
         }
         if (plan.balancers().max() >= 2) {
             all.add(plan.withSize(half(plan.balancers(), 1), plan.upstreams()));
@@ -229,7 +229,7 @@
                                 fault.size(),
                                 fault.extra(),
                                 fault.pool()));
-                all.add(plan.with(shorter));
+                all.add(plan.withFaults(shorter));
             }
         }
         return all;
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/DemoPage.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/DemoPage.java
@@ -48,7 +48,7 @@
                 "%-14s %9s %9s %9s %9s %9s %9s", "class", "asked", "in aim", "served", "p50 ms", "p99 ms", "p99.9 ms"));
         for (int i = 0; i < plan.classes().size(); i++) {
             int kind = i;
-            WorldPlan.RequestKind requestKind = plan.classes().get(i);
+            WorldPlan.RequestClassPlan requestKind = plan.classes().get(i);
             List<Load.Outcome> own =
                     load.outcomes().stream().filter(o -> o.kind() == kind).toList();
             long served = own.stream().filter(Load.Outcome::served).count();
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/LiveSite.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/LiveSite.java
@@ -77,7 +77,7 @@
         this.plan = plan;
         fleet = new LiveFleet(plan, seed, this::ended);
         try {
-            for (int i = 0; i < fleet.addresses(); i++) {
+            for (int i = 0; i < fleet.addressCount(); i++) {
                 ports.add(port(i));
             }
             register = (InetSocketAddress) server().childHandler(new ChannelInitializer<Channel>() {
@@ -130,7 +130,7 @@
 
     /** What the fleet can do at its start, in requests a second. */
     public double perSecond() {
-        return fleet.perSecond();
+        return fleet.capacityPerSecond();
     }
 
     /** How often each request has run, by its id. */
@@ -152,7 +152,7 @@
     private void step() {
         try {
             fleet.advance(micros());
-            while (ports.size() < fleet.addresses()) {
+            while (ports.size() < fleet.addressCount()) {
                 // Bound on the loop itself, so it can't be waited for: its port is known when it has been bound.
                 int address = ports.size();
                 ports.add(server().childHandler(new ChannelInitializer<Channel>() {
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/Load.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/Load.java
@@ -71,7 +71,7 @@
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final EventLoop loop = group.next();
     private final Plan plan;
-    private final List<WorldPlan.RequestKind> kinds;
+    private final List<WorldPlan.RequestClassPlan> kinds;
     private final List<ArrayDeque<Channel>> idle = new ArrayList<>();
     private final Histogram[] latencies;
     private final List<Outcome> outcomes = new ArrayList<>();
@@ -85,7 +85,7 @@
     private int connections;
 
     /** Clients of those kinds; nothing is sent before {@link #run}. */
-    public Load(Plan plan, List<WorldPlan.RequestKind> kinds) {
+    public Load(Plan plan, List<WorldPlan.RequestClassPlan> kinds) {
         this.plan = plan;
         this.kinds = kinds;
         this.random = new RandomStreams(plan.seed).of("load", 0, "arrivals");
@@ -215,7 +215,7 @@
 
         void ask(Want pending) {
             want = pending;
-            WorldPlan.RequestKind kind = kinds.get(pending.kind);
+            WorldPlan.RequestClassPlan kind = kinds.get(pending.kind);
             boolean safe = kind.effect() == Idempotency.IDEMPOTENT;
             byte[] body =
                     safe ? new byte[0] : ("{\"seat\":\"" + pending.key + "\"}").getBytes(StandardCharsets.US_ASCII);
--- a/simulator/src/main/java/loadbalancer/simulator/sockets/SiteSettings.java
+++ b/simulator/src/main/java/loadbalancer/simulator/sockets/SiteSettings.java
@@ -17,12 +17,12 @@
         settings.put("Balancers", many);
         settings.put("Rank", rank);
         settings.put("Quantum", 5_000);
-        settings.put("MembershipMode", plan.discovery().ask() ? "ask" : "push");
+        settings.put("MembershipMode", plan.discovery().polling() ? "ask" : "push");
         settings.put("Areas", plan.zones());
         settings.put("Locality", rank % plan.zones().size());
         settings.put("Kinds", plan.kinds().stream().map(WorldPlan.Kind::name).toList());
         List<Map<String, Object>> classes = new ArrayList<>();
-        for (WorldPlan.RequestKind kind : plan.classes()) {
+        for (WorldPlan.RequestClassPlan kind : plan.classes()) {
             classes.add(Map.of(
                     "Name",
                     kind.name(),
--- a/simulator/src/main/java/loadbalancer/simulator/variants/Variants.java
+++ b/simulator/src/main/java/loadbalancer/simulator/variants/Variants.java
@@ -75,11 +75,11 @@
             return inner;
         }
         RoutedPolicy.Names names = new RoutedPolicy.Names(
-                plan.classes().stream().map(WorldPlan.RequestKind::name).toList(),
+                plan.classes().stream().map(WorldPlan.RequestClassPlan::name).toList(),
                 plan.tenants().stream().map(WorldPlan.Tenant::name).toList(),
                 plan.kinds().stream().map(WorldPlan.Kind::pool).toList(),
                 plan.classes().stream()
-                        .map(WorldPlan.RequestKind::priorityWeight)
+                        .map(WorldPlan.RequestClassPlan::priorityWeight)
                         .toList());
         return (settings, seed, truth) -> {
             RandomStreams streams = new RandomStreams(seed);
--- a/simulator/src/main/java/loadbalancer/simulator/world/Attempt.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Attempt.java
@@ -35,7 +35,7 @@
     }
 
     /** The kind of the upstream that it went to, by number. */
-    public int kind() {
+    public int upstreamKind() {
         return upstream.kindNumber;
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
@@ -130,7 +130,7 @@
         policy.request(
                 now,
                 request.id(),
-                clientRequest.kind,
+                clientRequest.requestClass,
                 clientRequest.tenant,
                 clientRequest.key < 0 ? null : Integer.toHexString(clientRequest.key),
                 timeLeftMicros,
@@ -143,7 +143,7 @@
         if (alive && !request.answered && !request.clientGone) {
             world.observer.deadlineMissed(request, now);
             request.clientGone = true;
-            world.clients.attemptEnded(request, Clients.End.SILENT, 0, now);
+            world.clients.attemptEnded(request, Clients.AttemptResult.SILENT, 0, now);
             policy.clientGone(now, request.id(), this);
             releaseIfFinished(request);
         }
@@ -182,7 +182,7 @@
             attempt.upstream.connected(-1);
         }
         if (outcome == AttemptOutcome.OK && !request.answered && !request.clientGone) {
-            answer(request, Clients.End.SERVED, 0, now);
+            answer(request, Clients.AttemptResult.SERVED, 0, now);
         }
         policy.outcome(
                 now,
@@ -203,7 +203,7 @@
         }
     }
 
-    private void answer(BalancerRequest request, Clients.End end, long retryAfter, long now) {
+    private void answer(BalancerRequest request, Clients.AttemptResult end, long retryAfter, long now) {
         request.answered = true;
         request.deadlineTimer.cancel();
         request.step(now, "answered " + end);
@@ -229,7 +229,7 @@
             request.deadlineTimer.cancel();
             if (!request.answered && !request.clientGone) {
                 request.clientGone = true;
-                world.clients.attemptEnded(request, Clients.End.CUT, 0, now);
+                world.clients.attemptEnded(request, Clients.AttemptResult.CUT, 0, now);
             }
         }
         requests.clear();
@@ -288,15 +288,15 @@
 
     @Override
     public void reject(String request, long retryAfter) {
-        close(request, Clients.End.REFUSED, retryAfter);
+        close(request, Clients.AttemptResult.REFUSED, retryAfter);
     }
 
     @Override
     public void fail(String request) {
-        close(request, Clients.End.FAILED, 0);
+        close(request, Clients.AttemptResult.FAILED, 0);
     }
 
-    private void close(String request, Clients.End end, long retryAfter) {
+    private void close(String request, Clients.AttemptResult end, long retryAfter) {
         long now = world.simulation.now();
         BalancerRequest balancerRequest = requests.getOrDefault(request, finishedRequests.get(request));
         if (balancerRequest == null) {
--- a/simulator/src/main/java/loadbalancer/simulator/world/BalancerFaults.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/BalancerFaults.java
@@ -116,7 +116,7 @@
 
     private long longestDeadline() {
         return world.plan.classes().stream()
-                .mapToLong(WorldPlan.RequestKind::deadline)
+                .mapToLong(WorldPlan.RequestClassPlan::deadline)
                 .max()
                 .orElse(0);
     }
--- a/simulator/src/main/java/loadbalancer/simulator/world/ClientRequest.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/ClientRequest.java
@@ -3,12 +3,12 @@
 /** What a client wants once, over all its tries. */
 public final class ClientRequest {
     final long number;
-    final int kind;
+    final int requestClass;
     final int tenant;
     final int zone;
     final int key;
     final double work;
-    final long firstAt;
+    final long firstAttemptAt;
     final long deadline;
     final boolean overQuota;
     int attempts;
@@ -16,21 +16,21 @@
 
     ClientRequest(
             long number,
-            int kind,
+            int requestClass,
             int tenant,
             int zone,
             int key,
             double work,
-            long firstAt,
+            long firstAttemptAt,
             long deadline,
             boolean overQuota) {
         this.number = number;
-        this.kind = kind;
+        this.requestClass = requestClass;
         this.tenant = tenant;
         this.zone = zone;
         this.key = key;
         this.work = work;
-        this.firstAt = firstAt;
+        this.firstAttemptAt = firstAttemptAt;
         this.deadline = deadline;
         this.overQuota = overQuota;
     }
@@ -51,8 +51,8 @@
     }
 
     /** Its class, by number. */
-    public int kind() {
-        return kind;
+    public int requestClass() {
+        return requestClass;
     }
 
     /** Its tenant, by number; 0 where there are none. */
@@ -61,8 +61,8 @@
     }
 
     /** When its first try was sent, in µs. */
-    public long firstAt() {
-        return firstAt;
+    public long firstAttemptAt() {
+        return firstAttemptAt;
     }
 
     /** Whether its tenant had used up its share. */
--- a/simulator/src/main/java/loadbalancer/simulator/world/Clients.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Clients.java
@@ -13,7 +13,7 @@
     private static final int MAX_BACKOFF_DOUBLINGS = 6;
 
     /** How a try ended. */
-    public enum End {
+    public enum AttemptResult {
         SERVED,
         REFUSED,
         FAILED,
@@ -229,7 +229,7 @@
                 : hotDraw < hotKeyShare
                         ? keyShares.length - 1 - (int) (keyDraw * Math.min(hotKeys, keyShares.length))
                         : sampleIndex(keyShares, keyDraw);
-        WorldPlan.RequestKind requestKind = plan.classes().get(kind);
+        WorldPlan.RequestClassPlan requestKind = plan.classes().get(kind);
         double work =
                 switch (requestKind.spread()) {
                     case EXPONENTIAL -> ofWork.exponential(workMeans[kind]);
@@ -261,7 +261,7 @@
     }
 
     private void attempt(ClientRequest request, long now) {
-        WorldPlan.RequestKind kind = plan.classes().get(request.kind);
+        WorldPlan.RequestClassPlan kind = plan.classes().get(request.requestClass);
         long attemptTimeoutMicros =
                 Math.min(Math.round(attemptTimeoutFraction * kind.deadline()), request.deadline - now);
         if (attemptTimeoutMicros <= 0) {
@@ -275,11 +275,11 @@
         world.simulation.after(requestDelay, at -> {
             Balancer balancer = slot == null ? null : slot.serving();
             if (balancer == null) {
-                ended(request, End.UNREACHABLE, 0, at + world.network.client(serial, 1), serial);
+                ended(request, AttemptResult.UNREACHABLE, 0, at + world.network.client(serial, 1), serial);
                 return;
             }
             if (requestDelay >= attemptTimeoutMicros) { // given up before it arrived
-                ended(request, End.SILENT, 0, at, serial);
+                ended(request, AttemptResult.SILENT, 0, at, serial);
                 return;
             }
             BalancerRequest balancerRequest = new BalancerRequest(
@@ -299,7 +299,7 @@
                 world.simulation.after(Math.round(part * attemptTimeoutMicros), leaves -> {
                     if (!balancerRequest.answered && !balancerRequest.clientGone && balancer.alive()) {
                         balancer.abandon(balancerRequest, leaves);
-                        ended(request, End.LEFT, 0, leaves, serial);
+                        ended(request, AttemptResult.LEFT, 0, leaves, serial);
                     }
                 });
             }
@@ -307,17 +307,17 @@
     }
 
     /** A try has ended at its balancer; the client gets it after its way back. */
-    void attemptEnded(BalancerRequest request, End end, long retryAfter, long now) {
+    void attemptEnded(BalancerRequest request, AttemptResult end, long retryAfter, long now) {
         ended(request.clientRequest(), end, retryAfter, now + world.network.client(request.serial, 1), request.serial);
     }
 
-    private void ended(ClientRequest request, End end, long retryAfter, long receivedAt, long serial) {
+    private void ended(ClientRequest request, AttemptResult end, long retryAfter, long receivedAt, long serial) {
         world.simulation.at(receivedAt, now -> {
             if (request.finished) {
                 return;
             }
-            if (end == End.SERVED || end == End.LEFT || !mayRetry(request, end)) {
-                finish(request, end == End.SERVED, now);
+            if (end == AttemptResult.SERVED || end == AttemptResult.LEFT || !mayRetry(request, end)) {
+                finish(request, end == AttemptResult.SERVED, now);
                 return;
             }
             double mean = backoff * (1L << Math.min(MAX_BACKOFF_DOUBLINGS, request.attempts - 1));
@@ -335,12 +335,12 @@
         });
     }
 
-    private boolean mayRetry(ClientRequest request, End end) {
+    private boolean mayRetry(ClientRequest request, AttemptResult end) {
         if (request.attempts > Math.min(15, retries + extraRetries)) {
             return false;
         }
-        boolean safe = plan.classes().get(request.kind).effect() != Idempotency.NON_IDEMPOTENT;
-        return safe || end == End.REFUSED || end == End.UNREACHABLE;
+        boolean safe = plan.classes().get(request.requestClass).effect() != Idempotency.NON_IDEMPOTENT;
+        return safe || end == AttemptResult.REFUSED || end == AttemptResult.UNREACHABLE;
     }
 
     private void finish(ClientRequest request, boolean served, long now) {
--- a/simulator/src/main/java/loadbalancer/simulator/world/LiveFleet.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/LiveFleet.java
@@ -50,7 +50,7 @@
     }
 
     /** Addresses that the fleet has had so far: 0 up to this. */
-    public int addresses() {
+    public int addressCount() {
         return world.addressCount();
     }
 
@@ -94,7 +94,7 @@
      */
     public void accept(long request, int address, int kind, int key, boolean fresh) {
         Upstream upstream = world.upstreamAt(address);
-        WorldPlan.RequestKind requestKind = world.plan.classes().get(kind);
+        WorldPlan.RequestClassPlan requestKind = world.plan.classes().get(kind);
         double mean = requestKind.work().midpoint();
         double work =
                 switch (requestKind.spread()) {
@@ -113,7 +113,7 @@
     }
 
     /** Capacity of all that run at the start, in requests a second of the classes' mean work. */
-    public double perSecond() {
+    public double capacityPerSecond() {
         return world.nominalCapacity / world.meanWork * 1e6;
     }
 
--- a/simulator/src/main/java/loadbalancer/simulator/world/MessageTransport.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/MessageTransport.java
@@ -46,7 +46,7 @@
 
     RequestWork workOf(Attempt attempt) {
         ClientRequest request = attempt.request().clientRequest();
-        double noise = world.attemptNoise[request.kind];
+        double noise = world.attemptNoise[request.requestClass];
         double variance = StrictMath.log(1 + noise * noise);
         double times = noise <= 0
                 ? 1
--- a/simulator/src/main/java/loadbalancer/simulator/world/Network.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Network.java
@@ -23,7 +23,7 @@
         for (int i = 0; i < zones; i++) {
             for (int j = 0; j <= i; j++) {
                 delay[i][j] = Math.round(
-                        (i == j ? plan.network().same() : plan.network().cross()).draw(random));
+                        (i == j ? plan.network().sameZone() : plan.network().crossZone()).draw(random));
                 delay[j][i] = delay[i][j];
             }
         }
--- a/simulator/src/main/java/loadbalancer/simulator/world/NoOpObserver.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/NoOpObserver.java
@@ -17,10 +17,10 @@
     public void attemptEnded(Attempt attempt, AttemptOutcome outcome, long now) {}
 
     @Override
-    public void requestAnswered(BalancerRequest request, Clients.End end, long retryAfter, long now) {}
+    public void requestAnswered(BalancerRequest request, Clients.AttemptResult end, long retryAfter, long now) {}
 
     @Override
-    public void answeredTwice(BalancerRequest request, Clients.End end, long now) {}
+    public void answeredTwice(BalancerRequest request, Clients.AttemptResult end, long now) {}
 
     @Override
     public void deadlineMissed(BalancerRequest request, long now) {}
--- a/simulator/src/main/java/loadbalancer/simulator/world/Observer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Observer.java
@@ -17,10 +17,10 @@
     void attemptEnded(Attempt attempt, AttemptOutcome outcome, long now);
 
     /** A request has had its final answer. */
-    void requestAnswered(BalancerRequest request, Clients.End end, long retryAfter, long now);
+    void requestAnswered(BalancerRequest request, Clients.AttemptResult end, long retryAfter, long now);
 
     /** A policy gives a second final answer. */
-    void answeredTwice(BalancerRequest request, Clients.End end, long now);
+    void answeredTwice(BalancerRequest request, Clients.AttemptResult end, long now);
 
     /** The time for a final answer is over and there was none. */
     void deadlineMissed(BalancerRequest request, long now);
--- a/simulator/src/main/java/loadbalancer/simulator/world/SimulatedDiscovery.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/SimulatedDiscovery.java
@@ -154,13 +154,13 @@
 
     /** Where lists are pushed, a balancer is subscribed from its start, and again after each break. */
     void balancerStarted(Subscriber subscriber) {
-        if (!world.plan.discovery().ask()) {
+        if (!world.plan.discovery().polling()) {
             call(subscriber, true);
         }
     }
 
     private void scheduleReconnect(Subscriber subscriber) {
-        if (!world.plan.discovery().ask()) {
+        if (!world.plan.discovery().polling()) {
             int generation = subscriber.generation;
             world.simulation.after(RECONNECT_DELAY_MICROS, at -> {
                 if (subscriber.generation == generation && subscriber.balancer.alive()) {
--- a/simulator/src/main/java/loadbalancer/simulator/world/Upstream.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Upstream.java
@@ -97,7 +97,7 @@
         this.crowdingThreshold = kind.crowdingThreshold().draw(random);
         this.slowStartInitialWeight = kind.slowStartInitialWeight().draw(random);
         this.slowStartDurationMicros = Math.round(kind.slowStartDurationMicros().draw(random));
-        this.errorFraction = kind.errors().draw(random);
+        this.errorFraction = kind.errorFraction().draw(random);
         this.dropsCancelled = world.dropsCancelled[kindNumber];
         int keyCapacity = (int) Math.round(world.keysPerCore * cores);
         this.keys = new KeyCache(keyCapacity, world.keyRetentionMicros);
--- a/simulator/src/main/java/loadbalancer/simulator/world/WorldPlan.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/WorldPlan.java
@@ -21,7 +21,7 @@
         Prices prices,
         Fleet fleet,
         List<Kind> kinds,
-        List<RequestKind> classes,
+        List<RequestClassPlan> classes,
         List<Tenant> tenants,
         List<Fault> faults) {
 
@@ -64,7 +64,7 @@
      * @param jitter mean of the exponential part, as a fraction of the delay
      * @param loss probability that a message is lost and sent again
      */
-    public record Network(Range same, Range cross, Range client, Range jitter, double loss) {}
+    public record Network(Range sameZone, Range crossZone, Range client, Range jitter, double loss) {}
 
     /**
      * Clients. {@code retries}: further tries; {@code attemptTimeoutFraction}: a try's patience as a share of the
@@ -83,7 +83,7 @@
     /**
      * The discovery service; times in µs.
      *
-     * @param ask balancers poll; else lists are pushed
+     * @param polling whether balancers poll; otherwise lists are pushed
      * @param noticeDelay until an end that the service sees is listed
      * @param silentFailureNotice until the end of a process that vanished without a sign is listed
      * @param registrationDelay until a new process is listed
@@ -94,7 +94,7 @@
      * @param timeout after which a waiting call fails
      */
     public record Discovery(
-            boolean ask,
+            boolean polling,
             Range noticeDelay,
             Range silentFailureNotice,
             Range registrationDelay,
@@ -159,11 +159,11 @@
             Range slowStartInitialWeight,
             Range slowStartDurationMicros,
             WarmBy warmBy,
-            Range errors,
+            Range errorFraction,
             double cancelDropProbability,
             String pool) {
         /** The only pool, where there is one. */
-        public static final String SITE = "site";
+        public static final String DEFAULT_POOL = "site";
 
         /** A kind of the only pool. */
         public Kind(
@@ -179,7 +179,7 @@
                 Range slowStartInitialWeight,
                 Range slowStartDurationMicros,
                 WarmBy warmBy,
-                Range errors,
+                Range errorFraction,
                 double cancelDropProbability) {
             this(
                     name,
@@ -194,14 +194,14 @@
                     slowStartInitialWeight,
                     slowStartDurationMicros,
                     warmBy,
-                    errors,
+                    errorFraction,
                     cancelDropProbability,
-                    SITE);
+                    DEFAULT_POOL);
         }
     }
 
     /** A class of requests; {@code work} in µs of a standard core. */
-    public record RequestKind(
+    public record RequestClassPlan(
             String name,
             Range share,
             Range work,
@@ -232,7 +232,7 @@
     }
 
     /** The same world with other faults. */
-    public WorldPlan with(List<Fault> others) {
+    public WorldPlan withFaults(List<Fault> others) {
         return new WorldPlan(
                 length, balancers, upstreams, zones, load, network, clients, discovery, rules, goal, prices, fleet,
                 kinds, classes, tenants, others);
--- a/simulator/src/main/java/loadbalancer/simulator/world/WorldSettings.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/WorldSettings.java
@@ -41,7 +41,7 @@
                 new TrafficCosts(
                         world.plan.prices().crossZone(), world.plan.prices().handshake()),
                 false,
-                world.plan.discovery().ask() ? DiscoveryMode.POLL : DiscoveryMode.PUSH,
+                world.plan.discovery().polling() ? DiscoveryMode.POLL : DiscoveryMode.PUSH,
                 LoadReporting.NONE,
                 world.keyAffinityGain > 0 && world.plan.load().keys().max() > 0,
                 new SiteLimits(
--- a/simulator/src/test/java/loadbalancer/simulator/experiment/ExperimentReaderTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/experiment/ExperimentReaderTest.java
@@ -53,7 +53,7 @@
     void aSoundOneIsReadWithItsUnits() throws IOException {
         Experiment experiment = ExperimentReader.read(file("sound.toml", SOUND));
         assertEquals(5_000_000, experiment.plan().length());
-        assertEquals(100, experiment.plan().network().same().from());
+        assertEquals(100, experiment.plan().network().sameZone().from());
         assertEquals("sound", experiment.name());
         assertEquals(2, experiment.variants().size());
     }
--- a/simulator/src/test/java/loadbalancer/simulator/world/RandomWorldsTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/world/RandomWorldsTest.java
@@ -33,7 +33,7 @@
         }
         return Worlds.small(load / 10.0, upstreams, one % 2 == 0 ? Idempotency.IDEMPOTENT : Idempotency.NON_IDEMPOTENT)
                 .withLength(6 * Worlds.SECOND)
-                .with(faults);
+                .withFaults(faults);
     }
 
     @Property(tries = 120, seed = "21")
--- a/simulator/src/test/java/loadbalancer/simulator/world/Worlds.java
+++ b/simulator/src/test/java/loadbalancer/simulator/world/Worlds.java
@@ -66,7 +66,7 @@
                         WorldPlan.WarmBy.REQUESTS,
                         NONE,
                         1)),
-                List.of(new WorldPlan.RequestKind(
+                List.of(new WorldPlan.RequestClassPlan(
                         "read",
                         ONE,
                         Range.of(20_000),
