--- a/balancer/src/test/java/loadbalancer/process/BalancerProcessTest.java
+++ b/balancer/src/test/java/loadbalancer/process/BalancerProcessTest.java
@@ -126,7 +126,8 @@
             delimiter = '|',
             value = {
                 "{} | ROUTER_LISTEN is not set, and the configuration has no listen",
-                "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"localhost:1\"} | discovery: not an address: 'localhost'",
+                "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"localhost:1\"}"
+                        + " | discovery: not an IP address: 'localhost'",
                 "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\"} | the configuration has no settings object",
                 "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"settings\":{\"Quantum\":1}} "
                         + "| settings: ",
--- a/discovery/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/discovery/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -36,20 +36,21 @@
 import loadbalancer.staleness.ListStaleness;
 
 /**
- * Polls discovery for the endpoint list and watches its changes: where lists are polled, only as the policy wishes;
- * where they are pushed, always. Belongs to the event loop's thread.
+ * Polls discovery for the endpoint list and watches its changes. Where lists are pushed, a watch is kept open at all
+ * times; where they are polled, the client polls and watches only when the policy asks for it. Confined to the event
+ * loop's thread.
  */
 public final class DiscoveryClient {
     private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
-    /** Before the next watch, where lists are pushed and a watch has failed without a response. */
+    /** Delay before the next watch, where lists are pushed and a watch has failed without a response. */
     private static final long RETRY_DELAY_MILLIS = 250;
-    /** The same after a watch that has worked. */
+    /** Delay before the next watch, where lists are pushed and a watch has ended after a response. */
     private static final long REOPEN_DELAY_MILLIS = 50;
 
     private static final int STATUS_OK = 200;
 
     private final EventLoop loop;
-    private final Set<Call> calls = new LinkedHashSet<>(); // under way
+    private final Set<Call> callsInProgress = new LinkedHashSet<>();
     private InetSocketAddress address;
     private BootSettings settings;
     private final EndpointSubset subset;
@@ -60,15 +61,15 @@
     private final ListStaleness staleness;
     private long version;
     private Call watch;
-    private boolean watchWanted; // whether a watch is open or not
+    private boolean watchWanted; // stays set while a watch that has failed is not open again yet
 
     /**
      * Creates a client that is not started.
      *
-     * @param subset which part of a list that is too long is kept, shared with what keeps it
-     * @param version of the list that is known already
-     * @param clockMicros the clock by which drains are kept
-     * @param listener gets each list and change; UNAVAILABLE and null where a poll or the watch has failed
+     * @param subset the part that is kept of a list that is too long, shared with {@link Membership}
+     * @param version the version of the list that is known already
+     * @param clockMicros the clock by which drain grace periods are measured
+     * @param listener receives each list and delta; UNAVAILABLE and null if a poll or the watch has failed
      */
     public DiscoveryClient(
             EventLoop loop,
@@ -92,7 +93,7 @@
         this.staleness = new ListStaleness(pushed, bounds.drainGracePeriodMicros(), bounds.pollIntervalMicros());
     }
 
-    /** Begins; where lists are pushed, by opening a watch. */
+    /** Starts the client, and opens a watch where lists are pushed. */
     public void start() {
         staleness.started(clockMicros.getAsLong());
         if (pushed) {
@@ -100,25 +101,25 @@
         }
     }
 
-    /** Returns how long a process that has started may wait for a response before it is ready without one, in µs. */
+    /** Returns how long a new process waits for a response before it becomes ready without one, in µs. */
     public long startupTimeoutMicros() {
         return staleness.startupTimeoutMicros();
     }
 
-    /** Opens a watch, in place of one that is open, or ends it. */
+    /** Opens a watch, which replaces one that is open, or closes it. */
     public void watch(boolean wanted) {
         watchWanted = wanted;
-        Call former = watch;
+        Call previous = watch;
         watch = wanted ? new Call(DiscoveryFormat.watchPath(version), true) : null;
-        if (former != null) {
-            former.drop();
+        if (previous != null) {
+            previous.drop();
         }
         if (wanted) {
             watch.open();
         }
     }
 
-    /** Reads lists by new settings from here on. */
+    /** Reads lists with new settings from now on. */
     public void reconfigure(BootSettings next) {
         settings = next;
         SafetyBounds bounds = next.policySettings().bounds();
@@ -131,9 +132,9 @@
     }
 
     /**
-     * Goes on at another address: calls under way are made again there, at once. The list stays in use meanwhile, and
-     * no failure is notified, for none has happened. The complete list is called for: another discovery may number its
-     * versions in another way.
+     * Changes to another address: calls in progress are repeated there at once. The list stays in use meanwhile, and
+     * the listener is not notified of a failure, as none has happened. The complete list is requested, because another
+     * discovery may number its versions differently.
      */
     public void moveTo(InetSocketAddress next) {
         if (next.equals(address)) {
@@ -142,7 +143,7 @@
         address = next;
         version = 0;
         staleness.discoveryChanged(clockMicros.getAsLong());
-        for (Call call : List.copyOf(calls)) {
+        for (Call call : List.copyOf(callsInProgress)) {
             call.drop();
             if (!call.watching) {
                 poll();
@@ -153,7 +154,7 @@
         }
     }
 
-    /** A call under way: a poll ends with its list, a watch with its connection. */
+    /** A call in progress: a poll ends with its list, a watch with its connection. */
     private final class Call extends SimpleChannelInboundHandler<HttpObject> {
         private final String path;
         private final boolean watching;
@@ -161,7 +162,7 @@
         private Channel channel;
         private Future<?> timeout;
         private long lastReadMicros;
-        private boolean answered; // a list, or the sign that nothing has changed, has come
+        private boolean answered; // whether a list or a heartbeat has been received
         private boolean ended;
 
         Call(String path, boolean watching) {
@@ -170,7 +171,7 @@
         }
 
         void open() {
-            calls.add(this);
+            callsInProgress.add(this);
             restartTimeout();
             ChannelFuture connecting = new Bootstrap()
                     .group(loop)
@@ -185,7 +186,7 @@
                     })
                     .connect(address);
             channel = connecting.channel();
-            if (!channel.isRegistered()) { // no descriptor is left: its end is notified on no event loop
+            if (!channel.isRegistered()) { // no file descriptor was left: no event loop runs its listeners
                 loop.execute(this::end);
                 return;
             }
@@ -206,10 +207,10 @@
             return request;
         }
 
-        /** Ends the call without a notification. */
+        /** Ends the call without notifying the listener. */
         void drop() {
             ended = true;
-            calls.remove(this);
+            callsInProgress.remove(this);
             if (watch == this) {
                 watch = null;
             }
@@ -219,7 +220,7 @@
             }
         }
 
-        // A discovery that is cut off leaves the connection open and silent.
+        // Where the network to discovery is cut, the connection stays open and silent: only a timeout ends it.
         private void restartTimeout() {
             lastReadMicros = clockMicros.getAsLong();
             if (timeout != null) {
@@ -249,7 +250,7 @@
             }
             if (part instanceof LastHttpContent && !ended) {
                 if (reader.isWithinList()) {
-                    log.accept("discovery sent a list that can't be read: it breaks off");
+                    log.accept("discovery sent a list that can't be read: the response ends within the list");
                 }
                 end();
             }
@@ -264,14 +265,14 @@
             try {
                 read(ByteBufUtil.getBytes(content.content()));
             } catch (DiscoveryFormatException e) {
-                // A change may be lost with it: the next watch, from the last good version, brings it.
+                // A change may be lost with this list: the next watch, from the last valid version on, brings it again.
                 log.accept("discovery sent a list that can't be read: " + e.getMessage());
                 end();
             }
         }
 
-        // An empty line is a heartbeat: nothing has changed. Within a list it is none: a list that was cut short must
-        // not look alive for as long as such lines come.
+        // An empty line is a heartbeat: nothing has changed. Within a list it does not count as one, or else a watch
+        // whose list was cut short would not time out for as long as empty lines arrive.
         private void read(byte[] bytes) {
             boolean blank = new String(bytes, StandardCharsets.ISO_8859_1).isBlank();
             boolean heartbeat = blank && bytes.length > 0 && !reader.isWithinList();
@@ -295,7 +296,7 @@
             version = list.version();
             if (!answered) {
                 answered = true;
-                restartTimeout(); // from here on the time between two lines counts
+                restartTimeout(); // from now on the timeout applies to the time between two lines
             }
             EndpointListKind kind = list.complete() ? EndpointListKind.SNAPSHOT : EndpointListKind.DELTA;
             listener.accept(
@@ -321,7 +322,7 @@
             if (!pushed) {
                 listener.accept(EndpointListKind.UNAVAILABLE, null);
             } else if (watching) {
-                // After one that has worked at once: what its agent has counts as notified meanwhile.
+                // A watch that has worked is reopened sooner, as changes count as notified while no watch is open.
                 long delayMillis = answered ? REOPEN_DELAY_MILLIS : RETRY_DELAY_MILLIS;
                 loop.schedule(DiscoveryClient.this::watchAgain, delayMillis, TimeUnit.MILLISECONDS);
             }
--- a/discovery/src/main/java/loadbalancer/discovery/DiscoveryFormat.java
+++ b/discovery/src/main/java/loadbalancer/discovery/DiscoveryFormat.java
@@ -12,9 +12,9 @@
 import loadbalancer.settings.SocketAddresses;
 
 /**
- * Discovery's wire form of endpoint lists: the only place that knows its paths, field names and states. Lists are read
- * from and written to JSON values as a parser gives them (maps, lists, strings, numbers); {@link ListReader} reads them
- * from bytes. Stateless.
+ * Discovery's wire format of endpoint lists: the only place that knows its paths, field names and states. Lists are
+ * read from and written to parsed JSON values (maps, lists, strings, numbers); {@link ListReader} reads them from
+ * bytes. Stateless.
  */
 public final class DiscoveryFormat {
     /** The path of the complete list. */
@@ -45,7 +45,7 @@
 
     private DiscoveryFormat() {}
 
-    /** Returns the path of a watch for what changes after that version. */
+    /** Returns the path of a watch for the changes after {@code version}. */
     static String watchPath(long version) {
         return LIST_PATH + "?watch=1&from=" + version;
     }
@@ -53,13 +53,13 @@
     /**
      * Reads a list.
      *
-     * @param json as a JSON parser gives it
-     * @param settings by which names of zones and kinds become numbers
-     * @throws DiscoveryFormatException where it is not such a list
+     * @param json the parsed JSON value
+     * @param settings the settings that map names of zones and kinds to numbers
+     * @throws DiscoveryFormatException if it is not a valid list
      */
     public static EndpointList read(Object json, BootSettings settings) {
         if (!(json instanceof Map<?, ?> list) || !(list.get(ENTRIES) instanceof List<?> entries)) {
-            throw new DiscoveryFormatException("no list of targets");
+            throw new DiscoveryFormatException("'targets' is missing or not an array");
         }
         List<EndpointList.Entry> read = new ArrayList<>();
         for (Object entry : entries) {
@@ -69,12 +69,12 @@
         return new EndpointList(version(list), isComplete(list), List.copyOf(read));
     }
 
-    /** Returns the version of a list; 0 where it has none. */
+    /** Returns the version of a list; 0 if it has none. */
     static long version(Map<?, ?> list) {
         return (long) number(list.get(VERSION), 0);
     }
 
-    /** Whether a list names all endpoints there are. */
+    /** Whether a list is complete: it names all endpoints, not only changes. */
     static boolean isComplete(Map<?, ?> list) {
         return Boolean.TRUE.equals(list.get(COMPLETE));
     }
@@ -82,11 +82,11 @@
     /**
      * Returns the id of an entry.
      *
-     * @throws DiscoveryFormatException where it has none
+     * @throws DiscoveryFormatException if it has none
      */
     static String id(Object entry) {
         if (!(entry instanceof Map<?, ?> fields) || !(fields.get(ID) instanceof String id) || id.isEmpty()) {
-            throw new DiscoveryFormatException("a target without uid");
+            throw new DiscoveryFormatException("an entry of 'targets' is not an object with a 'uid'");
         }
         return id;
     }
@@ -94,21 +94,22 @@
     /**
      * Returns the state of an entry.
      *
-     * @throws DiscoveryFormatException where it has none that is known
+     * @throws DiscoveryFormatException if it has no known state
      */
     static EndpointState state(Map<?, ?> entry) {
         return switch (String.valueOf(entry.get(STATE))) {
             case STATE_UP -> EndpointState.UP;
             case STATE_DRAINING -> EndpointState.DRAINING;
             case STATE_GONE -> EndpointState.GONE;
-            default -> throw new DiscoveryFormatException("unknown state: '" + entry.get(STATE) + "'");
+            default -> throw new DiscoveryFormatException(
+                    "'state' is '" + entry.get(STATE) + "': expected in_service, terminating or terminated");
         };
     }
 
     /**
      * Reads an entry that has an id.
      *
-     * @throws DiscoveryFormatException where its state or address cannot be read
+     * @throws DiscoveryFormatException if its state or address is invalid
      */
     static EndpointList.Entry entry(Map<?, ?> entry, BootSettings settings) {
         EndpointState state = state(entry);
@@ -120,8 +121,8 @@
                 Math.round(number(entry.get(STARTED_AT_MILLIS), 0) * MICROS_PER_MILLI),
                 weight > 0 ? weight : DEFAULT_WEIGHT,
                 (int) number(entry.get(CELL), NO_CELL),
-                settings.kinds().indexOf(SettingsReader.plain(entry.get(KIND))),
-                settings.zones().indexOf(SettingsReader.plain(entry.get(ZONE))));
+                settings.kinds().indexOf(SettingsReader.wireText(entry.get(KIND))),
+                settings.zones().indexOf(SettingsReader.wireText(entry.get(ZONE))));
         return new EndpointList.Entry(endpoint, address);
     }
 
@@ -133,17 +134,17 @@
         }
     }
 
-    private static double number(Object value, double otherwise) {
+    private static double number(Object value, double fallback) {
         return value instanceof Number number && Double.isFinite(number.doubleValue())
                 ? number.doubleValue()
-                : otherwise;
+                : fallback;
     }
 
     /**
      * Writes a list, the reverse of {@link #read}. Entries must not be {@link EndpointState#GONE}.
      *
-     * @param settings by which numbers of zones and kinds become names
-     * @return the list as a JSON writer takes it
+     * @param settings the settings that map numbers of zones and kinds to names
+     * @return the list as JSON values (maps, lists, strings, numbers)
      */
     public static Map<String, Object> write(EndpointList list, BootSettings settings) {
         List<Map<String, Object>> entries = new ArrayList<>();
--- a/discovery/src/main/java/loadbalancer/discovery/DiscoveryFormatException.java
+++ b/discovery/src/main/java/loadbalancer/discovery/DiscoveryFormatException.java
@@ -1,15 +1,15 @@
 package loadbalancer.discovery;
 
-/** Discovery, or another process in discovery's form, has sent something that is no list of endpoints. */
+/** Signals an invalid endpoint list from discovery, or from another process that uses discovery's format. */
 public final class DiscoveryFormatException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
-    /** Creates the exception with what is wrong. */
+    /** Creates the exception with a message that says what is invalid. */
     public DiscoveryFormatException(String message) {
         super(message);
     }
 
-    /** Creates the exception with what is wrong and the exception that says so. */
+    /** Creates the exception with a message that says what is invalid, and the cause. */
     public DiscoveryFormatException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/discovery/src/main/java/loadbalancer/discovery/EndpointList.java
+++ b/discovery/src/main/java/loadbalancer/discovery/EndpointList.java
@@ -6,32 +6,32 @@
 import loadbalancer.subset.Subset;
 
 /**
- * A list of endpoints: all of them, or those that have changed. Immutable.
+ * A list of endpoints: all of them (a snapshot), or those that have changed (a delta). Immutable.
  *
- * @param version discovery's number of the list, rising with each change
- * @param complete whether the list names all endpoints there are; else it names those that have changed
- * @param notifiedAtMicros when the list's changes count as notified at the latest, in µs on the balancer's clock; a
- *     time that has not come yet says that they count from their arrival on
- * @param sample which part of the list that discovery sent this is; null where it is all of it
+ * @param version discovery's version of the list, which rises with each change
+ * @param complete whether the list names all endpoints, not only those that have changed
+ * @param notifiedAtMicros the latest time from which the balancer counts as notified of the changes, in µs on its
+ *     clock; a time in the future means their arrival
+ * @param sample the part of discovery's list that this list holds; null if it holds all of it
  */
 public record EndpointList(long version, boolean complete, List<Entry> entries, long notifiedAtMicros, Sample sample) {
     /** An endpoint as the policy knows it, and the address at which this balancer reaches it. */
     public record Entry(Endpoint endpoint, InetSocketAddress address) {}
 
     /**
-     * The part of a longer list that is kept.
+     * The part that was kept of a longer list.
      *
      * @param subset the part
-     * @param listedCount how many endpoints the longer list named
+     * @param listedCount the number of endpoints in the longer list
      */
     public record Sample(Subset subset, long listedCount) {}
 
-    /** Creates a list in full whose changes count as notified from their arrival on. */
+    /** Creates a list without a sample, of whose changes the balancer is notified by their arrival. */
     public EndpointList(long version, boolean complete, List<Entry> entries) {
         this(version, complete, entries, Long.MAX_VALUE);
     }
 
-    /** Creates a list in full. */
+    /** Creates a list without a sample. */
     public EndpointList(long version, boolean complete, List<Entry> entries, long notifiedAtMicros) {
         this(version, complete, entries, notifiedAtMicros, null);
     }
--- a/discovery/src/main/java/loadbalancer/discovery/EndpointSubset.java
+++ b/discovery/src/main/java/loadbalancer/discovery/EndpointSubset.java
@@ -6,40 +6,40 @@
 import loadbalancer.subset.Subset;
 
 /**
- * How many endpoints of one list a process keeps at most, and which part of a longer list it keeps now. Shared by what
- * reads the lists and what keeps them; not thread-safe, all of it belongs to one event loop.
+ * Bounds how many endpoints of one list a process keeps, and holds which subset of a longer list it keeps now. Shared
+ * by {@link ListReader} and {@link Membership}. Not thread-safe: confined to one event loop.
  */
 public final class EndpointSubset {
-    /** Heap for an endpoint that is kept: its entry, the policy's state and its points on the hash ring. */
+    /** Heap that a kept endpoint takes: its entry, the policy's state and its points on the hash ring. */
     private static final int BYTES_PER_ENDPOINT = 1_280;
-    /** One part in so many of the heap is for endpoints: reading a list, requests and responses need the rest. */
+    /** The heap is divided by this for endpoints: reading a list, requests and responses need the rest. */
     private static final int HEAP_DIVISOR = 4;
 
     private final int maxEndpoints;
     private Subset subset;
-    private Subset nextSubset; // to change to with the next complete list; null: the same
+    private Subset nextSubset; // takes the place of subset with the next complete list; null: no change
     private long listedCount;
     private Consumer<EndpointSubset> onChange = changed -> {};
 
     /**
-     * Begins with the complete list.
+     * Starts with the subset that contains all endpoints.
      *
-     * @param maxEndpoints endpoints that may be kept
-     * @param rank of the balancer among all, which gives its part of a longer list
+     * @param maxEndpoints how many endpoints may be kept
+     * @param rank the balancer's rank among all balancers, which determines its subset of a longer list
      */
     public EndpointSubset(int maxEndpoints, int rank) {
         this.maxEndpoints = maxEndpoints;
         subset = Subset.whole(rank);
     }
 
-    /** Returns how many endpoints a process may keep with a heap of that many bytes. */
+    /** Returns how many endpoints a process may keep with a heap of {@code heapBytes}. */
     public static int maxEndpointsForHeap(long heapBytes) {
         return (int) Math.max(1, Math.min(Integer.MAX_VALUE, heapBytes / HEAP_DIVISOR / BYTES_PER_ENDPOINT));
     }
 
-    /** Sets what runs when another part of the list than before is kept. */
-    public void onChange(Consumer<EndpointSubset> then) {
-        onChange = then;
+    /** Sets the listener that runs when the subset changes. */
+    public void onChange(Consumer<EndpointSubset> listener) {
+        onChange = listener;
     }
 
     /** Returns how many endpoints may be kept. */
@@ -47,17 +47,17 @@
         return maxEndpoints;
     }
 
-    /** Returns the part that is kept. */
+    /** Returns the subset that is kept. */
     public Subset subset() {
         return subset;
     }
 
-    /** Returns how many endpoints the last complete list named. */
+    /** Returns how many endpoints the last complete list contained. */
     public long listedCount() {
         return listedCount;
     }
 
-    /** Whether an endpoint of that id is kept, if there is one. */
+    /** Whether the subset contains this id; the endpoint need not exist. */
     public boolean contains(String endpointId) {
         return subset.contains(Subset.hash(endpointId));
     }
@@ -65,7 +65,7 @@
     /**
      * Begins to sample a list.
      *
-     * @param complete whether the list says that it names all endpoints there are
+     * @param complete whether the list is marked as complete
      */
     AdaptiveSample<EndpointList.Entry> beginSample(boolean complete) {
         return new AdaptiveSample<>(
@@ -75,12 +75,12 @@
                 entry -> Subset.hash(entry.endpoint().id()));
     }
 
-    /** Changes to another part with the next complete list, as nothing in this one can be used. */
+    /** Changes to another subset with the next complete list, as no endpoint of this one is usable. */
     void changeToNextSubset() {
         nextSubset = (nextSubset == null ? subset : nextSubset).next();
     }
 
-    /** Returns the list, or what is kept of it where it names more than that and has not been sampled yet. */
+    /** Returns the list, or a sample of it if it exceeds the bound and has not been sampled yet. */
     EndpointList restrict(EndpointList list) {
         if (list.sample() != null || list.entries().size() <= maxEndpoints) {
             return list;
@@ -102,7 +102,7 @@
                 new EndpointList.Sample(sampling.subset(), sampling.listedCount()));
     }
 
-    /** Keeps that part from here on, of a complete list of {@code newListedCount} endpoints. */
+    /** Sets the subset to keep of a new complete list, which contains {@code newListedCount} endpoints. */
     void keep(Subset next, long newListedCount) {
         boolean changed = !next.equals(subset);
         subset = next;
@@ -113,7 +113,7 @@
         }
     }
 
-    /** Keeps that part from here on, of the list that was last complete and its changes since. */
+    /** Sets the subset to keep of the last complete list and the deltas since. */
     void keep(Subset next) {
         boolean changed = !next.equals(subset);
         subset = next;
@@ -122,7 +122,7 @@
         }
     }
 
-    /** Returns a line for operators where only a part is kept; null where all of the list is. */
+    /** Returns a line for operators if only a part of the list is kept; null if all of it is. */
     public String summary() {
         return subset.level() == 0
                 ? null
--- a/discovery/src/main/java/loadbalancer/discovery/ListReader.java
+++ b/discovery/src/main/java/loadbalancer/discovery/ListReader.java
@@ -19,20 +19,20 @@
 import loadbalancer.subset.Subset;
 
 /**
- * Reads lists from bytes that arrive in pieces, wherever these and the lists' lines end. What cannot be JSON is found
- * at its first wrong byte, not only when the source falls silent. No list is ever in memory as a whole: each entry is
- * kept or passed over as it ends, so that the memory for a list does not grow with it. One reader per source; not
- * thread-safe.
+ * Reads lists from bytes that arrive in pieces, wherever the pieces and the lines of the lists end. Invalid JSON is
+ * detected at its first invalid byte, not only when the source stops sending. No list is in memory as a whole: each
+ * entry is kept or skipped when its end is read, so that a longer list does not need more memory. One reader per
+ * source; not thread-safe.
  */
 public final class ListReader {
-    /** Bytes from one entry's end to the next. */
+    /** Maximum bytes from the end of one entry to the end of the next. */
     private static final int MAX_ENTRY_BYTES = 4 << 20;
-    /** Bytes of one list: some 3 million entries. */
+    /** Maximum bytes of one list: some 3 million entries. */
     private static final long MAX_LIST_BYTES = 1L << 29;
 
     private static final int MAX_NESTING = 16;
     private static final int MAX_STRING_LENGTH = 1 << 16;
-    /** Containers that are open within the list of entries: the list's object and the array. */
+    /** Number of open containers around an entry: the list's object and the array of entries. */
     private static final int ENTRY_NESTING = 2;
 
     private static final JsonFactory JSON = JsonFactory.builder()
@@ -43,20 +43,20 @@
             .build();
 
     private final JsonParser parser;
-    private final ByteArrayFeeder feeder; // null where the parser has its source
+    private final ByteArrayFeeder feeder; // null if the parser reads from a source of its own
     private final Supplier<BootSettings> settings;
     private final EndpointSubset subset;
     private final Deque<Object> openContainers = new ArrayDeque<>(); // maps and lists, the innermost first
-    private final Deque<String> fieldNames = new ArrayDeque<>(); // of what comes next in each open map
+    private final Deque<String> fieldNames = new ArrayDeque<>(); // fields without a value yet, the innermost first
     private AdaptiveSample<EndpointList.Entry> sampling; // null before the first entry of a list
     private int bytesSinceEntry;
     private long bytesOfList;
 
     /**
-     * Creates a reader of lists that follow each other.
+     * Creates a reader of consecutive lists.
      *
-     * @param settings the settings in force, by which names of zones and kinds become numbers
-     * @param subset which part of a list is kept
+     * @param settings supplies the current settings, which map names of zones and kinds to numbers
+     * @param subset the part of a list that is kept
      */
     ListReader(Supplier<BootSettings> settings, EndpointSubset subset) {
         this.settings = settings;
@@ -77,15 +77,15 @@
     }
 
     /**
-     * Reads the list whose first token is the parser's current one, and no further.
+     * Reads the list whose first token is the parser's current one, and nothing behind the list.
      *
-     * @throws DiscoveryFormatException where it is not a list
-     * @throws IOException where it cannot be read, or is not JSON
+     * @throws DiscoveryFormatException if it is not a valid list
+     * @throws IOException if it cannot be read or is not valid JSON
      */
     public static EndpointList readOne(JsonParser parser, BootSettings settings, EndpointSubset subset)
             throws IOException {
         if (parser.currentToken() != JsonToken.START_OBJECT) {
-            throw new DiscoveryFormatException("no list of targets");
+            throw new DiscoveryFormatException("the list is not an object");
         }
         ListReader reader = new ListReader(parser, settings, subset);
         EndpointList[] found = new EndpointList[1];
@@ -93,23 +93,23 @@
         while (found[0] == null) {
             JsonToken token = parser.nextToken();
             if (token == null) {
-                throw new DiscoveryFormatException("it breaks off");
+                throw new DiscoveryFormatException("the input ends within the list");
             }
             reader.accept(token, list -> found[0] = list);
         }
         return found[0];
     }
 
-    /** Whether a list has begun and not ended. */
+    /** Whether a list has been read in part. */
     boolean isWithinList() {
         return !openContainers.isEmpty();
     }
 
     /**
-     * Reads on.
+     * Reads the next bytes.
      *
-     * @param onList gets each list that ends here
-     * @throws DiscoveryFormatException where it is not JSON, or not a list, or is longer than any list
+     * @param onList receives each list that ends within these bytes
+     * @throws DiscoveryFormatException if the input is not valid JSON, is not a valid list, or exceeds a size limit
      */
     void read(byte[] bytes, Consumer<EndpointList> onList) {
         try {
@@ -122,7 +122,7 @@
                 token = parser.nextToken();
             }
         } catch (IOException e) {
-            throw new DiscoveryFormatException("not JSON", e);
+            throw new DiscoveryFormatException("not valid JSON", e);
         }
         checkLength();
     }
@@ -132,9 +132,9 @@
             bytesSinceEntry = 0;
             bytesOfList = 0;
         } else if (bytesSinceEntry > MAX_ENTRY_BYTES) {
-            throw new DiscoveryFormatException("over " + MAX_ENTRY_BYTES + " bytes without an upstream");
+            throw new DiscoveryFormatException("over " + MAX_ENTRY_BYTES + " bytes without an entry");
         } else if (bytesOfList > MAX_LIST_BYTES) {
-            throw new DiscoveryFormatException("a list of over " + MAX_LIST_BYTES + " bytes");
+            throw new DiscoveryFormatException("the list has over " + MAX_LIST_BYTES + " bytes");
         }
     }
 
@@ -199,7 +199,7 @@
         if (sampling.accepts(Subset.hash(DiscoveryFormat.id(entry)))) {
             sampling.add(DiscoveryFormat.entry((Map<?, ?>) entry, settings.get()));
         } else {
-            DiscoveryFormat.state((Map<?, ?>) entry); // what is not kept must still be an entry
+            DiscoveryFormat.state((Map<?, ?>) entry); // also an entry that is not kept must be valid
             sampling.skip();
         }
     }
@@ -208,7 +208,7 @@
         boolean complete = DiscoveryFormat.isComplete(fields);
         AdaptiveSample<EndpointList.Entry> sampled = sampling;
         sampling = null;
-        checkNoOtherEntries(fields);
+        checkOnlyEntries(fields);
         if (sampled == null) {
             sampled = subset.beginSample(complete);
         }
@@ -221,13 +221,13 @@
                 new EndpointList.Sample(sampled.subset(), sampled.listedCount())));
     }
 
-    // Entries are not added to their array: what is in it is no entry, such as a number or a string.
-    private static void checkNoOtherEntries(Map<?, ?> fields) {
+    // Entries are not added to their array: whatever is in it is not an entry, such as a number or a string.
+    private static void checkOnlyEntries(Map<?, ?> fields) {
         if (!(fields.get(DiscoveryFormat.ENTRIES) instanceof List<?> others)) {
-            throw new DiscoveryFormatException("no list of targets");
+            throw new DiscoveryFormatException("'targets' is missing or not an array");
         }
         if (!others.isEmpty()) {
-            throw new DiscoveryFormatException("a target without uid");
+            throw new DiscoveryFormatException("an entry of 'targets' is not an object with a 'uid'");
         }
     }
 }
--- a/discovery/src/main/java/loadbalancer/discovery/Membership.java
+++ b/discovery/src/main/java/loadbalancer/discovery/Membership.java
@@ -18,26 +18,25 @@
 import loadbalancer.subset.Subset;
 
 /**
- * Which endpoints there are for this balancer: what discovery has listed, and over it what operators have drained. All
- * that the policy and the connections get of the list comes from here. Belongs to the event loop's thread.
+ * Holds the endpoints of this balancer: those that discovery lists, with the operators' drains applied. All that the
+ * policy and the connections receive of the endpoint list comes from here. Confined to the event loop's thread.
  */
 public final class Membership {
-    private final Map<String, EndpointList.Entry> listed = new LinkedHashMap<>(); // by id, as discovery lists them
+    private final Map<String, EndpointList.Entry> listed = new LinkedHashMap<>(); // by id, without drains
     private final EndpointSubset subset;
     private final OperatorDrains drains;
     private final LongSupplier clockMicros;
     private final BiConsumer<EndpointListKind, EndpointList> listener;
     private long version;
-    private boolean heldBack; // what is listed is too old to be used
+    private boolean heldBack; // the list is too old to be published
     private Runnable onUpdate = () -> {};
 
     /**
-     * Begins without a list.
+     * Starts without a list.
      *
-     * @param subset the bound of what is kept here, shared with what reads the lists
-     * @param clockMicros the clock by which restored endpoints count as started
-     * @param listener gets each list and change as it holds for this balancer; null as the list where discovery is
-     *     unavailable
+     * @param subset the part of a longer list that is kept, shared with {@link ListReader}
+     * @param clockMicros the clock that gives the start time of restored endpoints
+     * @param listener receives each list and delta with drains applied; null as the list if discovery is unavailable
      */
     public Membership(
             EndpointSubset subset,
@@ -50,7 +49,7 @@
         this.listener = listener;
     }
 
-    /** Takes a list or a change of discovery's; {@code received} is null where discovery is unavailable. */
+    /** Applies a list or delta from discovery; {@code received} is null if discovery is unavailable. */
     public void update(EndpointListKind kind, EndpointList received) {
         if (received == null) {
             listener.accept(kind, null);
@@ -94,8 +93,8 @@
         return narrowToBound(narrower ? sample.subset() : subset.subset(), list.entries());
     }
 
-    // Changes may add up to more than may be kept, though each of them is small. What is no longer kept counts as gone
-    // here: nothing is sent to it any more.
+    // Deltas may add up to more endpoints than may be kept, though each of them is small. Endpoints that are no longer
+    // kept are published as gone: no more requests are sent to them.
     private List<EndpointList.Entry> narrowToBound(Subset next, List<EndpointList.Entry> changes) {
         if (next.equals(subset.subset()) && listed.size() <= subset.maxEndpoints()) {
             return changes;
@@ -125,22 +124,22 @@
         return new EndpointList.Entry(entry.endpoint().withState(EndpointState.GONE), entry.address());
     }
 
-    /** Sets what runs after each list and change: see {@link #needsOtherSubset()}. */
-    public void onUpdate(Runnable then) {
-        onUpdate = then;
+    /** Sets the action that runs after each list and delta, as {@link #needsOtherSubset()} may have changed. */
+    public void onUpdate(Runnable action) {
+        onUpdate = action;
     }
 
-    /** Whether any endpoint may be sent to. */
+    /** Whether any endpoint is usable: it is up, and operators have not drained it. */
     public boolean hasUsableEndpoint() {
         return listed.values().stream().anyMatch(this::isUsable);
     }
 
-    /** Whether only a part of the list is kept, and no endpoint of it may be sent to. */
+    /** Whether only a subset of the list is kept, and no endpoint of the subset is usable. */
     public boolean needsOtherSubset() {
         return subset.subset().level() > 0 && !hasUsableEndpoint();
     }
 
-    /** Returns how many endpoints may be sent to. */
+    /** Returns how many endpoints are usable. */
     public int usableCount() {
         int count = 0;
         for (EndpointList.Entry entry : listed.values()) {
@@ -154,14 +153,14 @@
                 && !drains.isDrained(entry.endpoint().id());
     }
 
-    /** Returns how many endpoints are kept at most, and which part of a longer list. */
+    /** Returns the bound on the number of endpoints, and the subset of a longer list that is kept. */
     public EndpointSubset subset() {
         return subset;
     }
 
     /**
-     * Begins with a list that is too old to be used: it is published with what discovery has to say of it, as one, or
-     * by {@link #release()}.
+     * Starts with a cached list that is too old to be used. It is published as one list with the next update from
+     * discovery, or by {@link #release()}.
      */
     public void holdBack(EndpointList cached) {
         EndpointList list = subset.restrict(cached);
@@ -173,7 +172,7 @@
         heldBack = true;
     }
 
-    /** Uses the list that is held back, for want of a newer one. */
+    /** Publishes the list that is held back, as no newer one has arrived. */
     public void release() {
         if (heldBack) {
             release(Long.MAX_VALUE);
@@ -200,14 +199,14 @@
         return new EndpointList.Entry(drains.apply(entry.endpoint()), entry.address());
     }
 
-    /** Returns all that discovery has listed, whatever operators have drained. */
+    /** Returns the kept endpoints as discovery lists them, without drains. */
     public EndpointList listed() {
         return new EndpointList(version, true, List.copyOf(listed.values()));
     }
 
     /**
-     * Goes on from what another process of this balancer knows: from its drains, and from its list where that is the
-     * newer one, which discovery has sent to the balancer if not to this process.
+     * Takes over the state of another process of this balancer: its drains, and its list if that is not older than
+     * this one. The other process got it from discovery, so this one may use it.
      */
     public void restoreState(Set<String> drained, Map<String, Long> restoredAtMicros, EndpointList otherList) {
         drains.replaceWith(drained, restoredAtMicros);
@@ -230,11 +229,11 @@
         otherList.entries().stream()
                 .filter(entry -> subset.contains(entry.endpoint().id()))
                 .forEach(entry -> listed.put(entry.endpoint().id(), entry));
-        narrowToBound(subset.subset(), List.of()); // the other process may have a larger heap, and keep more
+        narrowToBound(subset.subset(), List.of()); // the other process may have a larger heap, and keep more endpoints
         return removed;
     }
 
-    /** Numbers zones and kinds by other settings: their numbers change with the settings, their names do not. */
+    /** Maps zones and kinds to the numbers that they have in new settings, by their names. */
     public void renumber(BootSettings before, BootSettings next) {
         if (before.zones().equals(next.zones()) && before.kinds().equals(next.kinds())) {
             return;
@@ -259,7 +258,7 @@
         return number < 0 ? number : next.indexOf(before.get(number));
     }
 
-    /** Drains an endpoint administratively; false where nobody knows it. */
+    /** Drains an endpoint administratively; returns false if the endpoint is unknown. */
     public boolean drain(String endpointId) {
         if (!isKnown(endpointId)) {
             return false;
@@ -270,7 +269,7 @@
         return true;
     }
 
-    /** Restores an endpoint; false where nobody knows it. */
+    /** Restores a drained endpoint; returns false if the endpoint is unknown. */
     public boolean restore(String endpointId) {
         if (!isKnown(endpointId)) {
             return false;
@@ -281,8 +280,8 @@
         return true;
     }
 
-    // A drained endpoint stays known even while discovery does not list it: it is being restarted. Of what belongs to
-    // another part of the list nobody here can say that there is no such endpoint, and it may come to be kept.
+    // A drained endpoint stays known while discovery does not list it, as it may be restarting. An id outside of the
+    // subset counts as known too: this process can't tell whether it exists, and may keep it later.
     private boolean isKnown(String endpointId) {
         return listed.containsKey(endpointId) || drains.isDrained(endpointId) || !subset.contains(endpointId);
     }
@@ -294,7 +293,7 @@
         }
     }
 
-    /** Returns what operators have drained and restored. */
+    /** Returns the operators' drains. */
     public OperatorDrains drains() {
         return drains;
     }
--- a/discovery/src/main/java/loadbalancer/discovery/package-info.java
+++ b/discovery/src/main/java/loadbalancer/discovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The client of discovery, and the membership that its lists result in. Runs on the caller's event loop and by the
- * caller's clock, so that a real balancer and a simulated one, without listener and traffic, run the same code.
+ * The client of discovery, and the membership that results from its lists. Both run on the caller's event loop and
+ * clock, so that real balancers and hollow ones, which have no listener and no traffic, run the same code.
  */
 package loadbalancer.discovery;
--- a/discovery/src/main/java/loadbalancer/drain/OperatorDrains.java
+++ b/discovery/src/main/java/loadbalancer/drain/OperatorDrains.java
@@ -8,17 +8,18 @@
 import loadbalancer.policy.EndpointState;
 
 /**
- * The endpoints that operators have drained administratively, and when those that they have restored were. A set, not a
- * count: one call to restore undoes any number of calls to drain. It wins over whatever discovery lists.
+ * The endpoints that operators have drained administratively, and the times at which restored ones were restored.
+ * Drains are not counted: one call to restore undoes any number of calls to drain. A drain takes precedence over the
+ * state that discovery lists.
  *
  * <p>Not thread-safe. Ids need not be of endpoints that are listed.
  */
 public final class OperatorDrains {
-    /** Restored endpoints that are remembered; older ones have long passed their slow start. */
+    /** Restored endpoints that are remembered; the slow start of older ones ended long ago. */
     private static final int MAX_RESTORED = 1_024;
 
     private final Set<String> drained = new TreeSet<>();
-    private final Map<String, Long> restoredAtMicros = new LinkedHashMap<>() { // in the order of time
+    private final Map<String, Long> restoredAtMicros = new LinkedHashMap<>() { // the oldest first
                 private static final long serialVersionUID = 1L;
 
                 @Override
@@ -27,16 +28,16 @@
                 }
             };
 
-    /** Drains an endpoint; false where it is drained already. */
+    /** Drains an endpoint; returns false if it is drained already. */
     public boolean drain(String endpointId) {
         return drained.add(endpointId);
     }
 
-    /** Restores an endpoint, which counts as started at {@code nowMicros}; false where it is not drained. */
+    /** Restores an endpoint, which counts as started at {@code nowMicros}; returns false if it is not drained. */
     public boolean restore(String endpointId, long nowMicros) {
         boolean wasDrained = drained.remove(endpointId);
         if (wasDrained) {
-            restoredAtMicros.remove(endpointId); // put in again, it is the last in order
+            restoredAtMicros.remove(endpointId); // so that it becomes the last in insertion order
             restoredAtMicros.put(endpointId, nowMicros);
         }
         return wasDrained;
@@ -57,7 +58,7 @@
         return Map.copyOf(restoredAtMicros);
     }
 
-    /** Goes on from what another instance holds, in place of what this one does. */
+    /** Replaces the state of this instance with that of another. */
     public void replaceWith(Set<String> newDrained, Map<String, Long> newRestoredAtMicros) {
         drained.clear();
         drained.addAll(newDrained);
@@ -66,13 +67,13 @@
     }
 
     /**
-     * Returns an endpoint as discovery lists it, with what operators have called for. Operators restart an endpoint
-     * while it is drained, and discovery may list the new start later or never: a restored endpoint counts as started
-     * when it was restored.
+     * Applies drains and restores to an endpoint that discovery lists. Operators restart an endpoint while it is
+     * drained, and discovery may list the new start time late or never, so a restored endpoint counts as started when
+     * it was restored.
      */
     public Endpoint apply(Endpoint listed) {
-        boolean drains = listed.state() == EndpointState.UP && drained.contains(listed.id());
-        Endpoint endpoint = drains ? listed.withState(EndpointState.DRAINING) : listed;
+        boolean drainsNow = listed.state() == EndpointState.UP && drained.contains(listed.id());
+        Endpoint endpoint = drainsNow ? listed.withState(EndpointState.DRAINING) : listed;
         Long restoredAt = restoredAtMicros.get(listed.id());
         return restoredAt == null || restoredAt <= endpoint.startedAt() ? endpoint : endpoint.withStartedAt(restoredAt);
     }
--- a/discovery/src/main/java/loadbalancer/drain/package-info.java
+++ b/discovery/src/main/java/loadbalancer/drain/package-info.java
@@ -1,2 +1,2 @@
-/** What operators have drained administratively. Pure: no clock, no sockets. */
+/** The endpoints that operators have drained administratively. Uses no clock and no sockets. */
 package loadbalancer.drain;
--- a/discovery/src/main/java/loadbalancer/settings/BootSettings.java
+++ b/discovery/src/main/java/loadbalancer/settings/BootSettings.java
@@ -4,7 +4,7 @@
 import loadbalancer.policy.PolicySettings;
 
 /**
- * What a balancer is started with.
+ * The settings that a balancer is started with.
  *
  * @param policySettings the settings of the policy, which knows classes, tenants, zones and kinds by their numbers
  * @param loadFields names of the values in a load report, in their order on the simulator's wire
@@ -12,7 +12,7 @@
  * @param tenants names of the tenants, by number
  * @param zones names of the zones, by number
  * @param kinds names of the kinds of hardware, by number
- * @param idleCloseMicros after which an endpoint closes an idle connection; 0: never
+ * @param idleCloseMicros time after which an endpoint closes an idle connection; 0: never
  */
 public record BootSettings(
         PolicySettings policySettings,
--- a/discovery/src/main/java/loadbalancer/settings/ProtocolNames.java
+++ b/discovery/src/main/java/loadbalancer/settings/ProtocolNames.java
@@ -9,21 +9,21 @@
 import loadbalancer.policy.LoadReporting;
 
 /**
- * The words that the platform's settings and the experiment files use for the values of enumerations. This is the only
- * table of them. Immutable; any thread.
+ * Maps the words of the platform's settings and of experiment files to enum values. No other class holds these words.
+ * Immutable; safe for use by any thread.
  */
 public final class ProtocolNames {
-    /** What a class of requests allows after an attempt that may have run. */
+    /** Whether a class of requests may be retried after an attempt that may have run. */
     public static final Map<String, Idempotency> IDEMPOTENCY = table(
             "safe", Idempotency.IDEMPOTENT,
             "keyed", Idempotency.IDEMPOTENT_WITH_KEY,
             "unsafe", Idempotency.NON_IDEMPOTENT);
 
-    /** Where an idempotency key is known. */
+    /** Which endpoints recognize an idempotency key that one of them has received. */
     public static final Map<String, KeyScope> KEY_SCOPE =
             table("all", KeyScope.ALL, "zone", KeyScope.ZONE, "cell", KeyScope.CELL);
 
-    /** How the list of endpoints is learned. */
+    /** How the balancer receives the endpoint list. */
     public static final Map<String, DiscoveryMode> DISCOVERY_MODE =
             table("push", DiscoveryMode.PUSH, "ask", DiscoveryMode.POLL);
 
@@ -33,7 +33,7 @@
 
     private ProtocolNames() {}
 
-    /** The protocol's word for that value. */
+    /** Returns the word for {@code value}. */
     public static String of(Idempotency value) {
         return IDEMPOTENCY.entrySet().stream()
                 .filter(entry -> entry.getValue() == value)
--- a/discovery/src/main/java/loadbalancer/settings/SettingValues.java
+++ b/discovery/src/main/java/loadbalancer/settings/SettingValues.java
@@ -9,8 +9,8 @@
 import java.util.function.BiFunction;
 
 /**
- * Typed look-ups in path=value pairs. A value that is missing or malformed ends in an exception that names its path.
- * A value of "-" counts as missing. Immutable as far as the values are; one reader at a time.
+ * Typed look-ups in path=value pairs. A value that is missing or malformed causes an exception that names its path.
+ * A value of "-" counts as missing. Immutable if the map is not changed; not thread-safe.
  */
 final class SettingValues {
     private static final String ABSENT = "-";
@@ -20,26 +20,26 @@
     private final BiFunction<String, String, ? extends RuntimeException> error;
 
     /**
-     * Reads from {@code values}.
+     * Creates look-ups in {@code values}.
      *
-     * @param error makes the exception for a path and what is wrong there
+     * @param error creates the exception from a path and a description of the problem there
      */
     SettingValues(Map<String, String> values, BiFunction<String, String, ? extends RuntimeException> error) {
         this.values = values;
         this.error = error;
     }
 
-    /** The exception for a path and what is wrong there. */
+    /** Returns the exception for a problem at a path. */
     RuntimeException error(String path, String problem) {
         return error.apply(path, problem);
     }
 
-    /** Whether the path is given, even if as absent. */
+    /** Whether the path is present, even if its value is "-". */
     boolean has(String path) {
         return values.containsKey(path);
     }
 
-    /** The text at a path; {@code fallback} where it is missing, and null makes it required. */
+    /** Returns the text at a path, or {@code fallback} if it is missing; null makes the setting required. */
     String text(String path, String fallback) {
         String value = values.get(path);
         if (value != null && !value.equals(ABSENT)) {
@@ -51,7 +51,7 @@
         return fallback;
     }
 
-    /** A whole number; {@code fallback} null: required. */
+    /** Returns a whole number; a null {@code fallback} makes the setting required. */
     long wholeNumber(String path, Long fallback) {
         String value = text(path, fallback == null ? null : fallback.toString());
         try {
@@ -61,12 +61,12 @@
         }
     }
 
-    /** A required whole number; one over the largest int counts as that. */
+    /** Returns a required whole number, capped at the largest int. */
     int cappedInt(String path) {
         return (int) Math.min(Integer.MAX_VALUE, wholeNumber(path, null));
     }
 
-    /** A finite number; {@code fallback} null: required. */
+    /** Returns a finite number; a null {@code fallback} makes the setting required. */
     double decimal(String path, Double fallback) {
         String value = text(path, fallback == null ? null : fallback.toString());
         try {
@@ -80,7 +80,7 @@
         throw error(path, "not a finite number: '" + value + "'");
     }
 
-    /** A truth value; {@code fallback} null: required. */
+    /** Returns a boolean; a null {@code fallback} makes the setting required. */
     boolean flag(String path, Boolean fallback) {
         String value = text(path, fallback == null ? null : fallback.toString());
         return switch (value) {
@@ -90,27 +90,27 @@
         };
     }
 
-    /** How many entries follow under a path. */
+    /** Returns the number of entries under a path. */
     int count(String path, boolean required) {
         long count = wholeNumber(path + ".count", required ? null : 0L);
         if (count < 0 || count > values.size()) {
-            throw error(path + ".count", "not a count of what follows: " + count);
+            throw error(path + ".count", "not a valid number of entries: " + count);
         }
         return (int) count;
     }
 
-    /** The texts of a list; empty where it is missing. */
+    /** Returns the texts of a list; an empty list if it is missing. */
     List<String> list(String path) {
         String value = text(path, "");
         return value.isEmpty() ? List.of() : List.of(value.split(","));
     }
 
-    /** How many names a list holds; a missing list counts as one unnamed entry. */
+    /** Returns how many names a list contains; a missing list counts as one unnamed entry. */
     int listSize(String path) {
         return text(path, "").split(",").length;
     }
 
-    /** The values of {@code key} in each entry under a path; empty text where one is missing. */
+    /** Returns the value of {@code key} in each entry under a path; an empty text if it is missing there. */
     List<String> each(String path, String key) {
         List<String> texts = new ArrayList<>();
         for (int i = 0; i < count(path, false); i++) {
@@ -119,7 +119,7 @@
         return List.copyOf(texts);
     }
 
-    /** Positions in a list of {@code size} names; empty where the setting is missing. */
+    /** Returns indexes into a list of {@code size} names; an empty set if the setting is missing. */
     Set<Integer> indexes(String path, int size) {
         Set<Integer> found = new TreeSet<>();
         String value = text(path, "");
@@ -132,7 +132,7 @@
         return found;
     }
 
-    /** The value that a table gives for the word at a path; {@code fallback} null: required. */
+    /** Returns the value that {@code table} maps the word to; a null {@code fallback} makes the setting required. */
     <E> E word(Map<String, E> table, String path, String fallback) {
         String value = text(path, fallback);
         E found = table.get(value.toLowerCase(Locale.ROOT));
--- a/discovery/src/main/java/loadbalancer/settings/SettingsReader.java
+++ b/discovery/src/main/java/loadbalancer/settings/SettingsReader.java
@@ -15,9 +15,9 @@
 import loadbalancer.policy.TrafficCosts;
 
 /**
- * Reads the settings of a balancer from path=value pairs, whether they come from the simulator's wire or from the
- * configuration of a real balancer. Keys that it doesn't know are ignored. The names of the keys are the platform's and
- * stand here alone; the words of their values stand in {@link ProtocolNames}. All times are in microseconds.
+ * Reads the settings of a balancer from path=value pairs, which come from the simulator's wire or from the
+ * configuration of a real balancer. Unknown keys are ignored. No other class holds the platform's names of the keys;
+ * the words of their values are in {@link ProtocolNames}. All times are in microseconds.
  */
 public final class SettingsReader {
     private final SettingValues values;
@@ -29,29 +29,29 @@
     /**
      * Reads {@code values}.
      *
-     * @param error makes the exception for a path and what is wrong there
-     * @throws RuntimeException that {@code error} makes, where a setting is missing, malformed or impossible
+     * @param error creates the exception from a path and a description of the problem there
+     * @throws RuntimeException the exception of {@code error}, if a setting is missing, malformed or out of range
      */
     public static BootSettings read(
             Map<String, String> values, BiFunction<String, String, ? extends RuntimeException> error) {
-        SettingValues typed = new SettingValues(values, error);
+        SettingValues typedValues = new SettingValues(values, error);
         try {
             return new BootSettings(
-                    new SettingsReader(typed).policySettings(),
-                    typed.list("Stats.Fields"),
-                    typed.each("Classes", "Name"),
-                    typed.each("Realms", "Name"),
-                    typed.list("Areas"),
-                    typed.list("Kinds"),
-                    typed.wholeNumber("Limits.IdleClose", 0L));
+                    new SettingsReader(typedValues).policySettings(),
+                    typedValues.list("Stats.Fields"),
+                    typedValues.each("Classes", "Name"),
+                    typedValues.each("Realms", "Name"),
+                    typedValues.list("Areas"),
+                    typedValues.list("Kinds"),
+                    typedValues.wholeNumber("Limits.IdleClose", 0L));
         } catch (IllegalArgumentException e) {
             throw error.apply("BootInfo", e.getMessage());
         }
     }
 
     /**
-     * Turns nested maps and lists into path=value pairs: paths are joined by dots, lists of plain values by commas, and
-     * a list with maps in it gets a {@code count} and one path for each index. Null values are left out.
+     * Flattens nested maps and lists to path=value pairs: paths are joined by dots, lists of scalar values by commas,
+     * and a list that contains maps gets a {@code count} and a path for each index. Null values are left out.
      */
     public static void flatten(String path, Object value, Map<String, String> into) {
         if (value instanceof Map<?, ?> map) {
@@ -63,15 +63,15 @@
                     flatten(path + "." + i, list.get(i), into);
                 }
             } else {
-                into.put(path, list.stream().map(SettingsReader::plain).collect(Collectors.joining(",")));
+                into.put(path, list.stream().map(SettingsReader::wireText).collect(Collectors.joining(",")));
             }
         } else if (value != null) {
-            into.put(path, plain(value));
+            into.put(path, wireText(value));
         }
     }
 
-    /** A value as it stands on the wire, where underscores replace the spaces and commas within it. */
-    public static String plain(Object value) {
+    /** Returns a value as it is written on the wire, where underscores replace its spaces and commas. */
+    public static String wireText(Object value) {
         return String.valueOf(value).replace(' ', '_').replace(',', '_');
     }
 
@@ -168,7 +168,7 @@
         return new TrafficCosts(values.decimal("Prices.CrossZone", 0.0), values.decimal("Prices.Handshake", 0.0));
     }
 
-    /** The number of this instance's zone, which must be one of the named zones where zones are named. */
+    /** Returns the number of this balancer's zone, which must be in the list of zones if there is one. */
     private int zone(int zoneCount) {
         long zone = values.wholeNumber("Locality", 0L);
         if (zone < 0 || zone >= zoneCount && values.has("Areas")) {
--- a/discovery/src/main/java/loadbalancer/settings/SocketAddresses.java
+++ b/discovery/src/main/java/loadbalancer/settings/SocketAddresses.java
@@ -4,7 +4,7 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Reads socket addresses as configurations and endpoint lists write them. Stateless; any thread. */
+/** Parses the socket addresses of configurations and endpoint lists. Stateless; safe for use by any thread. */
 public final class SocketAddresses {
     private static final String PORT_FORM = "\\d{1,5}";
     private static final int MAX_PORT = 65_535;
@@ -13,9 +13,9 @@
     private SocketAddresses() {}
 
     /**
-     * Reads {@code address:port}, where the address is an IPv4 or IPv6 literal.
+     * Parses {@code address:port}, where the address is an IPv4 or IPv6 literal.
      *
-     * @throws IllegalArgumentException that says what is wrong with the text
+     * @throws IllegalArgumentException if the text is malformed
      */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
@@ -23,18 +23,18 @@
         if (colon <= 0 || !port.matches(PORT_FORM) || Integer.parseInt(port) > MAX_PORT) {
             throw new IllegalArgumentException("not address:port: '" + text + "'");
         }
-        return literal(text.substring(0, colon), Integer.parseInt(port));
+        return parseLiteral(text.substring(0, colon), Integer.parseInt(port));
     }
 
-    // Names are not accepted: the site has no DNS, and a look-up would block the start.
-    private static InetSocketAddress literal(String host, int port) {
+    // Host names are rejected: the site has no DNS, and a look-up would block the start.
+    private static InetSocketAddress parseLiteral(String host, int port) {
         if (!host.matches(IP_LITERAL_FORM)) {
-            throw new IllegalArgumentException("not an address: '" + host + "'");
+            throw new IllegalArgumentException("not an IP address: '" + host + "'");
         }
         try {
             return new InetSocketAddress(InetAddress.getByName(host), port);
         } catch (UnknownHostException e) {
-            throw new IllegalArgumentException("not an address: '" + host + "'");
+            throw new IllegalArgumentException("not an IP address: '" + host + "'");
         }
     }
 }
--- a/discovery/src/main/java/loadbalancer/settings/package-info.java
+++ b/discovery/src/main/java/loadbalancer/settings/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The settings of a balancer as the platform writes them. Only this package knows the platform's names of settings and
- * values, and it maps them to the types of {@link loadbalancer.policy}.
+ * Reads the settings of a balancer in the platform's format. Only this package knows the platform's names of settings
+ * and values, and maps them to the types of {@link loadbalancer.policy}.
  */
 package loadbalancer.settings;
--- a/discovery/src/test/java/loadbalancer/discovery/ListReaderTest.java
+++ b/discovery/src/test/java/loadbalancer/discovery/ListReaderTest.java
@@ -16,37 +16,39 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Reading of lists in pieces, sampling of long lists, and format errors. */
 class ListReaderTest {
     @ParameterizedTest
     @ValueSource(ints = {1, 7, 100_000})
-    void aListWithinTheBoundIsReadInFullWhereverItIsSplit(int piece) {
-        EndpointList list = Lists.read(new EndpointSubset(100, 3), Lists.list(41, true, 0, 100, "in_service"), piece);
+    void aListWithinTheBoundIsReadInFullWhateverThePieceSize(int pieceBytes) {
+        EndpointList list =
+                Lists.read(new EndpointSubset(100, 3), Lists.list(41, true, 0, 100, "in_service"), pieceBytes);
         assertEquals(100, list.entries().size());
         assertEquals(41, list.version());
         assertTrue(list.complete());
         assertEquals(0, list.sample().subset().level());
-        EndpointList.Entry t = list.entries().get(5);
-        assertEquals(new Endpoint("s-5", EndpointState.UP, 7_000, 1.5, 1, 1, 1), t.endpoint());
-        assertEquals(1_005, t.address().getPort());
+        EndpointList.Entry entry = list.entries().get(5);
+        assertEquals(new Endpoint("s-5", EndpointState.UP, 7_000, 1.5, 1, 1, 1), entry.endpoint());
+        assertEquals(1_005, entry.address().getPort());
     }
 
-    /** The memory that a list takes doesn't grow with it. */
+    /** The memory for a list is bounded, however long the list is. */
     @Test
-    void ofALongListOneSubsetIsKept() {
+    void aLongListIsSampledWithinTheBound() {
         EndpointSubset subset = new EndpointSubset(1_000, 3);
         EndpointList list = Lists.read(subset, Lists.list(41, true, 0, 40_000, "in_service"), 9_973);
         assertTrue(
                 list.entries().size() <= 1_000 && list.entries().size() > 250,
-                "held " + list.entries().size());
+                "kept " + list.entries().size());
         assertEquals(40_000, list.sample().listedCount());
-        assertTrue(list.entries().stream().allMatch(t -> list.sample()
+        assertTrue(list.entries().stream().allMatch(entry -> list.sample()
                 .subset()
-                .contains(loadbalancer.subset.Subset.hash(t.endpoint().id()))));
-        assertEquals(0, subset.subset().level(), "the reader decides nothing: whoever keeps the list does");
+                .contains(loadbalancer.subset.Subset.hash(entry.endpoint().id()))));
+        assertEquals(0, subset.subset().level(), "the reader must not change the subset: Membership does");
     }
 
     @Test
-    void theOrderOfTheFieldsIsFree() {
+    void fieldsMayComeInAnyOrder() {
         String text = "{\"targets\":[" + Lists.entry(1, "in_service") + "],\"x\":[[1],{\"targets\":[{}]}],"
                 + "\"all\":true,\"rev\":9}";
         EndpointList list = Lists.read(new EndpointSubset(5, 0), text, 3);
@@ -60,73 +62,75 @@
             delimiter = '|',
             value = {
                 "[1] | not an object: [",
-                "{\"rev\":1} | no list of targets",
-                "{\"targets\":3} | no list of targets",
-                "{\"targets\":[3]} | a target without uid",
-                "{\"targets\":[[]]} | a target without uid",
-                "{\"targets\":[{\"uid\":\"\"}]} | a target without uid",
-                "{\"targets\":[{\"uid\":\"a\",\"state\":\"odd\"}]} | unknown state: 'odd'",
+                "{\"rev\":1} | 'targets' is missing or not an array",
+                "{\"targets\":3} | 'targets' is missing or not an array",
+                "{\"targets\":[3]} | an entry of 'targets' is not an object with a 'uid'",
+                "{\"targets\":[[]]} | an entry of 'targets' is not an object with a 'uid'",
+                "{\"targets\":[{\"uid\":\"\"}]} | an entry of 'targets' is not an object with a 'uid'",
+                "{\"targets\":[{\"uid\":\"a\",\"state\":\"odd\"}]}"
+                        + " | 'state' is 'odd': expected in_service, terminating or terminated",
                 "{\"targets\":[{\"uid\":\"a\",\"state\":\"in_service\",\"endpoint\":\"x\"}]} | not address:port: 'x'",
-                "{\"targets\":[nonsense]} | not JSON",
+                "{\"targets\":[nonsense]} | not valid JSON",
             })
-    void aFormatErrorSaysWhatIsWrong(String text, String complaint) {
+    void aFormatErrorSaysWhatIsWrong(String text, String message) {
         IllegalArgumentException e = assertThrows(
                 IllegalArgumentException.class, () -> Lists.read(new EndpointSubset(5, 0), text.strip(), 1_000));
-        assertEquals(complaint.strip(), e.getMessage());
+        assertEquals(message.strip(), e.getMessage());
     }
 
-    /** Also of what is not held each entry must be one: half a list must not pass for a whole one. */
+    /** Entries that are not kept are validated too: a damaged list must not be taken for a valid one. */
     @Test
-    void anInvalidEntryOutsideOfTheSubsetIsAFormatError() {
-        String long200 = Lists.list(1, true, 0, 200, "in_service").strip();
+    void anInvalidEntryOutsideTheSubsetIsAFormatError() {
+        String validList = Lists.list(1, true, 0, 200, "in_service").strip();
         for (int i = 0; i < 200; i += 7) {
-            String broken = long200.replace("\"uid\":\"s-" + i + "\"", "\"uid\":7");
-            assertThrows(IllegalArgumentException.class, () -> Lists.read(new EndpointSubset(2, 0), broken, 50_000));
+            String invalidList = validList.replace("\"uid\":\"s-" + i + "\"", "\"uid\":7");
+            assertThrows(
+                    IllegalArgumentException.class, () -> Lists.read(new EndpointSubset(2, 0), invalidList, 50_000));
         }
     }
 
     @Test
     void aListWithoutAnEndIsAFormatError() {
         ListReader reader = new ListReader(Lists::boot, new EndpointSubset(5, 0));
-        reader.read("{\"x\":[".getBytes(), t -> {});
-        byte[] junk = "1,".repeat(1 << 18).getBytes();
+        reader.read("{\"x\":[".getBytes(), list -> {});
+        byte[] endlessArray = "1,".repeat(1 << 18).getBytes();
         IllegalArgumentException e = assertThrows(IllegalArgumentException.class, () -> {
             for (int i = 0; i < 20; i++) {
-                reader.read(junk, t -> {});
+                reader.read(endlessArray, list -> {});
             }
         });
         assertTrue(e.getMessage().startsWith("over "), e.getMessage());
     }
 
-    /** A list of over 4 MB was once refused as too long. */
+    /** Guards against a size limit for the whole list: lists of over 4 MB were once rejected as too long. */
     @Test
-    void aListMayBeLong() {
+    void aListOfOver4MegabytesIsRead() {
         EndpointList list =
                 Lists.read(new EndpointSubset(1_000_000, 0), Lists.list(1, true, 0, 50_000, "in_service"), 65_536);
         assertEquals(50_000, list.entries().size());
     }
 
     @Test
-    void aListWithinAnotherObjectIsReadAndNoFurther() throws IOException {
+    void aListNestedInAnotherObjectIsReadWithoutWhatFollows() throws IOException {
         String text =
                 "{\"a\":1,\"known\":" + Lists.list(3, true, 0, 50, "in_service").strip() + ",\"b\":2}";
-        try (JsonParser p = new JsonFactory().createParser(text)) {
-            while (p.nextToken() != JsonToken.START_OBJECT || !"known".equals(p.currentName())) {
-                assertTrue(p.currentToken() != null);
+        try (JsonParser parser = new JsonFactory().createParser(text)) {
+            while (parser.nextToken() != JsonToken.START_OBJECT || !"known".equals(parser.currentName())) {
+                assertTrue(parser.currentToken() != null);
             }
-            EndpointList list = ListReader.readOne(p, Lists.boot(), new EndpointSubset(10, 0));
+            EndpointList list = ListReader.readOne(parser, Lists.boot(), new EndpointSubset(10, 0));
             assertEquals(50, list.sample().listedCount());
             assertTrue(list.entries().size() <= 10);
-            assertEquals("b", p.nextFieldName());
+            assertEquals("b", parser.nextFieldName());
         }
-        try (JsonParser p = new JsonFactory().createParser("{\"rev\":1,\"targets\":[")) {
-            p.nextToken();
-            assertThrows(IOException.class, () -> ListReader.readOne(p, Lists.boot(), new EndpointSubset(10, 0)));
+        try (JsonParser parser = new JsonFactory().createParser("{\"rev\":1,\"targets\":[")) {
+            parser.nextToken();
+            assertThrows(IOException.class, () -> ListReader.readOne(parser, Lists.boot(), new EndpointSubset(10, 0)));
         }
     }
 
     @Test
-    void aDeltaIsNotACompleteList() {
+    void aDeltaIsNotCompleteAndAnUnfinishedListIsNotReported() {
         EndpointList list = Lists.read(new EndpointSubset(10, 0), Lists.list(3, false, 0, 50, "in_service"), 1_000);
         assertTrue(!list.complete() && list.entries().size() <= 10);
         assertNull(Lists.read(new EndpointSubset(10, 0), "{\"rev\":1", 3));
--- a/discovery/src/test/java/loadbalancer/discovery/Lists.java
+++ b/discovery/src/test/java/loadbalancer/discovery/Lists.java
@@ -9,7 +9,7 @@
 import loadbalancer.settings.BootSettings;
 import loadbalancer.settings.SettingsReader;
 
-/** Lists and settings for tests. */
+/** Endpoint lists in discovery's format, and settings, for tests. */
 final class Lists {
     private Lists() {}
 
@@ -51,7 +51,7 @@
                                 "Fall",
                                 2_000_000)),
                 values);
-        return SettingsReader.read(values, (path, what) -> new IllegalStateException(path + ": " + what));
+        return SettingsReader.read(values, (path, problem) -> new IllegalStateException(path + ": " + problem));
     }
 
     static String entry(int number, String state) {
@@ -60,18 +60,21 @@
                 + "\",\"capacity_hint\":1.5,\"boot_ms\":7}";
     }
 
+    /** A list of the endpoints numbered {@code from} to {@code to - 1}. */
     static String list(int rev, boolean all, int from, int to, String state) {
         return "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":["
                 + IntStream.range(from, to).mapToObj(i -> entry(i, state)).collect(Collectors.joining(",")) + "]}\n";
     }
 
-    /** Reads one list in pieces of that size. */
-    static EndpointList read(EndpointSubset subset, String text, int piece) {
+    /** Reads one list in pieces of {@code pieceBytes}; null if it does not end. */
+    static EndpointList read(EndpointSubset subset, String text, int pieceBytes) {
         EndpointList[] found = new EndpointList[1];
         ListReader reader = new ListReader(Lists::boot, subset);
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        for (int i = 0; i < bytes.length; i += piece) {
-            reader.read(java.util.Arrays.copyOfRange(bytes, i, Math.min(bytes.length, i + piece)), t -> found[0] = t);
+        for (int i = 0; i < bytes.length; i += pieceBytes) {
+            reader.read(
+                    java.util.Arrays.copyOfRange(bytes, i, Math.min(bytes.length, i + pieceBytes)),
+                    list -> found[0] = list);
         }
         return found[0];
     }
--- a/discovery/src/test/java/loadbalancer/discovery/MembershipTest.java
+++ b/discovery/src/test/java/loadbalancer/discovery/MembershipTest.java
@@ -22,47 +22,47 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** What is kept of lists and changes, within its bound. */
+/** Which endpoints are kept of lists and deltas within the bound, and what the policy receives of them. */
 class MembershipTest {
     private static final int MAX_ENDPOINTS = 20;
 
     private EndpointSubset subset;
     private Membership membership;
-    private final Map<String, EndpointState> policyView = new LinkedHashMap<>(); // as the policy knows it
-    private final List<String> changes = new ArrayList<>();
+    private final Map<String, EndpointState> policyView = new LinkedHashMap<>(); // what the policy has received
+    private final List<String> subsetSummaries = new ArrayList<>(); // one for each change of the subset
 
     MembershipTest() {
-        begin(3);
+        start(3);
     }
 
-    private MembershipTest begin(int rank) {
+    private MembershipTest start(int rank) {
         subset = new EndpointSubset(MAX_ENDPOINTS, rank);
-        membership = new Membership(subset, new OperatorDrains(), () -> 0, (kind, targets) -> {
-            if (targets.complete()) {
+        membership = new Membership(subset, new OperatorDrains(), () -> 0, (kind, list) -> {
+            if (list.complete()) {
                 policyView.clear();
             }
-            for (Endpoint s : targets.endpoints()) {
-                if (s.state() == EndpointState.GONE) {
-                    policyView.remove(s.id());
+            for (Endpoint endpoint : list.endpoints()) {
+                if (endpoint.state() == EndpointState.GONE) {
+                    policyView.remove(endpoint.id());
                 } else {
-                    policyView.put(s.id(), s.state());
+                    policyView.put(endpoint.id(), endpoint.state());
                 }
             }
         });
-        subset.onChange(h -> changes.add(String.valueOf(h.summary())));
+        subset.onChange(changed -> subsetSummaries.add(String.valueOf(changed.summary())));
         return this;
     }
 
     private void update(String json) {
-        EndpointList t = Lists.read(subset, json, 10_000);
-        membership.update(t.complete() ? EndpointListKind.SNAPSHOT : EndpointListKind.DELTA, t);
+        EndpointList list = Lists.read(subset, json, 10_000);
+        membership.update(list.complete() ? EndpointListKind.SNAPSHOT : EndpointListKind.DELTA, list);
     }
 
-    private void updateComplete(int many) {
-        update(Lists.list(1, true, 0, many, "in_service"));
+    private void updateComplete(int endpointCount) {
+        update(Lists.list(1, true, 0, endpointCount, "in_service"));
     }
 
-    private Set<String> keptOf(int from, int to) {
+    private Set<String> idsInSubset(int from, int to) {
         return IntStream.range(from, to)
                 .mapToObj(i -> "s-" + i)
                 .filter(subset::contains)
@@ -70,51 +70,51 @@
     }
 
     @Test
-    void aListWithinTheBoundIsKeptInFullWithoutANote() {
+    void aListWithinTheBoundIsKeptInFullWithoutASummary() {
         updateComplete(MAX_ENDPOINTS);
         assertEquals(MAX_ENDPOINTS, policyView.size());
-        assertTrue(changes.isEmpty());
+        assertTrue(subsetSummaries.isEmpty());
         assertNull(subset.summary());
     }
 
     @Test
-    void ofALongListOnePartIsKeptAndNotedOnce() {
+    void aLongListIsReducedToASubsetAndReportedOnce() {
         updateComplete(1_000);
         updateComplete(1_000);
         assertTrue(policyView.size() <= MAX_ENDPOINTS && !policyView.isEmpty(), "holds " + policyView.size());
-        assertEquals(keptOf(0, 1_000), new TreeSet<>(policyView.keySet()));
-        assertEquals(1, changes.size());
-        assertTrue(changes.get(0).endsWith(" of a list of 1000 upstreams, 20 at most"), changes.get(0));
+        assertEquals(idsInSubset(0, 1_000), new TreeSet<>(policyView.keySet()));
+        assertEquals(1, subsetSummaries.size());
+        assertTrue(subsetSummaries.get(0).endsWith(" of a list of 1000 upstreams, 20 at most"), subsetSummaries.get(0));
     }
 
     @Test
-    void aDrainAppliesToWhatIsKeptAndToNothingElse() {
+    void aDeltaOfDrainsAppliesToKeptEndpointsOnly() {
         updateComplete(1_000);
-        int before = policyView.size();
-        String held = policyView.keySet().iterator().next();
+        int sizeBefore = policyView.size();
+        String kept = policyView.keySet().iterator().next();
         update(Lists.list(2, false, 0, 1_000, "terminating"));
-        assertEquals(before, policyView.size());
-        assertTrue(policyView.values().stream().allMatch(s -> s == EndpointState.DRAINING));
-        assertTrue(policyView.containsKey(held));
+        assertEquals(sizeBefore, policyView.size());
+        assertTrue(policyView.values().stream().allMatch(state -> state == EndpointState.DRAINING));
+        assertTrue(policyView.containsKey(kept));
     }
 
-    /** Each of them small, together too many: what is no longer kept is gone for the policy too. */
+    /** Each delta is small, but together they exceed the bound: the policy must drop what is no longer kept. */
     @Test
-    void deltasThatAddUpToTooManyNarrowTheSubset() {
+    void deltasThatTogetherExceedTheBoundNarrowTheSubset() {
         updateComplete(15);
         for (int i = 15; i < 600; i += 5) {
             update(Lists.list(i, false, i, i + 5, "in_service"));
             assertTrue(policyView.size() <= MAX_ENDPOINTS, "holds " + policyView.size());
-            assertEquals(keptOf(0, i + 5), new TreeSet<>(policyView.keySet()));
+            assertEquals(idsInSubset(0, i + 5), new TreeSet<>(policyView.keySet()));
         }
         assertTrue(subset.subset().level() >= 4, "level " + subset.subset().level());
     }
 
     @Test
-    void aShortListIsKeptInFullAgain() {
+    void aListWithinTheBoundIsKeptInFullAgainAfterALongOne() {
         updateComplete(1_000);
         int level = subset.subset().level();
-        for (int i = 0; i < level; i++) { // it widens by one step a list
+        for (int i = 0; i < level; i++) { // each list widens the subset by one level
             updateComplete(10);
         }
         assertEquals(10, policyView.size());
@@ -122,17 +122,17 @@
     }
 
     @Test
-    void operatorsMayDrainWhatIsNotKeptAndItStaysDrained() {
+    void anEndpointOutsideTheSubsetCanBeDrainedAndStaysDrained() {
         updateComplete(1_000);
         String other = IntStream.range(0, 1_000)
                 .mapToObj(i -> "s-" + i)
                 .filter(id -> !subset.contains(id))
                 .findFirst()
                 .orElseThrow();
-        String held = policyView.keySet().iterator().next();
+        String kept = policyView.keySet().iterator().next();
         assertTrue(membership.drain(other));
-        assertTrue(membership.drain(held));
-        assertEquals(EndpointState.DRAINING, policyView.get(held));
+        assertTrue(membership.drain(kept));
+        assertEquals(EndpointState.DRAINING, policyView.get(kept));
         while (!subset.contains(other)) {
             subset.changeToNextSubset();
             updateComplete(1_000);
@@ -143,14 +143,14 @@
     }
 
     @Test
-    void whereAllIsKeptAnUnlistedIdIsUnknown() {
+    void anUnlistedIdIsUnknownIfTheWholeListIsKept() {
         updateComplete(10);
         assertFalse(membership.drain("s-11"));
     }
 
-    /** A balancer left without a usable endpoint changes to another subset, and until then applies drains. */
+    /** A balancer without a usable endpoint changes to another subset, and until then applies drains. */
     @Test
-    void aSubsetWithoutUsableEndpointsIsLeftWithTheNextCompleteList() {
+    void aSubsetWithoutUsableEndpointsIsReplacedWithTheNextCompleteList() {
         updateComplete(1_000);
         assertFalse(membership.needsOtherSubset());
         Set<String> first = Set.copyOf(policyView.keySet());
@@ -158,26 +158,26 @@
         assertTrue(membership.needsOtherSubset());
         subset.changeToNextSubset();
         update(Lists.list(3, false, 0, 1_000, "terminating"));
-        assertEquals(first, policyView.keySet(), "drains of what is held still bind");
+        assertEquals(first, policyView.keySet(), "drains of kept endpoints still apply");
         updateComplete(1_000);
         assertFalse(membership.needsOtherSubset());
         assertTrue(policyView.keySet().stream().noneMatch(first::contains));
     }
 
     @Test
-    void aListThatIsHeldBackIsBounded() {
-        EndpointList known = Lists.read(subset, Lists.list(1, true, 0, 1_000, "in_service"), 10_000);
+    void aHeldBackListIsReducedToTheBound() {
+        EndpointList cached = Lists.read(subset, Lists.list(1, true, 0, 1_000, "in_service"), 10_000);
         membership.update(EndpointListKind.CACHED, new EndpointList(1, true, List.of()));
-        membership.holdBack(known);
+        membership.holdBack(cached);
         assertTrue(policyView.isEmpty());
         membership.release();
-        assertEquals(keptOf(0, 1_000), new TreeSet<>(policyView.keySet()));
+        assertEquals(idsInSubset(0, 1_000), new TreeSet<>(policyView.keySet()));
         assertTrue(subset.summary().contains("1000"), subset.summary());
     }
 
-    /** A list that stands in a file, or comes from a caller that read it by itself. */
+    /** Such a list is in a file, or its caller has read it without {@link ListReader}. */
     @Test
-    void aListThatWasNotSampledIsBounded() {
+    void aListThatWasNotSampledIsReducedToTheBound() {
         membership.update(
                 EndpointListKind.SNAPSHOT,
                 new EndpointList(
@@ -187,37 +187,37 @@
                                 .mapToObj(i -> new EndpointList.Entry(
                                         new Endpoint("s-" + i, EndpointState.UP, 0, 1, 0, 0, 0), null))
                                 .toList()));
-        assertEquals(keptOf(0, 500), new TreeSet<>(policyView.keySet()));
+        assertEquals(idsInSubset(0, 500), new TreeSet<>(policyView.keySet()));
         assertTrue(policyView.size() <= MAX_ENDPOINTS && subset.listedCount() == 500, subset.summary());
     }
 
     @Test
     void theStateOfAnotherProcessIsRestoredWithinTheBound() {
-        MembershipTest other = new MembershipTest().begin(4);
+        MembershipTest other = new MembershipTest().start(4);
         other.updateComplete(15);
         updateComplete(1_000);
-        EndpointList theirs = new EndpointList(
+        EndpointList otherList = new EndpointList(
                 9,
                 true,
                 IntStream.range(0, 500)
                         .mapToObj(i ->
                                 new EndpointList.Entry(new Endpoint("s-" + i, EndpointState.UP, 0, 1, 0, 0, 0), null))
                         .toList());
-        membership.restoreState(Set.of(), Map.of(), theirs);
+        membership.restoreState(Set.of(), Map.of(), otherList);
         assertTrue(membership.listed().entries().size() <= MAX_ENDPOINTS);
         assertEquals(
-                keptOf(0, 500),
+                idsInSubset(0, 500),
                 membership.listed().entries().stream()
-                        .map(t -> t.endpoint().id())
+                        .map(entry -> entry.endpoint().id())
                         .collect(Collectors.toCollection(TreeSet::new)));
     }
 
-    /** Whatever comes, the policy knows what that of a balancer does that has always kept that subset. */
+    /** After any lists and deltas, the policy holds the endpoints that it would if the subset had never changed. */
     @Property(tries = 60, seed = "6")
-    void thePolicyGetsAllOfTheSubsetAndNothingElse(
+    void thePolicyHoldsExactlyTheListedEndpointsOfTheSubset(
             @ForAll java.util.Random random, @ForAll @IntRange(min = 0, max = 50) int rank) {
-        MembershipTest t = new MembershipTest().begin(rank);
-        Map<String, String> truth = new LinkedHashMap<>();
+        MembershipTest test = new MembershipTest().start(rank);
+        Map<String, String> listed = new LinkedHashMap<>();
         for (int rev = 1; rev < 40; rev++) {
             boolean all = rev == 1 || random.nextInt(10) == 0;
             List<String> entries = new ArrayList<>();
@@ -226,18 +226,18 @@
                 String state =
                         new String[] {"in_service", "in_service", "terminating", "terminated"}[random.nextInt(4)];
                 if (state.equals("terminated")) {
-                    truth.remove("s-" + id);
+                    listed.remove("s-" + id);
                 } else {
-                    truth.put("s-" + id, Lists.entry(id, state));
+                    listed.put("s-" + id, Lists.entry(id, state));
                 }
                 entries.add(Lists.entry(id, state));
             }
-            t.update("{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":["
-                    + String.join(",", all ? truth.values() : entries) + "]}");
+            test.update("{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":["
+                    + String.join(",", all ? listed.values() : entries) + "]}");
             Set<String> expected =
-                    truth.keySet().stream().filter(t.subset::contains).collect(Collectors.toSet());
-            assertTrue(t.policyView.size() <= MAX_ENDPOINTS);
-            assertEquals(expected, t.policyView.keySet());
+                    listed.keySet().stream().filter(test.subset::contains).collect(Collectors.toSet());
+            assertTrue(test.policyView.size() <= MAX_ENDPOINTS);
+            assertEquals(expected, test.policyView.keySet());
         }
     }
 }
