--- a/balancer/src/main/java/loadbalancer/operator/ConfigDiff.java
+++ b/balancer/src/main/java/loadbalancer/operator/ConfigDiff.java
@@ -15,13 +15,13 @@
 import loadbalancer.router.TenantQuotaConfig;
 import loadbalancer.toml.Units;
 
-/** Says what would change in service where one operator file takes the place of another. */
+/** Describes what changes in service when one operator file replaces another. */
 public final class ConfigDiff {
     private final List<String> changes = new ArrayList<>();
 
     private ConfigDiff() {}
 
-    /** What changes in service when {@code next} takes the place of {@code former}, a line each; empty for nothing. */
+    /** Returns a line for each change in service when {@code next} replaces {@code former}. */
     public static List<String> between(OperatorConfig former, OperatorConfig next) {
         ConfigDiff diff = new ConfigDiff();
         diff.pools(former, next);
@@ -82,8 +82,11 @@
                 ConfigFormatter.source(nextSpec));
         compare(subject + ": limit", ConfigFormatter.describe(former.limit()), ConfigFormatter.describe(next.limit()));
         compare(subject + ": full strength", fullStrength(former), fullStrength(next));
-        compare(subject + ": connections", given(formerSpec.maxConnections()), given(nextSpec.maxConnections()));
-        compare(subject + ": memory", given(formerSpec.maxBodyBytes()), given(nextSpec.maxBodyBytes()));
+        compare(
+                subject + ": connections",
+                equalPartOr(formerSpec.maxConnections()),
+                equalPartOr(nextSpec.maxConnections()));
+        compare(subject + ": memory", equalPartOr(formerSpec.maxBodyBytes()), equalPartOr(nextSpec.maxBodyBytes()));
         compare(
                 subject + ": settings",
                 ConfigFormatter.describe(formerSpec.overrides()),
@@ -94,8 +97,8 @@
         return pool.fullStrength() == 0 ? "learnt" : String.valueOf(pool.fullStrength());
     }
 
-    private static String given(long figure) {
-        return figure == 0 ? "its part" : String.valueOf(figure);
+    private static String equalPartOr(long value) {
+        return value == 0 ? "its part" : String.valueOf(value);
     }
 
     private void routes(RoutingConfig former, RoutingConfig next) {
@@ -147,7 +150,7 @@
         }
     }
 
-    // With rendezvous hashing exactly what the shrinking pools lose moves.
+    // With rendezvous hashing, exactly the fractions that the shrinking pools lose move.
     private static double movedFraction(Map<String, Double> former, Map<String, Double> next) {
         double lost = 0;
         for (Map.Entry<String, Double> pool : former.entrySet()) {
--- a/balancer/src/main/java/loadbalancer/operator/ConfigFormatter.java
+++ b/balancer/src/main/java/loadbalancer/operator/ConfigFormatter.java
@@ -16,15 +16,15 @@
 import loadbalancer.toml.Units;
 
 /**
- * Describes the parts of an operator file in the words that operators read. Scripts may depend on these words, so they
- * are part of the program's interface. Stateless.
+ * Formats the parts of an operator file for operators. Scripts may depend on these texts, so they are part of the
+ * program's interface. Stateless.
  */
 public final class ConfigFormatter {
     private static final String NONE = "none";
 
     private ConfigFormatter() {}
 
-    /** What a request must be like to take a route. */
+    /** Describes the conditions that a request must meet for a route. */
     public static String describe(Route route) {
         StringBuilder out = new StringBuilder();
         out.append(route.methods().isEmpty() ? "any method" : alternatives(route.methods()))
@@ -47,7 +47,7 @@
         return names.stream().sorted().collect(Collectors.joining("|"));
     }
 
-    /** Where a route's requests go, with each pool's fraction. */
+    /** Describes the pools of a route, with the fraction of requests that each gets. */
     public static String destinations(RouteConfig route) {
         Map<String, Double> fractions = fractions(route);
         return fractions.entrySet().stream()
@@ -57,7 +57,7 @@
                 .collect(Collectors.joining(", "));
     }
 
-    /** Where a route's traffic spills over to; empty where nowhere. */
+    /** Describes the pools that a route's traffic spills over to; empty if there are none. */
     public static String spillTargets(RouteConfig route) {
         return route.destinations().stream()
                 .flatMap(destination -> destination.spillTargets().stream())
@@ -66,7 +66,7 @@
                 .collect(Collectors.joining(", "));
     }
 
-    /** The fraction of a route's requests that each pool gets by the weights, by the pools' names. */
+    /** Returns the fraction of a route's requests that each pool gets by its weight, by the pools' names. */
     static Map<String, Double> fractions(RouteConfig route) {
         double sum =
                 route.destinations().stream().mapToDouble(Destination::weight).sum();
@@ -83,7 +83,7 @@
                 : String.format(Locale.ROOT, "%.1f%%", percent);
     }
 
-    /** A rate with its burst and ceiling; null for none. */
+    /** Describes a rate with its burst and ceiling; null means that there is none. */
     public static String describe(RateLimit rate) {
         if (rate == null) {
             return NONE;
@@ -93,7 +93,7 @@
         return Units.RATE.format(rate.perSecond()) + ", " + Math.round(rate.burst()) + " at once" + ceiling;
     }
 
-    /** A concurrency limit; null for none. */
+    /** Describes a concurrency limit; null means that there is none. */
     public static String describe(ConcurrencyLimitConfig limit) {
         if (limit == null) {
             return NONE;
@@ -105,7 +105,7 @@
                 + " to " + limit.max();
     }
 
-    /** A retry budget; null for none. */
+    /** Describes a retry budget; null means that there is none. */
     public static String describe(RetryBudgetConfig budget) {
         if (budget == null) {
             return NONE;
@@ -114,7 +114,7 @@
                 + (budget.countClientRetries() ? ", clients' own among them" : "");
     }
 
-    /** Where a pool's endpoint list comes from. */
+    /** Describes where a pool's endpoint list comes from. */
     static String source(PoolSpec pool) {
         if (pool.name().equals(PoolSpec.SITE)) {
             return "the platform's list";
@@ -131,14 +131,14 @@
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** A pool's settings that differ from the platform's. */
+    /** Describes the settings of a pool that differ from the platform's. */
     static String describe(PoolOverrides overrides) {
         return "Overrides[maxAttempts=" + overrides.maxAttempts() + ", connectTimeout="
                 + overrides.connectTimeoutMicros() + ", idleClose=" + overrides.idleCloseMicros() + ", probes="
                 + overrides.probes() + "]";
     }
 
-    /** How the log is written. */
+    /** Describes how the log is written. */
     static String describe(LogSettings log) {
         return "[json=" + log.json() + ", queue=" + log.queueLines() + "]";
     }
--- a/balancer/src/main/java/loadbalancer/operator/DestinationReader.java
+++ b/balancer/src/main/java/loadbalancer/operator/DestinationReader.java
@@ -8,22 +8,22 @@
 import loadbalancer.toml.Section;
 import loadbalancer.toml.TextOrTable;
 
-/** Reads where a route's traffic goes: the keys {@code to} and {@code spill}. */
+/** Reads the pools that a route's traffic goes to: the keys {@code to} and {@code spill}. */
 final class DestinationReader {
     private final NameRegistry pools;
     private final List<String> notes;
 
-    /** Creates a reader; {@code pools} must hold all pools of the file, {@code notes} receives notes. */
+    /** Creates a reader; {@code pools} must contain all pools of the file, {@code notes} receives notes. */
     DestinationReader(NameRegistry pools, List<String> notes) {
         this.pools = pools;
         this.notes = notes;
     }
 
-    /** The destinations of a route; empty where that is a fault. */
+    /** Returns the destinations of a route; empty if there is none, which is a fault. */
     List<Destination> read(Section route, String routeName) {
         List<SpillTarget> targets = spillTargets(route);
         if (!route.has("to")) {
-            route.fault("to", "route '" + routeName + "' has no 'to': a pool, or several with weights");
+            route.fault("to", "'to' is missing in route '" + routeName + "': expected a pool, or several with weights");
         }
         List<Destination> destinations = new ArrayList<>();
         List<TextOrTable> items = route.items("to");
@@ -35,9 +35,10 @@
             destinations.add(destination);
         }
         if (!destinations.isEmpty() && weightSum == 0) {
-            notes.add(route.location("to") + ": note: route '" + routeName + "' refuses all: its weights are 0");
+            notes.add(
+                    route.location("to") + ": note: route '" + routeName + "' rejects all requests: its weights are 0");
         } else if (route.isEmptyList("to")) {
-            route.fault("to", "route '" + routeName + "' leads to no pool");
+            route.fault("to", "'to' is empty in route '" + routeName + "': expected at least one pool");
         }
         return destinations;
     }
@@ -65,10 +66,10 @@
         String pool = destination.pool();
         pools.require(route, "to", pool);
         if (earlier.stream().anyMatch(other -> other.pool().equals(pool))) {
-            route.fault("to", "pool '" + pool + "' is named twice");
+            route.fault("to", "'to' contains pool '" + pool + "' twice");
         }
         if (count == 1 && targets.stream().anyMatch(target -> target.pool().equals(pool))) {
-            route.fault("spill", "traffic can't spill from pool '" + pool + "' into itself");
+            route.fault("spill", "'spill' contains pool '" + pool + "', the only pool of 'to': expected another one");
         }
     }
 
@@ -78,7 +79,7 @@
             SpillTarget target = spillTarget(route, item);
             pools.require(route, "spill", target.pool());
             if (targets.stream().anyMatch(other -> other.pool().equals(target.pool()))) {
-                route.fault("spill", "pool '" + target.pool() + "' is named twice");
+                route.fault("spill", "'spill' contains pool '" + target.pool() + "' twice");
             }
             targets.add(target);
         }
@@ -93,7 +94,7 @@
         String pool = section.text("pool", null);
         double maxShare = section.number("most", Measure.SHARE, 1);
         if (maxShare <= 0) {
-            route.fault("spill", "'most' is 0: a pool that may take nothing is no way out");
+            route.fault("spill", "'most' is 0: expected a share over 0, as the pool would take no traffic");
             maxShare = 1;
         }
         section.rejectUnknownKeys();
--- a/balancer/src/main/java/loadbalancer/operator/NameRegistry.java
+++ b/balancer/src/main/java/loadbalancer/operator/NameRegistry.java
@@ -8,32 +8,36 @@
 import loadbalancer.toml.Section;
 import loadbalancer.toml.Suggestion;
 
-/** The names that a file gives to its pools or to its routes, and where it gives them. */
+/** The names of a file's pools or routes, and the locations of their definitions. */
 final class NameRegistry {
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9_.-]{0,63}");
 
     private final String kind;
-    private final Map<String, String> locations = new LinkedHashMap<>();
+    private final Map<String, String> locations = new LinkedHashMap<>(); // FILE:LINE by name
 
-    /** Creates an empty registry; {@code kind} is the word for what it names, for messages. */
+    /** Creates an empty registry; {@code kind} is the word for a named object in messages. */
     NameRegistry(String kind) {
         this.kind = kind;
     }
 
-    /** Reads the {@code name} of a table and registers it; one that is malformed or taken is a fault. */
+    /** Reads the {@code name} of a table and registers it; a malformed or duplicate name is a fault. */
     String register(Section section) {
         String name = section.text("name", null);
         if (!name.isEmpty() && !NAME.matcher(name).matches()) {
-            section.fault("name", "'" + name + "' is no name: letters, digits, '.', '_' and '-', 64 at most");
+            section.fault(
+                    "name",
+                    "'name' is \"" + name + "\": expected a letter or digit, then letters, digits, '.', '_' and '-',"
+                            + " 64 characters at most");
         } else if (locations.containsKey(name)) {
-            section.fault("name", "two " + kind + "s are called '" + name + "', the other at " + locations.get(name));
+            section.fault(
+                    "name", "two " + kind + "s have the name '" + name + "', the other at " + locations.get(name));
         } else if (!name.isEmpty()) {
             locations.put(name, section.location("name"));
         }
         return name;
     }
 
-    /** Registers a name that exists without the file. */
+    /** Registers a name that exists without being defined in the file. */
     void registerImplicit(String name) {
         locations.put(name, "");
     }
@@ -42,7 +46,7 @@
         return locations.containsKey(name);
     }
 
-    /** Where the name stands: {@code FILE:LINE}. */
+    /** Returns the location of a name's definition: {@code FILE:LINE}. */
     String location(String name) {
         return locations.get(name);
     }
@@ -51,12 +55,12 @@
         return locations.keySet();
     }
 
-    /** Notes a fault where the name is not registered. */
+    /** Adds a fault if the name is not registered. */
     void require(Section section, String key, String name) {
         require(section, key, kind, name, names());
     }
 
-    /** Notes a fault where a name that isn't empty is none of the existing ones. */
+    /** Adds a fault if a name that isn't empty is not among the existing ones. */
     static void require(Section section, String key, String kind, String name, Collection<String> existing) {
         if (!name.isEmpty() && !existing.contains(name)) {
             section.fault(key, "no " + kind + " '" + name + "'" + Suggestion.didYouMean(name, existing));
--- a/balancer/src/main/java/loadbalancer/operator/OperatorConfig.java
+++ b/balancer/src/main/java/loadbalancer/operator/OperatorConfig.java
@@ -4,12 +4,12 @@
 import loadbalancer.router.RoutingConfig;
 
 /**
- * All that an operator file sets. Immutable.
+ * The contents of an operator file. Immutable.
  *
- * @param routing what the router goes by
- * @param pools in the order of the file, the site's pool among them
- * @param instances null where the file leaves it to the platform
- * @param notes what is possible but hardly intended, each with file and line
+ * @param routing the configuration of the router
+ * @param pools the pools in the order of the file, including the site's pool
+ * @param instances the number of balancers that share the rates; null if the file leaves it to the platform
+ * @param notes warnings about values that are valid but probably not intended, each with file and line
  */
 public record OperatorConfig(
         RoutingConfig routing, List<PoolSpec> pools, Integer instances, LogSettings log, List<String> notes) {
@@ -19,7 +19,7 @@
         notes = List.copyOf(notes);
     }
 
-    /** The pool of that name; null where there is none. */
+    /** Returns the pool of that name; null if there is none. */
     public PoolSpec pool(String name) {
         return pools.stream()
                 .filter(pool -> pool.name().equals(name))
--- a/balancer/src/main/java/loadbalancer/operator/OperatorReader.java
+++ b/balancer/src/main/java/loadbalancer/operator/OperatorReader.java
@@ -15,11 +15,11 @@
 import loadbalancer.toml.Units;
 
 /**
- * Reads operator files strictly: all faults are listed, and a file with any of them binds nothing. The tables of pools,
- * routes and quotas are read by a reader each; this one reads {@code [front]} and {@code [log]} and joins all of them.
+ * Reads operator files strictly: all faults are listed, and a file with any fault is rejected as a whole. Pools, routes
+ * and quotas have a reader each; this class reads {@code [front]} and {@code [log]} and combines the results.
  */
 public final class OperatorReader {
-    private static final String REFUSE = "refuse"; // instead of a pool, for requests that no route takes
+    private static final String REJECT = "refuse"; // in place of a pool: requests that no route matches are rejected
     private static final double DEFAULT_MIN_RETRY_AFTER_MICROS = 100_000;
     private static final double DEFAULT_MAX_RETRY_AFTER_MICROS = 1_500_000;
     private static final int DEFAULT_LOG_QUEUE_LINES = 1024;
@@ -37,15 +37,15 @@
     /**
      * Reads {@code file}.
      *
-     * @throws loadbalancer.toml.ConfigException with all that is wrong with it, one line each: {@code FILE:LINE: what}
-     * @throws IOException where the file can't be read
+     * @throws loadbalancer.toml.ConfigException with a line for each fault: {@code FILE:LINE: fault}
+     * @throws IOException if the file can't be read
      */
     public static OperatorConfig read(Path file, SiteConfig site) throws IOException {
         Source source = Source.read(file);
         try {
             return new OperatorReader(site).read(source);
         } catch (IllegalArgumentException e) {
-            source.throwIfFaulty(); // the faults noted so far explain it better than what they have led to
+            source.throwIfFaulty(); // the faults found so far are the cause of the exception and explain it better
             throw e;
         }
     }
@@ -73,7 +73,7 @@
 
     private String unmatchedPool(Section front) {
         String pool = front.text("unmatched", PoolSpec.SITE);
-        if (pool.equals(REFUSE)) {
+        if (pool.equals(REJECT)) {
             return null;
         }
         pools.require(front, "unmatched", pool);
@@ -83,7 +83,10 @@
     private static double reservedFraction(Section front) {
         double fraction = front.number("reserve", Measure.SHARE, 0);
         if (fraction >= 1) {
-            front.fault("reserve", "'reserve' is " + fraction + ": all of a limit kept leaves none to the cheapest");
+            front.fault(
+                    "reserve",
+                    "'reserve' is " + fraction
+                            + ": expected a share under 1, as the lowest priority would get nothing");
         }
         return fraction;
     }
@@ -99,14 +102,15 @@
         if (minMicros > maxMicros) {
             front.fault(
                     front.has("retry_after_least") ? "retry_after_least" : "retry_after_most",
-                    "'retry_after_least' is over 'retry_after_most', " + Units.TIME.format(minMicros) + " and "
+                    "'retry_after_least' is " + Units.TIME.format(minMicros) + ": expected at most 'retry_after_most', "
                             + Units.TIME.format(maxMicros));
             return new RetryAfterBounds(0, 0);
         }
         if (siteMaxMicros > 0 && maxMicros > siteMaxMicros) {
             front.fault(
                     "retry_after_most",
-                    "'retry_after_most' is over what the settings allow, " + Units.TIME.format(siteMaxMicros));
+                    "'retry_after_most' is over the limit of the platform's settings, "
+                            + Units.TIME.format(siteMaxMicros));
         }
         return new RetryAfterBounds(Math.round(minMicros), Math.round(maxMicros));
     }
@@ -121,7 +125,7 @@
         if (!LOG_FORMATS.contains(format)) {
             section.fault(
                     "format",
-                    "'format' is \"" + format + "\"; there are " + String.join(", ", LOG_FORMATS)
+                    "'format' is \"" + format + "\": expected one of " + String.join(", ", LOG_FORMATS)
                             + Suggestion.didYouMean(format, LOG_FORMATS));
         }
         int queueLines = (int) section.number("queue", Measure.COUNT, DEFAULT_LOG_QUEUE_LINES);
--- a/balancer/src/main/java/loadbalancer/operator/PoolOverrides.java
+++ b/balancer/src/main/java/loadbalancer/operator/PoolOverrides.java
@@ -1,10 +1,10 @@
 package loadbalancer.operator;
 
 /**
- * A pool's settings that differ from the platform's; null where they don't.
+ * The settings of a pool that differ from the platform's; null for those that don't.
  *
- * @param idleCloseMicros after which its endpoints close idle connections
- * @param probes whether its endpoints may be probed
+ * @param idleCloseMicros time after which the pool's endpoints close idle connections
+ * @param probes whether the pool's endpoints may be probed
  */
 public record PoolOverrides(Integer maxAttempts, Long connectTimeoutMicros, Long idleCloseMicros, Boolean probes) {
     /** No setting differs. */
--- a/balancer/src/main/java/loadbalancer/operator/PoolReader.java
+++ b/balancer/src/main/java/loadbalancer/operator/PoolReader.java
@@ -36,12 +36,12 @@
         }
     }
 
-    /** What sets up the pools, in the order of the file. */
+    /** Returns the pools' connection and discovery settings, in the order of the file. */
     List<PoolSpec> specs() {
         return specs;
     }
 
-    /** What the router goes by, in the order of the file. */
+    /** Returns the pools' configurations for the router, in the order of the file. */
     List<PoolConfig> configs() {
         return configs;
     }
@@ -97,11 +97,11 @@
         if (site && (discovery || list)) {
             section.fault(
                     discovery ? "discovery" : "upstreams",
-                    "pool 'site' has the platform's own list: give another pool a name of its own");
+                    "pool 'site' uses the platform's endpoint list: rename this pool to give it another list");
         } else if (discovery && list) {
-            section.fault("upstreams", "pool '" + name + "' has both 'discovery' and 'upstreams': one is wanted");
+            section.fault("upstreams", "pool '" + name + "' has both 'discovery' and 'upstreams': expected only one");
         } else if (!site && !discovery && !list) {
-            section.fault("name", "pool '" + name + "' has no list: 'discovery' or 'upstreams' is wanted");
+            section.fault("name", "pool '" + name + "' has no endpoint list: expected 'discovery' or 'upstreams'");
         }
     }
 
@@ -112,7 +112,7 @@
     private static PoolOverrides overrides(Section pool, String name) {
         Section section = pool.table("settings");
         if (name.equals(PoolSpec.SITE)) {
-            pool.fault("settings", "pool 'site' has the platform's own settings");
+            pool.fault("settings", "pool 'site' uses the platform's settings: 'settings' is only for other pools");
         }
         PoolOverrides overrides = new PoolOverrides(
                 section.has("max_attempts") ? (int) section.number("max_attempts", Measure.COUNT) : null,
@@ -126,10 +126,10 @@
     private static ConcurrencyLimitConfig limit(Section section) {
         LimitAlgorithm algorithm = section.choice("kind", LimitAlgorithm.class, null);
         if (!algorithm.name().equalsIgnoreCase(section.text("kind", ""))) {
-            return null; // a fault already, and which other keys are wanted depends on the kind
+            return null; // the fault is listed already, and the other keys depend on the kind
         }
         ConcurrencyLimitConfig limit =
-                algorithm == LimitAlgorithm.FIXED ? fixedLimit(section) : learningLimit(section, algorithm);
+                algorithm == LimitAlgorithm.FIXED ? fixedLimit(section) : adaptiveLimit(section, algorithm);
         section.rejectUnknownKeys();
         return limit;
     }
@@ -138,18 +138,19 @@
         return ConcurrencyLimitConfig.fixed(Math.max(0, (int) section.number("most", Measure.NUMBER)));
     }
 
-    private static ConcurrencyLimitConfig learningLimit(Section section, LimitAlgorithm algorithm) {
+    private static ConcurrencyLimitConfig adaptiveLimit(Section section, LimitAlgorithm algorithm) {
         int min = (int) section.number("least", Measure.COUNT, 1);
         int max = (int) section.number("most", Measure.COUNT, DEFAULT_MAX_LIMIT);
         int defaultInitial = Math.max(min, Math.min(max, DEFAULT_INITIAL_LIMIT));
         int initial = (int) section.number("start", Measure.COUNT, defaultInitial);
         if (min > max) {
-            section.fault("least", "'least' is " + min + ", over 'most', which is " + max);
+            section.fault("least", "'least' is " + min + ": expected at most 'most', " + max);
             return null;
         }
         if (initial < min || initial > max) {
             section.fault(
-                    "start", "'start' is " + initial + ", not between 'least' and 'most', " + min + " and " + max);
+                    "start",
+                    "'start' is " + initial + ": expected a number between 'least' and 'most', " + min + " and " + max);
             return null;
         }
         return new ConcurrencyLimitConfig(algorithm, initial, min, max);
--- a/balancer/src/main/java/loadbalancer/operator/PoolSpec.java
+++ b/balancer/src/main/java/loadbalancer/operator/PoolSpec.java
@@ -5,12 +5,12 @@
 import java.util.Objects;
 
 /**
- * A pool as the operator file sets it, apart from what the router goes by.
+ * A pool in the operator file, without its configuration for the router ({@link loadbalancer.router.PoolConfig}).
  *
- * @param discovery where its endpoint list comes from; null for a list in the file, and for the site's pool
- * @param endpoints the list in the file; empty where discovery gives it, and for the site's pool
- * @param maxConnections to its endpoints; 0: an equal part of what all pools have
- * @param maxBodyBytes of request bodies held for it; 0: an equal part of what all pools have
+ * @param discovery the discovery that lists its endpoints; null for a list in the file, and for the site's pool
+ * @param endpoints the list in the file; empty if discovery lists them, and for the site's pool
+ * @param maxConnections maximum connections to its endpoints; 0: an equal part of those of all pools
+ * @param maxBodyBytes maximum bytes of buffered request bodies; 0: an equal part of those of all pools
  */
 public record PoolSpec(
         String name,
@@ -19,7 +19,7 @@
         int maxConnections,
         long maxBodyBytes,
         PoolOverrides overrides) {
-    /** The pool that the platform's own discovery lists: it exists whether or not the file names it. */
+    /** The pool whose endpoints the platform's own discovery lists; it exists even if the file does not define it. */
     public static final String SITE = "site";
 
     /** Copies the list. */
@@ -27,12 +27,12 @@
         endpoints = List.copyOf(endpoints);
     }
 
-    /** The site's pool where the file does not name it. */
+    /** Returns the site's pool, for a file that does not define it. */
     static PoolSpec site() {
         return new PoolSpec(SITE, null, List.of(), 0, 0, PoolOverrides.NONE);
     }
 
-    /** Whether its endpoint list comes from the same place as that of another. */
+    /** Whether the endpoint lists of both pools come from the same source. */
     public boolean sameSource(PoolSpec other) {
         return Objects.equals(discovery, other.discovery) && endpoints.equals(other.endpoints);
     }
--- a/balancer/src/main/java/loadbalancer/operator/QuotaReader.java
+++ b/balancer/src/main/java/loadbalancer/operator/QuotaReader.java
@@ -17,7 +17,7 @@
     private final NameRegistry routes;
     private final List<String> notes;
 
-    /** Creates a reader; {@code routes} must hold all routes of the file, {@code notes} receives notes. */
+    /** Creates a reader; {@code routes} must contain all routes of the file, {@code notes} receives notes. */
     QuotaReader(SiteConfig site, NameRegistry routes, List<String> notes) {
         this.site = site;
         this.routes = routes;
@@ -31,25 +31,26 @@
         Section section = root.table("quota");
         Map<String, TenantQuotaConfig> tenants = new LinkedHashMap<>();
         Section tenantTables = section.table("tenant");
-        double sum = 0;
+        double rateSum = 0;
         for (String tenant : tenantTables.keys()) {
             TenantQuotaConfig quota = tenantQuota(tenant, tenantTables.table(tenant));
             tenants.put(tenant, quota);
-            sum += quota.rate().perSecond();
+            rateSum += quota.rate().perSecond();
         }
         RateLimit others = section.has("others") ? RateReader.read(section.table("others")) : null;
-        sum += others == null ? 0 : others.perSecond();
-        RateLimit whole = RateReader.read(section);
-        if (sum > whole.perSecond() * (1 + ROUNDING_TOLERANCE)) {
-            notes.add(section.location("") + ": note: the tenants' rates add up to " + Units.RATE.format(sum)
-                    + ", over the site's " + Units.RATE.format(whole.perSecond()) + ": all of them at once get more");
+        rateSum += others == null ? 0 : others.perSecond();
+        RateLimit siteRate = RateReader.read(section);
+        if (rateSum > siteRate.perSecond() * (1 + ROUNDING_TOLERANCE)) {
+            notes.add(section.location("") + ": note: the tenants' rates add up to " + Units.RATE.format(rateSum)
+                    + ", over the site's " + Units.RATE.format(siteRate.perSecond())
+                    + ": all tenants together may exceed the site's rate");
         }
-        return new QuotaConfig(whole, tenants, others);
+        return new QuotaConfig(siteRate, tenants, others);
     }
 
     private TenantQuotaConfig tenantQuota(String tenant, Section section) {
         if (!HttpToken.isToken(tenant)) {
-            section.fault("", "'" + tenant + "' is no name of a tenant");
+            section.fault("", "'" + tenant + "' is not a valid tenant name");
         }
         if (site.tenants() != null) {
             NameRegistry.require(section, "", "tenant", tenant, site.tenants());
--- a/balancer/src/main/java/loadbalancer/operator/RateReader.java
+++ b/balancer/src/main/java/loadbalancer/operator/RateReader.java
@@ -8,14 +8,14 @@
 /** Reads rates: {@code rate}, {@code burst} and {@code ceiling}. */
 final class RateReader {
     private static final double MAX_PER_SECOND = 1e9;
-    private static final RateLimit PLACEHOLDER = new RateLimit(1, 1, 1); // for a rate that is at fault
+    private static final RateLimit PLACEHOLDER = new RateLimit(1, 1, 1); // in place of an invalid rate
 
     private RateReader() {}
 
     static RateLimit read(Section section) {
         Double perSecond = section.quantity("rate", Units.RATE);
         if (perSecond == null && !section.has("rate")) {
-            section.fault("rate", "a limit without 'rate': such as \"200/s\"");
+            section.fault("rate", "'rate' is missing: expected a rate with its unit, such as \"200/s\"");
         }
         double defaultBurst = Math.ceil(perSecond == null ? 1 : Math.max(1, perSecond));
         double burst = section.number("burst", Measure.COUNT, defaultBurst);
@@ -32,11 +32,11 @@
         if (perSecond != null && ceiling != null && ceiling < perSecond) {
             section.fault(
                     "ceiling",
-                    "'ceiling' is under 'rate', " + Units.RATE.format(ceiling) + " and "
+                    "'ceiling' is " + Units.RATE.format(ceiling) + ": expected at least 'rate', "
                             + Units.RATE.format(perSecond));
         }
         if (perSecond != null && perSecond > MAX_PER_SECOND) {
-            section.fault("rate", "'rate' is over " + Units.RATE.format(MAX_PER_SECOND));
+            section.fault("rate", "'rate' is over the maximum, " + Units.RATE.format(MAX_PER_SECOND));
         }
     }
 }
--- a/balancer/src/main/java/loadbalancer/operator/RouteReader.java
+++ b/balancer/src/main/java/loadbalancer/operator/RouteReader.java
@@ -16,7 +16,7 @@
 import loadbalancer.toml.Section;
 import loadbalancer.toml.Units;
 
-/** Reads the tables {@code [[route]]}; where their traffic goes is read by {@link DestinationReader}. */
+/** Reads the tables {@code [[route]]}; {@link DestinationReader} reads their destinations. */
 final class RouteReader {
     private static final double DEFAULT_SPARE_FACTOR = 1.2;
     private static final double DEFAULT_RETURN_PER_SECOND = 0.05;
@@ -36,7 +36,7 @@
         this.destinations = destinations;
     }
 
-    /** The routes without faults that would hide others, in the order of the file. */
+    /** Returns the routes in the order of the file, without those that faults keep from being built. */
     List<RouteConfig> read(Section root) {
         for (Section section : root.tables("route")) {
             RouteConfig route = route(section);
@@ -57,11 +57,12 @@
         var routeDestinations = destinations.read(section, name);
         double spareFactor = section.number("spare", Measure.NUMBER, DEFAULT_SPARE_FACTOR);
         if (spareFactor < 1) {
-            section.fault("spare", "'spare' is " + spareFactor + ": 1 or more is wanted");
+            section.fault("spare", "'spare' is " + spareFactor + ": expected a number of 1 or more");
         }
         double returnPerSecond = section.number("return_per_s", Measure.SHARE, DEFAULT_RETURN_PER_SECOND);
         if (returnPerSecond <= 0) {
-            section.fault("return_per_s", "'return_per_s' is 0: traffic would never come back");
+            section.fault(
+                    "return_per_s", "'return_per_s' is 0: expected a share over 0, as traffic would never return");
         }
         RetryBudgetConfig retryBudget = section.has("retries") ? retryBudget(section.table("retries")) : null;
         RateLimit rate = section.has("rate") ? RateReader.read(section.table("rate")) : null;
@@ -98,7 +99,9 @@
         Set<String> methods = new LinkedHashSet<>(section.texts("methods", List.of()));
         for (String method : methods) {
             if (!HttpToken.isToken(method) || !method.equals(method.toUpperCase(Locale.ROOT))) {
-                section.fault("methods", "'" + method + "' is no method: such as \"GET\"");
+                section.fault(
+                        "methods",
+                        "'methods' contains \"" + method + "\": expected a method in upper case, such as \"GET\"");
             }
         }
         return methods;
@@ -114,9 +117,9 @@
         for (String header : section.keys()) {
             headers.put(header, section.text(header, null));
             if (!HttpToken.isToken(header)) {
-                section.fault(header, "'" + header + "' is no name of a header");
+                section.fault(header, "'" + header + "' is not a valid header name");
             } else if (!lowerCaseNames.add(header.toLowerCase(Locale.ROOT))) {
-                section.fault(header, "header '" + header + "' is named twice: case doesn't count");
+                section.fault(header, "header '" + header + "' is given twice: header names are case-insensitive");
             }
         }
         return headers;
@@ -145,15 +148,15 @@
                 : new RetryBudgetConfig(ratio, minPerSecond, windowMicros, countClientRetries);
     }
 
-    /** Notes a fault where an earlier route takes every request that this one could take. */
+    /** Adds a fault if an earlier route has the same conditions, so that this one never matches a request. */
     private void checkReachable(Section section, Route route) {
         for (RouteConfig earlierConfig : routes) {
             Route earlier = earlierConfig.route();
             if (!earlier.name().equals(route.name()) && sameRequests(earlier, route)) {
                 section.fault(
                         "name",
-                        "route '" + route.name() + "' never takes a request: route '" + earlier.name() + "' ("
-                                + names.location(earlier.name()) + ") asks for the same");
+                        "route '" + route.name() + "' never matches a request: route '" + earlier.name() + "' ("
+                                + names.location(earlier.name()) + ") is earlier and has the same conditions");
             }
         }
     }
--- a/balancer/src/main/java/loadbalancer/operator/TimeReader.java
+++ b/balancer/src/main/java/loadbalancer/operator/TimeReader.java
@@ -7,14 +7,14 @@
 final class TimeReader {
     private TimeReader() {}
 
-    /** The time at a key in microseconds; null where it is missing or at fault. */
+    /** Returns the time at a key in microseconds; null if it is missing or invalid. */
     static Long positiveMicros(Section section, String key) {
         Double micros = section.quantity(key, Units.TIME);
         if (micros == null) {
             return null;
         }
         if (micros <= 0) {
-            section.fault(key, "'" + key + "' is nothing: a time over 0 is wanted");
+            section.fault(key, "'" + key + "' is 0: expected a time over 0");
             return null;
         }
         return Math.round(micros);
--- a/balancer/src/main/java/loadbalancer/operator/package-info.java
+++ b/balancer/src/main/java/loadbalancer/operator/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The operator file: reads routes, pools and limits strictly before any of it binds, and describes it to operators.
- * Only this package knows the file's keys. Not loaded by a balancer that has no operator file.
+ * Reads the operator file, and describes it to operators. Routes, pools and limits are validated as a whole before any
+ * of them takes effect. Only this package knows the file's keys. A balancer without an operator file does not load it.
  */
 package loadbalancer.operator;
--- a/balancer/src/test/java/loadbalancer/operator/OperatorReaderTest.java
+++ b/balancer/src/test/java/loadbalancer/operator/OperatorReaderTest.java
@@ -13,11 +13,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Valid operator files, the faults of invalid ones, and the description of changes. */
 class OperatorReaderTest {
     static final SiteConfig SITE =
             new SiteConfig(List.of("read", "book"), List.of("shyamal-travels", "teesta-line"), 3, 1_500_000);
 
-    static final String SOUND =
+    static final String VALID =
             """
         [front]
         unmatched = "refuse"
@@ -76,63 +77,64 @@
             return List.of();
         } catch (ConfigException e) {
             return e.lines().stream()
-                    .map(l -> l.replace(folder.toString() + "/", ""))
+                    .map(line -> line.replace(folder.toString() + "/", ""))
                     .toList();
         }
     }
 
-    /** A file of broken files: each has its name after {@code ===}, and the messages it must get after {@code ---}. */
+    /** In broken.txt, {@code ===} precedes the name of an invalid file, and {@code ---} its expected faults. */
     @Test
-    void everyBrokenFileGetsItsMessages() throws IOException {
+    void everyInvalidFileIsReportedWithItsFaults() throws IOException {
         String all;
         try (var in = getClass().getResourceAsStream("/operator/broken.txt")) {
             all = new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
-        int seen = 0;
-        StringBuilder wrong = new StringBuilder();
+        int fileCount = 0;
+        StringBuilder mismatches = new StringBuilder();
         for (String part : all.split("(?m)^=== ")) {
             if (part.isBlank()) {
                 continue;
             }
-            seen++;
-            int end = part.indexOf('\n');
-            String[] halves = part.substring(end + 1).split("(?m)^---\\R", 2);
-            List<String> expected = halves.length < 2
+            fileCount++;
+            int endOfName = part.indexOf('\n');
+            String[] textAndFaults = part.substring(endOfName + 1).split("(?m)^---\\R", 2);
+            List<String> expected = textAndFaults.length < 2
                     ? List.of()
-                    : halves[1].lines().filter(l -> !l.isBlank()).toList();
-            List<String> got = faults(halves[0]);
-            if (!got.equals(expected) || got.isEmpty()) {
-                wrong.append("=== ")
-                        .append(part, 0, end)
+                    : textAndFaults[1].lines().filter(line -> !line.isBlank()).toList();
+            List<String> actual = faults(textAndFaults[0]);
+            if (!actual.equals(expected) || actual.isEmpty()) {
+                mismatches
+                        .append("=== ")
+                        .append(part, 0, endOfName)
                         .append('\n')
-                        .append(halves[0])
+                        .append(textAndFaults[0])
                         .append("---\n")
-                        .append(String.join("\n", got))
+                        .append(String.join("\n", actual))
                         .append("\n");
             }
         }
-        assertEquals("", wrong.toString());
-        assertTrue(seen >= 60, seen + " broken files");
+        assertEquals("", mismatches.toString());
+        assertTrue(fileCount >= 60, fileCount + " invalid files");
     }
 
     @Test
     void aValidFileIsReadCompletely() throws IOException {
-        OperatorConfig o = OperatorReader.read(Files.writeString(folder.resolve("operator.toml"), SOUND), SITE);
+        OperatorConfig config = OperatorReader.read(Files.writeString(folder.resolve("operator.toml"), VALID), SITE);
         assertEquals(
                 List.of("agents", "new", "site"),
-                o.pools().stream().map(PoolSpec::name).toList());
+                config.pools().stream().map(PoolSpec::name).toList());
         assertEquals(
                 new PoolOverrides(2, 80_000L, 20_000_000L, false),
-                o.pool("agents").overrides());
-        assertEquals(512 * 1024, o.pool("agents").maxBodyBytes());
-        assertEquals(8, o.routing().pools().get(1).fullStrength());
-        assertEquals(3, o.routing().instances(), "as the platform says");
-        assertEquals(1_500_000, o.routing().retryAfter().maxMicros(), "and the settings' bound");
-        assertEquals(1, o.routing().quotas().others().perSecond(), 1e-9);
-        assertEquals(800_000, o.routing().routes().get(0).deadlineMicros());
+                config.pool("agents").overrides());
+        assertEquals(512 * 1024, config.pool("agents").maxBodyBytes());
+        assertEquals(8, config.routing().pools().get(1).fullStrength());
+        assertEquals(3, config.routing().instances(), "the platform's number of balancers");
+        assertEquals(1_500_000, config.routing().retryAfter().maxMicros(), "the limit of the platform's settings");
+        assertEquals(1, config.routing().quotas().others().perSecond(), 1e-9);
+        assertEquals(800_000, config.routing().routes().get(0).deadlineMicros());
         assertEquals(
                 0.5,
-                o.routing()
+                config.routing()
                         .routes()
                         .get(0)
                         .destinations()
@@ -140,28 +142,28 @@
                         .spillTargets()
                         .get(0)
                         .maxShare());
-        assertTrue(o.log().json());
-        assertEquals(List.of(), o.notes());
-        OperatorConfig loose = OperatorReader.read(
+        assertTrue(config.log().json());
+        assertEquals(List.of(), config.notes());
+        OperatorConfig withNotes = OperatorReader.read(
                 Files.writeString(
                         folder.resolve("operator.toml"),
-                        SOUND.replace("weight = 90", "weight = 0")
+                        VALID.replace("weight = 90", "weight = 0")
                                 .replace("weight = 10", "weight = 0")
                                 .replace("\"900/s\"", "\"50/s\"")),
                 SITE);
         assertEquals(
                 List.of(
-                        "operator.toml:24: note: route 'bookings' refuses all: its weights are 0",
+                        "operator.toml:24: note: route 'bookings' rejects all requests: its weights are 0",
                         "operator.toml:35: note: the tenants' rates add up to 101/s, over the site's"
-                                + " 50/s: all of them at once"
-                                + " get more"),
-                loose.notes());
+                                + " 50/s: all tenants together"
+                                + " may exceed the site's rate"),
+                withNotes.notes());
     }
 
     @Test
-    void changesAreDescribed() throws IOException {
+    void eachChangeBetweenTwoFilesIsDescribed() throws IOException {
         Path file = folder.resolve("operator.toml");
-        OperatorConfig before = OperatorReader.read(Files.writeString(file, SOUND), SITE);
+        OperatorConfig before = OperatorReader.read(Files.writeString(file, VALID), SITE);
         assertEquals(List.of(), ConfigDiff.between(before, before));
         List<String> expected = new ArrayList<>(List.of(
                 "pool agents: limit: gradient from 16, 4 to 200 -> 30 at once",
@@ -174,7 +176,7 @@
         OperatorConfig next = OperatorReader.read(
                 Files.writeString(
                         file,
-                        SOUND.replace("unmatched = \"refuse\"", "unmatched = \"site\"")
+                        VALID.replace("unmatched = \"refuse\"", "unmatched = \"site\"")
                                 .replace(
                                         "{ kind = \"gradient\", start = 16, least = 4, most = 200 }",
                                         "{ kind = \"fixed\", most = 30 }")
