--- a/balancer/src/main/java/loadbalancer/wire/ActionEncoder.java
+++ b/balancer/src/main/java/loadbalancer/wire/ActionEncoder.java
@@ -5,40 +5,40 @@
 import loadbalancer.policy.LoadBalancingPolicy;
 
 /**
- * Writes the actions of one batch, each below the line that names the balancer it is for. One object a batch; one
- * thread.
+ * Writes the actions of one batch. A line that names a balancer precedes the actions of that balancer. Used for one
+ * batch only; not thread-safe.
  */
 final class ActionEncoder implements LoadBalancingPolicy.Actions {
-    /** The nonce of the one timer that a policy may have set. */
+    /** The nonce of a policy's timer; each policy has at most one. */
     static final String TIMER_NONCE = "wake";
 
     private static final String ALL_PEERS = "*";
 
     private final StringBuilder text = new StringBuilder();
     private String balancer;
-    private String balancerWritten;
+    private String lastWrittenBalancer;
 
-    /** Names the balancer that the actions from here on are for. */
+    /** Sets the balancer that the following actions are for. */
     void setBalancer(String name) {
         balancer = name;
     }
 
-    /** Reports an unexpected exception of a policy, after which the adapter ends. */
+    /** Reports an unexpected exception of a policy; the adapter stops after it. */
     void fatal(RuntimeException failure) {
         StackTraceElement[] trace = failure.getStackTrace();
         line("BAIL_OUT", oneLine(failure + (trace.length == 0 ? "" : " at " + trace[0])));
     }
 
-    /** The whole reply to the batch, as it goes over the wire. */
+    /** Returns the complete reply to the batch, encoded for the wire. */
     byte[] finish() {
         text.append("DONE\n");
         return text.toString().getBytes(StandardCharsets.UTF_8);
     }
 
     private void line(String message, Object... values) {
-        if (balancer != null && !balancer.equals(balancerWritten)) {
+        if (balancer != null && !balancer.equals(lastWrittenBalancer)) {
             text.append("ON_BEHALF\t").append(balancer).append('\n');
-            balancerWritten = balancer;
+            lastWrittenBalancer = balancer;
         }
         text.append(message);
         for (Object value : values) {
--- a/balancer/src/main/java/loadbalancer/wire/EndpointListDecoder.java
+++ b/balancer/src/main/java/loadbalancer/wire/EndpointListDecoder.java
@@ -8,7 +8,9 @@
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointState;
 
-/** Reads LIST messages into numbered buffers, which SYNC messages refer to until they are overwritten. One thread. */
+/**
+ * Reads LIST messages into numbered buffers. SYNC messages refer to a buffer until it is overwritten. Not thread-safe.
+ */
 final class EndpointListDecoder {
     private static final int BUFFER_COUNT = 16;
     private static final Map<String, EndpointState> STATES =
@@ -49,7 +51,7 @@
                 item.optionalIndex(7, "Locality"));
     }
 
-    /** The list in the buffer that a field names. */
+    /** Returns the list in the buffer whose number a field holds. */
     List<Endpoint> list(Frame frame, int position) {
         List<Endpoint> list = buffers.get(frame.index(position, "Buffer", BUFFER_COUNT));
         if (list == null) {
--- a/balancer/src/main/java/loadbalancer/wire/EventDecoder.java
+++ b/balancer/src/main/java/loadbalancer/wire/EventDecoder.java
@@ -9,7 +9,7 @@
 import loadbalancer.policy.LoadReport;
 import loadbalancer.policy.PolicySettings;
 
-/** Turns the messages that concern one balancer into calls of its policy. One thread. */
+/** Decodes the messages for one balancer and calls its policy with them. Not thread-safe. */
 final class EventDecoder {
     private static final Map<String, EndpointListKind> LIST_KINDS = Map.of(
             "Persisted", EndpointListKind.CACHED,
@@ -36,10 +36,10 @@
     }
 
     /**
-     * Hands one message over to the balancer's policy.
+     * Calls the balancer's policy with one message.
      *
-     * @param now the balancer's clock, in microseconds
-     * @throws WireException where the message is unknown or malformed
+     * @param now the time on the balancer's clock, in microseconds
+     * @throws WireException if the message is unknown or malformed
      */
     void handle(Frame frame, HostedBalancer balancer, long now, LoadBalancingPolicy.Actions actions) {
         switch (frame.name()) {
@@ -142,13 +142,13 @@
         if (values.length < names.size()) {
             throw frame.error("Usage", names.size() + " values expected, " + values.length + " found");
         }
-        double[] known = LoadReportParser.unknown();
+        double[] reported = LoadReportParser.unknown();
         for (int i = 0; i < names.size(); i++) {
             int slot = LoadReportParser.slot(names.get(i));
             if (slot >= 0 && !values[i].equals(Frame.ABSENT)) {
-                known[slot] = frame.decimal(values[i], "Usage");
+                reported[slot] = frame.decimal(values[i], "Usage");
             }
         }
-        return LoadReportParser.of(known);
+        return LoadReportParser.of(reported);
     }
 }
--- a/balancer/src/main/java/loadbalancer/wire/Frame.java
+++ b/balancer/src/main/java/loadbalancer/wire/Frame.java
@@ -4,38 +4,38 @@
 import java.util.Map;
 
 /**
- * One line of the wire: the name of a message and its fields, separated by tabs. Fields are counted from 1. Every
- * accessor throws a {@link WireException} that names line, message and field where the field is missing or malformed.
+ * One line of the wire: the name of a message and its fields, separated by tabs. Positions of fields start at 1. Every
+ * accessor throws a {@link WireException} with the line, message and field if the field is missing or malformed.
  * Immutable.
  */
 final class Frame {
-    /** What stands for a field that has no value. */
+    /** The text of a field that has no value. */
     static final String ABSENT = "-";
 
     private final long line;
-    private final String[] parts; // the message's name, then its fields
+    private final String[] parts; // the name of the message, followed by its fields
 
     Frame(long line, String text) {
         this.line = line;
         this.parts = text.split("\t", -1);
     }
 
-    /** The name of the message. */
+    /** Returns the name of the message. */
     String name() {
         return parts[0];
     }
 
-    /** How many fields it has. */
+    /** Returns the number of fields. */
     int size() {
         return parts.length - 1;
     }
 
-    /** The exception for what is wrong with one of its fields. */
+    /** Returns the exception for a problem with one of the fields. */
     WireException error(String field, String problem) {
         return WireException.at(line, name(), field, problem);
     }
 
-    /** Checks that it has exactly these fields, so that a cut or joined line is noticed. */
+    /** Checks that the message has exactly these fields, so that a truncated or joined line is detected. */
     Frame expect(String... fields) {
         if (size() < fields.length) {
             throw error(fields[size()], "is missing");
@@ -48,7 +48,7 @@
         return this;
     }
 
-    /** The field as it stands; it may be absent or empty. */
+    /** Returns the text of a field, which may be absent or empty. */
     String raw(int position, String field) {
         if (position > size()) {
             throw error(field, "is missing");
@@ -56,7 +56,7 @@
         return parts[position];
     }
 
-    /** A required text. */
+    /** Returns a required text. */
     String text(int position, String field) {
         String value = raw(position, field);
         if (value.isEmpty() || value.equals(ABSENT)) {
@@ -70,7 +70,7 @@
         return raw(position, field).equals(ABSENT);
     }
 
-    /** A required whole number. */
+    /** Returns a required whole number. */
     long number(int position, String field) {
         String value = text(position, field);
         try {
@@ -80,12 +80,12 @@
         }
     }
 
-    /** A whole number that may be absent. */
-    long number(int position, String field, long whenAbsent) {
-        return absent(position, field) ? whenAbsent : number(position, field);
+    /** Returns a whole number, or {@code fallback} if it is absent. */
+    long number(int position, String field, long fallback) {
+        return absent(position, field) ? fallback : number(position, field);
     }
 
-    /** A required whole number from 0 to under {@code size}. */
+    /** Returns a required whole number from 0 to {@code size - 1}. */
     int index(int position, String field, int size) {
         long value = number(position, field);
         if (value < 0 || value >= size) {
@@ -94,17 +94,17 @@
         return (int) value;
     }
 
-    /** An index that may be absent: -1 then. */
+    /** Returns an index, or -1 if it is absent. */
     int optionalIndex(int position, String field) {
         return absent(position, field) ? -1 : index(position, field, Integer.MAX_VALUE);
     }
 
-    /** A required finite number. */
+    /** Returns a required finite number. */
     double decimal(int position, String field) {
         return decimal(text(position, field), field);
     }
 
-    /** A finite number that is a part of a field. */
+    /** Parses a finite number that is a part of a field. */
     double decimal(String value, String field) {
         try {
             double number = Double.parseDouble(value);
@@ -117,7 +117,7 @@
         throw error(field, "not a finite number: '" + value + "'");
     }
 
-    /** A required 0 or 1. */
+    /** Returns a required boolean, 0 or 1. */
     boolean flag(int position, String field) {
         return switch (text(position, field)) {
             case "1" -> true;
@@ -126,7 +126,7 @@
         };
     }
 
-    /** Bytes in base64; none where the field is absent. */
+    /** Returns bytes that are encoded in base64; no bytes if the field is absent. */
     byte[] bytes(int position, String field) {
         if (absent(position, field)) {
             return new byte[0];
@@ -139,9 +139,9 @@
     }
 
     /**
-     * The value that a table gives for a required word.
+     * Returns the value that a table maps a required word to.
      *
-     * @param problem what to say of a word that is not in the table
+     * @param problem the error text for a word that is not in the table
      */
     <E> E word(int position, String field, Map<String, E> table, String problem) {
         E value = table.get(text(position, field));
--- a/balancer/src/main/java/loadbalancer/wire/FrameReader.java
+++ b/balancer/src/main/java/loadbalancer/wire/FrameReader.java
@@ -3,7 +3,7 @@
 import java.io.BufferedReader;
 import java.io.IOException;
 
-/** Reads frames, one a line, and counts lines for the messages of errors. One thread. */
+/** Reads frames, one per line, and counts lines for error messages. Not thread-safe. */
 final class FrameReader {
     private final BufferedReader in;
     private long line;
@@ -12,14 +12,14 @@
         this.in = in;
     }
 
-    /** The next frame; null where the input has ended. */
+    /** Returns the next frame; null if the input has ended. */
     Frame next() throws IOException {
         String text = in.readLine();
         line++;
         return text == null ? null : new Frame(line, text);
     }
 
-    /** The exception for a message that the line last read, or the end of input, cuts short. */
+    /** Returns the exception for a message that is incomplete at the last line read, or at the end of input. */
     WireException error(String message, String field, String problem) {
         return WireException.at(line, message, field, problem);
     }
--- a/balancer/src/main/java/loadbalancer/wire/LoadReportParser.java
+++ b/balancer/src/main/java/loadbalancer/wire/LoadReportParser.java
@@ -5,11 +5,11 @@
 import loadbalancer.policy.LoadReport;
 
 /**
- * Reads load reports of endpoints. Each value has one name on the simulator's wire and another in the header that
- * endpoints send over sockets; this class holds the table of both. Stateless; any thread.
+ * Reads load reports of endpoints. Each value has one name on the simulator's wire and another in the HTTP header that
+ * endpoints send; this class holds both names. Stateless; safe for use by any thread.
  */
 public final class LoadReportParser {
-    // The same value stands at the same place of both lists, in the order in which of() takes them.
+    // Both lists name the values in the order in which of() takes them.
     private static final List<String> WIRE_NAMES =
             List.of("outstanding", "backlog", "utilization", "recent_ms", "throughput", "errors_per_s");
     private static final List<String> HEADER_NAMES = List.of("inflight", "queue", "util", "latency_ms", "qps", "eps");
@@ -19,30 +19,30 @@
 
     private LoadReportParser() {}
 
-    /** A report's values, none of them known. */
+    /** Returns the values of a report, all of them unknown (NaN). */
     static double[] unknown() {
         double[] values = new double[WIRE_NAMES.size()];
         Arrays.fill(values, Double.NaN);
         return values;
     }
 
-    /** The place of a value among a report's values, or -1 for a name that means nothing here. */
+    /** Returns the index of a value in a report's values; -1 if the name is unknown. */
     static int slot(String name) {
         int slot = WIRE_NAMES.indexOf(name);
         return slot >= 0 ? slot : HEADER_NAMES.indexOf(name);
     }
 
-    /** The report of these values; the latency is in milliseconds here. */
+    /** Returns the report with these values, of which the latency is in milliseconds. */
     static LoadReport of(double[] values) {
         return new LoadReport(values[0], values[1], values[2], values[3] * MICROS_PER_MILLI, values[4], values[5]);
     }
 
     /**
-     * Reads a header like {@code TEXT inflight=7, queue=2}. A value that is unknown, malformed or impossible is
+     * Parses a header such as {@code TEXT inflight=7, queue=2}. Values that are unknown, malformed or out of range are
      * ignored.
      *
-     * @param text the header's value; null where there is none
-     * @return null where there is no report, or none of its values is known
+     * @param text the header's value; null if there is no header
+     * @return the report; null if there is none or if none of its values is valid
      */
     public static LoadReport parse(String text) {
         if (text == null) {
@@ -70,9 +70,9 @@
         try {
             value = Double.parseDouble(pair.substring(separator + 1).strip());
         } catch (NumberFormatException e) {
-            return false; // one malformed value does not spoil the others
+            return false; // a malformed value does not invalidate the others
         }
-        // NaN, infinity and negative numbers parse as well, and no endpoint can mean them.
+        // NaN, infinity and negative numbers can be parsed, but are no valid load.
         if (!(value >= 0 && value <= MAX_VALUE)) {
             return false;
         }
--- a/balancer/src/main/java/loadbalancer/wire/SimulatorWireAdapter.java
+++ b/balancer/src/main/java/loadbalancer/wire/SimulatorWireAdapter.java
@@ -10,13 +10,14 @@
 import loadbalancer.settings.BootSettings;
 
 /**
- * Hosts the balancers of a simulation and answers its batches: each batch holds the events of one instant, each reply
- * what the policies ask for in return. It translates and decides nothing. One thread runs it.
+ * Hosts the balancers of a simulation and replies to its batches. A batch contains the events of one instant, its reply
+ * the actions that the policies respond with. The adapter only translates; all decisions are the policies'. Runs on
+ * one thread.
  */
 public final class SimulatorWireAdapter {
-    /** Makes the policy of a new balancer. */
+    /** Creates the policy of a new balancer. */
     public interface PolicyFactory {
-        /** A policy by those settings, with a random source of that seed. */
+        /** Creates a policy with these settings, whose random numbers are derived from {@code seed}. */
         LoadBalancingPolicy create(PolicySettings settings, long seed);
     }
 
@@ -37,10 +38,10 @@
     }
 
     /**
-     * Answers batch after batch until the input ends, or until a policy throws.
+     * Replies to batches until the input ends, or until a policy throws an exception.
      *
-     * @throws WireException where the input is malformed
-     * @throws IOException where the input or the output fails
+     * @throws WireException if the input is malformed
+     * @throws IOException if the input or the output fails
      */
     public void run() throws IOException {
         boolean running = true;
@@ -53,26 +54,26 @@
                 throw frame.error("TICK", "a batch begins with it");
             }
             ActionEncoder reply = new ActionEncoder();
-            running = answer(frame, reply);
+            running = tryReplyToBatch(frame, reply);
             out.write(reply.finish());
             out.flush();
         }
     }
 
-    private boolean answer(Frame head, ActionEncoder reply) throws IOException {
+    private boolean tryReplyToBatch(Frame head, ActionEncoder reply) throws IOException {
         try {
-            batch(head.expect("Clock").number(1, "Clock"), reply);
+            replyToBatch(head.expect("Clock").number(1, "Clock"), reply);
             return true;
         } catch (WireException e) {
             throw e;
-        } catch (RuntimeException e) { // a fault of a policy is reported to the simulator, which ends the run
+        } catch (RuntimeException e) { // an exception of a policy is reported to the simulator, which ends the run
             reply.fatal(e);
             return false;
         }
     }
 
-    private void batch(long now, ActionEncoder reply) throws IOException {
-        String target = null; // the balancer that the last AT line names
+    private void replyToBatch(long now, ActionEncoder reply) throws IOException {
+        String target = null; // the balancer in the last AT line
         while (true) {
             Frame frame = frames.next();
             if (frame == null) {
--- a/balancer/src/main/java/loadbalancer/wire/WireException.java
+++ b/balancer/src/main/java/loadbalancer/wire/WireException.java
@@ -1,6 +1,6 @@
 package loadbalancer.wire;
 
-/** Malformed input on the wire; the message says in one line where and what is wrong. */
+/** Signals malformed input on the wire; the message describes the location and the problem in one line. */
 public final class WireException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -8,7 +8,7 @@
         super(message);
     }
 
-    /** The exception for a field of a message on that line. */
+    /** Creates the exception for a field of a message on {@code line}. */
     static WireException at(long line, String message, String field, String problem) {
         return new WireException("line " + line + ": " + message + ": field " + field + ": " + problem);
     }
--- a/balancer/src/main/java/loadbalancer/wire/WireSettings.java
+++ b/balancer/src/main/java/loadbalancer/wire/WireSettings.java
@@ -5,11 +5,11 @@
 import loadbalancer.settings.BootSettings;
 import loadbalancer.settings.SettingsReader;
 
-/** Reads what a balancer is started with from the path=value pairs of an ENLIST message. */
+/** Reads the settings of a new balancer from the path=value pairs of an ENLIST message. */
 final class WireSettings {
     private WireSettings() {}
 
-    /** Reads the fields from {@code firstPair} on. */
+    /** Reads the pairs in the fields from {@code firstPair} on. */
     static BootSettings read(Frame frame, int firstPair) {
         Map<String, String> values = new HashMap<>();
         for (int i = firstPair; i <= frame.size(); i++) {
--- a/balancer/src/main/java/loadbalancer/wire/package-info.java
+++ b/balancer/src/main/java/loadbalancer/wire/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The simulator's wire on standard input and output: reads frames, calls the policies of the balancers that the
- * simulator runs, and writes what they ask for. Only this package knows the names of that wire.
+ * The simulator's wire protocol on standard input and output: reads frames, calls the policies of the balancers that
+ * the simulator runs, and writes their actions. Only this package knows the names of messages and fields.
  */
 package loadbalancer.wire;
--- a/balancer/src/test/java/loadbalancer/wire/SimulatorWireAdapterTest.java
+++ b/balancer/src/test/java/loadbalancer/wire/SimulatorWireAdapterTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The wire: frames in, frames out, and plain complaints about what is malformed. */
+/** Replies to the simulator's batches, and the error messages for malformed frames. */
 class SimulatorWireAdapterTest {
     private static final String SETTINGS = String.join(
             "\t",
@@ -40,8 +40,8 @@
             "Stats.Fields=outstanding,recent_ms",
             "Unknown.Key=whatever");
 
-    private static String enlist(String instance, String settings) {
-        return "AT\t" + instance + "\nENLIST\t7\t" + settings + "\nLIST\t0\t2\n"
+    private static String enlist(String balancer, String settings) {
+        return "AT\t" + balancer + "\nENLIST\t7\t" + settings + "\nLIST\t0\t2\n"
                 + "ITEM\t-\t10.0.0.1:80\tU\t1\t0\t0\t0\nITEM\t-\t10.0.0.2:80\tU\t1.5\t0\t0\t0\n"
                 + "SYNC\tPersisted\t1\t0\n";
     }
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void answersEveryBatchOnceAndNamesTheInstance() throws IOException {
+    void everyBatchGetsOneReplyThatNamesTheBalancer() throws IOException {
         String out = run("TICK\t1000000\nGO\nTICK\t1000000\n" + enlist("balancer/0", SETTINGS) + inbound("a")
                 + "GO\nTICK\t1005000\nGO\n");
         List<String> lines = new ArrayList<>(List.of(out.split("\n")));
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void listBuffersAreResolvedInTheOrderOfEvents() throws IOException {
+    void aListBufferIsReadAtThePositionOfTheEvent() throws IOException {
         String out = run("TICK\t1\n" + enlist("balancer/0", SETTINGS)
                 + "LIST\t0\t1\nITEM\t-\t10.0.0.9:80\tU\t1\t0\t0\t0\nSYNC\tComplete\t2\t0\n"
                 + inbound("a") + "GO\n");
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void anInstanceMayExitAndStartAgainInOneBatch() throws IOException {
+    void aBalancerCanExitAndStartAgainInOneBatch() throws IOException {
         String out = run("TICK\t1\n" + enlist("balancer/0", SETTINGS) + inbound("a")
                 + "GO\nTICK\t2\nAT\tbalancer/0\nEXIT\n" + enlist("balancer/0", SETTINGS)
                 + "RESPONSE\ta\t0\t10.0.0.1:80\t200\t1\t1\t4,2.5\n"
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void balancersOfOneProcessActLikeThoseOfSeveral() throws IOException {
+    void balancersInOneProcessReplyLikeBalancersInSeparateProcesses() throws IOException {
         String one = "TICK\t1\n" + enlist("balancer/0", SETTINGS) + inbound("a") + inbound("b") + "GO\n";
         String two = "TICK\t1\n" + enlist("balancer/1", SETTINGS) + inbound("c") + inbound("d") + "GO\n";
         String both = "TICK\t1\n" + enlist("balancer/0", SETTINGS) + inbound("a") + inbound("b")
@@ -96,11 +96,11 @@
     @Test
     void anExceptionOfThePolicyIsReported() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        SimulatorWireAdapter.PolicyFactory broken = (settings, seed) -> {
+        SimulatorWireAdapter.PolicyFactory failingFactory = (settings, seed) -> {
             throw new IllegalStateException("odd\tstate");
         };
         new SimulatorWireAdapter(
-                        broken,
+                        failingFactory,
                         new BufferedReader(new StringReader("TICK\t1\n" + enlist("balancer/0", SETTINGS) + "GO\n")),
                         out)
                 .run();
@@ -125,14 +125,14 @@
                 "TICK~1~LIST~0~1~ITEM~-~a:1~Q~1~0~0~0 | line 3: ITEM: field StageState: unknown word: 'Q'",
                 "TICK~1~LIST~0~1~ITEM~-~a:1~U~x~0~0~0 | line 3: ITEM: field Heft: not a number: 'x'",
             })
-    void malformedFramesAreNamed(String input, String complaint) {
+    void aMalformedFrameIsReportedWithLineAndField(String input, String message) {
         String text = input.strip();
         for (String word : List.of("GO", "AT", "DUE", "LIST", "ITEM")) {
             text = text.replace("~" + word, "\n" + word);
         }
         String frames = text.replace('~', '\t') + "\n";
         assertEquals(
-                complaint.strip(),
+                message.strip(),
                 assertThrows(WireException.class, () -> run(frames)).getMessage());
     }
 
@@ -151,11 +151,11 @@
                 "MAIL~0~%%% | Data: not base64: '%%%'",
                 "NONSENSE~1 | NONSENSE: unknown message",
             })
-    void malformedEventsAreNamed(String event, String complaint) {
+    void aMalformedEventIsReportedWithLineAndField(String event, String problem) {
         String frames =
                 "TICK\t1\n" + enlist("balancer/0", SETTINGS) + event.strip().replace('~', '\t') + "\nGO\n";
         String message = assertThrows(WireException.class, () -> run(frames)).getMessage();
-        assertTrue(message.startsWith("line 8: ") && message.endsWith("field " + complaint.strip()), message);
+        assertTrue(message.startsWith("line 8: ") && message.endsWith("field " + problem.strip()), message);
     }
 
     @ParameterizedTest
@@ -167,7 +167,7 @@
         "MembershipMode=push",
         "Limits.TryLimit=3"
     })
-    void aMissingRequiredSettingIsNamed(String setting) {
+    void aMissingRequiredSettingIsReported(String setting) {
         String frames = "TICK\t1\n" + enlist("balancer/0", SETTINGS.replace(setting + "\t", "")) + "GO\n";
         assertEquals(
                 "line 3: ENLIST: field " + setting.substring(0, setting.indexOf('=')) + ": required setting is missing",
@@ -194,21 +194,21 @@
                 "Prices.CrossZone=-1 | BootInfo: impossible crossZone: -1.0",
                 "Rules.OrderPause=-5 | BootInfo: impossible orderPause: -5",
             })
-    void impossiblePlacementAndOrderAreRejectedAtTheStart(String setting, String complaint) {
+    void invalidPlacementAndOrderSettingsAreRejectedAtTheStart(String setting, String problem) {
         String settings = SETTINGS + "\tAreas=a,b\tKinds=k\t" + setting.strip();
         String frames = "TICK\t1\n" + enlist("balancer/0", settings) + "GO\n";
         assertEquals(
-                "line 3: ENLIST: field " + complaint.strip(),
+                "line 3: ENLIST: field " + problem.strip(),
                 assertThrows(WireException.class, () -> run(frames)).getMessage());
     }
 
     @Test
-    void placementAndOrderReachThePolicy() throws IOException {
+    void placementAndOrderSettingsReachThePolicy() throws IOException {
         String settings = SETTINGS + "\tAreas=a,b\tClasses.0.AllowedIn=1\tClasses.0.InOrder=true";
         String out = run("TICK\t1\n" + enlist("balancer/0", settings) + "LIST\t1\t1\n"
                 + "ITEM\t-\t10.0.0.7:80\tU\t1\t0\t0\t1\nSYNC\tPartial\t2\t1\n"
                 + "INBOUND\ta\t0\t-\tab\t600000\t-\t0\nINBOUND\tb\t0\t-\tab\t600000\t-\t0\nGO\n");
         assertTrue(out.contains("DELIVER\ta\t10.0.0.7:80"), out);
-        assertTrue(!out.contains("DELIVER\tb"), "b waits for its turn: " + out);
+        assertTrue(!out.contains("DELIVER\tb"), "b must wait for the response to a: " + out);
     }
 }
