--- a/simulator/src/main/java/loadbalancer/simulator/engine/Event.java
+++ b/simulator/src/main/java/loadbalancer/simulator/engine/Event.java
@@ -1,8 +1,8 @@
 package loadbalancer.simulator.engine;
 
-/** Something that happens at an instant of simulated time. */
+/** An action that runs at a point in simulated time. */
 @FunctionalInterface
 public interface Event {
-    /** Happens; {@code now} is the simulated time in microseconds. */
+    /** Runs the event; {@code now} is the simulated time in microseconds. */
     void fire(long now);
 }
--- a/simulator/src/main/java/loadbalancer/simulator/engine/RandomStreams.java
+++ b/simulator/src/main/java/loadbalancer/simulator/engine/RandomStreams.java
@@ -3,27 +3,28 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Independent streams of random numbers, one for each party and concern, derived from one seed by name. What one
- * party draws, or how often, leaves every other's draws alone: two variants of an experiment meet the same world.
+ * Independent streams of random numbers, one for each component and purpose, derived from one seed by name. Draws
+ * from one stream never change those of another, so that two variants of an experiment run in the same world.
  */
 public final class RandomStreams {
     private final long seed;
 
-    /** Streams that are all derived from {@code seed}. */
+    /** Derives all streams from {@code seed}. */
     public RandomStreams(long seed) {
         this.seed = seed;
     }
 
-    /** The stream of a party's concern: the same names give the same numbers. */
-    public RandomStream of(String party, long number, String concern) {
-        long a = mix(seed ^ hash(party));
-        long b = mix(a + number * 0x9e3779b97f4a7c15L) ^ hash(concern);
-        return new RandomStream(RandomSource.XO_RO_SHI_RO_128_PP.create(new long[] {mix(a ^ b), mix(b + 1)}));
+    /** The stream of one component and purpose; equal arguments give equal draws. */
+    public RandomStream of(String component, long number, String purpose) {
+        long componentHash = mix(seed ^ hash(component));
+        long streamHash = mix(componentHash + number * 0x9e3779b97f4a7c15L) ^ hash(purpose);
+        return new RandomStream(RandomSource.XO_RO_SHI_RO_128_PP.create(
+                new long[] {mix(componentHash ^ streamHash), mix(streamHash + 1)}));
     }
 
-    /** A seed for a party that draws for itself. */
-    public long seed(String party, long number) {
-        return mix(mix(seed ^ hash(party)) + number * 0x9e3779b97f4a7c15L);
+    /** A seed for a component that has its own random number generator. */
+    public long seed(String component, long number) {
+        return mix(mix(seed ^ hash(component)) + number * 0x9e3779b97f4a7c15L);
     }
 
     private static long hash(String text) { // FNV-1a, 64 bits
--- a/simulator/src/main/java/loadbalancer/simulator/engine/Simulation.java
+++ b/simulator/src/main/java/loadbalancer/simulator/engine/Simulation.java
@@ -3,58 +3,58 @@
 import java.util.Arrays;
 
 /**
- * A discrete-event simulation in whole microseconds. Events at one instant happen in the order in which they were
- * scheduled, so a run is a pure function of what is scheduled. One object belongs to one thread.
+ * A discrete-event simulation in whole microseconds. Events at the same time run in the order in which they were
+ * scheduled, so a run is deterministic. Not thread-safe.
  *
- * <p>The calendar is a 4-ary heap over parallel arrays: a node's children share a cache line, and an event without
- * a handle costs no object but itself.
+ * <p>The event queue is a 4-ary heap over parallel arrays: the children of a node share a cache line, and an event
+ * without a {@link Timer} needs no object besides itself.
  */
 public final class Simulation {
-    private static final int WAYS = 4;
-    private static final int SMALL = 1024;
+    private static final int HEAP_ARITY = 4;
+    private static final int INITIAL_CAPACITY = 1024;
 
-    private long[] times = new long[SMALL];
-    private long[] orders = new long[SMALL];
-    private Event[] events = new Event[SMALL];
+    private long[] times = new long[INITIAL_CAPACITY];
+    private long[] sequences = new long[INITIAL_CAPACITY];
+    private Event[] events = new Event[INITIAL_CAPACITY];
     private int size;
-    private int cancelled;
+    private int cancelledCount;
     private long now;
-    private long scheduled;
-    private long fired;
+    private long scheduledCount;
+    private long firedCount;
 
-    /** A scheduled event that can be called off. */
+    /** A scheduled event that can be cancelled. */
     public final class Timer implements Event {
         private Event event;
-        private final long at;
+        private final long dueMicros;
 
-        private Timer(long at, Event event) {
-            this.at = at;
+        private Timer(long dueMicros, Event event) {
+            this.dueMicros = dueMicros;
             this.event = event;
         }
 
-        /** Calls the event off; no effect once it has begun to fire, so an event may cancel its own timer. */
+        /** Cancels the event. Has no effect once the event has begun to run, so an event may cancel its own timer. */
         public void cancel() {
             if (event != null) {
                 event = null;
-                cancelled++;
+                cancelledCount++;
                 compact();
             }
         }
 
-        /** True until it fires or is called off. */
+        /** True until the event runs or is cancelled. */
         public boolean pending() {
             return event != null;
         }
 
-        /** When it is due, in µs. */
+        /** Time at which the event is due, in µs. */
         public long due() {
-            return at;
+            return dueMicros;
         }
 
         @Override
         public void fire(long time) {
             if (event == null) {
-                cancelled--;
+                cancelledCount--;
                 return;
             }
             Event due = event;
@@ -63,17 +63,17 @@
         }
     }
 
-    /** Simulated time, in µs. */
+    /** Current simulated time, in µs. */
     public long now() {
         return now;
     }
 
-    /** Events that have happened so far, those called off included. */
+    /** Number of events processed so far, including cancelled ones. */
     public long fired() {
-        return fired;
+        return firedCount;
     }
 
-    /** Events that wait, those called off included. */
+    /** Number of events in the queue, including cancelled ones that have not been removed yet. */
     public int waiting() {
         return size;
     }
@@ -82,18 +82,19 @@
      * Schedules an event.
      *
      * @param time in µs, not before {@link #now}
-     * @throws IllegalArgumentException for a time that has passed
+     * @throws IllegalArgumentException if {@code time} is before {@link #now}
      */
     public void at(long time, Event event) {
         if (time < now) {
-            throw new IllegalArgumentException("time " + time + " has passed, it is " + now);
+            throw new IllegalArgumentException(
+                    "event time " + time + " us is before the current simulated time, " + now + " us");
         }
         if (size == times.length) {
             times = Arrays.copyOf(times, 2 * size);
-            orders = Arrays.copyOf(orders, 2 * size);
+            sequences = Arrays.copyOf(sequences, 2 * size);
             events = Arrays.copyOf(events, 2 * size);
         }
-        up(size++, time, scheduled++, event);
+        siftUp(size++, time, scheduledCount++, event);
     }
 
     /** Schedules an event {@code delay} µs from now. */
@@ -101,14 +102,14 @@
         at(now + delay, event);
     }
 
-    /** Schedules an event that can be called off. */
+    /** Schedules an event that can be cancelled. */
     public Timer timer(long time, Event event) {
         Timer timer = new Timer(time, event);
         at(time, timer);
         return timer;
     }
 
-    /** Lets the next event happen; false where none waits. */
+    /** Runs the next event; returns false if the queue is empty. */
     public boolean step() {
         if (size == 0) {
             return false;
@@ -119,14 +120,14 @@
         Event last = events[size];
         events[size] = null;
         if (size > 0) {
-            down(0, times[size], orders[size], last);
+            siftDown(0, times[size], sequences[size], last);
         }
-        fired++;
+        firedCount++;
         event.fire(now);
         return true;
     }
 
-    /** Runs through {@code time}; events at that instant happen too. */
+    /** Runs all events up to and including {@code time}. */
     public void runUntil(long time) {
         while (size > 0 && times[0] <= time) {
             step();
@@ -134,70 +135,71 @@
         now = Math.max(now, time);
     }
 
-    private void up(int from, long time, long order, Event event) {
+    private void siftUp(int from, long time, long sequence, Event event) {
         int index = from;
         while (index > 0) {
-            int parent = (index - 1) / WAYS;
-            if (times[parent] < time || times[parent] == time && orders[parent] < order) {
+            int parent = (index - 1) / HEAP_ARITY;
+            if (times[parent] < time || times[parent] == time && sequences[parent] < sequence) {
                 break;
             }
-            move(parent, index);
+            moveEntry(parent, index);
             index = parent;
         }
-        put(index, time, order, event);
+        setEntry(index, time, sequence, event);
     }
 
-    private void down(int from, long time, long order, Event event) {
+    private void siftDown(int from, long time, long sequence, Event event) {
         int index = from;
         while (true) {
-            int first = WAYS * index + 1;
-            if (first >= size) {
+            int firstChild = HEAP_ARITY * index + 1;
+            if (firstChild >= size) {
                 break;
             }
-            int least = first;
-            for (int c = first + 1; c < Math.min(first + WAYS, size); c++) {
-                if (times[c] < times[least] || times[c] == times[least] && orders[c] < orders[least]) {
-                    least = c;
+            int smallest = firstChild;
+            for (int child = firstChild + 1; child < Math.min(firstChild + HEAP_ARITY, size); child++) {
+                if (times[child] < times[smallest]
+                        || times[child] == times[smallest] && sequences[child] < sequences[smallest]) {
+                    smallest = child;
                 }
             }
-            if (time < times[least] || time == times[least] && order < orders[least]) {
+            if (time < times[smallest] || time == times[smallest] && sequence < sequences[smallest]) {
                 break;
             }
-            move(least, index);
-            index = least;
+            moveEntry(smallest, index);
+            index = smallest;
         }
-        put(index, time, order, event);
+        setEntry(index, time, sequence, event);
     }
 
-    private void move(int from, int to) {
+    private void moveEntry(int from, int to) {
         times[to] = times[from];
-        orders[to] = orders[from];
+        sequences[to] = sequences[from];
         events[to] = events[from];
     }
 
-    private void put(int index, long time, long order, Event event) {
+    private void setEntry(int index, long time, long sequence, Event event) {
         times[index] = time;
-        orders[index] = order;
+        sequences[index] = sequence;
         events[index] = event;
     }
 
-    // Timers are called off far more often than they fire: without this the calendar would grow with the
-    // requests of the last deadline, not with those that are open.
+    // Removes cancelled timers. Most timers are cancelled before they fire; without compaction the queue would grow
+    // with all requests started within the last deadline period, not with the open ones.
     private void compact() {
-        if (size < SMALL || cancelled <= size / 2) {
+        if (size < INITIAL_CAPACITY || cancelledCount <= size / 2) {
             return;
         }
         int kept = 0;
         for (int index = 0; index < size; index++) {
-            if (!(events[index] instanceof Timer t) || t.pending()) {
-                move(index, kept++);
+            if (!(events[index] instanceof Timer timer) || timer.pending()) {
+                moveEntry(index, kept++);
             }
         }
         Arrays.fill(events, kept, size, null);
         size = kept;
-        cancelled = 0;
-        for (int index = (size - 2) / WAYS; index >= 0 && size > 1; index--) {
-            down(index, times[index], orders[index], events[index]);
+        cancelledCount = 0;
+        for (int index = (size - 2) / HEAP_ARITY; index >= 0 && size > 1; index--) {
+            siftDown(index, times[index], sequences[index], events[index]);
         }
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/engine/package-info.java
+++ b/simulator/src/main/java/loadbalancer/simulator/engine/package-info.java
@@ -1,2 +1,2 @@
-/** Discrete-event simulation: the calendar of events and streams of random numbers that a seed fixes. */
+/** Discrete-event simulation: the event queue, and streams of random numbers derived from a seed. */
 package loadbalancer.simulator.engine;
--- a/simulator/src/main/java/loadbalancer/simulator/policies/Chooser.java
+++ b/simulator/src/main/java/loadbalancer/simulator/policies/Chooser.java
@@ -2,14 +2,14 @@
 
 import loadbalancer.simulator.engine.RandomStream;
 
-/** A textbook policy: which server gets the next job. */
+/** A textbook load balancing policy: chooses the server for the next job. */
 public interface Chooser {
-    /** The number of the server; {@code view} holds at least one. */
+    /** Returns the number of the chosen server; {@code view} has at least one server. */
     int choose(ServerView view, RandomStream random);
 
-    /** A job went to that server. */
+    /** Called after a job was sent to {@code server}. */
     default void dispatched(int server) {}
 
-    /** The servers are other ones from here on: {@code former[i]} was the number of server i, or -1. */
-    default void renumber(int[] former) {}
+    /** Called when the servers change: server i had the number {@code previousNumbers[i]}, or -1 if it is new. */
+    default void renumber(int[] previousNumbers) {}
 }
--- a/simulator/src/main/java/loadbalancer/simulator/policies/Choosers.java
+++ b/simulator/src/main/java/loadbalancer/simulator/policies/Choosers.java
@@ -4,18 +4,18 @@
 import java.util.stream.IntStream;
 import loadbalancer.simulator.engine.RandomStream;
 
-/** The textbook policies by name. */
+/** Creates the textbook policies by name. */
 public final class Choosers {
-    /** Names that {@link #named} takes, with d the servers sampled and a those of the accomplished set. */
+    /** Names that {@link #named} accepts; d is the number of servers sampled, a those of the accomplished set. */
     public static final List<String> NAMES =
             List.of("random", "round-robin", "jsq", "jsq-d", "sed-d", "sed", "jsq-dfds", "jsq-das");
 
-    /** Figures of a sampling policy; {@code fastShare} is the paper's p. */
+    /** Parameters of a sampling policy: d, a (both as in the paper), and {@code fastShare}, the paper's p. */
     public record Figures(int sampled, int fromAccomplished, double fastShare) {
         public Figures {
             if (sampled < 1 || fromAccomplished < 0 || fromAccomplished > sampled) {
-                throw new IllegalArgumentException(
-                        "d = " + sampled + ", a = " + fromAccomplished + ": 0 <= a <= d and d >= 1 wanted");
+                throw new IllegalArgumentException("sampled is " + sampled + ", fromAccomplished is " + fromAccomplished
+                        + ": expected sampled >= 1 and 0 <= fromAccomplished <= sampled");
             }
         }
     }
@@ -23,22 +23,22 @@
     private Choosers() {}
 
     /**
-     * Makes a policy.
+     * Creates a policy.
      *
-     * @throws IllegalArgumentException for a name that isn't in {@link #NAMES}
+     * @throws IllegalArgumentException if {@code name} isn't in {@link #NAMES}
      */
     public static Chooser named(String name, Figures figures) {
         return switch (name) {
             case "random" -> (view, random) -> random.below(view.size());
             case "round-robin" -> new RoundRobin();
-            case "jsq" -> new All(false);
-            case "sed" -> new All(true);
+            case "jsq" -> new FullScan(false);
+            case "sed" -> new FullScan(true);
             case "jsq-d" -> new Sampling(figures.sampled, false);
             case "sed-d" -> new Sampling(figures.sampled, true);
             case "jsq-dfds" -> new FastFirst(figures.fromAccomplished, figures.sampled - figures.fromAccomplished);
             case "jsq-das" -> new Accomplishment(figures);
             default -> throw new IllegalArgumentException(
-                    "no policy '" + name + "'; there are " + String.join(", ", NAMES));
+                    "unknown policy '" + name + "'; expected one of " + String.join(", ", NAMES));
         };
     }
 
@@ -52,20 +52,20 @@
         }
     }
 
-    /** Join the shortest queue of all, or the one of shortest expected delay; ties at random. */
-    private record All(boolean delay) implements Chooser {
+    /** JSQ or SED over all servers: the shortest queue or the shortest expected delay. Ties are broken at random. */
+    private record FullScan(boolean byExpectedDelay) implements Chooser {
         @Override
         public int choose(ServerView view, RandomStream random) {
             int best = -1;
-            double least = 0;
+            double lowest = 0;
             int ties = 0;
             for (int i = 0; i < view.size(); i++) {
-                double length = delay ? (view.queue(i) + 1) / view.rate(i) : view.queue(i);
-                if (best < 0 || length < least) {
+                double score = byExpectedDelay ? (view.queue(i) + 1) / view.rate(i) : view.queue(i);
+                if (best < 0 || score < lowest) {
                     best = i;
-                    least = length;
+                    lowest = score;
                     ties = 1;
-                } else if (length == least && random.below(++ties) == 0) {
+                } else if (score == lowest && random.below(++ties) == 0) {
                     best = i;
                 }
             }
@@ -73,64 +73,64 @@
         }
     }
 
-    /** Draws without replacement; the partial shuffle lives on from call to call. */
-    private static final class Sample {
-        private int[] urn = {};
+    /** Draws without replacement by a partial shuffle. The shuffled array is reused by later calls. */
+    private static final class Sampler {
+        private int[] shuffled = {};
 
-        void fit(int size) {
-            if (urn.length != size) {
-                urn = IntStream.range(0, size).toArray();
+        void resize(int size) {
+            if (shuffled.length != size) {
+                shuffled = IntStream.range(0, size).toArray();
             }
         }
 
-        int draw(int from, int to, int nth, RandomStream random) {
-            int i = from + nth;
+        int draw(int from, int to, int drawIndex, RandomStream random) {
+            int i = from + drawIndex;
             int j = i + random.below(to - i);
-            int drawn = urn[j];
-            urn[j] = urn[i];
-            urn[i] = drawn;
+            int drawn = shuffled[j];
+            shuffled[j] = shuffled[i];
+            shuffled[i] = drawn;
             return drawn;
         }
     }
 
-    /** JSQ(d) and SED(d): the best of d drawn uniformly. */
+    /** JSQ(d) and SED(d): the best of d servers drawn uniformly. */
     private static final class Sampling implements Chooser {
         private final int sampled;
-        private final boolean delay;
-        private final Sample sample = new Sample();
+        private final boolean byExpectedDelay;
+        private final Sampler sampler = new Sampler();
 
-        Sampling(int sampled, boolean delay) {
+        Sampling(int sampled, boolean byExpectedDelay) {
             this.sampled = sampled;
-            this.delay = delay;
+            this.byExpectedDelay = byExpectedDelay;
         }
 
         @Override
         public int choose(ServerView view, RandomStream random) {
             int size = view.size();
-            sample.fit(size);
+            sampler.resize(size);
             int best = -1;
-            double least = 0;
+            double lowest = 0;
             for (int i = 0; i < Math.min(sampled, size); i++) {
-                int drawn = sample.draw(0, size, i, random);
-                double length = delay ? (view.queue(drawn) + 1) / view.rate(drawn) : view.queue(drawn);
-                if (best < 0 || length < least) {
+                int drawn = sampler.draw(0, size, i, random);
+                double score = byExpectedDelay ? (view.queue(drawn) + 1) / view.rate(drawn) : view.queue(drawn);
+                if (best < 0 || score < lowest) {
                     best = drawn;
-                    least = length;
+                    lowest = score;
                 }
             }
             return best;
         }
     }
 
-    /** JSQ-(dF, dS), definition 1 of the paper: an idle fast one, else an idle slow one, else the shortest fast. */
+    /** JSQ-(dF, dS), definition 1 of the paper: an idle fast server, else an idle slow one, else the shortest fast. */
     private static final class FastFirst implements Chooser {
         private final int dF;
         private final int dS;
         private int[] fast = {};
         private int[] slow = {};
-        private int known = -1;
-        private final Sample fastSample = new Sample();
-        private final Sample slowSample = new Sample();
+        private int knownSize = -1;
+        private final Sampler fastSampler = new Sampler();
+        private final Sampler slowSampler = new Sampler();
 
         FastFirst(int dF, int dS) {
             this.dF = dF;
@@ -138,76 +138,79 @@
         }
 
         @Override
-        public void renumber(int[] former) {
-            known = -1;
+        public void renumber(int[] previousNumbers) {
+            knownSize = -1;
         }
 
         @Override
         public int choose(ServerView view, RandomStream random) {
-            if (known != view.size()) {
-                known = view.size();
-                fast = IntStream.range(0, known).filter(view::fast).toArray();
-                slow = IntStream.range(0, known).filter(i -> !view.fast(i)).toArray();
+            if (knownSize != view.size()) {
+                knownSize = view.size();
+                fast = IntStream.range(0, knownSize).filter(view::fast).toArray();
+                slow = IntStream.range(0, knownSize).filter(i -> !view.fast(i)).toArray();
             }
-            int best = shortest(fast, dF, fastSample, view, random);
+            int best = shortest(fast, dF, fastSampler, view, random);
             if (best >= 0 && view.queue(best) == 0) {
                 return best;
             }
-            int other = shortest(slow, dS, slowSample, view, random);
+            int other = shortest(slow, dS, slowSampler, view, random);
             return best < 0 || other >= 0 && view.queue(other) == 0 ? other : best;
         }
 
-        private static int shortest(int[] servers, int sampled, Sample sample, ServerView view, RandomStream random) {
-            sample.fit(servers.length);
+        private static int shortest(int[] servers, int sampled, Sampler sampler, ServerView view, RandomStream random) {
+            sampler.resize(servers.length);
             int best = -1;
             for (int i = 0; i < Math.min(sampled, servers.length); i++) {
-                int drawn = servers[sample.draw(0, servers.length, i, random)];
+                int drawn = servers[sampler.draw(0, servers.length, i, random)];
                 best = best < 0 || view.queue(drawn) < view.queue(best) ? drawn : best;
             }
             return best;
         }
     }
 
-    /** JSQ-DAS, definition 2 of the paper: a of the accomplished, d - a of the rest, ties to the higher rank. */
+    /**
+     * JSQ-DAS, definition 2 of the paper: the shortest queue of a servers drawn from the accomplished set and d - a
+     * drawn from the others. Ties go to the higher rank.
+     */
     private static final class Accomplishment implements Chooser {
         private final Figures figures;
         private final Ranking ranking = new Ranking();
-        private final Sample top = new Sample();
-        private final Sample rest = new Sample();
+        private final Sampler accomplishedSampler = new Sampler();
+        private final Sampler otherSampler = new Sampler();
 
         Accomplishment(Figures figures) {
             this.figures = figures;
         }
 
         @Override
-        public void renumber(int[] former) {
-            ranking.renumber(former);
+        public void renumber(int[] previousNumbers) {
+            ranking.renumber(previousNumbers);
         }
 
         @Override
         public void dispatched(int server) {
-            ranking.count(server);
+            ranking.increment(server);
         }
 
         @Override
         public int choose(ServerView view, RandomStream random) {
-            int k = view.size();
-            if (ranking.size() != k) {
-                ranking.renumber(IntStream.range(0, k).toArray());
+            int size = view.size();
+            if (ranking.size() != size) {
+                ranking.renumber(IntStream.range(0, size).toArray());
             }
-            int accomplished = Math.max(1, Math.min(k, (int) Math.round(figures.fastShare * k)));
-            int fromTop =
-                    Math.min(accomplished, Math.max(figures.fromAccomplished, figures.sampled - (k - accomplished)));
-            int fromRest = Math.min(k - accomplished, figures.sampled - fromTop);
-            top.fit(accomplished);
-            rest.fit(k - accomplished);
+            int accomplished = Math.max(1, Math.min(size, (int) Math.round(figures.fastShare * size)));
+            int accomplishedDraws =
+                    Math.min(accomplished, Math.max(figures.fromAccomplished, figures.sampled - (size - accomplished)));
+            int otherDraws = Math.min(size - accomplished, figures.sampled - accomplishedDraws);
+            accomplishedSampler.resize(accomplished);
+            otherSampler.resize(size - accomplished);
             int best = -1;
-            for (int i = 0; i < fromTop; i++) {
-                best = better(best, ranking.at(top.draw(0, accomplished, i, random)), view);
+            for (int i = 0; i < accomplishedDraws; i++) {
+                best = better(best, ranking.serverAt(accomplishedSampler.draw(0, accomplished, i, random)), view);
             }
-            for (int i = 0; i < fromRest; i++) {
-                int place = accomplished + rest.draw(0, k - accomplished, i, random);
-                best = better(best, ranking.at(place), view);
+            for (int i = 0; i < otherDraws; i++) {
+                int rank = accomplished + otherSampler.draw(0, size - accomplished, i, random);
+                best = better(best, ranking.serverAt(rank), view);
             }
             return best;
         }
@@ -217,8 +220,8 @@
                 return drawn;
             }
             int difference = Integer.compare(view.queue(drawn), view.queue(best));
-            boolean higher = ranking.placeOf(drawn) < ranking.placeOf(best);
-            return difference < 0 || difference == 0 && higher ? drawn : best;
+            boolean ranksHigher = ranking.rankOf(drawn) < ranking.rankOf(best);
+            return difference < 0 || difference == 0 && ranksHigher ? drawn : best;
         }
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/policies/NoOpActions.java
+++ b/simulator/src/main/java/loadbalancer/simulator/policies/NoOpActions.java
@@ -2,7 +2,7 @@
 
 import loadbalancer.policy.LoadBalancingPolicy;
 
-/** Takes what a policy asks for and does nothing: callers override what they care for. */
+/** Ignores every action of a policy. Subclasses override the actions that they need. */
 public class NoOpActions implements LoadBalancingPolicy.Actions {
     @Override
     public void send(String request, String server, long timeout) {}
--- a/simulator/src/main/java/loadbalancer/simulator/policies/Ranking.java
+++ b/simulator/src/main/java/loadbalancer/simulator/policies/Ranking.java
@@ -4,64 +4,65 @@
 import java.util.stream.IntStream;
 
 /**
- * Servers ranked by how many jobs they were sent, most first. A count only grows by one, so a server moves by one
- * swap with the first of those that had as many: O(1), however large the fleet.
+ * Servers ranked by the number of jobs sent to them, most first. A count only grows by one at a time, so one swap with
+ * the first server of equal count keeps the order. The cost is O(1) for any number of servers.
  */
 final class Ranking {
     private long[] counts = {};
-    private int[] ranked = {}; // servers, most accomplished first
-    private int[] rank = {};
-    private final java.util.HashMap<Long, Integer> firsts = new java.util.HashMap<>(); // by count
+    private int[] serversByRank = {}; // server numbers, most jobs first
+    private int[] rankByServer = {};
+    private final java.util.HashMap<Long, Integer> firstRankByCount = new java.util.HashMap<>();
 
-    void renumber(int[] former) {
-        long[] next = new long[former.length];
-        for (int i = 0; i < next.length; i++) {
-            next[i] = former[i] >= 0 && former[i] < counts.length ? counts[former[i]] : 0;
+    void renumber(int[] previousNumbers) {
+        long[] newCounts = new long[previousNumbers.length];
+        for (int i = 0; i < newCounts.length; i++) {
+            newCounts[i] =
+                    previousNumbers[i] >= 0 && previousNumbers[i] < counts.length ? counts[previousNumbers[i]] : 0;
         }
-        counts = next;
-        ranked = IntStream.range(0, next.length)
+        counts = newCounts;
+        serversByRank = IntStream.range(0, newCounts.length)
                 .boxed()
                 .sorted((a, b) -> counts[a] != counts[b] ? Long.compare(counts[b], counts[a]) : Integer.compare(a, b))
                 .mapToInt(Integer::intValue)
                 .toArray();
-        rank = new int[next.length];
-        firsts.clear();
-        for (int i = 0; i < ranked.length; i++) {
-            rank[ranked[i]] = i;
-            firsts.putIfAbsent(counts[ranked[i]], i);
+        rankByServer = new int[newCounts.length];
+        firstRankByCount.clear();
+        for (int i = 0; i < serversByRank.length; i++) {
+            rankByServer[serversByRank[i]] = i;
+            firstRankByCount.putIfAbsent(counts[serversByRank[i]], i);
         }
     }
 
-    void count(int server) {
+    void increment(int server) {
         long count = counts[server]++;
-        int first = firsts.get(count);
-        int at = rank[server];
-        int other = ranked[first];
-        ranked[first] = server;
-        rank[server] = first;
-        ranked[at] = other;
-        rank[other] = at;
-        if (first + 1 < ranked.length && counts[ranked[first + 1]] == count) {
-            firsts.put(count, first + 1);
+        int firstRank = firstRankByCount.get(count);
+        int oldRank = rankByServer[server];
+        int displaced = serversByRank[firstRank];
+        serversByRank[firstRank] = server;
+        rankByServer[server] = firstRank;
+        serversByRank[oldRank] = displaced;
+        rankByServer[displaced] = oldRank;
+        if (firstRank + 1 < serversByRank.length && counts[serversByRank[firstRank + 1]] == count) {
+            firstRankByCount.put(count, firstRank + 1);
         } else {
-            firsts.remove(count);
+            firstRankByCount.remove(count);
         }
-        firsts.putIfAbsent(count + 1, first);
+        firstRankByCount.putIfAbsent(count + 1, firstRank);
     }
 
     int size() {
-        return ranked.length;
+        return serversByRank.length;
     }
 
-    int at(int place) {
-        return ranked[place];
+    int serverAt(int rank) {
+        return serversByRank[rank];
     }
 
-    int placeOf(int server) {
-        return rank[server];
+    int rankOf(int server) {
+        return rankByServer[server];
     }
 
-    int[] top(int many) {
-        return Arrays.copyOf(ranked, Math.min(many, ranked.length));
+    int[] top(int limit) {
+        return Arrays.copyOf(serversByRank, Math.min(limit, serversByRank.length));
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/policies/ServerView.java
+++ b/simulator/src/main/java/loadbalancer/simulator/policies/ServerView.java
@@ -1,16 +1,16 @@
 package loadbalancer.simulator.policies;
 
-/** What a textbook policy may see of the servers it chooses from, numbered from 0. */
+/** The servers that a textbook policy chooses from, numbered from 0, as far as it may observe them. */
 public interface ServerView {
-    /** How many there are. */
+    /** Number of servers. */
     int size();
 
-    /** Jobs there, by the count the policy is entitled to (all of them, or this dispatcher's own). */
+    /** Jobs at the server: either all of them or only those of this dispatcher, whichever the policy may observe. */
     int queue(int server);
 
-    /** Rate of service, for policies that know it; relative figures suffice. */
+    /** Service rate, for policies that know it. Relative rates suffice. */
     double rate(int server);
 
-    /** Whether it is of the fast kind, for policies that know it. */
+    /** Whether the server is of the fast kind, for policies that know it. */
     boolean fast(int server);
 }
--- a/simulator/src/main/java/loadbalancer/simulator/queue/QueueModel.java
+++ b/simulator/src/main/java/loadbalancer/simulator/queue/QueueModel.java
@@ -29,22 +29,23 @@
 import loadbalancer.simulator.stats.BatchMeans;
 
 /**
- * The paper's bare model: Poisson arrivals, exponential service, first come first served at each server, one
- * dispatcher that is notified of every job. It runs on the same {@link Simulation} and {@link RandomStream} as the
- * whole service, so what theory says of it checks those too. A unit of time is {@value #UNIT} simulated microseconds.
+ * The queueing model of the paper: Poisson arrivals, exponential service times, first come first served at each server,
+ * and one dispatcher that is notified of every job. It uses the same {@link Simulation} and {@link RandomStream} as the
+ * simulator of the whole service, so a comparison with theory also checks those. A unit of time is {@value #UNIT}
+ * simulated microseconds.
  *
  * <p>Model and policies: Gardner and Stephens, "Smart Dispatching in Heterogeneous Systems", sections 2 to 4.
  */
 public final class QueueModel {
-    /** Simulated microseconds in a unit of time. */
+    /** Simulated microseconds per unit of time. */
     public static final long UNIT = 100_000;
 
     private static final int BATCHES = 30;
-    private static final long FAR = 1_000_000_000_000L; // a deadline that is never met
+    private static final long UNREACHABLE_DEADLINE_MICROS = 1_000_000_000_000L; // longer than any run
 
     /**
-     * What to run. {@code lambda} is the arrival rate per server and unit of time; {@code cores} jobs are served
-     * at once by a server, each at its rate.
+     * Parameters of a run. {@code lambda} is the arrival rate per server and unit of time. A server serves
+     * {@code cores} jobs at once, each at the rate of the server.
      */
     public record Setting(
             String policy,
@@ -70,15 +71,15 @@
             require(lambda < capacity, "lambda (capacity per server is " + capacity + ")", lambda);
         }
 
-        private static void require(boolean holds, String name, Object value) {
-            if (!holds) {
+        private static void require(boolean valid, String name, Object value) {
+            if (!valid) {
                 throw new IllegalArgumentException("impossible " + name + ": " + value);
             }
         }
     }
 
     /**
-     * What came of it. Response times are in units of time; {@code warmUp} jobs at the start don't count.
+     * Result of a run. Response times are in units of time and leave out the first {@code warmUp} jobs.
      * {@code fastIdentified} is the share of the fast servers in the accomplished set, by jobs sent, at the end.
      */
     public record Result(
@@ -116,19 +117,19 @@
         warmUp = setting.jobs / 5;
         responses = new BatchMeans((setting.jobs - warmUp) / BATCHES);
         dispatcher = setting.policy.equals("balance")
-                ? new ByModule(streams.seed("dispatcher", 0))
-                : new ByChooser(Choosers.named(
+                ? new PolicyDispatcher(streams.seed("dispatcher", 0))
+                : new ChooserDispatcher(Choosers.named(
                         setting.policy,
                         new Choosers.Figures(setting.sampled, setting.fromAccomplished, setting.fastShare)));
     }
 
-    /** Plays {@code setting} to its end. */
+    /** Runs the model until all jobs have arrived and completed or been rejected, or until no event is left. */
     public static Result run(Setting setting) {
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         QueueModel model = new QueueModel(setting);
         model.dispatcher.begin();
         model.simulation.at(0, model::arrive);
-        while (model.arrived < setting.jobs || model.busy()) {
+        while (model.arrived < setting.jobs || model.hasOpenJobs()) {
             model.simulation.step();
         }
         return new Result(
@@ -139,23 +140,23 @@
                 model.warmUp,
                 model.refused,
                 model.simulation.fired(),
-                (System.nanoTime() - began) / 1e9);
+                (System.nanoTime() - startNanos) / 1e9);
     }
 
-    private boolean busy() {
+    private boolean hasOpenJobs() {
         return responses.count() + refused < setting.jobs - warmUp && simulation.waiting() > 0;
     }
 
     private void arrive(long now) {
         dispatcher.dispatch(arrived++, now);
         if (arrived < setting.jobs) {
-            double gap = arrivals.exponential(UNIT / (setting.lambda * servers.length));
-            exactTime += gap;
-            simulation.at(Math.max(now, Math.round(exactTime)), this::arrive);
+            double gapMicros = arrivals.exponential(UNIT / (setting.lambda * servers.length));
+            exactArrivalMicros += gapMicros;
+            simulation.at(Math.max(now, Math.round(exactArrivalMicros)), this::arrive);
         }
     }
 
-    private double exactTime; // gaps of some 100 µs must not all be rounded down
+    private double exactArrivalMicros; // unrounded: rounding each gap of some 100 µs down would add up
 
     private double fastIdentified() {
         int fast = (int)
@@ -172,15 +173,15 @@
                 / (double) fast;
     }
 
-    /** One server: jobs wait in a ring buffer of their arrival times. */
+    /** One server. Its jobs and their arrival times are kept in ring buffers. */
     private final class Server {
         private final int number;
         private final boolean fast;
         private long sent;
-        private int held;
+        private int jobCount;
         private int head;
-        private long[] jobs = new long[8];
-        private long[] since = new long[8];
+        private long[] jobNumbers = new long[8];
+        private long[] arrivalTimes = new long[8];
 
         Server(int number, boolean fast) {
             this.number = number;
@@ -191,52 +192,52 @@
             return fast ? setting.fastRate : setting.slowRate;
         }
 
-        void take(long job, long now) {
-            if (held == jobs.length) {
+        void enqueue(long job, long now) {
+            if (jobCount == jobNumbers.length) {
                 grow();
             }
-            int at = (head + held) % jobs.length;
-            jobs[at] = job;
-            since[at] = now;
-            held++;
+            int slot = (head + jobCount) % jobNumbers.length;
+            jobNumbers[slot] = job;
+            arrivalTimes[slot] = now;
+            jobCount++;
             sent++;
-            if (held <= setting.cores) {
+            if (jobCount <= setting.cores) {
                 serve(job, now, now);
             }
         }
 
         private void grow() {
-            long[] moreJobs = new long[2 * held];
-            long[] moreSince = new long[2 * held];
-            for (int i = 0; i < held; i++) {
-                moreJobs[i] = jobs[(head + i) % held];
-                moreSince[i] = since[(head + i) % held];
+            long[] largerJobNumbers = new long[2 * jobCount];
+            long[] largerArrivalTimes = new long[2 * jobCount];
+            for (int i = 0; i < jobCount; i++) {
+                largerJobNumbers[i] = jobNumbers[(head + i) % jobCount];
+                largerArrivalTimes[i] = arrivalTimes[(head + i) % jobCount];
             }
-            jobs = moreJobs;
-            since = moreSince;
+            jobNumbers = largerJobNumbers;
+            arrivalTimes = largerArrivalTimes;
             head = 0;
         }
 
         private void serve(long job, long arrivedAt, long now) {
-            long time = Math.round(services.exponential(UNIT / rate()));
-            simulation.at(now + time, end -> done(job, arrivedAt, end));
+            long serviceMicros = Math.round(services.exponential(UNIT / rate()));
+            simulation.at(now + serviceMicros, end -> complete(job, arrivedAt, end));
         }
 
-        // With several cores jobs may end out of order: the ring then holds the waiting ones, and those in
-        // service only count.
-        private void done(long job, long arrivedAt, long now) {
+        // With several cores jobs may complete out of order. The entries of jobs in service then only count as
+        // occupied; the entries of waiting jobs stay exact.
+        private void complete(long job, long arrivedAt, long now) {
             if (job >= warmUp) {
                 responses.add((now - arrivedAt) / (double) UNIT);
             }
-            int next = (head + setting.cores) % jobs.length;
-            boolean waiting = held > setting.cores;
-            long nextJob = waiting ? jobs[next] : 0;
-            long nextSince = waiting ? since[next] : 0;
-            head = (head + 1) % jobs.length;
-            held--;
-            dispatcher.ended(job, this, now - arrivedAt, now);
+            int next = (head + setting.cores) % jobNumbers.length;
+            boolean waiting = jobCount > setting.cores;
+            long nextJob = waiting ? jobNumbers[next] : 0;
+            long nextArrival = waiting ? arrivalTimes[next] : 0;
+            head = (head + 1) % jobNumbers.length;
+            jobCount--;
+            dispatcher.completed(job, this, now - arrivedAt, now);
             if (waiting) {
-                serve(nextJob, nextSince, now);
+                serve(nextJob, nextArrival, now);
             }
         }
     }
@@ -246,13 +247,13 @@
 
         void dispatch(long job, long now);
 
-        default void ended(long job, Server server, long latency, long now) {}
+        default void completed(long job, Server server, long latency, long now) {}
     }
 
-    private final class ByChooser implements Dispatcher, ServerView {
+    private final class ChooserDispatcher implements Dispatcher, ServerView {
         private final Chooser chooser;
 
-        ByChooser(Chooser chooser) {
+        ChooserDispatcher(Chooser chooser) {
             this.chooser = chooser;
         }
 
@@ -260,7 +261,7 @@
         public void dispatch(long job, long now) {
             int chosen = chooser.choose(this, choices);
             chooser.dispatched(chosen);
-            servers[chosen].take(job, now);
+            servers[chosen].enqueue(job, now);
         }
 
         @Override
@@ -270,7 +271,7 @@
 
         @Override
         public int queue(int server) {
-            return servers[server].held;
+            return servers[server].jobCount;
         }
 
         @Override
@@ -284,18 +285,27 @@
         }
     }
 
-    /** The program's own policy, told of the fleet without kinds or weights and with deadlines out of reach. */
-    private final class ByModule extends NoOpActions implements Dispatcher {
+    /** Runs the balancer's own policy, which is given no server kinds or weights, and deadlines that no job reaches. */
+    private final class PolicyDispatcher extends NoOpActions implements Dispatcher {
         private final LoadBalancingPolicy policy;
 
-        ByModule(long seed) {
-            RequestClass only = new RequestClass(Idempotency.IDEMPOTENT, KeyScope.ALL, 0, FAR / 2, FAR, 0, 1, 1, false);
+        PolicyDispatcher(long seed) {
+            RequestClass requestClass = new RequestClass(
+                    Idempotency.IDEMPOTENT,
+                    KeyScope.ALL,
+                    0,
+                    UNREACHABLE_DEADLINE_MICROS / 2,
+                    UNREACHABLE_DEADLINE_MICROS,
+                    0,
+                    1,
+                    1,
+                    false);
             policy = new JsqDasPolicy(
                     new PolicySettings(
                             1,
                             0,
                             0,
-                            List.of(only),
+                            List.of(requestClass),
                             List.of(),
                             1,
                             new ServiceObjective(1, 0, 0, 0),
@@ -323,17 +333,17 @@
 
         @Override
         public void dispatch(long job, long now) {
-            policy.request(now, Long.toString(job), 0, 0, null, FAR, -1, false, this);
+            policy.request(now, Long.toString(job), 0, 0, null, UNREACHABLE_DEADLINE_MICROS, -1, false, this);
         }
 
         @Override
-        public void ended(long job, Server server, long latency, long now) {
+        public void completed(long job, Server server, long latency, long now) {
             policy.outcome(now, Long.toString(job), 0, AttemptOutcome.OK, latency, true, null, this);
         }
 
         @Override
         public void send(String request, String server, long timeout) {
-            servers[Integer.parseInt(server)].take(Long.parseLong(request), simulation.now());
+            servers[Integer.parseInt(server)].enqueue(Long.parseLong(request), simulation.now());
         }
 
         @Override
--- a/simulator/src/main/java/loadbalancer/simulator/queue/package-info.java
+++ b/simulator/src/main/java/loadbalancer/simulator/queue/package-info.java
@@ -1,2 +1,2 @@
-/** The bare queueing model that policies are compared with theory on. */
+/** A queueing model without network or failures, for comparing policies with theory. */
 package loadbalancer.simulator.queue;
--- a/simulator/src/main/java/loadbalancer/simulator/stats/BatchMeans.java
+++ b/simulator/src/main/java/loadbalancer/simulator/stats/BatchMeans.java
@@ -3,39 +3,40 @@
 import java.util.Arrays;
 
 /**
- * Mean of a correlated series with its interval, by batch means (Law and Kelton, "Simulation Modeling and
- * Analysis", section 9.5.3): means of long batches are nearly independent, where neighbours are not.
+ * Mean of a correlated series with its confidence interval, by the method of batch means (Law and Kelton,
+ * "Simulation Modeling and Analysis", section 9.5.3): successive values are correlated, but the means of long
+ * batches are nearly independent.
  */
 public final class BatchMeans {
-    private final long batch;
-    private double[] means = new double[32];
-    private int batches;
-    private long inBatch;
+    private final long batchSize;
+    private double[] batchMeans = new double[32];
+    private int batchCount;
+    private long valuesInBatch;
     private double batchSum;
     private long count;
     private double sum;
 
-    /** Batches of {@code batch} values. */
-    public BatchMeans(long batch) {
-        this.batch = Math.max(1, batch);
+    /** Uses batches of {@code batchSize} values, at least one. */
+    public BatchMeans(long batchSize) {
+        this.batchSize = Math.max(1, batchSize);
     }
 
-    /** Takes the next value of the series. */
+    /** Adds the next value of the series. */
     public void add(double value) {
         count++;
         sum += value;
         batchSum += value;
-        if (++inBatch == batch) {
-            if (batches == means.length) {
-                means = Arrays.copyOf(means, 2 * batches);
+        if (++valuesInBatch == batchSize) {
+            if (batchCount == batchMeans.length) {
+                batchMeans = Arrays.copyOf(batchMeans, 2 * batchCount);
             }
-            means[batches++] = batchSum / batch;
-            inBatch = 0;
+            batchMeans[batchCount++] = batchSum / batchSize;
+            valuesInBatch = 0;
             batchSum = 0;
         }
     }
 
-    /** Values so far. */
+    /** Number of values added so far. */
     public long count() {
         return count;
     }
@@ -45,8 +46,8 @@
         return sum / count;
     }
 
-    /** Half width of the 95% interval; NaN with fewer than two whole batches. */
+    /** Half width of the 95% confidence interval; NaN with fewer than two complete batches. */
     public double halfWidth() {
-        return Interval.of(Arrays.copyOf(means, batches)).halfWidth();
+        return Interval.of(Arrays.copyOf(batchMeans, batchCount)).halfWidth();
     }
 }
--- a/simulator/src/test/java/loadbalancer/simulator/engine/SimulationTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/engine/SimulationTest.java
@@ -15,96 +15,98 @@
 import org.junit.jupiter.api.Test;
 
 class SimulationTest {
-    private record Planned(int time, int order) {}
+    private record PlannedEvent(int time, int order) {}
 
-    /** Whatever is scheduled and called off, the rest happens by time, and by order of scheduling within one. */
+    /** Events that are not cancelled run in order of time; events at the same time run in order of scheduling. */
     @Property(tries = 200, seed = "11")
-    void whatIsLeftHappensInOrder(
+    void uncancelledEventsRunInOrderOfTimeAndScheduling(
             @ForAll @Size(max = 3000) List<@IntRange(max = 200) Integer> times,
-            @ForAll @IntRange(min = 1, max = 7) int each) {
+            @ForAll @IntRange(min = 1, max = 7) int keptInterval) {
         Simulation simulation = new Simulation();
-        List<Planned> expected = new ArrayList<>();
-        List<Planned> happened = new ArrayList<>();
-        List<Simulation.Timer> off = new ArrayList<>();
+        List<PlannedEvent> expected = new ArrayList<>();
+        List<PlannedEvent> executed = new ArrayList<>();
+        List<Simulation.Timer> cancelledTimers = new ArrayList<>();
         for (int i = 0; i < times.size(); i++) {
-            Planned p = new Planned(times.get(i), i);
-            Simulation.Timer timer = simulation.timer(p.time, now -> {
-                assertEquals(p.time, now);
-                happened.add(p);
+            PlannedEvent planned = new PlannedEvent(times.get(i), i);
+            Simulation.Timer timer = simulation.timer(planned.time, now -> {
+                assertEquals(planned.time, now);
+                executed.add(planned);
             });
-            if (i % each == 0) {
-                expected.add(p);
+            if (i % keptInterval == 0) {
+                expected.add(planned);
             } else {
-                off.add(timer);
+                cancelledTimers.add(timer);
             }
         }
-        off.forEach(Simulation.Timer::cancel);
+        cancelledTimers.forEach(Simulation.Timer::cancel);
         simulation.runUntil(1000);
-        expected.sort(Comparator.comparingInt(Planned::time).thenComparingInt(Planned::order));
-        assertEquals(expected, happened);
+        expected.sort(Comparator.comparingInt(PlannedEvent::time).thenComparingInt(PlannedEvent::order));
+        assertEquals(expected, executed);
         assertEquals(0, simulation.waiting());
     }
 
     @Test
-    void anEventMayScheduleAtItsOwnInstantAndThatHappensAfterWhatWaitsThere() {
+    void anEventScheduledForTheCurrentTimeRunsAfterThoseAlreadyQueued() {
         Simulation simulation = new Simulation();
-        List<String> happened = new ArrayList<>();
+        List<String> executed = new ArrayList<>();
         simulation.at(5, now -> {
-            happened.add("first");
-            simulation.at(5, then -> happened.add("third"));
+            executed.add("first");
+            simulation.at(5, then -> executed.add("third"));
         });
-        simulation.at(5, now -> happened.add("second"));
+        simulation.at(5, now -> executed.add("second"));
         simulation.runUntil(5);
-        assertEquals(List.of("first", "second", "third"), happened);
+        assertEquals(List.of("first", "second", "third"), executed);
     }
 
     @Test
-    void aTimerCancelledInTheEventThatFiresItLeavesTheCountsRight() {
+    void aTimerCancelledByItsOwnEventDoesNotCorruptTheCancelledCount() {
         Simulation simulation = new Simulation();
-        Simulation.Timer[] own = new Simulation.Timer[1];
-        own[0] = simulation.timer(3, now -> own[0].cancel());
+        Simulation.Timer[] selfCancelling = new Simulation.Timer[1];
+        selfCancelling[0] = simulation.timer(3, now -> selfCancelling[0].cancel());
         Simulation.Timer other = simulation.timer(4, now -> {});
         simulation.runUntil(3);
-        assertFalse(own[0].pending());
+        assertFalse(selfCancelling[0].pending());
         other.cancel();
         other.cancel();
         for (int i = 0; i < 5000; i++) {
             simulation.timer(10, now -> {}).cancel();
         }
-        assertTrue(simulation.waiting() < 2500, "called-off timers are swept: " + simulation.waiting());
+        assertTrue(
+                simulation.waiting() < 2500,
+                "cancelled timers should have been removed; events in the queue: " + simulation.waiting());
         simulation.runUntil(20);
         assertEquals(0, simulation.waiting());
     }
 
     @Test
-    void thePastCannotBeScheduled() {
+    void schedulingAnEventInThePastIsRejected() {
         Simulation simulation = new Simulation();
         simulation.runUntil(10);
         assertThrows(IllegalArgumentException.class, () -> simulation.at(9, now -> {}));
     }
 
     @Test
-    void whatOnePartyDrawsLeavesAnothersDrawsAlone() {
-        RandomStreams once = new RandomStreams(7);
-        RandomStreams again = new RandomStreams(7);
+    void drawsFromOneStreamDoNotChangeAnotherStream() {
+        RandomStreams untouched = new RandomStreams(7);
+        RandomStreams drawnFrom = new RandomStreams(7);
         for (int i = 0; i < 100; i++) {
-            again.of("client", 1, "work").uniform();
+            drawnFrom.of("client", 1, "work").uniform();
         }
         assertEquals(
-                once.of("client", 2, "work").bits(),
-                again.of("client", 2, "work").bits());
-        assertFalse(once.of("client", 2, "work").bits()
-                == once.of("client", 2, "key").bits());
-        assertFalse(once.of("client", 2, "work").bits()
+                untouched.of("client", 2, "work").bits(),
+                drawnFrom.of("client", 2, "work").bits());
+        assertFalse(untouched.of("client", 2, "work").bits()
+                == untouched.of("client", 2, "key").bits());
+        assertFalse(untouched.of("client", 2, "work").bits()
                 == new RandomStreams(8).of("client", 2, "work").bits());
     }
 
     @Test
-    void drawsHaveTheMeansAndSpreadsThatAreAskedFor() {
+    void drawsHaveTheRequestedMeansAndVariances() {
         RandomStream random = new RandomStreams(3).of("test", 0, "moments");
-        int n = 400_000;
+        int draws = 400_000;
         double[] sums = new double[6];
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < draws; i++) {
             double e = random.exponential(2);
             double l = random.lognormal(3, 1.5);
             double p = random.pareto(4, 0.5);
@@ -116,11 +118,11 @@
             sums[4] += g;
             sums[5] += g * g;
         }
-        assertEquals(2, sums[0] / n, 0.02);
-        assertEquals(8, sums[1] / n, 0.2);
-        assertEquals(3, sums[2] / n, 0.05);
-        assertEquals(4, sums[3] / n, 0.03);
-        assertEquals(0, sums[4] / n, 0.01);
-        assertEquals(1, sums[5] / n, 0.02);
+        assertEquals(2, sums[0] / draws, 0.02);
+        assertEquals(8, sums[1] / draws, 0.2);
+        assertEquals(3, sums[2] / draws, 0.05);
+        assertEquals(4, sums[3] / draws, 0.03);
+        assertEquals(0, sums[4] / draws, 0.01);
+        assertEquals(1, sums[5] / draws, 0.02);
     }
 }
--- a/simulator/src/test/java/loadbalancer/simulator/queue/TheoryTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/queue/TheoryTest.java
@@ -11,12 +11,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The bare model against what theory says of it. Each figure is the mean of independent seeds; the theory must lie
- * within its interval of 99.8%, so that sixteen checks seldom fail by chance, widened where the theory is a limit.
+ * Compares the queueing model with theory. Each simulated mean is over independent seeds. The theoretical value must
+ * lie within the 99.8% confidence interval, so that sixteen checks seldom fail by chance. The interval is widened
+ * where the theory gives a limit.
  */
 class TheoryTest {
     private static final int SEEDS = 6;
-    private static final double WIDER = 5.89 / 2.571; // Student's t for 5 degrees: 99.8% over 95%
+    private static final double WIDENING_FACTOR = 5.89 / 2.571; // Student's t, 5 degrees of freedom: 99.8% over 95%
 
     private static Interval mean(
             String policy, int servers, int cores, double lambda, double fastShare, int sampled, long jobs) {
@@ -37,31 +38,31 @@
                 .toArray());
     }
 
-    private static void holds(Interval found, double theory, double bias) {
+    private static void assertAgrees(Interval found, double theory, double bias) {
         assertTrue(
-                Math.abs(found.mean() - theory) <= WIDER * found.halfWidth() + bias * theory,
-                found + " against " + theory);
+                Math.abs(found.mean() - theory) <= WIDENING_FACTOR * found.halfWidth() + bias * theory,
+                "simulated " + found + ", theory " + theory);
     }
 
     @ParameterizedTest
     @CsvSource({"1, 0.5", "1, 0.7", "1, 0.9", "4, 0.5", "4, 0.7", "4, 0.9"})
-    void oneQueueWithOneOrMoreCores(int cores, double load) {
+    void oneServerAgreesWithTheErlangFormula(int cores, double load) {
         Interval found = mean("random", 1, cores, cores * load, 1, 1, 600_000);
-        holds(found, Theory.mmc(cores, load), 0);
-        assertTrue(found.halfWidth() < 0.06 * found.mean(), "precise enough to tell: " + found);
+        assertAgrees(found, Theory.mmc(cores, load), 0);
+        assertTrue(found.halfWidth() < 0.06 * found.mean(), "interval is too wide for a comparison: " + found);
     }
 
-    /** The limit is for infinitely many servers: a thousand may lie up to a hundredth from it. */
+    /** The limit is for infinitely many servers; with 1000 servers the mean may deviate by up to 1%. */
     @ParameterizedTest
     @CsvSource({"2, 0.7", "2, 0.9", "2, 0.95", "3, 0.7", "3, 0.9", "3, 0.95"})
-    void theShortestOfSeveralQueuesTendsToMitzenmachersLimit(int sampled, double load) {
-        holds(mean("jsq-d", 1000, 1, load, 1, sampled, 400_000), Theory.jsqD(sampled, load), 0.01);
+    void theShortestOfSeveralQueuesAgreesWithMitzenmachersLimit(int sampled, double load) {
+        assertAgrees(mean("jsq-d", 1000, 1, load, 1, sampled, 400_000), Theory.jsqD(sampled, load), 0.01);
     }
 
     @ParameterizedTest
     @CsvSource({"0.5", "0.7", "0.8"})
-    void fastFirstTendsToTheFixedPointOfThePaperWithAJobsOwnServiceCounted(double lambda) {
-        holds(
+    void jsqDfDsAgreesWithThePapersFixedPointIfAJobsOwnServiceIsCounted(double lambda) {
+        assertAgrees(
                 mean("jsq-dfds", 1000, 1, lambda, 0.3, 4, 400_000),
                 Theory.jsqDfDs(2, 2, lambda, 0.3, 1.95, 0.6, false),
                 0.01);
@@ -78,14 +79,14 @@
     }
 
     @Test
-    void accomplishmentFindsTheFastServersAtHighLoad() {
+    void jsqDasIdentifiesTheFastServersAtHighLoad() {
         QueueModel.Result result =
                 QueueModel.run(new QueueModel.Setting("jsq-das", 300, 1, 0.9, 0.3, 1.95, 0.6, 4, 2, 900_000, 5));
-        assertTrue(result.fastIdentified() > 0.99, "found " + result.fastIdentified());
+        assertTrue(result.fastIdentified() > 0.99, "share of fast servers identified: " + result.fastIdentified());
     }
 
     @Test
-    void theModuleItselfBeatsRandomChoiceAndRefusesNothingWhereNoDeadlineIsNear() {
+    void theBalancersPolicyBeatsRandomChoiceAndRejectsNothingWithoutDeadlines() {
         QueueModel.Result own = run("balance", 100, 0.8, 60_000);
         QueueModel.Result random = run("random", 100, 0.8, 60_000);
         assertEquals(0, own.refused());
@@ -93,7 +94,7 @@
     }
 
     @Test
-    void anOverloadedModelIsRefusedBeforeItRuns() {
+    void aSettingWhoseLoadExceedsCapacityIsRejectedBeforeTheRun() {
         assertThrows(IllegalArgumentException.class, () -> run("random", 10, 1.0, 1000));
     }
 }
