--- a/simulator/src/main/java/loadbalancer/simulator/world/Attempt.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Attempt.java
@@ -3,7 +3,7 @@
 import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.simulator.engine.Simulation;
 
-/** One send of a request to an upstream. */
+/** One attempt of a balancer to have a request served by an upstream. */
 public final class Attempt {
     private final BalancerRequest request;
     private final int number;
@@ -24,37 +24,37 @@
         this.serial = request.serial * 16 + number;
     }
 
-    /** The request that it is for. */
+    /** The request that the attempt serves. */
     public BalancerRequest request() {
         return request;
     }
 
-    /** Its number among the request's attempts, from 0. */
+    /** The number of this attempt among the request's attempts, from 0. */
     public int number() {
         return number;
     }
 
-    /** The kind of the upstream that it went to, by number. */
+    /** The index of the kind of the upstream that the attempt was sent to. */
     public int upstreamKind() {
         return upstream.kindNumber;
     }
 
-    /** When it was sent, in µs. */
+    /** When the attempt was sent, in simulated µs. */
     public long sentAt() {
         return sentAt;
     }
 
-    /** The id it was sent to. */
+    /** The endpoint id that the attempt was sent to; a successor at the same address may have received it. */
     public String endpointId() {
         return endpointId;
     }
 
-    /** Whether its outcome is still owed. */
+    /** Whether the outcome is still pending. */
     public boolean inFlight() {
         return inFlight;
     }
 
-    /** False once an outcome has proved that it never ran. */
+    /** False if the outcome shows that the upstream never ran the request. */
     public boolean mayHaveRun() {
         return mayHaveRun;
     }
--- a/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Balancer.java
@@ -12,8 +12,8 @@
 import loadbalancer.policy.LoadBalancingPolicy;
 
 /**
- * One process of a balancer: carries out what its policy asks for, on the simulated network. It decides nothing.
- * A restarted balancer is a new object.
+ * One process of a simulated balancer. It performs the actions of its policy on the simulated network and makes no
+ * decisions of its own. A restart creates a new object.
  */
 public final class Balancer implements LoadBalancingPolicy.Actions {
     private static final int MAX_FINISHED_REQUESTS = 512;
@@ -28,7 +28,7 @@
     private final Map<Upstream, IdleConnections> idleConnections = new HashMap<>();
     private final Map<String, Endpoint> endpoints = new HashMap<>();
     private final Map<String, EndpointState> operatorDrained = new HashMap<>();
-    // The latest that are over: a second answer to one of these is told apart from one to a request that never was.
+    // The latest finished requests, to distinguish a second answer to a request from an answer to an unknown one.
     private final Map<String, BalancerRequest> finishedRequests = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
@@ -48,17 +48,20 @@
         this.subscriber = new SimulatedDiscovery.Subscriber(this);
     }
 
-    /** Its number among all, from 0. */
+    /** The balancer's rank among all balancers, from 0. */
     public int rank() {
         return rank;
     }
 
-    /** Which process of that balancer it is, from 0. */
+    /** The number of this process among the processes of its balancer, from 0. */
     public int incarnation() {
         return incarnation;
     }
 
-    /** When it counts as notified that the upstream drains or is gone, whatever reached it; or the largest long. */
+    /**
+     * When this process counts as notified that the upstream drains or is gone, even if no list has reached it;
+     * {@link Long#MAX_VALUE} if there is no such time.
+     */
     public long deemedNotifiedAt(String id) {
         return subscriber.deemedNotifiedAt(
                 world.discovery.endListedAt(id), world.plan.rules().pollIntervalMicros());
@@ -72,14 +75,14 @@
         return policy;
     }
 
-    int open() {
+    int openRequests() {
         return requests.size();
     }
 
     // ---- events
 
     void start(List<Endpoint> known, long now) {
-        known.forEach(s -> endpoints.put(s.id(), s));
+        known.forEach(endpoint -> endpoints.put(endpoint.id(), endpoint));
         world.observer.endpointsNotified(this, EndpointListKind.CACHED, known, now);
         policy.endpoints(now, EndpointListKind.CACHED, known, this);
     }
@@ -105,18 +108,18 @@
         policy.endpoints(now, kind, effective, this);
     }
 
-    /** An operator takes an upstream out, or puts it back as freshly started. */
-    void setOperatorDrained(String id, boolean out, long now) {
+    /** An operator drains an upstream, or puts it back into service as if it had just started. */
+    void setOperatorDrained(String id, boolean drained, long now) {
         Endpoint endpoint = endpoints.get(id);
         if (!alive || endpoint == null) {
             return;
         }
-        if (out) {
+        if (drained) {
             operatorDrained.put(id, EndpointState.DRAINING);
         } else {
             operatorDrained.remove(id);
         }
-        Endpoint effective = out ? endpoint.withState(EndpointState.DRAINING) : endpoint.withStartedAt(now);
+        Endpoint effective = drained ? endpoint.withState(EndpointState.DRAINING) : endpoint.withStartedAt(now);
         world.observer.endpointsNotified(this, EndpointListKind.LOCAL_OVERRIDE, List.of(effective), now);
         policy.endpoints(now, EndpointListKind.LOCAL_OVERRIDE, List.of(effective), this);
     }
@@ -159,7 +162,7 @@
         }
     }
 
-    /** The outcome of an attempt has come. */
+    /** Handles the outcome of an attempt. */
     void outcome(Attempt attempt, AttemptOutcome outcome, long now) {
         if (!alive || !attempt.inFlight()) {
             return;
@@ -179,7 +182,7 @@
                     .computeIfAbsent(attempt.upstream, u -> new IdleConnections())
                     .release(now);
         } else if (outcome != AttemptOutcome.NOT_SENT && outcome != AttemptOutcome.CONNECT_FAILED) {
-            attempt.upstream.connected(-1);
+            attempt.upstream.addConnections(-1);
         }
         if (outcome == AttemptOutcome.OK && !request.answered && !request.clientGone) {
             answer(request, Clients.AttemptResult.SERVED, 0, now);
@@ -203,15 +206,15 @@
         }
     }
 
-    private void answer(BalancerRequest request, Clients.AttemptResult end, long retryAfter, long now) {
+    private void answer(BalancerRequest request, Clients.AttemptResult result, long retryAfter, long now) {
         request.answered = true;
         request.deadlineTimer.cancel();
-        request.step(now, "answered " + end);
-        world.observer.requestAnswered(request, end, retryAfter, now);
-        world.clients.attemptEnded(request, end, retryAfter, now);
+        request.step(now, "answered " + result);
+        world.observer.requestAnswered(request, result, retryAfter, now);
+        world.clients.attemptEnded(request, result, retryAfter, now);
     }
 
-    /** The process dies: what it holds is its clients' to repeat. */
+    /** Ends the process at once. Its open requests are lost; the clients may retry them. */
     void kill(long now) {
         alive = false;
         subscriber.end();
@@ -221,7 +224,7 @@
                     if (attempt.timeout != null) {
                         attempt.timeout.cancel();
                     }
-                    attempt.upstream.connected(-1);
+                    attempt.upstream.addConnections(-1);
                     attempt.upstream.abandon(attempt);
                     attempt.markEnded(AttemptOutcome.CANCELLED);
                 }
@@ -233,24 +236,25 @@
             }
         }
         requests.clear();
-        idleConnections.forEach((u, l) -> l.closeAll(u));
+        idleConnections.forEach((upstream, idle) -> idle.closeAll(upstream));
         idleConnections.clear();
     }
 
-    /** All connections to that process have broken. */
+    /** Forgets the idle connections to a process that has ended. */
     void connectionsLost(Upstream upstream) {
         idleConnections.remove(upstream);
     }
 
-    /** Closes what has rested too long; called now and then, not with each send. */
+    /** Closes connections that have been idle for too long; called once per second, not with each send. */
     void closeExpiredConnections(long now) {
-        idleConnections.forEach((u, l) -> l.expire(u, now, world.plan.fleet().idleTimeoutMicros()));
+        idleConnections.forEach((upstream, idle) ->
+                idle.expire(upstream, now, world.plan.fleet().idleTimeoutMicros()));
     }
 
-    // ---- what the policy asks for
+    // ---- actions of the policy
 
     @Override
-    public void send(String request, String server, long timeout) {
+    public void send(String request, String server, long timeoutMicros) {
         long now = world.simulation.now();
         BalancerRequest balancerRequest = requests.get(request);
         Upstream upstream = world.currentUpstream(server);
@@ -268,16 +272,17 @@
         world.observer.attemptStarting(attempt, now);
         balancerRequest.attempts.add(attempt);
         balancerRequest.attemptsInFlight++;
-        long left = balancerRequest.deadline() - now;
+        long timeLeftMicros = balancerRequest.deadline() - now;
         if (balancerRequest.answered
                 || balancerRequest.clientGone
-                || left <= 0
+                || timeLeftMicros <= 0
                 || attempt.number() >= world.plan.rules().maxAttempts()) {
             world.simulation.after(0, at -> outcome(attempt, AttemptOutcome.NOT_SENT, at));
             return;
         }
-        attempt.timeout =
-                world.simulation.timer(now + (timeout == 0 ? left : Math.max(0, Math.min(timeout, left))), at -> {
+        attempt.timeout = world.simulation.timer(
+                now + (timeoutMicros == 0 ? timeLeftMicros : Math.max(0, Math.min(timeoutMicros, timeLeftMicros))),
+                at -> {
                     upstream.abandon(attempt);
                     outcome(attempt, AttemptOutcome.TIMEOUT, at);
                 });
@@ -296,17 +301,17 @@
         close(request, Clients.AttemptResult.FAILED, 0);
     }
 
-    private void close(String request, Clients.AttemptResult end, long retryAfter) {
+    private void close(String request, Clients.AttemptResult result, long retryAfter) {
         long now = world.simulation.now();
         BalancerRequest balancerRequest = requests.getOrDefault(request, finishedRequests.get(request));
         if (balancerRequest == null) {
-            world.observer.invalidAction(this, end + " of " + request + ": no such request was taken", null, now);
+            world.observer.invalidAction(this, result + " of " + request + ": no such request was taken", null, now);
             return;
         }
         if (balancerRequest.answered) {
-            world.observer.answeredTwice(balancerRequest, end, now);
+            world.observer.answeredTwice(balancerRequest, result, now);
         } else if (!balancerRequest.clientGone) {
-            answer(balancerRequest, end, retryAfter, now);
+            answer(balancerRequest, result, retryAfter, now);
             releaseIfFinished(balancerRequest);
         }
     }
@@ -322,10 +327,10 @@
                     world.simulation.now());
             return;
         }
-        Attempt a = balancerRequest.attempts.get(attempt);
-        if (a.inFlight()) {
-            a.upstream.abandon(a);
-            world.simulation.after(0, at -> outcome(a, AttemptOutcome.CANCELLED, at));
+        Attempt cancelled = balancerRequest.attempts.get(attempt);
+        if (cancelled.inFlight()) {
+            cancelled.upstream.abandon(cancelled);
+            world.simulation.after(0, at -> outcome(cancelled, AttemptOutcome.CANCELLED, at));
         }
     }
 
@@ -372,8 +377,8 @@
     }
 
     @Override
-    public void wakeAfter(long delay) {
-        world.simulation.after(Math.max(0, delay), now -> {
+    public void wakeAfter(long delayMicros) {
+        world.simulation.after(Math.max(0, delayMicros), now -> {
             if (alive) {
                 policy.wake(now, this);
             }
--- a/simulator/src/main/java/loadbalancer/simulator/world/BalancerFaults.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/BalancerFaults.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** Schedules the faults of balancers: kills, restarts, upgrades and changes of their settings. */
+/** Schedules the faults of balancers: kills, restarts, upgrades and changes of settings. */
 final class BalancerFaults {
-    /** For how long after the longest deadline a replaced process lives on beside its successor. */
+    /** How long after the longest deadline a replaced process still runs beside its successor. */
     private static final long UPGRADE_OVERLAP_MICROS = 700_000;
 
     private final World world;
@@ -25,7 +25,7 @@
             case "balancers_killed" -> scheduleKills(fault);
             case "balancers_restarted" -> scheduleRestarts(fault);
             case "balancers_upgraded" -> scheduleUpgrades(fault);
-            default -> throw new IllegalArgumentException("no fault of balancers: " + fault.kind());
+            default -> throw new IllegalArgumentException("unknown balancer fault '" + fault.kind() + "'");
         }
     }
 
@@ -40,13 +40,13 @@
         }
     }
 
-    // The draw goes by a number for each balancer, not by the order of a list.
+    // Each balancer's draw is a function of its rank, so that it doesn't depend on the order of a list.
     private List<BalancerSlot> pick(DrawnFault fault) {
-        List<BalancerSlot> all = new ArrayList<>(world.slots);
+        List<BalancerSlot> slots = new ArrayList<>(world.slots);
         long salt = fault.random().bits();
-        all.sort(Comparator.comparingDouble(slot -> IndexedRandom.uniform(salt, slot.rank, 2)));
-        int count = Math.max(1, (int) Math.round(fault.fraction() * all.size()));
-        return all.subList(0, Math.min(all.size(), count));
+        slots.sort(Comparator.comparingDouble(slot -> IndexedRandom.uniform(salt, slot.rank, 2)));
+        int count = Math.max(1, (int) Math.round(fault.fraction() * slots.size()));
+        return slots.subList(0, Math.min(slots.size(), count));
     }
 
     private void scheduleKills(DrawnFault fault) {
@@ -56,33 +56,33 @@
                 if (balancer != null) {
                     balancer.kill(now);
                     world.simulation.at(
-                            now + world.failureDetectionMicros, at -> slot.admitted(slot.serving() != null));
+                            now + world.failureDetectionMicros, at -> slot.setAdmitted(slot.serving() != null));
                 }
             });
             world.simulation.at(fault.from() + fault.length(), now -> {
                 if (slot.serving() == null) {
                     world.startBalancer(slot, null);
-                    world.simulation.at(now + world.failureDetectionMicros, at -> slot.admitted(true));
+                    world.simulation.at(now + world.failureDetectionMicros, at -> slot.setAdmitted(true));
                 }
             });
         }
     }
 
-    // A planned restart: clients are sent elsewhere at once, open requests have until the longest deadline.
+    // A planned restart: new requests go to other balancers at once, and open ones may run until the longest deadline.
     private void scheduleRestarts(DrawnFault fault) {
         List<BalancerSlot> chosen = pick(fault);
         for (int i = 0; i < chosen.size(); i++) {
             BalancerSlot slot = chosen.get(i);
             world.simulation.at(fault.from() + fault.length() * i / chosen.size(), now -> {
-                Balancer old = slot.serving();
-                if (old == null) {
+                Balancer predecessor = slot.serving();
+                if (predecessor == null) {
                     return;
                 }
-                slot.admitted(false);
-                world.simulation.at(now + longestDeadline(), at -> killIfAlive(old, at));
+                slot.setAdmitted(false);
+                world.simulation.at(now + longestDeadline(), at -> killIfAlive(predecessor, at));
                 world.simulation.at(now + longestDeadline() + fault.extraMicros(), at -> {
                     world.startBalancer(slot, null);
-                    slot.admitted(true);
+                    slot.setAdmitted(true);
                 });
             });
         }
@@ -93,16 +93,17 @@
         for (int i = 0; i < chosen.size(); i++) {
             BalancerSlot slot = chosen.get(i);
             world.simulation.at(fault.from() + fault.length() * i / chosen.size(), now -> {
-                Balancer old = slot.serving();
-                if (old == null) {
+                Balancer predecessor = slot.serving();
+                if (predecessor == null) {
                     return;
                 }
-                Balancer next = world.startBalancer(slot, old.policy().learnedState(now));
-                old.policy().setSlowStartBudgetFactor(0.5);
-                next.policy().setSlowStartBudgetFactor(0.5);
+                Balancer successor =
+                        world.startBalancer(slot, predecessor.policy().learnedState(now));
+                predecessor.policy().setSlowStartBudgetFactor(0.5);
+                successor.policy().setSlowStartBudgetFactor(0.5);
                 world.simulation.at(now + longestDeadline() + UPGRADE_OVERLAP_MICROS, at -> {
-                    killIfAlive(old, at);
-                    next.policy().setSlowStartBudgetFactor(1);
+                    killIfAlive(predecessor, at);
+                    successor.policy().setSlowStartBudgetFactor(1);
                 });
             });
         }
--- a/simulator/src/main/java/loadbalancer/simulator/world/BalancerRequest.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/BalancerRequest.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import loadbalancer.simulator.engine.Simulation;
 
-/** A client's try, as a balancer holds it: it owes exactly one final answer by the deadline. */
+/** One client attempt as a balancer holds it. The balancer owes it exactly one final answer by the deadline. */
 public final class BalancerRequest {
-    /** Something that happened to it, for the chain of events that a broken rule shows. */
+    /** An event in the life of the request, listed in the reports of rule violations. */
     public record Step(long at, String description) {}
 
     private final String id;
@@ -32,52 +32,52 @@
         this.deadline = deadline;
     }
 
-    /** The id that the policy knows it by. */
+    /** The id under which the policy knows the request. */
     public String id() {
         return id;
     }
 
-    /** The client's request, of which this is one try. */
+    /** The client's request, of which this is one attempt. */
     public ClientRequest clientRequest() {
         return clientRequest;
     }
 
-    /** When it was taken, in µs. */
+    /** When the balancer accepted the request, in simulated µs. */
     public long acceptedAt() {
         return acceptedAt;
     }
 
-    /** When the client gives this try up, in µs. */
+    /** When the client gives up this attempt, in simulated µs. */
     public long deadline() {
         return deadline;
     }
 
-    /** Its attempts so far, in order. */
+    /** The balancer's attempts so far, in order. */
     public List<Attempt> attempts() {
         return attempts;
     }
 
-    /** What happened to it so far. */
+    /** The events so far, in order. */
     public List<Step> steps() {
         return steps;
     }
 
-    /** Whether its final answer has gone out. */
+    /** Whether the final answer has been given. */
     public boolean answered() {
         return answered;
     }
 
-    /** Attempts whose outcome is owed. */
+    /** Number of attempts whose outcome is pending. */
     public int attemptsInFlight() {
         return attemptsInFlight;
     }
 
-    /** The balancer process that holds it. */
+    /** The balancer process that holds the request. */
     public Balancer at() {
         return balancer;
     }
 
-    /** The balancer process that owes the answer. */
+    /** The balancer process that owes the final answer. */
     public Balancer balancer() {
         return balancer;
     }
--- a/simulator/src/main/java/loadbalancer/simulator/world/BalancerSlot.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/BalancerSlot.java
@@ -1,6 +1,6 @@
 package loadbalancer.simulator.world;
 
-/** A balancer's name and address, whatever process serves there. */
+/** The place of one balancer, identified by rank and zone, which successive processes fill. */
 final class BalancerSlot {
     final int rank;
     final int zone;
@@ -13,12 +13,12 @@
         this.zone = zone;
     }
 
-    /** The process that takes what comes; null while there is none. */
+    /** The process that receives new requests; null while there is none. */
     Balancer serving() {
         return serving != null && serving.alive() ? serving : null;
     }
 
-    void serving(Balancer balancer) {
+    void setServing(Balancer balancer) {
         serving = balancer;
     }
 
@@ -26,12 +26,12 @@
         return incarnations++;
     }
 
-    /** Whether the front sends clients here. */
+    /** Whether clients send requests to this balancer. */
     boolean admitted() {
         return admitted;
     }
 
-    void admitted(boolean now) {
-        admitted = now;
+    void setAdmitted(boolean value) {
+        admitted = value;
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/world/ClientRequest.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/ClientRequest.java
@@ -1,6 +1,6 @@
 package loadbalancer.simulator.world;
 
-/** What a client wants once, over all its tries. */
+/** One request of a client, over all of its attempts. */
 public final class ClientRequest {
     final long number;
     final int requestClass;
@@ -35,37 +35,37 @@
         this.overQuota = overQuota;
     }
 
-    /** What it concerns, by number; -1 where nothing. */
+    /** The index of the key that the request concerns; -1 for none. */
     public int key() {
         return key;
     }
 
-    /** Its work, in µs of a standard core. */
+    /** The work of the request, in µs of a standard core. */
     public double work() {
         return work;
     }
 
-    /** The deadline of the request, in µs. */
+    /** The deadline of the request, in simulated µs. */
     public long deadline() {
         return deadline;
     }
 
-    /** Its class, by number. */
+    /** The index of the request class. */
     public int requestClass() {
         return requestClass;
     }
 
-    /** Its tenant, by number; 0 where there are none. */
+    /** The index of the tenant; 0 if the plan has no tenants. */
     public int tenant() {
         return tenant;
     }
 
-    /** When its first try was sent, in µs. */
+    /** When the first attempt was sent, in simulated µs. */
     public long firstAttemptAt() {
         return firstAttemptAt;
     }
 
-    /** Whether its tenant had used up its share. */
+    /** Whether the tenant had used up its quota when the request arrived. */
     public boolean overQuota() {
         return overQuota;
     }
--- a/simulator/src/main/java/loadbalancer/simulator/world/Clients.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Clients.java
@@ -6,13 +6,16 @@
 import loadbalancer.policy.Idempotency;
 import loadbalancer.simulator.engine.RandomStream;
 
-/** Clients: open-loop arrivals, keys, tenants, tries given up, retries; and the front that spreads them. */
+/**
+ * The clients: open-loop arrivals with keys and tenants, timeouts and retries of attempts, and the choice of a balancer
+ * for each attempt.
+ */
 public final class Clients {
-    private static final double DAY_PART = 2 * Math.PI;
-    private static final long BURST = 2_000_000; // µs that a burst of that shape lasts
+    private static final double FULL_CYCLE_RADIANS = 2 * Math.PI;
+    private static final long BURST_MICROS = 2_000_000; // length of one burst of the shape BURSTS
     private static final int MAX_BACKOFF_DOUBLINGS = 6;
 
-    /** How a try ended. */
+    /** How an attempt of a client ended. */
     public enum AttemptResult {
         SERVED,
         REFUSED,
@@ -26,14 +29,14 @@
     private final World world;
     private final WorldPlan plan;
     private final RandomStream arrivals;
-    private final RandomStream kinds;
+    private final RandomStream classes;
     private final RandomStream tenantDraws;
     private final RandomStream zones;
     private final RandomStream keys;
     private final RandomStream works;
-    private final double rate; // mean first tries per µs
+    private final double rate; // mean first attempts per µs
     private final double swing;
-    private final double[] kindShares;
+    private final double[] classShares;
     private final double[] tenantShares;
     private final double[] zoneShares;
     private final double[] keyShares;
@@ -46,14 +49,14 @@
     private final double backoff;
     private final double retryAfterCompliance;
     private final double abandonFraction;
-    final double[] allowances;
+    final double[] tenantAllowances;
     private final long length;
     private double burst = 1;
     private double maxBurst = 1;
     private double hotKeyShare;
     private int hotKeys = 1;
     private int extraRetries;
-    private boolean withoutBackoff;
+    private boolean backoffDisabled;
     private long number;
     private long open;
     private double exactArrivalTime;
@@ -63,7 +66,7 @@
         this.plan = world.plan;
         this.length = plan.length();
         this.arrivals = world.streams.of("clients", 0, "arrivals");
-        this.kinds = world.streams.of("clients", 0, "classes");
+        this.classes = world.streams.of("clients", 0, "classes");
         this.tenantDraws = world.streams.of("clients", 0, "tenants");
         this.zones = world.streams.of("clients", 0, "zones");
         this.keys = world.streams.of("clients", 0, "keys");
@@ -75,7 +78,7 @@
         retryAfterCompliance = clients.retryAfterCompliance().draw(figures);
         abandonFraction = clients.abandonFraction().draw(figures);
         swing = plan.load().swing().draw(figures);
-        kindShares = cumulated(plan.classes().stream()
+        classShares = cumulative(plan.classes().stream()
                 .mapToDouble(k -> k.share().draw(figures))
                 .toArray());
         workMeans =
@@ -86,54 +89,55 @@
         double[] usage = plan.tenants().stream()
                 .mapToDouble(t -> t.share() * t.usage().draw(figures))
                 .toArray();
-        tenantShares = cumulated(usage.length == 0 ? new double[] {1} : usage);
+        tenantShares = cumulative(usage.length == 0 ? new double[] {1} : usage);
         double skew = plan.load().zoneSkew().draw(figures);
         double[] zoneWeights = new double[plan.zones().size()];
         for (int i = 0; i < zoneWeights.length; i++) {
             zoneWeights[i] = 1 + skew * (2 * figures.uniform() - 1);
         }
-        zoneShares = cumulated(zoneWeights);
+        zoneShares = cumulative(zoneWeights);
         int keyCount = (int) Math.max(0, plan.load().keys().draw(figures));
         double zipf = plan.load().keyZipf().draw(figures);
         double[] popularity = new double[keyCount];
         for (int i = 0; i < keyCount; i++) {
             popularity[i] = StrictMath.pow(i + 1, -zipf);
         }
-        keyShares = cumulated(popularity);
+        keyShares = cumulative(popularity);
         double meanWork = 0;
         for (int i = 0; i < workMeans.length; i++) {
-            meanWork += (kindShares[i] - (i == 0 ? 0 : kindShares[i - 1])) * workMeans[i];
+            meanWork += (classShares[i] - (i == 0 ? 0 : classShares[i - 1])) * workMeans[i];
         }
         world.meanWork = meanWork;
         rate = plan.load().level().draw(figures) * world.nominalCapacity / meanWork;
         double quota = plan.load().quota().draw(figures) * world.nominalCapacity / meanWork * 1e6;
-        allowances = plan.tenants().stream().mapToDouble(t -> quota * t.share()).toArray();
-        tokens = allowances.clone();
-        tokensAt = new long[allowances.length];
+        tenantAllowances =
+                plan.tenants().stream().mapToDouble(t -> quota * t.share()).toArray();
+        tokens = tenantAllowances.clone();
+        tokensAt = new long[tenantAllowances.length];
     }
 
-    private static double[] cumulated(double[] weights) {
+    private static double[] cumulative(double[] weights) {
         double sum = Arrays.stream(weights).sum();
-        double[] cumulated = new double[weights.length];
-        double cumulative = 0;
-        for (int i = 0; i < cumulated.length; i++) {
-            cumulative += weights[i] / sum;
-            cumulated[i] = cumulative;
+        double[] cumulativeShares = new double[weights.length];
+        double sumSoFar = 0;
+        for (int i = 0; i < cumulativeShares.length; i++) {
+            sumSoFar += weights[i] / sum;
+            cumulativeShares[i] = sumSoFar;
         }
-        return cumulated;
+        return cumulativeShares;
     }
 
-    private static int sampleIndex(double[] cumulated, double draw) {
-        int at = Arrays.binarySearch(cumulated, draw);
-        return Math.min(cumulated.length - 1, at < 0 ? -at - 1 : at + 1);
+    private static int sampleIndex(double[] cumulativeShares, double draw) {
+        int index = Arrays.binarySearch(cumulativeShares, draw);
+        return Math.min(cumulativeShares.length - 1, index < 0 ? -index - 1 : index + 1);
     }
 
-    /** Mean first tries per second. */
+    /** Mean first attempts per second. */
     double arrivalsPerSecond() {
         return rate * 1e6;
     }
 
-    /** Requests that have neither been served nor given up. */
+    /** Requests that have neither been served nor abandoned. */
     long open() {
         return open;
     }
@@ -151,26 +155,26 @@
         hotKeys = Math.max(1, count);
     }
 
-    /** Clients lose their patience: further tries, without waits. */
+    /** Starts a retry storm, in which clients make {@code extra} more retries without backoff; 0 ends it. */
     void setRetryStorm(int extra) {
         extraRetries = extra;
-        withoutBackoff = extra > 0;
+        backoffDisabled = extra > 0;
     }
 
     void begin() {
         next(world.simulation.now());
     }
 
-    // Thinning (Lewis and Shedler): the draws of arrivals don't depend on what happens.
+    // Thinning (Lewis and Shedler), so that the draws of arrivals don't depend on other events.
     private void next(long now) {
         double maxRate = rate * (1 + swing) * maxBurst;
         exactArrivalTime = Math.max(exactArrivalTime, now) + arrivals.exponential(1 / maxRate);
         long at = Math.round(exactArrivalTime);
-        if (at - world.begin >= length) {
+        if (at - world.dayStart >= length) {
             return;
         }
         world.simulation.at(Math.max(now, at), time -> {
-            if (arrivals.uniform() * maxRate < rate * shape((time - world.begin) / (double) length) * burst) {
+            if (arrivals.uniform() * maxRate < rate * shape((time - world.dayStart) / (double) length) * burst) {
                 arrive(time);
             }
             next(time);
@@ -181,14 +185,14 @@
         return switch (plan.load().shape()) {
             case STEADY -> 1;
             case RAMP -> 1 + swing * (2 * part - 1);
-            case DAILY -> 1 - swing * StrictMath.cos(DAY_PART * part);
-            case BURSTS -> (long) (part * length) / BURST % 4 == 0 ? 1 + swing : 1 - swing / 3;
+            case DAILY -> 1 - swing * StrictMath.cos(FULL_CYCLE_RADIANS * part);
+            case BURSTS -> (long) (part * length) / BURST_MICROS % 4 == 0 ? 1 + swing : 1 - swing / 3;
         };
     }
 
-    /** The tenant of that number sends so many times as much until then, by draws that leave all others' alone. */
+    /** Multiplies the arrivals of one tenant until {@code until}, with draws of their own that change no others. */
     void flood(int tenant, double factor, long until) {
-        if (tenant < 0 || tenant >= allowances.length) {
+        if (tenant < 0 || tenant >= tenantAllowances.length) {
             return;
         }
         double share = tenantShares[tenant] - (tenant == 0 ? 0 : tenantShares[tenant - 1]);
@@ -198,47 +202,55 @@
         }
     }
 
-    private void scheduleFlood(int tenant, double extra, long until, RandomStream own) {
-        long at = world.simulation.now() + Math.max(1, Math.round(own.exponential(1 / extra)));
-        if (at < until && at - world.begin < length) {
+    private void scheduleFlood(int tenant, double extra, long until, RandomStream random) {
+        long at = world.simulation.now() + Math.max(1, Math.round(random.exponential(1 / extra)));
+        if (at < until && at - world.dayStart < length) {
             world.simulation.at(at, now -> {
-                arrive(now, tenant, own, own, own, own);
-                scheduleFlood(tenant, extra, until, own);
+                arrive(now, tenant, random, random, random, random);
+                scheduleFlood(tenant, extra, until, random);
             });
         }
     }
 
     private void arrive(long now) {
-        arrive(now, -1, kinds, zones, keys, works);
+        arrive(now, -1, classes, zones, keys, works);
     }
 
     private void arrive(
             long now,
             int fixedTenant,
-            RandomStream ofKind,
-            RandomStream ofZone,
-            RandomStream ofKey,
-            RandomStream ofWork) {
-        int kind = sampleIndex(kindShares, ofKind.uniform());
+            RandomStream classDraws,
+            RandomStream zoneDraws,
+            RandomStream keyDraws,
+            RandomStream workDraws) {
+        int requestClass = sampleIndex(classShares, classDraws.uniform());
         int tenant = fixedTenant >= 0 ? fixedTenant : sampleIndex(tenantShares, tenantDraws.uniform());
-        int zone = sampleIndex(zoneShares, ofZone.uniform());
-        double hotDraw = ofKey.uniform();
-        double keyDraw = ofKey.uniform();
+        int zone = sampleIndex(zoneShares, zoneDraws.uniform());
+        double hotDraw = keyDraws.uniform();
+        double keyDraw = keyDraws.uniform();
         int key = keyShares.length == 0
                 ? -1
                 : hotDraw < hotKeyShare
                         ? keyShares.length - 1 - (int) (keyDraw * Math.min(hotKeys, keyShares.length))
                         : sampleIndex(keyShares, keyDraw);
-        WorldPlan.RequestClassPlan requestKind = plan.classes().get(kind);
+        WorldPlan.RequestClassPlan requestClassPlan = plan.classes().get(requestClass);
         double work =
-                switch (requestKind.spread()) {
-                    case EXPONENTIAL -> ofWork.exponential(workMeans[kind]);
-                    case LOGNORMAL -> ofWork.lognormal(workMeans[kind], variations[kind]);
-                    case PARETO -> ofWork.pareto(workMeans[kind], variations[kind]);
-                    case FIXED -> workMeans[kind];
+                switch (requestClassPlan.spread()) {
+                    case EXPONENTIAL -> workDraws.exponential(workMeans[requestClass]);
+                    case LOGNORMAL -> workDraws.lognormal(workMeans[requestClass], variations[requestClass]);
+                    case PARETO -> workDraws.pareto(workMeans[requestClass], variations[requestClass]);
+                    case FIXED -> workMeans[requestClass];
                 };
         ClientRequest request = new ClientRequest(
-                number++, kind, tenant, zone, key, work, now, now + requestKind.deadline(), overQuota(tenant, now));
+                number++,
+                requestClass,
+                tenant,
+                zone,
+                key,
+                work,
+                now,
+                now + requestClassPlan.deadline(),
+                overQuota(tenant, now));
         open++;
         world.offeredWork += work;
         world.observer.requestIssued(request, now);
@@ -246,12 +258,12 @@
     }
 
     private boolean overQuota(int tenant, long now) {
-        if (allowances.length == 0) {
+        if (tenantAllowances.length == 0) {
             return false;
         }
-        double perMicro = allowances[tenant] / 1e6;
+        double perMicro = tenantAllowances[tenant] / 1e6;
         tokens[tenant] =
-                Math.min(Math.max(1, allowances[tenant]), tokens[tenant] + perMicro * (now - tokensAt[tenant]));
+                Math.min(Math.max(1, tenantAllowances[tenant]), tokens[tenant] + perMicro * (now - tokensAt[tenant]));
         tokensAt[tenant] = now;
         if (tokens[tenant] < 1) {
             return true;
@@ -278,7 +290,7 @@
                 ended(request, AttemptResult.UNREACHABLE, 0, at + world.network.client(serial, 1), serial);
                 return;
             }
-            if (requestDelay >= attemptTimeoutMicros) { // given up before it arrived
+            if (requestDelay >= attemptTimeoutMicros) { // the client timed out before the request arrived
                 ended(request, AttemptResult.SILENT, 0, at, serial);
                 return;
             }
@@ -296,34 +308,39 @@
                     at);
             if (!balancerRequest.answered && IndexedRandom.uniform(world.randomSeed, serial, 2) < abandonFraction) {
                 double part = IndexedRandom.uniform(world.randomSeed, serial, 3);
-                world.simulation.after(Math.round(part * attemptTimeoutMicros), leaves -> {
+                world.simulation.after(Math.round(part * attemptTimeoutMicros), leftAt -> {
                     if (!balancerRequest.answered && !balancerRequest.clientGone && balancer.alive()) {
-                        balancer.abandon(balancerRequest, leaves);
-                        ended(request, AttemptResult.LEFT, 0, leaves, serial);
+                        balancer.abandon(balancerRequest, leftAt);
+                        ended(request, AttemptResult.LEFT, 0, leftAt, serial);
                     }
                 });
             }
         });
     }
 
-    /** A try has ended at its balancer; the client gets it after its way back. */
-    void attemptEnded(BalancerRequest request, AttemptResult end, long retryAfter, long now) {
-        ended(request.clientRequest(), end, retryAfter, now + world.network.client(request.serial, 1), request.serial);
+    /** Reports the end of a client attempt at its balancer; the client receives it after the network delay. */
+    void attemptEnded(BalancerRequest request, AttemptResult result, long retryAfter, long now) {
+        ended(
+                request.clientRequest(),
+                result,
+                retryAfter,
+                now + world.network.client(request.serial, 1),
+                request.serial);
     }
 
-    private void ended(ClientRequest request, AttemptResult end, long retryAfter, long receivedAt, long serial) {
+    private void ended(ClientRequest request, AttemptResult result, long retryAfter, long receivedAt, long serial) {
         world.simulation.at(receivedAt, now -> {
             if (request.finished) {
                 return;
             }
-            if (end == AttemptResult.SERVED || end == AttemptResult.LEFT || !mayRetry(request, end)) {
-                finish(request, end == AttemptResult.SERVED, now);
+            if (result == AttemptResult.SERVED || result == AttemptResult.LEFT || !mayRetry(request, result)) {
+                finish(request, result == AttemptResult.SERVED, now);
                 return;
             }
             double mean = backoff * (1L << Math.min(MAX_BACKOFF_DOUBLINGS, request.attempts - 1));
-            double wait = withoutBackoff ? 1_000 : mean * IndexedRandom.exponential(world.randomSeed, serial, 4);
+            double wait = backoffDisabled ? 1_000 : mean * IndexedRandom.exponential(world.randomSeed, serial, 4);
             if (retryAfter > 0
-                    && !withoutBackoff
+                    && !backoffDisabled
                     && IndexedRandom.uniform(world.randomSeed, serial, 5) < retryAfterCompliance) {
                 wait = Math.max(wait, Math.min(retryAfter, plan.rules().maxRetryAfterMicros()));
             }
@@ -335,12 +352,12 @@
         });
     }
 
-    private boolean mayRetry(ClientRequest request, AttemptResult end) {
+    private boolean mayRetry(ClientRequest request, AttemptResult result) {
         if (request.attempts > Math.min(15, retries + extraRetries)) {
             return false;
         }
-        boolean safe = plan.classes().get(request.requestClass).effect() != Idempotency.NON_IDEMPOTENT;
-        return safe || end == AttemptResult.REFUSED || end == AttemptResult.UNREACHABLE;
+        boolean idempotent = plan.classes().get(request.requestClass).effect() != Idempotency.NON_IDEMPOTENT;
+        return idempotent || result == AttemptResult.REFUSED || result == AttemptResult.UNREACHABLE;
     }
 
     private void finish(ClientRequest request, boolean served, long now) {
@@ -349,14 +366,14 @@
         world.observer.requestFinished(request, served, now);
     }
 
-    /** Slots of a zone, or of all where the zone has none. */
+    /** The slots of a zone, or all slots if the zone has none. */
     static List<BalancerSlot> of(List<BalancerSlot> all, int zone) {
-        List<BalancerSlot> own = new ArrayList<>();
+        List<BalancerSlot> inZone = new ArrayList<>();
         for (BalancerSlot slot : all) {
             if (slot.zone == zone) {
-                own.add(slot);
+                inZone.add(slot);
             }
         }
-        return own.isEmpty() ? all : own;
+        return inZone.isEmpty() ? all : inZone;
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/world/DrawnFault.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/DrawnFault.java
@@ -4,14 +4,15 @@
 import loadbalancer.simulator.engine.RandomStream;
 
 /**
- * A fault of a plan with the figures that a seed has drawn for it.
+ * A fault of a plan with the values that a seed has drawn for it.
  *
- * @param kind as {@link FaultKinds} names it
- * @param pool whose upstreams it concerns; null: any
- * @param from when it begins, in simulated µs
- * @param length for how long, in µs
- * @param fraction of what it concerns; what this, {@code size} and {@code extra} mean goes with the kind
- * @param random for what is drawn when it begins
+ * @param kind a name from {@link FaultKinds}
+ * @param pool the pool whose upstreams are affected; null for all pools
+ * @param from start of the fault, in simulated µs
+ * @param length duration of the fault, in µs
+ * @param fraction of the upstreams or balancers that are affected; the meaning of {@code fraction}, {@code size} and
+ *     {@code extra} depends on the kind
+ * @param random for draws that are made when the fault starts
  */
 record DrawnFault(
         String kind,
@@ -24,12 +25,12 @@
         RandomStream random) {
     private static final long SECOND_MICROS = 1_000_000;
 
-    /** The figure {@code extra}, which is in seconds, in µs. */
+    /** {@code extra}, which is in seconds, converted to µs. */
     long extraMicros() {
         return Math.round(extra * SECOND_MICROS);
     }
 
-    /** Schedules what happens at its begin and at its end. */
+    /** Schedules {@code begin} at the start of the fault, and {@code end} at its end. */
     void during(World world, LongConsumer begin, LongConsumer end) {
         world.simulation.at(from, begin::accept);
         world.simulation.at(from + length, end::accept);
--- a/simulator/src/main/java/loadbalancer/simulator/world/FaultKinds.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/FaultKinds.java
@@ -2,9 +2,9 @@
 
 import java.util.Map;
 
-/** The kinds of fault that experiment files may name, each with what its figures mean. */
+/** The kinds of fault that experiment files may name, with the meaning of their values. */
 public final class FaultKinds {
-    /** What the figures of each kind mean, by its name, in the words of experiment files. */
+    /** The meaning of each kind's values by the name of the kind; {@code part} is the field of experiment files. */
     public static final Map<String, String> DESCRIPTIONS = Map.ofEntries(
             Map.entry("slow", "part of the upstreams, size times slower"),
             Map.entry("fast_errors", "part of the upstreams fail the share size of requests at once"),
--- a/simulator/src/main/java/loadbalancer/simulator/world/GroundTruth.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/GroundTruth.java
@@ -1,20 +1,21 @@
 package loadbalancer.simulator.world;
 
-/** What no real balancer can see: for the policy that others are measured against. */
+/** The true state of the upstreams, which no real balancer can see; for the oracle policy. */
 public interface GroundTruth {
     /**
-     * Time until an answer to an average request sent to that upstream now, in µs; infinite where none would come.
+     * Expected time until the answer to an average request sent to that upstream now, in µs; a very large value
+     * where no answer would come.
      *
-     * @param zone the asking balancer's
+     * @param zone the zone of the balancer that sends the request
      */
     double responseTimeMicros(String upstream, int zone);
 
-    /** Capacity of that upstream when warm and well, in standard cores. */
+    /** Capacity of that upstream after slow start and without faults, in standard cores. */
     double nominalCapacity(String upstream);
 
-    /** Whether it is of the faster kinds. */
+    /** Whether the upstream is of a kind faster than the mean of all kinds. */
     boolean isFast(String upstream);
 
-    /** How warm it is, from its cold share to 1. */
+    /** Fraction of its capacity that the upstream has in slow start, from its initial weight up to 1. */
     double slowStartWeight(String upstream);
 }
--- a/simulator/src/main/java/loadbalancer/simulator/world/IdleConnections.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/IdleConnections.java
@@ -2,12 +2,12 @@
 
 import java.util.Arrays;
 
-/** A balancer's connections at rest to one upstream, the latest used on top. */
+/** A balancer's idle connections to one upstream, as a stack with the most recently used on top. */
 final class IdleConnections {
     private long[] releasedAt = new long[4];
     private int idle;
 
-    /** Takes one that has rested less than {@code maxIdleMicros}; false where there is none. */
+    /** Takes a connection that has been idle for less than {@code maxIdleMicros}; false if there is none. */
     boolean take(Upstream upstream, long now, long maxIdleMicros) {
         expire(upstream, now, maxIdleMicros);
         if (idle == 0) {
@@ -24,7 +24,7 @@
         releasedAt[idle++] = now;
     }
 
-    /** Closes those that have rested too long: the oldest are at the bottom. */
+    /** Closes connections that have been idle for {@code maxIdleMicros}; the oldest are at the bottom of the stack. */
     void expire(Upstream upstream, long now, long maxIdleMicros) {
         int expired = 0;
         while (expired < idle && now - releasedAt[expired] >= maxIdleMicros) {
@@ -33,12 +33,12 @@
         if (expired > 0) {
             System.arraycopy(releasedAt, expired, releasedAt, 0, idle - expired);
             idle -= expired;
-            upstream.connected(-expired);
+            upstream.addConnections(-expired);
         }
     }
 
     void closeAll(Upstream upstream) {
-        upstream.connected(-idle);
+        upstream.addConnections(-idle);
         idle = 0;
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/world/IndexedRandom.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/IndexedRandom.java
@@ -1,16 +1,16 @@
 package loadbalancer.simulator.world;
 
 /**
- * Random numbers by counter: a pure function of a seed and the numbers of what is drawn for. Where the order of
- * draws depends on decisions (retries, attempts, messages), a stream would give two variants different fates for
- * one request; this gives the same.
+ * Counter-based random numbers: a pure function of a seed and two indexes, the item and the purpose of the draw. Where
+ * the order of draws depends on decisions (retries, attempts, messages), a stream would give the same request different
+ * values in two variants of an experiment; this class gives it the same values.
  */
 final class IndexedRandom {
     private IndexedRandom() {}
 
     /** Uniform in [0, 1). */
-    static double uniform(long seed, long number, long concern) {
-        long mixed = seed + number * 0x9e3779b97f4a7c15L + concern * 0xd1b54a32d192ed03L;
+    static double uniform(long seed, long number, long purpose) {
+        long mixed = seed + number * 0x9e3779b97f4a7c15L + purpose * 0xd1b54a32d192ed03L;
         mixed = (mixed ^ mixed >>> 30) * 0xbf58476d1ce4e5b9L;
         mixed = (mixed ^ mixed >>> 27) * 0x94d049bb133111ebL;
         mixed ^= mixed >>> 31;
@@ -19,14 +19,14 @@
     }
 
     /** Exponential with mean 1. */
-    static double exponential(long seed, long number, long concern) {
-        return -StrictMath.log(1 - uniform(seed, number, concern));
+    static double exponential(long seed, long number, long purpose) {
+        return -StrictMath.log(1 - uniform(seed, number, purpose));
     }
 
     /** Standard normal (Box and Muller). */
-    static double gaussian(long seed, long number, long concern) {
-        double radius = 1 - uniform(seed, number, 2 * concern);
-        double angle = uniform(seed, number, 2 * concern + 1);
+    static double gaussian(long seed, long number, long purpose) {
+        double radius = 1 - uniform(seed, number, 2 * purpose);
+        double angle = uniform(seed, number, 2 * purpose + 1);
         return Math.sqrt(-2 * StrictMath.log(radius)) * StrictMath.cos(2 * Math.PI * angle);
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/world/MessageTransport.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/MessageTransport.java
@@ -19,27 +19,27 @@
         this.world = world;
     }
 
-    /** From here on outcomes go to {@code listener}, for worlds without balancers. */
+    /** Sends all further outcomes to {@code listener}, for worlds without balancers. */
     void replyTo(BiConsumer<Attempt, AttemptOutcome> listener) {
         replyListener = listener;
     }
 
-    /** Work done for requests that nobody waited for any more, in µs of a standard core. */
+    /** Work done for requests that were already answered, cancelled or abandoned, in µs of a standard core. */
     double wastedWork() {
         return wastedWork;
     }
 
-    /** Connections opened. */
+    /** Number of connections opened or tried. */
     long handshakes() {
         return handshakes;
     }
 
-    /** Attempts that went from one zone to another. */
+    /** Number of attempts sent from one zone to another. */
     long crossings() {
         return crossings;
     }
 
-    /** Probes sent. */
+    /** Number of probes sent. */
     long probes() {
         return probes;
     }
@@ -48,14 +48,14 @@
         ClientRequest request = attempt.request().clientRequest();
         double noise = world.attemptNoise[request.requestClass];
         double variance = StrictMath.log(1 + noise * noise);
-        double times = noise <= 0
+        double factor = noise <= 0
                 ? 1
                 : StrictMath.exp(Math.sqrt(variance) * IndexedRandom.gaussian(world.randomSeed, attempt.serial, 11)
                         - variance / 2);
-        return new RequestWork(request.work * times, request.key);
+        return new RequestWork(request.work * factor, request.key);
     }
 
-    /** Carries an attempt to its upstream, over a new connection where {@code newConnection}. */
+    /** Carries an attempt to its upstream, over a new connection if {@code newConnection}. */
     void deliver(Attempt attempt, boolean newConnection, long now) {
         Upstream upstream = attempt.upstream;
         Balancer balancer = attempt.balancer();
@@ -65,22 +65,26 @@
         long handshakeDelay = 0;
         if (newConnection) {
             handshakes++;
-            long connect = world.plan.fleet().connectTimeoutMicros();
-            long round = world.network.between(balancer.zone, upstream.zone, attempt.serial, 2)
+            long connectTimeout = world.plan.fleet().connectTimeoutMicros();
+            long roundTrip = world.network.between(balancer.zone, upstream.zone, attempt.serial, 2)
                     + world.network.between(upstream.zone, balancer.zone, attempt.serial, 3);
-            if (blocked || !upstream.alive() || upstream.overloaded() || upstream.full() || round > connect) {
-                long outcomeDelay = blocked ? connect : Math.min(round, connect);
+            if (blocked
+                    || !upstream.alive()
+                    || upstream.overloaded()
+                    || upstream.full()
+                    || roundTrip > connectTimeout) {
+                long outcomeDelay = blocked ? connectTimeout : Math.min(roundTrip, connectTimeout);
                 world.simulation.after(
                         outcomeDelay, at -> balancer.outcome(attempt, AttemptOutcome.CONNECT_FAILED, at));
                 return;
             }
-            upstream.connected(1);
-            handshakeDelay = Math.round(round * world.handshakeRtts);
+            upstream.addConnections(1);
+            handshakeDelay = Math.round(roundTrip * world.handshakeRtts);
         }
         if (!blocked) {
-            upstream.arriving(1);
+            upstream.addArriving(1);
             world.simulation.after(handshakeDelay + requestDelay, at -> {
-                upstream.arriving(-1);
+                upstream.addArriving(-1);
                 if (!blocked(balancer, upstream)) {
                     upstream.accept(attempt, newConnection, at);
                 }
@@ -94,7 +98,7 @@
                 || world.network.cut(upstream.zone, balancer.zone);
     }
 
-    /** An upstream's word on an attempt travels back. */
+    /** Carries the outcome of an attempt from the upstream back to its balancer. */
     void reply(Attempt attempt, Upstream upstream, AttemptOutcome outcome, long now) {
         if (replyListener != null) {
             replyListener.accept(attempt, outcome);
@@ -109,7 +113,7 @@
                 at -> balancer.outcome(attempt, outcome, at));
     }
 
-    /** An upstream has done that work; nobody may want it any more. */
+    /** Counts completed work as wasted if nobody waits for its result any more. */
     void workDone(Attempt attempt, double work) {
         if (!attempt.inFlight() || attempt.request().clientGone || attempt.request().answered) {
             wastedWork += work;
@@ -118,10 +122,10 @@
 
     void probe(Balancer balancer, String id, Upstream upstream, long now) {
         probes++;
-        long round =
+        long roundTrip =
                 world.network.mean(balancer.zone, upstream.zone) + world.network.mean(upstream.zone, balancer.zone);
         boolean lost = blocked(balancer, upstream);
-        long outcomeDelay = lost ? world.plan.fleet().connectTimeoutMicros() : round;
+        long outcomeDelay = lost ? world.plan.fleet().connectTimeoutMicros() : roundTrip;
         AttemptOutcome outcome = lost
                 ? AttemptOutcome.TIMEOUT
                 : !upstream.alive() || upstream.overloaded() ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK;
--- a/simulator/src/main/java/loadbalancer/simulator/world/NoOpObserver.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/NoOpObserver.java
@@ -5,7 +5,7 @@
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointListKind;
 
-/** Receives everything and keeps nothing: for worlds that somebody else observes. */
+/** An observer that ignores all events. */
 class NoOpObserver implements Observer {
     @Override
     public void requestAccepted(BalancerRequest request, long now) {}
@@ -17,16 +17,16 @@
     public void attemptEnded(Attempt attempt, AttemptOutcome outcome, long now) {}
 
     @Override
-    public void requestAnswered(BalancerRequest request, Clients.AttemptResult end, long retryAfter, long now) {}
+    public void requestAnswered(BalancerRequest request, Clients.AttemptResult result, long retryAfter, long now) {}
 
     @Override
-    public void answeredTwice(BalancerRequest request, Clients.AttemptResult end, long now) {}
+    public void answeredTwice(BalancerRequest request, Clients.AttemptResult result, long now) {}
 
     @Override
     public void deadlineMissed(BalancerRequest request, long now) {}
 
     @Override
-    public void endpointsNotified(Balancer balancer, EndpointListKind kind, List<Endpoint> servers, long now) {}
+    public void endpointsNotified(Balancer balancer, EndpointListKind kind, List<Endpoint> endpoints, long now) {}
 
     @Override
     public boolean knowsStart(Balancer balancer, Upstream upstream) {
--- a/simulator/src/main/java/loadbalancer/simulator/world/PolicyFactory.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/PolicyFactory.java
@@ -3,9 +3,9 @@
 import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.PolicySettings;
 
-/** Makes the policy of a balancer that starts. */
+/** Creates the policy of a starting balancer process. */
 @FunctionalInterface
 public interface PolicyFactory {
-    /** {@code truth} is for policies that are allowed to see everything; the others don't look. */
+    /** Creates a policy; only oracle policies may use {@code truth}. */
     LoadBalancingPolicy create(PolicySettings settings, long seed, GroundTruth truth);
 }
--- a/simulator/src/main/java/loadbalancer/simulator/world/Rack.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Rack.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Upstreams that share something: where it is limited, they can do less together than each alone. */
+/** Upstreams that share a resource; in a limited rack their joint capacity is less than the sum of their own. */
 final class Rack {
     final int number;
     final int zone;
     final List<Upstream> members = new ArrayList<>();
-    private final double limit; // share of their capacity; 1 = unlimited
+    private final double limit; // fraction of the total capacity of the members; 1 = unlimited
     private double factor = 1;
 
     Rack(int number, int zone, double limit) {
@@ -17,7 +17,7 @@
         this.limit = limit;
     }
 
-    /** By which each member is slowed at present. */
+    /** The factor that the rate of each member is multiplied by at present. */
     double factor() {
         return factor;
     }
@@ -26,20 +26,20 @@
         return limit < 1;
     }
 
-    /** One member's busy cores changed: where that changes the factor, the others' rates change too. */
+    /** Recomputes the factor after a change of a member's load; if it changes, so do the other members' rates. */
     void changed(Upstream member, long now) {
         if (limit >= 1) {
             return;
         }
-        double wanted = 0;
-        double all = 0;
+        double demand = 0;
+        double total = 0;
         for (Upstream upstream : members) {
-            wanted += upstream.busyCores() * upstream.speed;
-            all += upstream.nominal();
+            demand += upstream.busyCores() * upstream.speed;
+            total += upstream.nominalCapacity();
         }
-        double next = wanted <= limit * all ? 1 : limit * all / wanted;
-        if (next != factor) {
-            factor = next;
+        double newFactor = demand <= limit * total ? 1 : limit * total / demand;
+        if (newFactor != factor) {
+            factor = newFactor;
             for (Upstream upstream : List.copyOf(members)) {
                 if (upstream != member) {
                     upstream.recomputeRate(now);
--- a/simulator/src/main/java/loadbalancer/simulator/world/RequestWork.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/RequestWork.java
@@ -1,4 +1,4 @@
 package loadbalancer.simulator.world;
 
-/** What an attempt asks of an upstream: µs of a standard core, and the key it concerns or -1. */
+/** The work of an attempt, in µs of a standard core, and the index of its key or -1 for none. */
 record RequestWork(double work, int key) {}
--- a/simulator/src/main/java/loadbalancer/simulator/world/SimulatedDiscovery.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/SimulatedDiscovery.java
@@ -11,13 +11,13 @@
 import loadbalancer.simulator.engine.RandomStream;
 
 /**
- * Discovery: knows late and only of processes that run, drain or are gone, and handles one call after another.
+ * The simulated discovery service. It lists processes with a delay, and handles one call at a time.
  */
 final class SimulatedDiscovery {
-    private static final long RECONNECT_DELAY_MICROS = 500_000; // µs after a break, where lists are pushed
-    private static final int MAX_CHANGES = 256; // versions behind which a watch gets the whole list
+    private static final long RECONNECT_DELAY_MICROS = 500_000; // after a failure, where lists are pushed
+    private static final int MAX_CHANGES = 256; // a watch that is further behind gets a snapshot
 
-    /** A balancer's standing with the discovery service. */
+    /** The state of a balancer's subscription at the discovery service. */
     static final class Subscriber {
         private final Balancer balancer;
         private boolean watching;
@@ -35,7 +35,7 @@
             generation++;
         }
 
-        /** When it counts as notified of what was listed at {@code listedAt}, whatever reached it. */
+        /** When the balancer counts as notified of what was listed at {@code listedAt}, even if nothing reached it. */
         long deemedNotifiedAt(long listedAt, long pollIntervalMicros) {
             if (watching || pollIntervalMicros <= 0 || listedAt == Long.MAX_VALUE) {
                 return Long.MAX_VALUE;
@@ -86,37 +86,37 @@
         return calls;
     }
 
-    /** Puts an entry in before the day begins. */
+    /** Adds an entry before the start of the day. */
     void addInitial(Endpoint entry) {
         entries.put(entry.id(), entry);
     }
 
-    void setDuplicateEntries(boolean twice) {
-        duplicateEntries = twice;
+    void setDuplicateEntries(boolean value) {
+        duplicateEntries = value;
     }
 
-    /** When it was listed that this upstream drains or is gone, in µs; where it isn't, the largest long. */
+    /** When it was listed that this upstream drains or is gone, in simulated µs; or the largest long. */
     long endListedAt(String id) {
         Endpoint entry = entries.get(id);
         boolean ends = entry == null || entry.state() != EndpointState.UP;
         return ends ? listedAt.getOrDefault(id, Long.MAX_VALUE) : Long.MAX_VALUE;
     }
 
-    /** Something changed; it is listed after {@code delayMicros} µs, at the discovery service's next round. */
+    /** Schedules a changed entry to be listed at the first publication after {@code delayMicros}. */
     void changed(Endpoint entry, long delayMicros) {
         long due = world.simulation.now() + delayMicros;
-        long round = (due + publishIntervalMicros - 1) / publishIntervalMicros * publishIntervalMicros;
-        world.simulation.at(round, now -> list(entry, now));
+        long publishedAt = (due + publishIntervalMicros - 1) / publishIntervalMicros * publishIntervalMicros;
+        world.simulation.at(publishedAt, now -> publish(entry, now));
     }
 
-    private void list(Endpoint entry, long now) {
+    private void publish(Endpoint entry, long now) {
         if (down) {
-            world.simulation.after(publishIntervalMicros, at -> list(entry, at));
+            world.simulation.after(publishIntervalMicros, at -> publish(entry, at));
             return;
         }
         Endpoint known = entries.get(entry.id());
         if (known != null && known.startedAt() > entry.startedAt()) {
-            return; // about a process that has been replaced meanwhile
+            return; // the process has been replaced meanwhile
         }
         if (entry.state() == EndpointState.GONE) {
             entries.remove(entry.id());
@@ -152,7 +152,7 @@
         });
     }
 
-    /** Where lists are pushed, a balancer is subscribed from its start, and again after each break. */
+    /** Subscribes a starting balancer in worlds where lists are pushed; it subscribes again after each failure. */
     void balancerStarted(Subscriber subscriber) {
         if (!world.plan.discovery().polling()) {
             call(subscriber, true);
@@ -170,7 +170,7 @@
         }
     }
 
-    /** A call: it waits its turn, and fails when it has waited too long or the discovery service is down. */
+    /** Queues a call, which fails if it would wait for longer than the timeout or if the discovery service is down. */
     void call(Subscriber subscriber, boolean watch) {
         long now = world.simulation.now();
         calls++;
@@ -215,10 +215,11 @@
     }
 
     private void deliver(Subscriber subscriber, long now) {
-        boolean gap = subscriber.version == 0 || !changes.isEmpty() && subscriber.version < changes.firstKey() - 1;
+        boolean needsSnapshot =
+                subscriber.version == 0 || !changes.isEmpty() && subscriber.version < changes.firstKey() - 1;
         long from = subscriber.version;
         subscriber.version = version;
-        if (gap) {
+        if (needsSnapshot) {
             subscriber.balancer.endpointsChanged(EndpointListKind.SNAPSHOT, list(), now);
         } else {
             List<Endpoint> changedEntries =
@@ -230,10 +231,10 @@
         }
     }
 
-    /** Goes down or comes back: watches end, calls fail. */
-    void setDown(boolean now) {
-        down = now;
-        if (now) {
+    /** Takes the service down, which ends all watches and makes calls fail, or brings it back. */
+    void setDown(boolean value) {
+        down = value;
+        if (value) {
             long at = world.simulation.now();
             for (Subscriber subscriber : List.copyOf(watchers)) {
                 if (subscriber.watching) {
--- a/simulator/src/main/java/loadbalancer/simulator/world/Timeline.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Timeline.java
@@ -5,11 +5,11 @@
 import loadbalancer.simulator.engine.RandomStream;
 
 /**
- * Draws the faults of a plan and schedules them. Those of upstreams and of balancers are {@link UpstreamFaults} and
- * {@link BalancerFaults}; those of clients, network and discovery are scheduled here.
+ * Draws the faults of a plan and schedules them. {@link UpstreamFaults} and {@link BalancerFaults} schedule those of
+ * upstreams and balancers; this class schedules those of clients, network and discovery.
  */
 public final class Timeline {
-    /** One fault as it was drawn: from when to when, in µs of the day. */
+    /** The interval of a drawn fault, in µs since the start of the day. */
     public record FaultInterval(String kind, long from, long to) {}
 
     private final World world;
@@ -22,7 +22,7 @@
         this.balancerFaults = new BalancerFaults(world);
     }
 
-    /** Schedules all faults of the plan; called once, at the beginning of the day. */
+    /** Schedules all faults of the plan; called once, at the start of the day. */
     void install() {
         List<FaultInterval> intervals = new ArrayList<>();
         List<WorldPlan.Fault> faults = world.plan.faults();
@@ -31,16 +31,16 @@
             if (fault.kind().equals("burst")) {
                 world.clients.raiseMaxBurst(fault.size());
             }
-            long from = fault.from() - World.DAY_START;
+            long from = fault.from() - World.DAY_START_MICROS;
             intervals.add(new FaultInterval(fault.kind(), from, from + fault.length()));
             schedule(fault);
         }
-        world.faultIntervals(intervals);
+        world.setFaultIntervals(intervals);
     }
 
-    private DrawnFault draw(WorldPlan.Fault fault, int number) {
-        RandomStream random = world.streams.of("trouble", number, fault.kind());
-        long from = World.DAY_START + Math.round(fault.at().draw(random));
+    private DrawnFault draw(WorldPlan.Fault fault, int index) {
+        RandomStream random = world.streams.of("trouble", index, fault.kind());
+        long from = World.DAY_START_MICROS + Math.round(fault.at().draw(random));
         long length = Math.round(fault.length().draw(random));
         double fraction = fault.fraction().draw(random);
         double size = fault.size().draw(random);
@@ -72,7 +72,7 @@
                     world,
                     now -> world.discovery.setDuplicateEntries(true),
                     now -> world.discovery.setDuplicateEntries(false));
-            default -> throw new IllegalArgumentException("no trouble '" + fault.kind() + "'");
+            default -> throw new IllegalArgumentException("unknown fault kind '" + fault.kind() + "'");
         }
     }
 
@@ -99,7 +99,7 @@
                     world, now -> network.setDelayFactor(fault.size()), now -> network.setDelayFactor(1));
             default -> {
                 double lossBefore = network.loss();
-                fault.during(world, now -> network.loss(fault.size()), now -> network.loss(lossBefore));
+                fault.during(world, now -> network.setLoss(fault.size()), now -> network.setLoss(lossBefore));
             }
         }
     }
@@ -109,12 +109,12 @@
         fault.during(world, now -> cut(zone, bothWays, true), now -> cut(zone, bothWays, false));
     }
 
-    private void cut(int zone, boolean bothWays, boolean on) {
+    private void cut(int zone, boolean bothWays, boolean isCut) {
         for (int other = 0; other < world.plan.zones().size(); other++) {
             if (other != zone) {
-                world.network.cut(zone, other, on);
+                world.network.setCut(zone, other, isCut);
                 if (bothWays) {
-                    world.network.cut(other, zone, on);
+                    world.network.setCut(other, zone, isCut);
                 }
             }
         }
--- a/simulator/src/main/java/loadbalancer/simulator/world/Upstream.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Upstream.java
@@ -8,21 +8,21 @@
 import loadbalancer.simulator.engine.Simulation;
 
 /**
- * One process that serves requests. Those in its slots share its cores evenly; others wait their turn in a room of
- * fixed size, and beyond that are rejected.
+ * One upstream process that serves requests. Requests in its slots share its cores evenly; further requests wait in a
+ * queue of fixed capacity, and are rejected when the queue is full.
  *
- * <p>Sharing is kept in virtual time: all in service progress at one rate, so each has a fixed virtual end and
- * only the rate changes (Parekh and Gallager's idea for fair queueing). A change costs O(log slots).
+ * <p>Processor sharing is computed in virtual time, as in fair queueing (Parekh and Gallager): all requests in service
+ * progress at the same rate, so each has a fixed virtual end time and only the rate changes. A change is O(log slots).
  */
 public final class Upstream {
-    private static final long FAILURE_RESPONSE_MICROS = 1_000; // µs that a failing process takes to say so
+    private static final long FAILURE_RESPONSE_MICROS = 1_000; // until a failing process responds with an error
     private static final long SLOW_START_STEP_MICROS = 100_000;
 
-    /** Work of one attempt. */
+    /** The work of one attempt, in µs of a standard core. */
     private static final class Job {
         final Attempt attempt;
         final double work;
-        double end; // in virtual time
+        double virtualEnd;
 
         Job(Attempt attempt, double work) {
             this.attempt = attempt;
@@ -47,15 +47,16 @@
     private final double errorFraction;
     private final boolean dropsCancelled;
     private final World world;
-    private final PriorityQueue<Job> serving = new PriorityQueue<>(
-            (x, y) -> x.end != y.end ? Double.compare(x.end, y.end) : Long.compare(x.attempt.serial, y.attempt.serial));
-    private final ArrayDeque<Job> waiting = new ArrayDeque<>();
+    private final PriorityQueue<Job> serving = new PriorityQueue<>((x, y) -> x.virtualEnd != y.virtualEnd
+            ? Double.compare(x.virtualEnd, y.virtualEnd)
+            : Long.compare(x.attempt.serial, y.attempt.serial));
+    private final ArrayDeque<Job> queued = new ArrayDeque<>();
     private final ColdSendLimit coldSends;
     private final KeyCache keys;
     private double virtualTime;
     private double progressRate;
     private long updatedAt;
-    private double workDone; // work since the start, for the warm-up
+    private double workDone; // since the start of the process, for slow start
     private Simulation.Timer nextCompletion;
     private int connections;
     private int arriving;
@@ -110,14 +111,14 @@
         }
     }
 
-    // ---- what others see
+    // ---- state
 
-    /** Its id, as the discovery service lists it. */
+    /** The id under which the discovery service lists this upstream. */
     public String id() {
         return id;
     }
 
-    /** When it says that it started, in simulated µs; 0: long ago. */
+    /** The start time that the process reports, in simulated µs; 0 if it started long ago. */
     public long reportedStart() {
         return reportedStart;
     }
@@ -143,15 +144,15 @@
     }
 
     int requestsHeld() {
-        return serving.size() + waiting.size();
+        return serving.size() + queued.size();
     }
 
-    /** Requests in it and on their way to it: what only the truth can tell. */
+    /** Requests in the process and on their way to it; only the ground truth knows the latter. */
     int requestsHeldOrArriving() {
         return requestsHeld() + arriving;
     }
 
-    void arriving(int change) {
+    void addArriving(int change) {
         arriving += change;
     }
 
@@ -163,7 +164,7 @@
         return connections;
     }
 
-    void connected(int change) {
+    void addConnections(int change) {
         connections += change;
     }
 
@@ -171,16 +172,17 @@
         return failingFraction;
     }
 
-    /** Capacity when warm and well, in standard cores. */
-    double nominal() {
+    /** Capacity after slow start and without faults, in standard cores. */
+    double nominalCapacity() {
         return cores * speed;
     }
 
-    /** What it can do at present, in standard cores, the rack's limit aside. */
+    /** Present capacity without the limit of the rack, in standard cores. */
     double capacity(long now) {
-        double tax = 1 - world.connectionOverhead * Math.min(1, connections / (double) Math.max(1, maxConnections));
-        double crowded = Math.max(0, requestsHeld() / (double) cores - crowdingThreshold);
-        return nominal() * slowStartWeight(now) / slowdown * tax / (1 + kind.crowding() * crowded);
+        double connectionFactor =
+                1 - world.connectionOverhead * Math.min(1, connections / (double) Math.max(1, maxConnections));
+        double excess = Math.max(0, requestsHeld() / (double) cores - crowdingThreshold);
+        return nominalCapacity() * slowStartWeight(now) / slowdown * connectionFactor / (1 + kind.crowding() * excess);
     }
 
     double slowStartWeight(long now) {
@@ -188,19 +190,20 @@
             return 1;
         }
         double byTime = (now - startedAt) / (double) slowStartDurationMicros;
-        double byWork =
-                kind.warmBy() == WorldPlan.WarmBy.REQUESTS ? workDone / (nominal() * slowStartDurationMicros) : 0;
+        double byWork = kind.warmBy() == WorldPlan.WarmBy.REQUESTS
+                ? workDone / (nominalCapacity() * slowStartDurationMicros)
+                : 0;
         return Math.min(1, slowStartInitialWeight + (1 - slowStartInitialWeight) * Math.max(byTime, byWork));
     }
 
-    /** Work that is in it, in µs of a standard core. */
+    /** Remaining work of all held requests, in µs of a standard core. */
     double backlog(long now) {
         advanceVirtualTime(now);
         double sum = 0;
         for (Job job : serving) {
-            sum += Math.max(0, job.end - virtualTime);
+            sum += Math.max(0, job.virtualEnd - virtualTime);
         }
-        for (Job job : waiting) {
+        for (Job job : queued) {
             sum += job.work;
         }
         return sum;
@@ -210,9 +213,9 @@
         return Math.min(cores, serving.size());
     }
 
-    // ---- what happens to it
+    // ---- events
 
-    /** A whole request has come. */
+    /** Handles a request that has arrived completely. */
     void accept(Attempt attempt, boolean freshConnection, long now) {
         if (silent) {
             return;
@@ -222,9 +225,9 @@
             return;
         }
         RequestWork work = world.transport.workOf(attempt);
-        boolean known = keys.use(work.key(), now);
-        double needed =
-                work.work() * (known ? 1 - world.keyAffinityGain : 1) + (freshConnection ? world.handshakeWork : 0);
+        boolean keyCached = keys.use(work.key(), now);
+        double totalWork =
+                work.work() * (keyCached ? 1 - world.keyAffinityGain : 1) + (freshConnection ? world.handshakeWork : 0);
         recordColdSend(attempt, now);
         if (overloaded) {
             world.transport.reply(attempt, this, AttemptOutcome.RESET, now);
@@ -238,19 +241,19 @@
             });
         } else if (serving.size() < slots) {
             advanceVirtualTime(now);
-            begin(new Job(attempt, needed));
+            begin(new Job(attempt, totalWork));
             reschedule(now);
-        } else if (waiting.size() < queueCapacity) {
-            waiting.add(new Job(attempt, needed));
+        } else if (queued.size() < queueCapacity) {
+            queued.add(new Job(attempt, totalWork));
         } else {
             world.transport.reply(attempt, this, AttemptOutcome.FULL, now);
         }
     }
 
-    /** Nobody waits for that attempt any more: running work goes on, waiting work is dropped at some sites. */
+    /** The balancer has given up the attempt: work in service goes on; queued work is dropped in some worlds. */
     void abandon(Attempt attempt) {
         if (dropsCancelled) {
-            for (Iterator<Job> i = waiting.iterator(); i.hasNext(); ) {
+            for (Iterator<Job> i = queued.iterator(); i.hasNext(); ) {
                 if (i.next().attempt == attempt) {
                     i.remove();
                     return;
@@ -260,7 +263,7 @@
     }
 
     private void begin(Job job) {
-        job.end = virtualTime + job.work;
+        job.virtualEnd = virtualTime + job.work;
         serving.add(job);
     }
 
@@ -271,7 +274,7 @@
         updatedAt = now;
     }
 
-    /** What may have changed its rate has changed: the time of the next end is worked out anew. */
+    /** Recomputes the progress rate and the next completion after a change of load, capacity or a fault. */
     void reschedule(long now) {
         advanceVirtualTime(now);
         rack.changed(this, now);
@@ -280,15 +283,17 @@
 
     void recomputeRate(long now) {
         advanceVirtualTime(now);
-        int n = serving.size();
-        progressRate = n == 0 ? 0 : capacity(now) / cores * rack.factor() * Math.min(1, cores / (double) n);
+        int inService = serving.size();
+        progressRate =
+                inService == 0 ? 0 : capacity(now) / cores * rack.factor() * Math.min(1, cores / (double) inService);
         if (nextCompletion != null) {
             nextCompletion.cancel();
             nextCompletion = null;
         }
-        if (n > 0 && progressRate > 0 && alive && !overloaded) {
-            double left = Math.max(0, serving.peek().end - virtualTime) / progressRate;
-            nextCompletion = world.simulation.timer(now + (long) Math.ceil(Math.min(left, 1e15)), this::finish);
+        if (inService > 0 && progressRate > 0 && alive && !overloaded) {
+            double remainingMicros = Math.max(0, serving.peek().virtualEnd - virtualTime) / progressRate;
+            nextCompletion =
+                    world.simulation.timer(now + (long) Math.ceil(Math.min(remainingMicros, 1e15)), this::finish);
         }
     }
 
@@ -296,15 +301,15 @@
         nextCompletion = null;
         advanceVirtualTime(now);
         Job job = serving.peek();
-        if (job != null && job.end - virtualTime <= 1e-6 * Math.max(1, job.work) + progressRate) {
+        if (job != null && job.virtualEnd - virtualTime <= 1e-6 * Math.max(1, job.work) + progressRate) {
             serving.poll();
             world.transport.workDone(job.attempt, job.work);
             if (responsive()) {
                 boolean corrupted = IndexedRandom.uniform(world.randomSeed, job.attempt.serial, 8) < corruptingFraction;
                 world.transport.reply(job.attempt, this, corrupted ? AttemptOutcome.ERROR : AttemptOutcome.OK, now);
             }
-            if (!waiting.isEmpty()) {
-                begin(waiting.poll());
+            if (!queued.isEmpty()) {
+                begin(queued.poll());
             }
         }
         reschedule(now);
@@ -328,15 +333,15 @@
         if (coldSends.size() > maxSends) {
             overloaded = true;
             world.observer.upstreamOverloaded(this, coldSends.notifiedFraction(), now);
-            breakAll(now);
+            resetAll(now);
         }
     }
 
-    // ---- what faults do to it
+    // ---- effects of faults
 
-    void slowdown(double times, long now) {
+    void setSlowdown(double factor, long now) {
         advanceVirtualTime(now);
-        slowdown = times;
+        slowdown = factor;
         reschedule(now);
     }
 
@@ -344,46 +349,46 @@
         return slowdown;
     }
 
-    void failingFraction(double share) {
-        failingFraction = share;
+    void setFailingFraction(double fraction) {
+        failingFraction = fraction;
     }
 
-    void corruptingFraction(double share) {
-        corruptingFraction = share;
+    void setCorruptingFraction(double fraction) {
+        corruptingFraction = fraction;
     }
 
     void startDraining() {
         draining = true;
     }
 
-    /** A step of the clock that its start time is taken from. */
-    void shiftReportedStart(long by) {
-        reportedStart = Math.max(1, reportedStart + by);
+    /** Shifts the reported start time, as a step of the machine's clock does. */
+    void shiftReportedStart(long offsetMicros) {
+        reportedStart = Math.max(1, reportedStart + offsetMicros);
     }
 
-    /** The process ends; what it has breaks at once. */
+    /** Ends the process; its requests are reset at once. */
     void terminate(long now) {
         advanceVirtualTime(now);
         alive = false;
         rack.members.remove(this);
-        breakAll(now);
+        resetAll(now);
         rack.changed(this, now);
     }
 
-    /** The machine vanishes or comes back: open connections stay silent. */
-    void setSilent(boolean now) {
-        silent = now;
+    /** Makes the machine unreachable, or reachable again: while silent, it neither answers nor resets connections. */
+    void setSilent(boolean value) {
+        silent = value;
     }
 
-    private void breakAll(long now) {
+    private void resetAll(long now) {
         for (Job job : serving) {
             world.transport.reply(job.attempt, this, AttemptOutcome.RESET, now);
         }
-        for (Job job : waiting) {
+        for (Job job : queued) {
             world.transport.reply(job.attempt, this, AttemptOutcome.RESET, now);
         }
         serving.clear();
-        waiting.clear();
+        queued.clear();
         keys.clear();
         if (nextCompletion != null) {
             nextCompletion.cancel();
--- a/simulator/src/main/java/loadbalancer/simulator/world/UpstreamFaults.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/UpstreamFaults.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import loadbalancer.policy.EndpointState;
 
-/** Schedules the faults of upstreams: slowness, failures, ends, restarts, deployments and drains by operators. */
+/** Schedules the faults of upstreams: slowdowns, failures, deaths, restarts, deployments and operator drains. */
 final class UpstreamFaults {
-    private static final long SECOND = 1_000_000;
-    /** Below this fraction of the fleet, batches of a deployment no longer grow. */
+    private static final long SECOND_MICROS = 1_000_000;
+    /** Lower bound for the fraction of the fleet that batch sizes are divided by; below it, batches don't grow. */
     private static final double MIN_DEPLOYED_FRACTION = 0.01;
 
     private interface Change {
-        void to(Upstream upstream, long now);
+        void applyTo(Upstream upstream, long now);
     }
 
     private final World world;
@@ -24,48 +24,51 @@
     void schedule(DrawnFault fault) {
         double size = fault.size();
         switch (fault.kind()) {
-            case "slow" -> whileItLasts(
-                    fault, fault.fraction(), (u, now) -> u.slowdown(size, now), (u, now) -> u.slowdown(1, now));
-            case "shared_slow" -> whileItLasts(
-                    fault, 1, (u, now) -> u.slowdown(size, now), (u, now) -> u.slowdown(1, now));
-            case "fast_errors" -> whileItLasts(
-                    fault, fault.fraction(), (u, now) -> u.failingFraction(size), (u, now) -> u.failingFraction(0));
-            case "garble" -> whileItLasts(
+            case "slow" -> applyDuring(
+                    fault, fault.fraction(), (u, now) -> u.setSlowdown(size, now), (u, now) -> u.setSlowdown(1, now));
+            case "shared_slow" -> applyDuring(
+                    fault, 1, (u, now) -> u.setSlowdown(size, now), (u, now) -> u.setSlowdown(1, now));
+            case "fast_errors" -> applyDuring(
                     fault,
                     fault.fraction(),
-                    (u, now) -> u.corruptingFraction(size),
-                    (u, now) -> u.corruptingFraction(0));
+                    (u, now) -> u.setFailingFraction(size),
+                    (u, now) -> u.setFailingFraction(0));
+            case "garble" -> applyDuring(
+                    fault,
+                    fault.fraction(),
+                    (u, now) -> u.setCorruptingFraction(size),
+                    (u, now) -> u.setCorruptingFraction(0));
             case "grey" -> scheduleGreyFailure(fault);
             case "deploy" -> scheduleDeployment(fault);
             case "same_address" -> scheduleReplacement(fault);
             case "rack_lost" -> scheduleRackLoss(fault);
             case "death" -> scheduleDeaths(fault);
-            case "restart" -> whileItLasts(
+            case "restart" -> applyDuring(
                     fault, fault.fraction(), (u, now) -> restart(u, fault.extraMicros(), now), (u, now) -> {});
             case "clock_step" -> scheduleClockStep(fault);
             case "taken_out" -> scheduleOperatorDrain(fault);
-            default -> throw new IllegalArgumentException("no fault of upstreams: " + fault.kind());
+            default -> throw new IllegalArgumentException("unknown upstream fault '" + fault.kind() + "'");
         }
     }
 
-    private void whileItLasts(DrawnFault fault, double fraction, Change begin, Change end) {
+    private void applyDuring(DrawnFault fault, double fraction, Change begin, Change end) {
         List<Upstream> chosen = new ArrayList<>();
         fault.during(
                 world,
                 now -> {
                     chosen.addAll(pick(fault, fraction, fault.pool()));
-                    chosen.forEach(u -> begin.to(u, now));
+                    chosen.forEach(u -> begin.applyTo(u, now));
                 },
-                now -> chosen.forEach(u -> end.to(u, now)));
+                now -> chosen.forEach(u -> end.applyTo(u, now)));
     }
 
-    // The draw goes by a number for each upstream, not by the order of a list: what else has happened leaves it be.
+    // Each upstream's draw is a function of its address, so that it doesn't depend on earlier events or list order.
     private List<Upstream> pick(DrawnFault fault, double fraction, String pool) {
         List<Upstream> running = new ArrayList<>();
         for (Upstream upstream : world.upstreams) {
-            boolean concerned = pool == null
+            boolean inPool = pool == null
                     || world.plan.kinds().get(upstream.kindNumber).pool().equals(pool);
-            if (concerned && upstream.alive() && !upstream.draining()) {
+            if (inPool && upstream.alive() && !upstream.draining()) {
                 running.add(upstream);
             }
         }
@@ -76,30 +79,30 @@
     }
 
     private void scheduleGreyFailure(DrawnFault fault) {
-        whileItLasts(
+        applyDuring(
                 fault,
                 fault.fraction(),
                 (u, now) -> {
-                    u.failingFraction(fault.size());
-                    u.slowdown(Math.max(1, fault.extra()), now);
+                    u.setFailingFraction(fault.size());
+                    u.setSlowdown(Math.max(1, fault.extra()), now);
                 },
                 (u, now) -> {
-                    u.failingFraction(0);
-                    u.slowdown(1, now);
+                    u.setFailingFraction(0);
+                    u.setSlowdown(1, now);
                 });
     }
 
     private void scheduleReplacement(DrawnFault fault) {
         world.simulation.at(fault.from(), now -> {
             for (Upstream upstream : pick(fault, fault.fraction(), null)) {
-                end(upstream, now);
+                terminateAndDelist(upstream, now);
                 startSuccessor(upstream, upstream.address, now);
             }
         });
     }
 
     private void scheduleDeaths(DrawnFault fault) {
-        whileItLasts(fault, fault.fraction(), (u, now) -> endOrFallSilent(u, fault.size() > 0, now), (u, now) -> {
+        applyDuring(fault, fault.fraction(), (u, now) -> terminateOrSilence(u, fault.size() > 0, now), (u, now) -> {
             terminateIfAlive(u, now);
             startSuccessor(u, world.freshAddress(), now);
         });
@@ -114,7 +117,7 @@
                     if (!world.racks.isEmpty()) {
                         lost.addAll(world.racks.get(number).members);
                     }
-                    lost.forEach(u -> endOrFallSilent(u, fault.size() > 0, now));
+                    lost.forEach(u -> terminateOrSilence(u, fault.size() > 0, now));
                 },
                 now -> {
                     for (Upstream upstream : lost) {
@@ -157,10 +160,10 @@
         world.discovery.changed(
                 world.endpoint(upstream, EndpointState.DRAINING),
                 Math.round(world.plan.discovery().noticeDelay().midpoint()));
-        world.simulation.at(now + drainMicros, then -> {
+        world.simulation.at(now + drainMicros, endsAt -> {
             if (upstream.alive()) {
-                end(upstream, then);
-                startSuccessor(upstream, world.freshAddress(), then);
+                terminateAndDelist(upstream, endsAt);
+                startSuccessor(upstream, world.freshAddress(), endsAt);
             }
         });
     }
@@ -173,7 +176,7 @@
                     for (Upstream upstream : pick(fault, fault.fraction(), null)) {
                         drained.add(upstream.id);
                         setOperatorDrained(upstream.id, true, now);
-                        world.simulation.at(now + fault.length() / 2, at -> restart(upstream, SECOND / 2, at));
+                        world.simulation.at(now + fault.length() / 2, at -> restart(upstream, SECOND_MICROS / 2, at));
                     }
                 },
                 now -> drained.forEach(id -> setOperatorDrained(id, false, now)));
@@ -187,16 +190,16 @@
 
     // ---- ends and starts of processes
 
-    private void endOrFallSilent(Upstream upstream, boolean silently, long now) {
+    private void terminateOrSilence(Upstream upstream, boolean silently, long now) {
         if (silently) {
             upstream.setSilent(true);
             listGone(upstream, world.plan.discovery().silentFailureNotice());
         } else {
-            end(upstream, now);
+            terminateAndDelist(upstream, now);
         }
     }
 
-    private void end(Upstream upstream, long now) {
+    private void terminateAndDelist(Upstream upstream, long now) {
         terminate(upstream, now);
         listGone(upstream, world.plan.discovery().noticeDelay());
     }
@@ -220,7 +223,7 @@
         world.simulation.at(now + downMicros, at -> listStarted(world.restart(upstream, at)));
     }
 
-    /** Starts a successor under a new id, at that address. */
+    /** Starts a successor of the upstream under a new id, at {@code address}. */
     private void startSuccessor(Upstream upstream, int address, long now) {
         world.simulation.at(now, at -> listStarted(world.start(upstream.kindNumber, upstream.rack, address, at)));
     }
--- a/simulator/src/main/java/loadbalancer/simulator/world/World.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/World.java
@@ -13,11 +13,12 @@
 import loadbalancer.simulator.engine.RandomStreams;
 import loadbalancer.simulator.engine.Simulation;
 
-/** One world, drawn from a plan by a seed, and its day from the first arrival to the last answer. */
+/** One world, drawn from a plan by a seed. It simulates one day, from the first arrival to the last answer. */
 public final class World {
-    static final long DAY_START = 60_000_000; // µs: start times before the day are positive
-    private static final long SECOND = 1_000_000;
-    private static final long MAX_LINGER_MICROS = 10 * SECOND; // after the last arrival, at the most
+    static final long DAY_START_MICROS = 60_000_000; // not 0, so that start times shortly before the day are positive
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final int MAX_LOG_LINES = 500;
+    private static final long MAX_LINGER_MICROS = 10 * SECOND_MICROS; // after the end of arrivals
 
     final WorldPlan plan;
     final Simulation simulation = new Simulation();
@@ -27,7 +28,7 @@
     final Clients clients;
     final MessageTransport transport;
     final Observer observer;
-    final long begin = DAY_START;
+    final long dayStart = DAY_START_MICROS;
     final long randomSeed;
     final double[] kindSpeed;
     final boolean[] dropsCancelled;
@@ -41,10 +42,10 @@
     final long failureDetectionMicros;
     final List<BalancerSlot> slots = new ArrayList<>();
     final List<Rack> racks = new ArrayList<>();
-    final List<Upstream> upstreams = new ArrayList<>(); // that run or have run, in order of start
-    private final Map<Integer, Upstream> addresses = new HashMap<>();
-    private final Map<String, Integer> addressOf = new HashMap<>();
-    private final Map<String, Upstream> byId = new HashMap<>();
+    final List<Upstream> upstreams = new ArrayList<>(); // all processes, ended ones too, in order of start
+    private final Map<Integer, Upstream> upstreamByAddress = new HashMap<>();
+    private final Map<String, Integer> addressById = new HashMap<>();
+    private final Map<String, Upstream> upstreamById = new HashMap<>();
     private final List<Balancer> processes = new ArrayList<>();
     private final PolicyFactory policyFactory;
     private final GroundTruth truth = new WorldTruth(this);
@@ -58,7 +59,11 @@
     private List<Timeline.FaultInterval> faultIntervals = List.of();
     private Runnable everySecond = () -> {};
 
-    /** What the day cost beside what the observer saw; {@code capacity}: what the fleet does, µs of work per µs. */
+    /**
+     * Totals of a day that the observer doesn't count.
+     *
+     * @param capacity nominal capacity of the initial fleet, in µs of work per µs
+     */
     public record Costs(
             double offeredWork,
             double wastedWork,
@@ -72,7 +77,7 @@
             int balancers,
             double capacity) {}
 
-    /** Draws a world; {@code observer} receives all that happens in it. */
+    /** Draws a world; {@code observer} receives all of its events. */
     public World(WorldPlan plan, long seed, PolicyFactory policyFactory, Observer observer) {
         this.plan = plan;
         this.policyFactory = policyFactory;
@@ -91,14 +96,15 @@
         keyAffinityGain = fleet.keyAffinityGain().draw(figures);
         keyRetentionMicros = Math.round(fleet.keyRetentionMicros().draw(figures));
         failureDetectionMicros = Math.round(plan.clients().noticeDelay().draw(figures));
-        kindSpeed =
-                plan.kinds().stream().mapToDouble(k -> k.speed().draw(figures)).toArray();
+        kindSpeed = plan.kinds().stream()
+                .mapToDouble(kind -> kind.speed().draw(figures))
+                .toArray();
         dropsCancelled = new boolean[kindSpeed.length];
         for (int i = 0; i < dropsCancelled.length; i++) {
             dropsCancelled[i] = figures.chance(plan.kinds().get(i).cancelDropProbability());
         }
         attemptNoise = plan.classes().stream()
-                .mapToDouble(k -> k.attemptNoise().draw(figures))
+                .mapToDouble(kind -> kind.attemptNoise().draw(figures))
                 .toArray();
         int balancers = Math.max(1, (int) Math.round(plan.balancers().draw(figures)));
         int count = Math.max(0, (int) Math.round(plan.upstreams().draw(figures)));
@@ -117,11 +123,12 @@
 
     private void build(int count, double limitedShare, double rackLimit) {
         RandomStream random = streams.of("fleet", 0, "racks");
-        double[] shares =
-                plan.kinds().stream().mapToDouble(k -> k.share().draw(random)).toArray();
-        double all = 0;
+        double[] shares = plan.kinds().stream()
+                .mapToDouble(kind -> kind.share().draw(random))
+                .toArray();
+        double shareSum = 0;
         for (double s : shares) {
-            all += s;
+            shareSum += s;
         }
         int made = 0;
         while (made < count) {
@@ -130,8 +137,9 @@
             Rack rack = new Rack(number, number % plan.zones().size(), random.chance(limitedShare) ? rackLimit : 1);
             racks.add(rack);
             for (int i = 0; i < size && made < count; i++, made++) {
-                // Low discrepancy: a fleet of ten has about the stated share of each kind, not a chance one.
-                double at = (made + 0.5) * 0.6180339887498949 % 1 * all;
+                // A low-discrepancy sequence: even a fleet of ten has about the stated share of each kind, unlike with
+                // random draws.
+                double at = (made + 0.5) * 0.6180339887498949 % 1 * shareSum;
                 int kind = 0;
                 while (kind < shares.length - 1 && at >= shares[kind]) {
                     at -= shares[kind++];
@@ -140,11 +148,11 @@
             }
         }
         for (Upstream upstream : upstreams) {
-            nominalCapacity += upstream.nominal();
+            nominalCapacity += upstream.nominalCapacity();
         }
     }
 
-    /** Starts a process; {@code startedAt} 0: long ago. */
+    /** Starts an upstream process under a new id; {@code startedAt} is 0 for one that started long ago. */
     Upstream start(int kind, Rack rack, int address, long startedAt) {
         int number = nextId++;
         String id = String.format("u%04x", number * 40503 + 12345 & 0xffff) + (number > 0xffff ? "x" + number : "");
@@ -152,7 +160,7 @@
                 this, id, address, rack.zone, rack, kind, streams.of("upstream", number, "make"), startedAt));
     }
 
-    /** The same upstream started again, under its id and at its address. */
+    /** Starts a new process of an upstream under the same id and at the same address. */
     Upstream restart(Upstream former, long startedAt) {
         return add(new Upstream(
                 this,
@@ -167,17 +175,17 @@
 
     private Upstream add(Upstream upstream) {
         upstreams.add(upstream);
-        addresses.put(upstream.address, upstream);
-        addressOf.put(upstream.id, upstream.address);
-        byId.put(upstream.id, upstream);
+        upstreamByAddress.put(upstream.address, upstream);
+        addressById.put(upstream.id, upstream.address);
+        upstreamById.put(upstream.id, upstream);
         return upstream;
     }
 
-    void faultIntervals(List<Timeline.FaultInterval> drawn) {
+    void setFaultIntervals(List<Timeline.FaultInterval> drawn) {
         faultIntervals = List.copyOf(drawn);
     }
 
-    /** The day's faults as they were drawn. */
+    /** The faults drawn for the day. */
     public List<Timeline.FaultInterval> faultIntervals() {
         return faultIntervals;
     }
@@ -187,16 +195,16 @@
     }
 
     Upstream upstreamAt(int address) {
-        return addresses.get(address);
+        return upstreamByAddress.get(address);
     }
 
-    /** The upstream that was started under that id; null for ids that never were. */
+    /** The latest upstream process that was started under that id; null for an unknown id. */
     Upstream upstreamById(String id) {
-        return byId.get(id);
+        return upstreamById.get(id);
     }
 
     Integer addressOf(String id) {
-        return addressOf.get(id);
+        return addressById.get(id);
     }
 
     int freshAddress() {
@@ -214,10 +222,10 @@
                 upstream.zone);
     }
 
-    /** The process that serves at the address of that id; null for ids that never were. */
+    /** The process that now serves at the address of that id, perhaps under another id; null for an unknown id. */
     Upstream currentUpstream(String id) {
-        Integer address = addressOf.get(id);
-        return address == null ? null : addresses.get(address);
+        Integer address = addressById.get(id);
+        return address == null ? null : upstreamByAddress.get(address);
     }
 
     /** The settings of a balancer at its start. */
@@ -225,27 +233,27 @@
         return settings(rank, zone, plan.rules().maxAttempts());
     }
 
-    /** The same with another number of attempts, at most the plan's. */
+    /** The settings of a balancer with another maximum of attempts, bounded by the plan's. */
     PolicySettings settings(int rank, int zone, int maxAttempts) {
         return WorldSettings.of(this, rank, zone, maxAttempts);
     }
 
-    /** Calls {@code what} after each second of the day. */
-    public void everySecond(Runnable what) {
-        everySecond = what;
+    /** Sets the callback that runs after each simulated second of the day. */
+    public void everySecond(Runnable callback) {
+        everySecond = callback;
     }
 
-    /** Plays the day to its end. */
+    /** Simulates the day to its end. */
     public Costs run() {
-        simulation.runUntil(DAY_START);
+        simulation.runUntil(DAY_START_MICROS);
         for (BalancerSlot slot : slots) {
             startBalancer(slot, null);
         }
         new Timeline(this).install();
         clients.begin();
-        long end = DAY_START + plan.length();
+        long end = DAY_START_MICROS + plan.length();
         long last = end + MAX_LINGER_MICROS;
-        for (long t = DAY_START + SECOND; t <= last; t += SECOND) {
+        for (long t = DAY_START_MICROS + SECOND_MICROS; t <= last; t += SECOND_MICROS) {
             simulation.runUntil(t);
             for (Balancer balancer : processes) {
                 balancer.closeExpiredConnections(t);
@@ -273,7 +281,7 @@
 
     // ---- balancers
 
-    /** Starts a process of that balancer; {@code learnedState} is its predecessor's, or null. */
+    /** Starts a process of that balancer; {@code learnedState} is that of its predecessor, or null. */
     Balancer startBalancer(BalancerSlot slot, LearnedState learnedState) {
         int incarnation = slot.nextIncarnation();
         long now = simulation.now();
@@ -282,7 +290,7 @@
         Balancer balancer = new Balancer(this, slot.rank, slot.zone, incarnation, policy);
         processes.removeIf(p -> !p.alive());
         processes.add(balancer);
-        slot.serving(balancer);
+        slot.setServing(balancer);
         balancer.start(discovery.list(), now);
         discovery.balancerStarted(balancer.subscriber);
         if (learnedState != null) {
@@ -291,20 +299,21 @@
         return balancer;
     }
 
+    /** The admitted balancer that {@code draw}, in [0, 1), selects: one of the zone if it has any; null for none. */
     BalancerSlot pickSlot(int zone, double draw) {
-        List<BalancerSlot> own = admitted(zone, true);
-        List<BalancerSlot> from = own.isEmpty() ? admitted(zone, false) : own;
-        return from.isEmpty() ? null : from.get((int) (draw * from.size()));
+        List<BalancerSlot> sameZone = admitted(zone, true);
+        List<BalancerSlot> candidates = sameZone.isEmpty() ? admitted(zone, false) : sameZone;
+        return candidates.isEmpty() ? null : candidates.get((int) (draw * candidates.size()));
     }
 
-    private List<BalancerSlot> admitted(int zone, boolean only) {
-        List<BalancerSlot> some = new ArrayList<>();
+    private List<BalancerSlot> admitted(int zone, boolean sameZoneOnly) {
+        List<BalancerSlot> matching = new ArrayList<>();
         for (BalancerSlot slot : slots) {
-            if (slot.admitted() && (!only || slot.zone == zone)) {
-                some.add(slot);
+            if (slot.admitted() && (!sameZoneOnly || slot.zone == zone)) {
+                matching.add(slot);
             }
         }
-        return some;
+        return matching;
     }
 
     List<Balancer> processes() {
@@ -312,38 +321,42 @@
     }
 
     void log(int rank, String line) {
-        if (logLines.size() < 500) {
+        if (logLines.size() < MAX_LOG_LINES) {
             logLines.add(String.format(
-                    java.util.Locale.ROOT, "%.3f s balancer %d: %s", (simulation.now() - DAY_START) / 1e6, rank, line));
+                    java.util.Locale.ROOT,
+                    "%.3f s balancer %d: %s",
+                    (simulation.now() - DAY_START_MICROS) / 1e6,
+                    rank,
+                    line));
         }
     }
 
-    // ---- what a report shows
+    // ---- results for reports
 
-    /** Log lines of the policies, the first few hundred. */
+    /** The first log lines of the policies, at most 500. */
     public List<String> logLines() {
         return logLines;
     }
 
-    /** Simulated µs since the day began. */
+    /** Simulated time since the start of the day, in µs. */
     public long elapsedMicros() {
-        return simulation.now() - DAY_START;
+        return simulation.now() - DAY_START_MICROS;
     }
 
-    /** Requests in each upstream that runs or has run, in order of start; -1 for those that have gone. */
+    /** Requests held by each upstream process, in order of start; -1 for those that have ended. */
     public int[] requestsInFlight() {
         return upstreams.stream()
                 .mapToInt(u -> u.alive() ? u.requestsHeld() : -1)
                 .toArray();
     }
 
-    /** Ids of the upstreams, in the order of {@link #requestsInFlight}. */
+    /** Ids of the upstream processes, in the order of {@link #requestsInFlight}. */
     public List<String> upstreamIds() {
         return upstreams.stream().map(u -> u.id).toList();
     }
 
-    /** When the day began, in simulated µs: times of events are later than this. */
+    /** Start of the day, in simulated µs; no event of the day is earlier. */
     public static long dayStart() {
-        return DAY_START;
+        return DAY_START_MICROS;
     }
 }
--- a/simulator/src/main/java/loadbalancer/simulator/world/WorldPlan.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/WorldPlan.java
@@ -4,8 +4,8 @@
 import loadbalancer.policy.Idempotency;
 
 /**
- * A world as an experiment describes it: ranges from which each seed draws one world. All times are simulated
- * microseconds; capacity and work are in µs of a standard core.
+ * The plan of a world in an experiment: ranges from which each seed draws one world. All times are in simulated µs;
+ * work is in µs of a standard core, and capacity in standard cores.
  */
 public record WorldPlan(
         long length,
@@ -51,10 +51,11 @@
      * Demand over the day.
      *
      * @param level work of first attempts, as a fraction of the fleet's capacity
-     * @param swing by which fraction the shape rises and falls
-     * @param zoneSkew how unevenly zones bring requests, 0 for evenly
-     * @param keys number of different keys, and {@code keyZipf} the exponent of their popularity
-     * @param quota all tenants' allowances together, as a fraction of capacity
+     * @param swing fraction by which the shape rises and falls
+     * @param zoneSkew how unevenly requests are spread over the zones of clients; 0 for evenly
+     * @param keys number of different keys
+     * @param keyZipf Zipf exponent of the popularity of keys
+     * @param quota sum of all tenants' quotas, as a fraction of capacity
      */
     public record Load(Range level, Shape shape, Range swing, Range zoneSkew, Range keys, Range keyZipf, Range quota) {}
 
@@ -67,9 +68,11 @@
     public record Network(Range sameZone, Range crossZone, Range client, Range jitter, double loss) {}
 
     /**
-     * Clients. {@code retries}: further tries; {@code attemptTimeoutFraction}: a try's patience as a share of the
-     * deadline;
-     * {@code noticeDelay}: after what time a front notices a dead or new balancer.
+     * The behaviour of clients.
+     *
+     * @param retries maximum number of retries
+     * @param attemptTimeoutFraction timeout of an attempt, as a fraction of the deadline
+     * @param noticeDelay delay until clients notice a dead or new balancer, in µs
      */
     public record Clients(
             Range retries,
@@ -84,11 +87,11 @@
      * The discovery service; times in µs.
      *
      * @param polling whether balancers poll; otherwise lists are pushed
-     * @param noticeDelay until an end that the service sees is listed
-     * @param silentFailureNotice until the end of a process that vanished without a sign is listed
+     * @param noticeDelay until the end of a process is listed, if the service sees it end
+     * @param silentFailureNotice until the end of a process that failed silently is listed
      * @param registrationDelay until a new process is listed
-     * @param period between rounds of publishing
-     * @param spread up to which a push is delayed
+     * @param period interval between publications of the list
+     * @param spread maximum random delay of a push
      * @param capacity calls per second
      * @param entriesPerCall entries that cost as much as a call
      * @param timeout after which a waiting call fails
@@ -104,7 +107,7 @@
             Range entriesPerCall,
             long timeout) {}
 
-    /** Figures of the rules and limits, as {@link SafetyBounds} and {@link SiteLimits} name them. */
+    /** Values of the rules and limits, named as in {@link SafetyBounds} and {@link SiteLimits}. */
     public record Rules(
             long responseSlackMicros,
             long drainGracePeriodMicros,
@@ -117,15 +120,17 @@
             boolean probes,
             long maxRetryAfterMicros) {}
 
-    /** Weights of the parts of G; they add up to 1. */
+    /** Weights of the parts of the objective G; they add up to 1. */
     public record Goal(double whole, double worstWindow, double worstClass, double worstTenant) {}
 
-    /** Points of G for each unit, per first try; {@code waste} per unit of offered work. */
+    /** Costs in points of G for each unit, per first attempt; {@code waste} is per unit of offered work. */
     public record Prices(double crossZone, double waste, double probe, double lateFail, double handshake) {}
 
     /**
-     * What all upstreams have in common: racks, connections, memory for keys. {@code rackLimit}: what a limited
-     * rack's upstreams can do together, as a share of their capacity.
+     * Properties that all upstreams share: racks, connections, memory for keys.
+     *
+     * @param limitedRacks fraction of the racks that are limited
+     * @param rackLimit joint capacity of the upstreams of a limited rack, as a fraction of the sum of their capacities
      */
     public record Fleet(
             Range rackSize,
@@ -142,9 +147,10 @@
             Range keysPerCore) {}
 
     /**
-     * A kind of upstream; {@code cancelDropProbability}: the chance that a world's upstreams drop cancelled
-     * waiting work;
-     * {@code pool}: the pool that upstreams of this kind belong to, for variants with a front.
+     * A kind of upstream.
+     *
+     * @param cancelDropProbability probability that the upstreams of this kind drop queued work that is cancelled
+     * @param pool the pool that upstreams of this kind belong to, for variants that route between pools
      */
     public record Kind(
             String name,
@@ -162,10 +168,10 @@
             Range errorFraction,
             double cancelDropProbability,
             String pool) {
-        /** The only pool, where there is one. */
+        /** The pool of all upstreams in worlds that have a single pool. */
         public static final String DEFAULT_POOL = "site";
 
-        /** A kind of the only pool. */
+        /** A kind of upstream in {@link #DEFAULT_POOL}. */
         public Kind(
                 String name,
                 Range share,
@@ -200,7 +206,7 @@
         }
     }
 
-    /** A class of requests; {@code work} in µs of a standard core. */
+    /** A class of requests; {@code work} is in µs of a standard core. */
     public record RequestClassPlan(
             String name,
             Range share,
@@ -214,31 +220,33 @@
             double lateFraction,
             Idempotency effect) {}
 
-    /** A tenant: its share of the service, and what it brings as a multiple of that. */
+    /** A tenant: its share of the service, and its actual load as a multiple of that share. */
     public record Tenant(String name, double share, Range usage) {}
 
     /**
-     * Something that goes wrong.
+     * A fault that occurs during the day.
      *
-     * @param at when it begins, in µs of the day, and {@code length} for how long
-     * @param fraction of what it concerns; what this, {@code size} and {@code extra} mean goes with the kind
-     * @param pool whose upstreams it concerns; null: any
+     * @param at start of the fault, in µs since the start of the day
+     * @param length duration of the fault, in µs
+     * @param fraction of the upstreams or balancers that are affected; the meaning of {@code fraction}, {@code size}
+     *     and {@code extra} depends on the kind, see {@link FaultKinds}
+     * @param pool the pool whose upstreams are affected; null for all pools
      */
     public record Fault(String kind, Range at, Range length, Range fraction, Range size, Range extra, String pool) {
-        /** One that may concern any upstream. */
+        /** A fault that may affect the upstreams of any pool. */
         public Fault(String kind, Range at, Range length, Range fraction, Range size, Range extra) {
             this(kind, at, length, fraction, size, extra, null);
         }
     }
 
-    /** The same world with other faults. */
+    /** A copy of this plan with other faults. */
     public WorldPlan withFaults(List<Fault> others) {
         return new WorldPlan(
                 length, balancers, upstreams, zones, load, network, clients, discovery, rules, goal, prices, fleet,
                 kinds, classes, tenants, others);
     }
 
-    /** The same world at another size. */
+    /** A copy of this plan with other numbers of balancers and upstreams. */
     public WorldPlan withSize(Range otherBalancers, Range otherUpstreams) {
         return new WorldPlan(
                 length,
@@ -259,14 +267,28 @@
                 faults);
     }
 
-    /** The same world for another time. */
-    public WorldPlan withLength(long other) {
+    /** A copy of this plan with another length of the day. */
+    public WorldPlan withLength(long otherLength) {
         return new WorldPlan(
-                other, balancers, upstreams, zones, load, network, clients, discovery, rules, goal, prices, fleet,
-                kinds, classes, tenants, faults);
+                otherLength,
+                balancers,
+                upstreams,
+                zones,
+                load,
+                network,
+                clients,
+                discovery,
+                rules,
+                goal,
+                prices,
+                fleet,
+                kinds,
+                classes,
+                tenants,
+                faults);
     }
 
-    /** The same world under another load. */
+    /** A copy of this plan with another load level. */
     public WorldPlan withLoad(Range level) {
         return new WorldPlan(
                 length,
--- a/simulator/src/main/java/loadbalancer/simulator/world/WorldSettings.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/WorldSettings.java
@@ -14,7 +14,7 @@
 import loadbalancer.policy.TenantQuota;
 import loadbalancer.policy.TrafficCosts;
 
-/** Makes the settings of a world's balancers from its plan. */
+/** Creates the settings of a world's balancers from its plan. */
 final class WorldSettings {
     private static final long KEY_RETENTION_MICROS = 5_000_000;
     private static final double OVER_QUOTA_WEIGHT = 0.1;
@@ -26,7 +26,7 @@
     static PolicySettings of(World world, int rank, int zone, int maxAttempts) {
         WorldPlan.Rules rules = world.plan.rules();
         List<TenantQuota> tenants = new ArrayList<>();
-        for (double allowance : world.clients.allowances) {
+        for (double allowance : world.clients.tenantAllowances) {
             tenants.add(new TenantQuota(Math.round(allowance)));
         }
         WorldPlan.Goal goal = world.plan.goal();
@@ -57,15 +57,15 @@
 
     private static List<RequestClass> classes(WorldPlan plan) {
         return plan.classes().stream()
-                .map(k -> new RequestClass(
-                        k.effect(),
+                .map(classPlan -> new RequestClass(
+                        classPlan.effect(),
                         KeyScope.ALL,
                         KEY_RETENTION_MICROS,
-                        k.latencyObjectiveMicros(),
-                        k.deadline(),
+                        classPlan.latencyObjectiveMicros(),
+                        classPlan.deadline(),
                         0,
-                        k.priorityWeight(),
-                        k.lateFraction(),
+                        classPlan.priorityWeight(),
+                        classPlan.lateFraction(),
                         false,
                         false,
                         Set.of(),
@@ -73,15 +73,15 @@
                 .toList();
     }
 
-    // The bounds promise the slowest start of any kind: balancers do not know kinds.
+    // Balancers don't know the kinds of upstreams, so the bounds are those of the kind with the slowest start.
     private static SafetyBounds bounds(WorldPlan plan) {
         WorldPlan.Rules rules = plan.rules();
         double slowStartInitialWeight = plan.kinds().stream()
-                .mapToDouble(k -> k.slowStartInitialWeight().min())
+                .mapToDouble(kind -> kind.slowStartInitialWeight().min())
                 .min()
                 .orElse(1);
         double slowStartDurationMicros = plan.kinds().stream()
-                .mapToDouble(k -> k.slowStartDurationMicros().max())
+                .mapToDouble(kind -> kind.slowStartDurationMicros().max())
                 .max()
                 .orElse(0);
         return new SafetyBounds(
--- a/simulator/src/main/java/loadbalancer/simulator/world/WorldTruth.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/WorldTruth.java
@@ -2,8 +2,8 @@
 
 /** The ground truth of a world, read at the moment of the call. */
 final class WorldTruth implements GroundTruth {
-    private static final long NEVER = 1L << 60;
-    /** By how much a failing upstream's response time counts as longer, for each fraction of failures. */
+    private static final long NEVER_MICROS = 1L << 60;
+    /** How much longer a failing upstream's response time counts, as a multiple per unit of its failing fraction. */
     private static final double FAILURE_PENALTY = 50;
 
     private final World world;
@@ -14,43 +14,44 @@
 
     @Override
     public double responseTimeMicros(String upstream, int zone) {
-        Upstream u = world.currentUpstream(upstream);
-        if (u == null
-                || !u.responsive()
-                || u.overloaded()
-                || u.draining()
-                || world.network.cut(zone, u.zone)
-                || world.network.cut(u.zone, zone)) {
-            return NEVER;
+        Upstream server = world.currentUpstream(upstream);
+        if (server == null
+                || !server.responsive()
+                || server.overloaded()
+                || server.draining()
+                || world.network.cut(zone, server.zone)
+                || world.network.cut(server.zone, zone)) {
+            return NEVER_MICROS;
         }
         long now = world.simulation.now();
-        double capacity = u.capacity(now) * (u.rack.limited() ? u.rack.factor() : 1);
-        double share = capacity / u.cores;
-        double serve = world.meanWork / share * Math.max(1, (u.requestsHeldOrArriving() + 1) / (double) u.cores);
-        double cold = u.slowStartWeight(now) < 1 ? 2 - u.slowStartWeight(now) : 1;
-        double time = 2.0 * world.network.mean(zone, u.zone) + serve * cold;
-        return u.failingFraction() > 0 ? time * (1 + FAILURE_PENALTY * u.failingFraction()) : time;
+        double capacity = server.capacity(now) * (server.rack.limited() ? server.rack.factor() : 1);
+        double coreSpeed = capacity / server.cores;
+        double serviceTime =
+                world.meanWork / coreSpeed * Math.max(1, (server.requestsHeldOrArriving() + 1) / (double) server.cores);
+        double slowStartFactor = server.slowStartWeight(now) < 1 ? 2 - server.slowStartWeight(now) : 1;
+        double time = 2.0 * world.network.mean(zone, server.zone) + serviceTime * slowStartFactor;
+        return server.failingFraction() > 0 ? time * (1 + FAILURE_PENALTY * server.failingFraction()) : time;
     }
 
     @Override
     public double nominalCapacity(String upstream) {
-        Upstream u = world.upstreamById(upstream);
-        return u == null ? 1 : u.nominal();
+        Upstream server = world.upstreamById(upstream);
+        return server == null ? 1 : server.nominalCapacity();
     }
 
     @Override
     public boolean isFast(String upstream) {
-        Upstream u = world.upstreamById(upstream);
+        Upstream server = world.upstreamById(upstream);
         double mean = 0;
         for (double s : world.kindSpeed) {
             mean += s / world.kindSpeed.length;
         }
-        return u != null && world.kindSpeed[u.kindNumber] > mean;
+        return server != null && world.kindSpeed[server.kindNumber] > mean;
     }
 
     @Override
     public double slowStartWeight(String upstream) {
-        Upstream u = world.currentUpstream(upstream);
-        return u == null ? 1 : u.slowStartWeight(world.simulation.now());
+        Upstream server = world.currentUpstream(upstream);
+        return server == null ? 1 : server.slowStartWeight(world.simulation.now());
     }
 }
--- a/simulator/src/test/java/loadbalancer/simulator/world/HardCasesTest.java
+++ b/simulator/src/test/java/loadbalancer/simulator/world/HardCasesTest.java
@@ -20,9 +20,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Whole days in which something awkward happens: every request still ends once, and the books balance. */
+/** Whole days with faults: each request still ends exactly once and the rules hold. */
 class HardCasesTest {
-    private static Day own(WorldPlan plan) {
+    private static Day play(WorldPlan plan) {
         return Day.play(plan, 4, Variants.policyFactory(Worlds.variant("balance")));
     }
 
@@ -31,23 +31,24 @@
     }
 
     @Test
-    void aCalmDayIsServedWhole() {
-        Day day = own(Worlds.small(0.4, 6, Idempotency.IDEMPOTENT));
+    void dayWithoutFaultsIsServed() {
+        Day day = play(Worlds.small(0.4, 6, Idempotency.IDEMPOTENT));
         assertEquals("", rules(day));
         assertTrue(day.figures().get("served") > 0.95, day.figures().toString());
     }
 
     @Test
-    void withoutUpstreamsEveryRequestIsRefusedAndNoneLost() {
+    void withoutUpstreamsRequestsAreRejectedAndNoneIsLost() {
         WorldPlan plan = Worlds.small(0.4, 1, Idempotency.IDEMPOTENT, Worlds.fault("death", 2, 9, 1, 0, 0));
-        Day day = own(plan);
+        Day day = play(plan);
         assertEquals("", rules(day));
         assertTrue(day.figures().get("refused") > 0.3, day.figures().toString());
         assertEquals(
-                0.0, own(Worlds.small(0.4, 0, Idempotency.IDEMPOTENT)).figures().get("rules.broken"));
+                0.0,
+                play(Worlds.small(0.4, 0, Idempotency.IDEMPOTENT)).figures().get("rules.broken"));
     }
 
-    /** Each trouble alone, with requests that may be repeated and with those that must not run twice. */
+    /** Each fault alone, with idempotent and with non-idempotent requests. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -78,7 +79,7 @@
                 "loss",
                 "tenant_flood"
             })
-    void theModuleKeepsTheRulesThroughEachTrouble(String kind) {
+    void balancerKeepsTheRulesDuringEachFault(String kind) {
         assertTrue(FaultKinds.DESCRIPTIONS.containsKey(kind));
         double size =
                 switch (kind) {
@@ -87,11 +88,11 @@
                     default -> 2;
                 };
         for (Idempotency effect : List.of(Idempotency.IDEMPOTENT, Idempotency.NON_IDEMPOTENT)) {
-            Day day = own(Worlds.small(0.5, 9, effect, Worlds.fault(kind, 3, 4, 0.34, size, 1.5)));
+            Day day = play(Worlds.small(0.5, 9, effect, Worlds.fault(kind, 3, 4, 0.34, size, 1.5)));
             assertEquals("", rules(day), kind + " " + effect);
             assertTrue(day.figures().get("whole") > 0.3, kind + " " + effect + ": " + day.figures());
         }
-        assertEquals(FaultKinds.DESCRIPTIONS.size(), 26, "each kind of trouble is named above");
+        assertEquals(FaultKinds.DESCRIPTIONS.size(), 26, "each kind of fault is named above");
     }
 
     private static final RoutingSpec FRONT = new RoutingSpec(
@@ -103,7 +104,7 @@
             1,
             0.1);
 
-    private static Day fronted(WorldPlan plan) {
+    private static Day playWithRouter(WorldPlan plan) {
         Variants.Variant variant = new Variants.Variant(
                 "front",
                 "balance",
@@ -126,26 +127,26 @@
                 "tenant_flood",
                 "register_down"
             })
-    void aFrontKeepsTheRulesAsWellAndTheSameSeedTheSameDay(String kind) {
+    void routerKeepsTheRulesAndTheSameSeedGivesTheSameDay(String kind) {
         WorldPlan plan = Worlds.small(0.7, 9, Idempotency.NON_IDEMPOTENT, Worlds.fault(kind, 3, 4, 0.34, 2, 1.5));
-        Day day = fronted(plan);
+        Day day = playWithRouter(plan);
         assertEquals("", rules(day), kind);
         assertTrue(day.figures().get("whole") > 0.3, kind + ": " + day.figures());
-        assertEquals(day.figures(), fronted(plan).figures());
+        assertEquals(day.figures(), playWithRouter(plan).figures());
     }
 
     @Test
-    void whereListsArePushedADeathIsHeardOf() {
-        WorldPlan asked = Worlds.small(0.4, 6, Idempotency.IDEMPOTENT, Worlds.fault("death", 3, 4, 0.34, 0, 0));
-        WorldPlan.Discovery discovery = asked.discovery();
+    void pushedListsReportADeath() {
+        WorldPlan polling = Worlds.small(0.4, 6, Idempotency.IDEMPOTENT, Worlds.fault("death", 3, 4, 0.34, 0, 0));
+        WorldPlan.Discovery discovery = polling.discovery();
         WorldPlan pushed = new WorldPlan(
-                asked.length(),
-                asked.balancers(),
-                asked.upstreams(),
-                asked.zones(),
-                asked.load(),
-                asked.network(),
-                asked.clients(),
+                polling.length(),
+                polling.balancers(),
+                polling.upstreams(),
+                polling.zones(),
+                polling.load(),
+                polling.network(),
+                polling.clients(),
                 new WorldPlan.Discovery(
                         false,
                         discovery.noticeDelay(),
@@ -156,43 +157,43 @@
                         discovery.capacity(),
                         discovery.entriesPerCall(),
                         discovery.timeout()),
-                asked.rules(),
-                asked.goal(),
-                asked.prices(),
-                asked.fleet(),
-                asked.kinds(),
-                asked.classes(),
-                asked.tenants(),
-                asked.faults());
-        Day day = own(pushed);
+                polling.rules(),
+                polling.goal(),
+                polling.prices(),
+                polling.fleet(),
+                polling.kinds(),
+                polling.classes(),
+                polling.tenants(),
+                polling.faults());
+        Day day = play(pushed);
         assertEquals("", rules(day));
         assertTrue(day.figures().get("lists") >= 9, "the start, what ended and what came: " + day.figures());
     }
 
     @Test
-    void theSameSeedGivesTheSameDayToTheBit() {
+    void sameSeedGivesIdenticalFigures() {
         WorldPlan plan = Worlds.small(
                 0.8,
                 6,
                 Idempotency.IDEMPOTENT,
                 Worlds.fault("deploy", 2, 5, 0.6, 0.2, 1.5),
                 Worlds.fault("balancers_killed", 4, 2, 0.3, 0, 0));
-        assertEquals(own(plan).figures(), own(plan).figures());
+        assertEquals(play(plan).figures(), play(plan).figures());
     }
 
     @Test
-    void anotherPolicyMeetsTheSameArrivals() {
+    void arrivalsDoNotDependOnThePolicy() {
         WorldPlan plan = Worlds.small(0.7, 6, Idempotency.IDEMPOTENT, Worlds.fault("slow", 2, 5, 0.3, 4, 0));
         Day other = Day.play(plan, 4, Variants.policyFactory(Worlds.variant("random")));
         assertEquals(
-                List.of(own(plan).series().arrivals()[3], own(plan).series().arrivals()[9]),
+                List.of(play(plan).series().arrivals()[3], play(plan).series().arrivals()[9]),
                 List.of(other.series().arrivals()[3], other.series().arrivals()[9]));
     }
 
-    /** A balancer killed between a send and its outcome: nobody hears of the outcome, its clients come again. */
+    /** A balancer killed between a send and its outcome receives no outcome; its clients retry at other balancers. */
     @Test
-    void aKilledBalancerHearsNothingMore() {
-        List<Long> deaths = new ArrayList<>();
+    void killedBalancerReceivesNoOutcomes() {
+        List<Long> servedRetries = new ArrayList<>();
         List<Long> outcomesAfter = new ArrayList<>();
         Recorder recorder = new Recorder() {
             @Override
@@ -205,7 +206,7 @@
             @Override
             public void requestFinished(ClientRequest request, boolean served, long now) {
                 if (request.attempts > 1 && served) {
-                    deaths.add(now);
+                    servedRetries.add(now);
                 }
             }
         };
@@ -214,12 +215,13 @@
         World world = new World(plan, 9, (settings, seed, truth) -> new JsqDasPolicy(settings, seed), recorder);
         world.run();
         assertEquals(List.of(), outcomesAfter);
-        assertTrue(deaths.size() > 3, "clients of the killed one were served by others: " + deaths.size());
+        assertTrue(
+                servedRetries.size() > 3, "clients of the killed one were served by others: " + servedRetries.size());
         assertEquals(0, world.clients.open());
     }
 
     @Test
-    void aDayDoesNotKeepWhatIsOver() {
+    void finishedRequestsAndTimersAreReleased() {
         World world = new World(
                 Worlds.small(0.7, 6, Idempotency.IDEMPOTENT),
                 2,
@@ -227,13 +229,13 @@
                 new Recorder());
         world.run();
         for (Balancer balancer : world.processes()) {
-            assertEquals(0, balancer.open());
+            assertEquals(0, balancer.openRequests());
         }
-        assertTrue(world.simulation.waiting() < 1024, "the calendar holds " + world.simulation.waiting());
+        assertTrue(world.simulation.waiting() < 1024, "pending events: " + world.simulation.waiting());
     }
 
     @Test
-    void aSuccessorAtTheSameAddressGetsWhatIsSentToTheOldId() {
+    void successorAtTheSameAddressReceivesRequestsForTheOldId() {
         List<String> targets = new ArrayList<>();
         Recorder recorder = new Recorder() {
             @Override
@@ -249,10 +251,11 @@
                         (settings, seed, truth) -> new JsqDasPolicy(settings, seed),
                         recorder)
                 .run();
-        assertTrue(targets.size() > 0, "until the register tells, the old id leads to the new process");
+        assertTrue(
+                targets.size() > 0, "until discovery lists the change, requests for the old id reach the new process");
     }
 
-    /** Sharing of cores: n equal jobs on c cores end together after n / c times their work. */
+    /** n equal jobs on c cores all end after n / c times the work of one, or after its work if n < c. */
     @ParameterizedTest
     @CsvSource({"1, 20000", "2, 20000", "4, 40000", "8, 80000"})
     void jobsInServiceShareTheCores(int jobs, long expected) {
@@ -279,10 +282,10 @@
         world.simulation.runUntil(10 * Worlds.SECOND);
         assertEquals(jobs, ends.size());
         double last = ends.stream().mapToLong(Long::longValue).max().orElse(0) - 100;
-        assertEquals(expected, last, 2000, "the way back takes some 0.2 to 1 ms: " + ends);
+        assertEquals(expected, last, 2000, "replies take some 0.2 to 1 ms: " + ends);
     }
 
-    /** Hears everything and holds nothing against anybody. */
+    /** Ignores all events, but fails on an invalid action. */
     private static class Recorder extends NoOpObserver {
         @Override
         public boolean knowsStart(Balancer balancer, Upstream upstream) {
@@ -290,8 +293,8 @@
         }
 
         @Override
-        public void invalidAction(Balancer balancer, String what, BalancerRequest request, long now) {
-            throw new AssertionError(what);
+        public void invalidAction(Balancer balancer, String description, BalancerRequest request, long now) {
+            throw new AssertionError(description);
         }
     }
 }
--- a/simulator/src/test/java/loadbalancer/simulator/world/Worlds.java
+++ b/simulator/src/test/java/loadbalancer/simulator/world/Worlds.java
@@ -5,7 +5,7 @@
 import loadbalancer.simulator.policies.Choosers;
 import loadbalancer.simulator.variants.Variants;
 
-/** Small worlds for tests, without chance where it isn't wanted. */
+/** Small worlds for tests, with fixed values instead of ranges. */
 public final class Worlds {
     private static final Range NONE = Range.of(0);
     private static final Range ONE = Range.of(1);
@@ -13,7 +13,7 @@
 
     private Worlds() {}
 
-    /** Three balancers before so many upstreams, of two cores each. */
+    /** A world of three balancers and {@code upstreams} upstreams of two cores each. */
     public static WorldPlan small(double load, int upstreams, Idempotency effect, WorldPlan.Fault... faults) {
         return new WorldPlan(
                 12 * SECOND,
@@ -82,18 +82,19 @@
                 List.of(faults));
     }
 
-    /** A trouble whose figures are all fixed. */
-    public static WorldPlan.Fault fault(String kind, double at, double length, double part, double size, double extra) {
+    /** A fault with fixed values; times are in seconds. */
+    public static WorldPlan.Fault fault(
+            String kind, double at, double length, double fraction, double size, double extra) {
         return new WorldPlan.Fault(
                 kind,
                 Range.of(at * SECOND),
                 Range.of(length * SECOND),
-                Range.of(part),
+                Range.of(fraction),
                 Range.of(size),
                 Range.of(extra));
     }
 
-    /** A variant by the name of its policy. */
+    /** A variant that is named after its policy. */
     public static Variants.Variant variant(String policy) {
         return new Variants.Variant(policy, policy, new Choosers.Figures(4, 2, 0.5));
     }
