--- a/balancer/src/main/java/loadbalancer/admin/AdminListener.java
+++ b/balancer/src/main/java/loadbalancer/admin/AdminListener.java
@@ -53,7 +53,7 @@
      * Opens the listener. Blocks, so it must not be called on the event loop's thread.
      *
      * @return the address that the listener is bound to
-     * @throws IOException if the address cannot be bound
+     * @throws IOException if the address cannot be bound, or the thread is interrupted
      */
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
         try {
--- a/balancer/src/main/java/loadbalancer/http/ClientConnection.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientConnection.java
@@ -340,7 +340,7 @@
         download = null;
     }
 
-    // The request has its response: its memory is released, and the rest of its body is discarded.
+    // The response begins, so the request is no longer needed: its memory is released, the rest of its body discarded.
     private void releaseRequest() {
         disconnectListener = null;
         releaseServedMemory();
--- a/balancer/src/main/java/loadbalancer/http/ClientListener.java
+++ b/balancer/src/main/java/loadbalancer/http/ClientListener.java
@@ -45,7 +45,8 @@
      *
      * @param requestHandler handles the requests of the clients
      * @param closeIdleUpstream closes an idle connection to an upstream; returns false if there is none
-     * @param unreadMicros how long the data that is being read may have waited in the socket's buffer, at most
+     * @param maxUnreadMicros returns the longest time that the data now being read can have waited in the socket's
+     *     buffer
      */
     public ClientListener(
             EventLoop loop,
@@ -53,9 +54,9 @@
             RequestHandler requestHandler,
             ClientConnectionBudget budget,
             BooleanSupplier closeIdleUpstream,
-            LongSupplier unreadMicros) {
+            LongSupplier maxUnreadMicros) {
         this.loop = loop;
-        this.requestHandler = new ClientRequestHandler(servingState, siteSettings, requestHandler, unreadMicros);
+        this.requestHandler = new ClientRequestHandler(servingState, siteSettings, requestHandler, maxUnreadMicros);
         this.connections = new ClientConnections(
                 this.requestHandler,
                 new BodyMemoryBudget(MAX_BODY_MEMORY_BYTES),
@@ -189,18 +190,18 @@
     // ---- stop
 
     /**
-     * Closes each connection after its next response from now on. New connections are still accepted, unless the
-     * listening socket is inherited and another process accepts them.
+     * From now on, each connection is closed after its next response. An inherited socket also stops accepting here,
+     * because another process accepts on it; an own socket continues to accept.
      */
-    public void startStopping() {
-        servingState.startStopping();
+    public void beginShutdown() {
+        servingState.beginShutdown();
         if (inherited) {
             accepting = false; // another process listens on the same socket
             listener.config().setAutoRead(false);
         }
     }
 
-    /** Returns whether {@link #startStopping} has been called. */
+    /** Returns whether {@link #beginShutdown} has been called. */
     public boolean isStopping() {
         return servingState.isStopping();
     }
--- a/balancer/src/main/java/loadbalancer/http/ServingState.java
+++ b/balancer/src/main/java/loadbalancer/http/ServingState.java
@@ -35,7 +35,7 @@
         ready = !stopping;
     }
 
-    void startStopping() {
+    void beginShutdown() {
         ready = false;
         stopping = true;
         stoppingSinceNanos = System.nanoTime();
--- a/balancer/src/main/java/loadbalancer/http/UnreadTimeEstimator.java
+++ b/balancer/src/main/java/loadbalancer/http/UnreadTimeEstimator.java
@@ -43,7 +43,7 @@
     }
 
     /** Returns how long the data that is being read may have waited in the socket's buffer, at most. */
-    public long unreadMicros() {
+    public long estimateUnreadMicros() {
         long nowNanos = nanoClock.getAsLong();
         if (waitedInSelect && !readInIteration) {
             readInIteration = true; // the first data has just arrived and ended the wait in select
--- a/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
+++ b/balancer/src/main/java/loadbalancer/process/BalancerProcess.java
@@ -113,7 +113,12 @@
                 this::endpointsListed,
                 log::info);
         clients = new ClientListener(
-                loop, config.boot(), dispatcher, descriptors, upstreams::closeLongestIdle, unreadTime::unreadMicros);
+                loop,
+                config.boot(),
+                dispatcher,
+                descriptors,
+                upstreams::closeLongestIdle,
+                unreadTime::estimateUnreadMicros);
         upstreams.setReclaimer(clients::closeLeastNeeded);
         dispatcher.attach(upstreams, discovery);
         membership = new Membership(subset, new OperatorDrains(), dispatcher::nowMicros, dispatcher::updateEndpoints);
--- a/balancer/src/main/java/loadbalancer/process/GracefulShutdown.java
+++ b/balancer/src/main/java/loadbalancer/process/GracefulShutdown.java
@@ -73,7 +73,7 @@
 
     private void linger() {
         advance(State.LINGERING);
-        clients.startStopping();
+        clients.beginShutdown();
     }
 
     private void drain() {
--- a/balancer/src/main/java/loadbalancer/transport/BodyStream.java
+++ b/balancer/src/main/java/loadbalancer/transport/BodyStream.java
@@ -8,12 +8,12 @@
 import java.util.List;
 
 /**
- * A body that is forwarded as it arrives, from a source (the connection that receives it) to one {@link Sink}. Data
- * that arrives before the sink is set is queued, and the source is read only while the sink is writable.
+ * A body that is forwarded as it arrives, from a source (the connection that receives it) to one {@link Sink}. Reading
+ * of the source is paused while the sink is not writable. Data that arrives before the sink is set is queued.
  *
  * <p>A disconnect of the source can be detected only after all data before it has been read, and a request must not be
- * forwarded for a client that has disconnected. With a {@link BodyMemoryBudget} the source is therefore also read
- * before the sink is set, within limits. Source and sink run on the same event loop.
+ * forwarded for a client that has disconnected. So with a {@link BodyMemoryBudget} the source is also read, within
+ * limits, while there is no sink yet. Source and sink run on the same event loop.
  */
 public final class BodyStream {
     /** The destination of a body. */
--- a/balancer/src/main/java/loadbalancer/wire/LoadReportParser.java
+++ b/balancer/src/main/java/loadbalancer/wire/LoadReportParser.java
@@ -32,7 +32,10 @@
         return slot >= 0 ? slot : HEADER_NAMES.indexOf(name);
     }
 
-    /** Returns the report with these values, of which the latency is in milliseconds. */
+    /**
+     * Returns a report of values in the order of {@link #WIRE_NAMES}. The latency is given in milliseconds and stored
+     * in microseconds.
+     */
     static LoadReport of(double[] values) {
         return new LoadReport(values[0], values[1], values[2], values[3] * MICROS_PER_MILLI, values[4], values[5]);
     }
--- a/balancer/src/test/java/loadbalancer/http/UnreadTimeEstimatorTest.java
+++ b/balancer/src/test/java/loadbalancer/http/UnreadTimeEstimatorTest.java
@@ -22,9 +22,9 @@
         setTimeMillis(10);
         assertEquals(SelectStrategy.SELECT, poll(0, false));
         setTimeMillis(500);
-        assertEquals(0, estimator.unreadMicros());
+        assertEquals(0, estimator.estimateUnreadMicros());
         setTimeMillis(503); // the next data of this iteration may have waited while the first was processed
-        assertEquals(3_000, estimator.unreadMicros());
+        assertEquals(3_000, estimator.estimateUnreadMicros());
     }
 
     /** An iteration takes 300 ms: data that is read after it may have arrived right after its poll. */
@@ -34,12 +34,12 @@
         poll(0, true); // an iteration of tasks only, which take 300 ms
         setTimeMillis(310);
         assertEquals(1, poll(1, true));
-        assertEquals(300_000, estimator.unreadMicros());
+        assertEquals(300_000, estimator.estimateUnreadMicros());
         setTimeMillis(320);
-        assertEquals(310_000, estimator.unreadMicros());
+        assertEquals(310_000, estimator.estimateUnreadMicros());
         poll(1, false);
         setTimeMillis(325);
-        assertEquals(15_000, estimator.unreadMicros());
+        assertEquals(15_000, estimator.estimateUnreadMicros());
     }
 
     @Test
--- a/core/src/main/java/loadbalancer/policy/LearnedState.java
+++ b/core/src/main/java/loadbalancer/policy/LearnedState.java
@@ -116,7 +116,7 @@
                     stats.firstRequestDueAt < Long.MAX_VALUE);
         }
 
-        /** Copies the history into the statistics, if both belong to the same start of the endpoint. */
+        /** Copies the history into the statistics, unless the endpoint has restarted in between. */
         void applyTo(EndpointStats stats, long now, DecayScale scale) {
             if (startedAt != stats.endpoint.startedAt()) {
                 return;
--- a/core/src/main/java/loadbalancer/policy/OutlierDetector.java
+++ b/core/src/main/java/loadbalancer/policy/OutlierDetector.java
@@ -29,7 +29,7 @@
     /** An endpoint that is silent for more than this multiple of the expected latency has stalled. */
     private static final double STALL_LATENCIES = 3;
 
-    /** An endpoint that has only rejected attempts for longer than this is failing and not just saturated. */
+    /** A rejection counts as a failure, not just as saturation, if the last success is longer ago than this. */
     private static final double MAX_SATURATION_MICROS = 2_000_000;
 
     /** Weight of a failure that load may have caused. */
--- a/core/src/main/java/loadbalancer/policy/RequestClass.java
+++ b/core/src/main/java/loadbalancer/policy/RequestClass.java
@@ -8,11 +8,12 @@
  * @param idempotency whether a request may be sent again after an attempt that may have been executed
  * @param scope the endpoints that recognize an idempotency key
  * @param keyRetentionMicros how long endpoints recognize an idempotency key
- * @param latencyObjectiveMicros an answer within this time earns the priority weight
- * @param deadlineMicros an answer after the latency objective but within this time earns the late fraction of the
+ * @param latencyObjectiveMicros time within which an answer counts with the full priority weight
+ * @param deadlineMicros time within which an answer after the latency objective counts with the late fraction of the
  *     priority weight
- * @param objectiveStretch multiple of the client's hint of the work that is added to the latency objective of a request
- * @param priorityWeight value of an answer in time, compared with other classes
+ * @param objectiveStretch factor of the client's estimate of the work; the product is added to the latency objective of
+ *     a request
+ * @param priorityWeight value of an answer within the latency objective, compared with other classes
  * @param lateFraction fraction of the priority weight that a late answer earns
  * @param streamed whether answers are streams, which are not ended by a timeout
  * @param orderedDelivery whether requests with the same key are executed one at a time, in the order of arrival
--- a/core/src/main/java/loadbalancer/policy/StatisticsUpdater.java
+++ b/core/src/main/java/loadbalancer/policy/StatisticsUpdater.java
@@ -20,7 +20,7 @@
         this.components = components;
     }
 
-    /** Starts the clock of the statistics. */
+    /** Sets the time that the first {@link #advance} counts from; must be called once before it. */
     void start(long now) {
         components.quotas.start(now);
         updatedAt = now;
--- a/core/src/main/java/loadbalancer/router/RejectionReason.java
+++ b/core/src/main/java/loadbalancer/router/RejectionReason.java
@@ -16,6 +16,6 @@
     POOL_LIMIT,
     /** No route matches the request. */
     NO_ROUTE,
-    /** The path of the request can't be routed. */
+    /** The path contains a "." or ".." segment or doesn't begin with a slash, so it can't be matched against routes. */
     BAD_PATH
 }
--- a/core/src/main/java/loadbalancer/router/RetryAfterBounds.java
+++ b/core/src/main/java/loadbalancer/router/RetryAfterBounds.java
@@ -6,7 +6,7 @@
  * @param maxMicros 0 to send no {@code Retry-After}
  */
 public record RetryAfterBounds(long minMicros, long maxMicros) {
-    /** Throws IllegalArgumentException if a bound is negative, or the lower one is over the upper one. */
+    /** Throws IllegalArgumentException if a bound is negative, or the upper one is below the lower one and not 0. */
     public RetryAfterBounds {
         if (minMicros < 0 || maxMicros < minMicros && maxMicros != 0) {
             throw new IllegalArgumentException("Retry-After bounds are minMicros " + minMicros + ", maxMicros "
--- a/core/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
+++ b/core/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
@@ -168,7 +168,7 @@
     }
 
     @Test
-    void newTiersKeepTheSumOfArrivals() {
+    void arrivalsAreSplitEvenlyOverNewTiers() {
         AdmissionController admission = new AdmissionController(ONE_TIER, 1, new SplittableRandom(1));
         for (int i = 0; i < 6; i++) {
             admission.admit(0);
--- a/core/src/test/java/loadbalancer/policy/OverloadTest.java
+++ b/core/src/test/java/loadbalancer/policy/OverloadTest.java
@@ -14,7 +14,7 @@
     private static final RequestClass NON_IDEMPOTENT = Harness.requestClass(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
 
     @Test
-    void requestsAreSentAtOnceAfterAnOverload() {
+    void mostOfTheTenthBurstAfterAnOverloadIsSentAtOnce() {
         Harness harness = Harness.withFleet(6, IDEMPOTENT);
         harness.serve(200, 30_000, Map.of());
         for (int i = 0; i < 60; i++) { // every answer takes more than ten times as long as before
--- a/simulator/src/main/java/loadbalancer/simulator/engine/Simulation.java
+++ b/simulator/src/main/java/loadbalancer/simulator/engine/Simulation.java
@@ -183,8 +183,9 @@
         events[index] = event;
     }
 
-    // Removes cancelled timers. Most timers are cancelled before they fire; without compaction the queue would grow
-    // with all requests started within the last deadline period, not with the open ones.
+    // Removes cancelled timers once they are over half of the queue. Most timers are cancelled long before they would
+    // fire. If they stayed until then, the queue would hold a timer for each recent request, not only for the open
+    // ones.
     private void compact() {
         if (size < INITIAL_CAPACITY || cancelledCount <= size / 2) {
             return;
--- a/simulator/src/main/java/loadbalancer/simulator/world/Rack.java
+++ b/simulator/src/main/java/loadbalancer/simulator/world/Rack.java
@@ -26,7 +26,10 @@
         return limit < 1;
     }
 
-    /** Recomputes the factor after a change of a member's load; if it changes, so do the other members' rates. */
+    /**
+     * Recomputes the rack's factor after the load of {@code member} has changed. If the factor changes, the rates of
+     * the other members are recomputed too; the caller recomputes that of {@code member} if needed.
+     */
     void changed(Upstream member, long now) {
         if (limit >= 1) {
             return;
